--- a/tests/batch/test_program.py
+++ b/tests/batch/test_program.py
@@ -4,7 +4,6 @@
 import contextlib
 import random
 import shutil
-import socket
 from collections.abc import AsyncIterator
 from pathlib import Path
 from typing import Any
@@ -39,11 +38,12 @@
 from pewterring.transport.datagrams import DatagramPort
 from pewterring.transport.lines import Channel, LineServer, LinkPool, MessageCodec, TransportError
 from tests.batch.stand_ins import ROUTE, item
+from tests.loopback import free_port, loopback_ip
 from tests.node_settings import addresses, node_settings
 
-CONTROL_IP = "127.0.0.10"
-STORE_IPS = ("127.0.0.11", "127.0.0.12", "127.0.0.13")
-GATEWAY_IP = "127.0.0.20"
+CONTROL_IP = loopback_ip(10)
+STORE_IPS = (loopback_ip(11), loopback_ip(12), loopback_ip(13))
+GATEWAY_IP = loopback_ip(20)
 CODEC = MessageCodec((*BATCH_MESSAGES, *FEED_MESSAGES))
 EVENTS = b"id: 1\ndata: x\n\nid: 2\ndata: y\n\n"
 ANSWER = (
@@ -149,13 +149,6 @@
     writer.close()
 
 
-def free_port() -> int:
-    with socket.socket() as probe:
-        probe.bind((CONTROL_IP, 0))
-        port: int = probe.getsockname()[1]
-        return port
-
-
 def settings(ip: str, port: int, data_dir: Path) -> NodeSettings:
     return node_settings(
         "store",
@@ -207,7 +200,7 @@
     workers = await asyncio.start_server(serve_item, "127.0.0.1", 0)
     worker_port = workers.sockets[0].getsockname()[1]
     control = ControlStandIn(WorkerRecord("w1", "s", f"127.0.0.1:{worker_port}", "z", 10, "ready"))
-    port = free_port()
+    port = free_port(CONTROL_IP)
     await control.server.start(CONTROL_IP, port)
     made = Cluster(control, port, data_dir)
     for ip in STORE_IPS:
@@ -281,7 +274,8 @@
             await stores.call(ReadResults("first", 0))
             assert await stores.call(SubmitJob("j", *ROUTE, items=(item("i"),))) == JobAccepted()
             page = await stores.call(ReadResults("j", 0, 200.0))
-            assert isinstance(page, ResultPage) and not page.results
+            assert isinstance(page, ResultPage)
+            assert not page.results
             tell_stores(gateway, sequence=2, out=0)
             await whole(stores, "j", 1)
             gateway.close()
--- a/tests/cli/test_bad_data.py
+++ b/tests/cli/test_bad_data.py
@@ -12,7 +12,8 @@
 from pewterring.storage.disk import FolderDisk
 from pewterring.storage.group import DiskGroupStorage
 from pewterring.storage.records import HEADER_BYTES, encode_record, read_record
-from tests.cli.test_programs import PATIENCE_S, ROOT, free_port, written
+from tests.cli.test_programs import PATIENCE_S, ROOT, written
+from tests.loopback import free_port
 from tests.node.settings_texts import settings_text
 
 GROUPS = {"control": "control", "store": "batch-1"}
@@ -72,7 +73,8 @@
         text=True,
         timeout=PATIENCE_S,
     )
-    assert done.returncode == 1 and done.stdout == ""
+    assert done.returncode == 1
+    assert done.stdout == ""
     lines = [orjson.loads(line) for line in done.stderr.splitlines()]
     errors = [line for line in lines if line["level"].lower() not in ("info", "debug")]
     assert len(errors) == 1 and name in errors[0]["message"], done.stderr
--- a/tests/cli/test_programs.py
+++ b/tests/cli/test_programs.py
@@ -2,7 +2,6 @@
 
 import asyncio
 import signal
-import socket
 import subprocess
 import sys
 from pathlib import Path
@@ -10,6 +9,7 @@
 import pytest
 
 from pewterring.__main__ import main
+from tests.loopback import free_port
 from tests.node.settings_texts import settings_text
 
 ROOT = Path(__file__).resolve().parents[2]
@@ -38,8 +38,11 @@
         text=True,
         timeout=PATIENCE_S,
     )
-    assert done.returncode == 2 and done.stdout == ""
-    assert done.stderr.count("\n") == 1 and "node_id is missing" in done.stderr and "soon" in done.stderr
+    assert done.returncode == 2
+    assert done.stdout == ""
+    assert done.stderr.count("\n") == 1
+    assert "node_id is missing" in done.stderr
+    assert "soon" in done.stderr
 
 
 def test_the_variable_names_the_file(
@@ -74,7 +77,8 @@
             async with asyncio.timeout(PATIENCE_S):
                 assert child.stderr is not None
                 seen = await until(child.stderr, b"listens on")
-                assert b'"event":"settings_unknown_keys"' in seen and b'"count":1' in seen
+                assert b'"event":"settings_unknown_keys"' in seen
+                assert b'"count":1' in seen
                 path.write_text(path.read_text().replace("seed_nodes=", "seed_nodes=127.0.0.1:8,"))
                 child.send_signal(signal.SIGHUP)
                 await until(child.stderr, b"settings_reloaded")
@@ -99,9 +103,3 @@
         assert line, seen
         seen += line
     return seen
-
-
-def free_port() -> int:
-    with socket.socket() as probe:
-        probe.bind(("127.0.0.1", 0))
-        return int(probe.getsockname()[1])
--- a/tests/control/test_http_server.py
+++ b/tests/control/test_http_server.py
@@ -13,9 +13,10 @@
 from pewterring.control.calls import Answer, Call
 from pewterring.control.http_server import LIMITS, ApiServer
 from pewterring.node.settings import Address
+from tests.loopback import free_port, loopback_ip
 from tests.transport.http_stand_ins import PATIENCE_S, Wire
 
-IP = "127.0.0.31"
+IP = loopback_ip(31)
 FIRST = b"POST /v1/Instances.Heartbeat/w HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\n\r\nfirst"
 CHUNKED = (
     b"POST /v1/Config.Replace HTTP/1.1\r\nHost: h\r\nBase-Version: 3\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -32,9 +33,7 @@
 
     def __init__(self) -> None:
         self.calls: list[Call] = []
-        with socket.socket() as probe:
-            probe.bind((IP, 0))
-            self.port: int = probe.getsockname()[1]
+        self.port = free_port(IP)
 
     async def answer(self, call: Call) -> Answer:
         self.calls.append(call)
@@ -97,7 +96,8 @@
         bodies = [b"/v1/Instances.Heartbeat/w first", b"/v1/Config.Replace second", b"/v1/Config.Get "]
         assert answers.count(b"HTTP/1.1 200") == 3
         places = [answers.find(body) for body in bodies]
-        assert -1 not in places and places == sorted(places)
+        assert -1 not in places
+        assert places == sorted(places)
         assert [call.base_version for call in control.calls] == ["", "3", ""]
 
     play(story)
--- a/tests/control/test_program.py
+++ b/tests/control/test_program.py
@@ -5,7 +5,6 @@
 import dataclasses
 import random
 import shutil
-import socket
 from collections.abc import AsyncIterator, Callable
 from pathlib import Path
 
@@ -29,29 +28,23 @@
 from pewterring.node.settings import Address, NodeSettings, SettingsError
 from pewterring.transport.lines import ChannelClosed, LineServer, MessageCodec, connect
 from tests.configuration.documents import encoded
+from tests.loopback import free_port, loopback_ip
 from tests.node_settings import addresses, node_settings
 from tests.transport.scripted import warnings_logged
 
-IPS = ("127.0.0.21", "127.0.0.22", "127.0.0.23")
-NODE_IP = "127.0.0.24"
+IPS = (loopback_ip(21), loopback_ip(22), loopback_ip(23))
+NODE_IP = loopback_ip(24)
 CALL_S = 2.0  # a caller goes to another machine after so long
 TEST_S = 60.0
 
 
-def free_port() -> int:
-    with socket.socket() as probe:
-        probe.bind((IPS[0], 0))
-        port: int = probe.getsockname()[1]
-        return port
-
-
 class Machines:
     """The programs that run, by IP, and an operator who asks one after the other."""
 
     def __init__(self, data_dir: Path) -> None:
         self.data_dir = data_dir
-        self.internal_port = free_port()
-        self.control_port = free_port()
+        self.internal_port = free_port(IPS[0])
+        self.control_port = free_port(IPS[0])
         self.programs: dict[str, ControlProgram] = {}
 
     def settings(self, ip: str, program: str = "control", bootstrap: bool = True) -> NodeSettings:
@@ -197,7 +190,8 @@
             again = await machines.start(lost, bootstrap=False)
             while not again._is_voter():
                 await machines.read()
-            assert again._member.startswith(lost) and not again._member.endswith("#seed")
+            assert again._member.startswith(lost)
+            assert not again._member.endswith("#seed")
             await machines.stop(leader)
             assert await machines.read() == as_line(encoded(version=3))
 
@@ -240,7 +234,8 @@
         with warnings_logged() as lines:
             for _ in range(5):
                 await node.subscriber._session(IPS[0])
-        assert len(lines) == 2 and all("cluster" in line for line in lines)  # one at each of the two
+        assert len(lines) == 2
+        assert all("cluster" in line for line in lines)
         assert node.subscriber.tables.configuration is None
         await stranger.stop()
 
