--- a/tests/admission/test_relayed_shares.py
+++ b/tests/admission/test_relayed_shares.py
@@ -30,7 +30,8 @@
         held.beat(CEILING, 1)
         held.hear_totals(LATER, CALM, CEILING)
         assert held.share == pytest.approx(CEILING * demand / 200.0)
-        assert held.whole == CEILING and held.elsewhere == 199.0
+        assert held.whole == CEILING
+        assert held.elsewhere == 199.0
 
 
 def test_the_floor_is_one_slot() -> None:
--- a/tests/admission/test_relays.py
+++ b/tests/admission/test_relays.py
@@ -63,10 +63,12 @@
     for data in write_group_digest(9, 8, 7, digests) + write_fleet_digest(9, 8, 7, totals):
         assert len(data) <= MAX_BYTES
         message = read_digest(data)
-        assert message is not None and (message.group, message.incarnation, message.sequence) == (9, 8, 7)
+        assert message is not None
+        assert (message.group, message.incarnation, message.sequence) == (9, 8, 7)
         read_digests.update(message.digests)
         read_totals.update(message.totals)
-    assert read_digests == digests and read_totals == totals
+    assert read_digests == digests
+    assert read_totals == totals
 
 
 def test_what_is_cut_or_no_number_is_no_digest() -> None:
@@ -92,7 +94,8 @@
         for group in plan.groups.values():
             assert len({zone_of[ip] for ip in group.members}) == 1
             assert len(group.members) <= 1.3 * MAX_MEMBERS
-            assert 1 <= len(group.relays) <= RELAYS and set(group.relays) <= set(group.members)
+            assert 1 <= len(group.relays) <= RELAYS
+            assert set(group.relays) <= set(group.members)
 
 
 def test_the_order_of_the_table_changes_nothing() -> None:
--- a/tests/batch/test_capacity.py
+++ b/tests/batch/test_capacity.py
@@ -49,7 +49,8 @@
         kept = job_of("kept", MOST_STATE_BYTES - 10)
         assert await store.service.handle(kept) == JobAccepted()
         refused = await store.service.handle(job_of("more", 11))
-        assert isinstance(refused, JobRefused) and not refused.full
+        assert isinstance(refused, JobRefused)
+        assert not refused.full
         assert store.state.job("more") is None
         assert await store.service.handle(kept) == JobAccepted()
         assert await store.service.handle(job_of("fits", 10)) == JobAccepted()
--- a/tests/batch/test_dispatch.py
+++ b/tests/batch/test_dispatch.py
@@ -191,10 +191,12 @@
     first = fixture.place()
     assert first is not None
     second = fixture.place(avoid="w1")
-    assert second is not None and second.id == "w22"
+    assert second is not None
+    assert second.id == "w22"
     alone = Fixture(tables(worker("w1")))
     again = alone.place(avoid="w1")
-    assert again is not None and again.id == "w1"
+    assert again is not None
+    assert again.id == "w1"
 
 
 @pytest.mark.parametrize("outcome", [ExchangeOutcome.CUT, ExchangeOutcome.REFUSED])
@@ -272,11 +274,13 @@
     for last in ("w1", "w22"):
         fixture = Fixture(two_workers_with_engines())
         first = fixture.place(read, avoid=last)
-        assert first is not None and first.id != last
+        assert first is not None
+        assert first.id != last
         fixture.clock.now += 0.04  # what was expected
         fixture.dispatcher.first_event(fixture.items[0])
         second = fixture.place(read)
-        assert second is not None and second.id == first.id
+        assert second is not None
+        assert second.id == first.id
 
 
 def test_services_of_a_route_get_items_by_weight() -> None:
--- a/tests/batch/test_fault_points.py
+++ b/tests/batch/test_fault_points.py
@@ -56,11 +56,13 @@
     await read_to_the_end(cluster, known)
     check_results(known)
     again = await cluster.call(ReadResults("job", 0))
-    assert isinstance(again, ResultPage) and list(again.results) == known
+    assert isinstance(again, ResultPage)
+    assert list(again.results) == known
     assert await cluster.call(EndJob("job")) == JobEnded()
     assert await cluster.call(EndJob("job")) == JobEnded()
     after = await cluster.call(ReadResults("job", 0))
-    assert isinstance(after, ResultPage) and list(after.results) == known
+    assert isinstance(after, ResultPage)
+    assert list(after.results) == known
 
 
 def play(at: int, fault: Fault) -> Points:
@@ -145,7 +147,8 @@
         await asyncio.sleep(3.0)
         assert max(cluster.workers.begun.values()) <= 3
         page = await cluster.call(ReadResults("job", 0))
-        assert isinstance(page, ResultPage) and list(page.results) == known
+        assert isinstance(page, ResultPage)
+        assert list(page.results) == known
         await cluster.stop()
 
     run(scenario())
--- a/tests/batch/test_quota.py
+++ b/tests/batch/test_quota.py
@@ -23,7 +23,8 @@
 
 class QuotaAgainstModel(RuleBasedStateMachine):
     """`jobs` holds the tokens of items by job, of jobs accepted and not ended; `under_way` of the others that
-    may have been taken."""
+    may have been taken.
+    """
 
     def __init__(self) -> None:
         super().__init__()
@@ -59,7 +60,8 @@
             self.jobs[job] = items
             self.most_waiting = max(self.most_waiting, self.waiting(self.jobs, self.loop.time()))
         else:
-            assert isinstance(reply, JobRefused) and reply.full
+            assert isinstance(reply, JobRefused)
+            assert reply.full
             assert self.most_counted() > LIMIT, "it fitted"
         del self.under_way[job]
 
--- a/tests/batch/test_results.py
+++ b/tests/batch/test_results.py
@@ -54,6 +54,7 @@
             committer.add(JobResult("j", ItemResult(name, "succeeded", "x")))
             await asyncio.sleep(RETRY_S)
         job = state.job("j")
-        assert job is not None and job.finished
+        assert job is not None
+        assert job.finished
 
     run(scenario())
--- a/tests/batch/test_scheduler.py
+++ b/tests/batch/test_scheduler.py
@@ -74,7 +74,8 @@
         assert not scheduler.on_failure(entry, Failure.REFUSED, now)
         assert scheduler.items_to_start(now, 1) == []
         deadline = scheduler.next_deadline()
-        assert deadline is not None and now < deadline <= now + LONGEST_PAUSE_S
+        assert deadline is not None
+        assert now < deadline <= now + LONGEST_PAUSE_S
         now = deadline
     assert entry.failed_attempts == 0
 
--- a/tests/batch/test_service.py
+++ b/tests/batch/test_service.py
@@ -148,11 +148,13 @@
         first = asyncio.create_task(store.service.handle(submit("j1", "a", tokens=60)))
         await asyncio.sleep(0)
         second = await store.service.handle(submit("j2", "a", tokens=60))
-        assert isinstance(second, JobRefused) and second.full
+        assert isinstance(second, JobRefused)
+        assert second.full
         store.log.release()
         assert await first == JobAccepted()
         third = await store.service.handle(submit("j3", "a", tokens=60))
-        assert isinstance(third, JobRefused) and third.full
+        assert isinstance(third, JobRefused)
+        assert third.full
         assert await store.service.handle(EndJob("j1")) == JobEnded()
         assert await store.service.handle(submit("j4", "a", tokens=60)) == JobAccepted()
 
@@ -170,7 +172,8 @@
             assert await store.service.handle(EndJob("j1")) == JobEnded()
             assert await store.service.handle(submit("j2", "a", tokens=60)) == JobAccepted()
         refused = await store.service.handle(submit("j3", "a", tokens=60))
-        assert isinstance(refused, JobRefused) and refused.full
+        assert isinstance(refused, JobRefused)
+        assert refused.full
         if new_leader:
             store.lose()
             await store.lead()
@@ -228,7 +231,9 @@
     async def test(store: Store) -> None:
         store.log.takes = False
         reply = await store.service.handle(submit("j1", "a", tokens=60))
-        assert isinstance(reply, JobRefused) and not reply.full and reply.retry_after_s > 0
+        assert isinstance(reply, JobRefused)
+        assert not reply.full
+        assert reply.retry_after_s > 0
         assert store.state.job("j1") is None
         store.log.takes = True
         assert await store.service.handle(submit("j2", "a", tokens=60)) == JobAccepted()
@@ -249,7 +254,8 @@
         store.log.takes = False
         assert isinstance(await store.service.handle(EndJob("j")), NotLeading)
         job = store.state.job("j")
-        assert job is not None and not job.ended
+        assert job is not None
+        assert not job.ended
 
     scenario(test)
 
@@ -277,7 +283,8 @@
 def test_a_job_without_a_route_is_refused() -> None:
     async def test(store: Store) -> None:
         reply = await store.service.handle(submit("j", "a"))
-        assert isinstance(reply, JobRefused) and not reply.full
+        assert isinstance(reply, JobRefused)
+        assert not reply.full
 
     scenario(test, tables(routes=()))
 
--- a/tests/batch/test_state.py
+++ b/tests/batch/test_state.py
@@ -189,7 +189,8 @@
         del job["failed_attempts"]
     state.restore(msgspec.json.encode(older))
     job = state.job("j")
-    assert job is not None and job.failed_attempts == {}
+    assert job is not None
+    assert job.failed_attempts == {}
 
 
 def test_what_cannot_be_read_is_an_error_of_this_layer() -> None:
--- a/tests/cli/test_command_line.py
+++ b/tests/cli/test_command_line.py
@@ -14,7 +14,8 @@
 def test_each_command_has_help_that_names_the_statuses(name: str, capsys: pytest.CaptureFixture[str]) -> None:
     assert main([name, "--help"]) == 0
     said = capsys.readouterr().out
-    assert said.startswith(f"usage: pewterring {name}") and "exit status:" in said
+    assert said.startswith(f"usage: pewterring {name}")
+    assert "exit status:" in said
 
 
 @pytest.mark.parametrize(
@@ -35,7 +36,9 @@
 ) -> None:
     assert main(given) == 2
     err = capsys.readouterr().err
-    assert said in err and err.count("\n") == 1 and err.startswith("pewterring: ")
+    assert said in err
+    assert err.count("\n") == 1
+    assert err.startswith("pewterring: ")
 
 
 @pytest.mark.parametrize("given", [[], ["config"], ["inspect"], ["lab"]])
@@ -59,7 +62,9 @@
 def test_completion_offers_commands_and_options(shell: str, capsys: pytest.CaptureFixture[str]) -> None:
     assert main(["completion", shell]) == 0
     script = capsys.readouterr().out
-    assert "gateway" in script and "snapshot" in script and "settings" in script
+    assert "gateway" in script
+    assert "snapshot" in script
+    assert "settings" in script
 
 
 def test_the_bash_script_completes(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
--- a/tests/cli/test_inspect.py
+++ b/tests/cli/test_inspect.py
@@ -57,7 +57,9 @@
     assert entries[0]["data"] == {"type": "AcceptJob", "job": "j3"}
     assert main(["inspect", "log", str(folder), "--last", "1"]) == 0
     said = capsys.readouterr().out
-    assert "term 3, vote 10.0.0.1#a, snapshot up to 2" in said and '"j4"' not in said and "members" in said
+    assert "term 3, vote 10.0.0.1#a, snapshot up to 2" in said
+    assert '"j4"' not in said
+    assert "members" in said
 
 
 def test_the_snapshot(folder: Path, capsys: pytest.CaptureFixture[str]) -> None:
--- a/tests/cli/test_start.py
+++ b/tests/cli/test_start.py
@@ -43,12 +43,14 @@
 @pytest.mark.parametrize("start_s", [0.0, SIGNAL_S - 0.1, SIGNAL_S + STOP_S - 0.1])
 def test_a_start_that_ends_in_time_counts(start_s: float) -> None:
     program = SlowProgram(start_s)
-    assert started(program) and program.has_started
+    assert started(program)
+    assert program.has_started
 
 
 def test_a_start_that_waits_on_is_given_up_after_the_signal() -> None:
     program = SlowProgram(60.0)
-    assert not started(program) and not program.has_started
+    assert not started(program)
+    assert not program.has_started
 
 
 def test_a_start_that_fails_says_why() -> None:
@@ -72,4 +74,5 @@
 
     monkeypatch.setattr("pewterring.cli.tier._make", make)
     assert run(scenario()) is program
-    assert len(tries) == 4 and tries[-1] > tries[0]
+    assert len(tries) == 4
+    assert tries[-1] > tries[0]
--- a/tests/configuration/test_routes.py
+++ b/tests/configuration/test_routes.py
@@ -31,4 +31,5 @@
     turned = document()
     turned["routes"].reverse()
     route = RouteTable(read_configuration(orjson.dumps(turned))).find("ficu95.example", "/lohu930/pufi791/x")
-    assert route is not None and route.name == "r-2"
+    assert route is not None
+    assert route.name == "r-2"
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,7 +1,8 @@
 """KNOWN-RED.txt at the root: tests that fail for a real fault that is not mended yet, three at most.
 
 A line holds the test as pytest names it, its cause and its issue, with ` | ` between them. A listed test that
-fails is printed and passed over; one that passes, a fourth line or one that cannot be used fails the run."""
+fails is printed and passed over; one that passes, a fourth line or one that cannot be used fails the run.
+"""
 
 from pathlib import Path
 from typing import NamedTuple
--- a/tests/consensus/test_bad_state.py
+++ b/tests/consensus/test_bad_state.py
@@ -35,7 +35,8 @@
         with pytest.raises(GroupFailed) as refused:
             await group.start()
         assert "g.00000000000000000005.snapshot" in str(refused.value)
-        assert "\n" not in str(refused.value) and machine.commands == []
+        assert "\n" not in str(refused.value)
+        assert machine.commands == []
 
     run(scenario())
 
@@ -59,8 +60,10 @@
         await leader.change_membership(Membership(voters=NAMES, learners=("d",)))
         await wait_until(lambda: bool(network.failures))
         assert "JSON" in str(network.failures[0]) or "Expecting" in str(network.failures[0])
-        assert network.storages["d"].snapshot is None and network.machines["d"].commands == []
-        assert len(network.failures) == 1 and leader.is_leader
+        assert network.storages["d"].snapshot is None
+        assert network.machines["d"].commands == []
+        assert len(network.failures) == 1
+        assert leader.is_leader
         await network.stop()
 
     run(scenario())
@@ -77,7 +80,8 @@
 
         leader._raft.tick = tick  # type: ignore[method-assign]
         await wait_until(lambda: bool(network.failures))
-        assert "broken" in str(network.failures[0]) and not leader.is_leader
+        assert "broken" in str(network.failures[0])
+        assert not leader.is_leader
         assert await network.new_leader(leader) is not leader
         await network.stop()
 
--- a/tests/consensus/test_catch_up.py
+++ b/tests/consensus/test_catch_up.py
@@ -166,7 +166,8 @@
             assert leader._raft is not None
             longest = max(longest, leader._raft._state.log.size_bytes)
             snapshot_bytes = max(snapshot_bytes, len(group.machines[leader.member].snapshot()))
-        assert leader.applied_index >= 10_000 and snapshot_bytes < SNAPSHOT_AFTER_BYTES
+        assert leader.applied_index >= 10_000
+        assert snapshot_bytes < SNAPSHOT_AFTER_BYTES
         log_bytes = LOG_BYTES + 100_000  # and what came meanwhile
         assert longest < log_bytes + KEPT_BYTES
         for name in group.lives:
--- a/tests/consensus/test_farewells.py
+++ b/tests/consensus/test_farewells.py
@@ -171,7 +171,8 @@
 
     simulation.drops = drops
     assert simulation.leave_for_good(follower(simulation)) < 2 * SWAPPED_S
-    assert len(lost) == 10 and simulation.is_whole()
+    assert len(lost) == 10
+    assert simulation.is_whole()
 
 
 @kinds
@@ -461,7 +462,8 @@
         leader._on_farewell = on_farewell
         told = asyncio.ensure_future(leaving.leave(5.0))
         await wait_until(lambda: heard > 1)
-        assert leader.is_leaving(leaving.member) and not told.done()
+        assert leader.is_leaving(leaving.member)
+        assert not told.done()
         for change in swap(leader, leaving.member, "d"):
             await leader.change_membership(change)
         began = asyncio.get_running_loop().time()
--- a/tests/consensus/test_full_disk.py
+++ b/tests/consensus/test_full_disk.py
@@ -59,11 +59,13 @@
         disk = disks[leader.member]
         disk.full = True
         await propose_many(leader, 10)
-        assert leader.is_leader and disk.refused > 0
+        assert leader.is_leader
+        assert disk.refused > 0
         assert leader.match(leader.member) < leader.commit_index
         disk.full = False
         await wait_until(lambda: leader.match(leader.member) == leader.commit_index)
-        assert network.failures == [] and disk.last_index == leader.commit_index
+        assert network.failures == []
+        assert disk.last_index == leader.commit_index
         await network.stop()
 
     run(scenario())
@@ -92,7 +94,8 @@
         leader = await network.start()
         disks["a"].snapshots_full = True
         await propose_many(leader, 100)
-        assert disks["a"].refused > 0 and disks["a"].snapshot_index == 0
+        assert disks["a"].refused > 0
+        assert disks["a"].snapshot_index == 0
         disks["a"].snapshots_full = False
         await propose_many(leader, 100)
         assert disks["a"].snapshot_index > 0
@@ -111,7 +114,8 @@
         await leader.stop()
         refused = disks["a"].refused
         await asyncio.sleep(2.0)
-        assert disks["a"].refused == refused and proposal.exception() is not None
+        assert disks["a"].refused == refused
+        assert proposal.exception() is not None
 
     run(scenario())
 
@@ -125,10 +129,12 @@
         await wait_until(lambda: any(group.is_leader for group in network.groups.values()))
         leader = next(group for group in network.groups.values() if group.is_leader)
         await propose_many(leader, 10)
-        assert disks["c"].refused > 0 and not starts[2].done()
+        assert disks["c"].refused > 0
+        assert not starts[2].done()
         disks["c"].full = False
         await wait_until(lambda: late.applied_index == leader.commit_index)
-        assert starts[2].done() and network.failures == []
+        assert starts[2].done()
+        assert network.failures == []
         await network.stop()
 
     run(scenario())
@@ -143,6 +149,7 @@
         start.cancel()
         refused = disks["a"].refused
         await asyncio.sleep(2.0)
-        assert start.cancelled() and 1 < refused == disks["a"].refused
+        assert start.cancelled()
+        assert 1 < refused == disks["a"].refused
 
     run(scenario())
--- a/tests/consensus/test_group.py
+++ b/tests/consensus/test_group.py
@@ -184,7 +184,8 @@
             await leader.propose(command(str(number)))
         await leader.stop()
         storage = network.storages["a"]
-        assert storage.snapshot_index > 0 and len(storage.entries) < 60
+        assert storage.snapshot_index > 0
+        assert len(storage.entries) < 60
         again = network.add("a", storage)
         await again.start()
         await network.new_leader(leader)
@@ -222,7 +223,8 @@
         network.storages[old.member].failing = True
         with pytest.raises(GroupFailed):
             await old.propose(command("x"))
-        assert len(network.failures) == 1 and "disk is gone" in str(network.failures[0])
+        assert len(network.failures) == 1
+        assert "disk is gone" in str(network.failures[0])
         with pytest.raises(GroupFailed):
             await old.read_barrier()
         new = await network.new_leader(old)
--- a/tests/consensus/test_handover.py
+++ b/tests/consensus/test_handover.py
@@ -48,7 +48,8 @@
         simulation.propose("before")
         assert simulation.hand_over()
         assert simulation.run_while(lambda s=simulation, o=old: s.leader() in (o, None), AT_ONCE_S)  # type: ignore[misc]
-        assert simulation.leader_raft().term == 2 and "before" in simulation.acknowledged
+        assert simulation.leader_raft().term == 2
+        assert "before" in simulation.acknowledged
         simulation.check_converges()
 
 
@@ -56,7 +57,8 @@
     simulation = HandingSimulation(1, voters=1)
     old = simulation.settle()
     assert not simulation.hand_over()
-    assert simulation.propose("still") and simulation.leader() == old
+    assert simulation.propose("still")
+    assert simulation.leader() == old
 
 
 def test_lost_message_is_sent_again() -> None:
--- a/tests/consensus/test_planner.py
+++ b/tests/consensus/test_planner.py
@@ -242,7 +242,8 @@
     kinds: tuple[str, ...] = ("good", "lost", "retiring"),
 ) -> list[PlannedGroupStandIn]:
     """Each choice of up to f voters that are lost, one that retires, and any number of `kinds` besides that,
-    with learners that are ready, lag or die."""
+    with learners that are ready, lag or die.
+    """
     voters = [A, B, C, D, E][: 2 * tolerated + 1]
     spares = [F, G][:tolerated]
     groups = []
--- a/tests/consensus/test_schedules.py
+++ b/tests/consensus/test_schedules.py
@@ -57,7 +57,9 @@
     simulation.run_until(lambda: simulation.leader() in rest)
     simulation.run(3.0)
     raft = simulation.members[old].raft
-    assert raft is not None and not raft.is_leader and raft.next_deadline() is None
+    assert raft is not None
+    assert not raft.is_leader
+    assert raft.next_deadline() is None
 
 
 def test_leader_hands_out_a_snapshot_to_one_that_was_long_away() -> None:
@@ -90,7 +92,8 @@
     simulation.run(20.0)
     simulation.cuts.clear()
     simulation.run(5.0)
-    assert simulation.leader() == leader and len(simulation.leaders) == 1
+    assert simulation.leader() == leader
+    assert len(simulation.leaders) == 1
 
 
 def test_new_leader_within_two_seconds_of_a_crash() -> None:
--- a/tests/consensus/test_stalled_disk.py
+++ b/tests/consensus/test_stalled_disk.py
@@ -91,7 +91,8 @@
         await propose(network, 1)
         executors[old.member].stalled = True
         most = await propose(network, CHANGES)
-        assert not old.is_leader and network.failures == []
+        assert not old.is_leader
+        assert network.failures == []
         assert most < MOST_LOG_BYTES
         executors[old.member].go_on()
         await wait_until(lambda: len(network.machines[old.member].commands) == CHANGES + 1)
@@ -106,7 +107,8 @@
         old = await network.start()
         executors[old.member].stalled = True
         await propose(network, 10)
-        assert old.is_leader and old.match(old.member) < old.commit_index
+        assert old.is_leader
+        assert old.match(old.member) < old.commit_index
         executors[old.member].go_on()
         await wait_until(lambda: old.match(old.member) == old.commit_index)
         assert network.told == [(old.member, True)]
@@ -123,7 +125,8 @@
         executors[still].stalled = True
         before = leader.match(still)
         most = await propose(network, CHANGES)
-        assert leader.match(still) == before and most < MOST_LOG_BYTES
+        assert leader.match(still) == before
+        assert most < MOST_LOG_BYTES
         await leader.stop()
         await asyncio.sleep(5.0)
         assert not any(group.is_leader for name, group in network.groups.items() if name == still)
--- a/tests/consensus/test_transfer.py
+++ b/tests/consensus/test_transfer.py
@@ -185,7 +185,8 @@
     sending.answer(PART_BYTES)
     sending.parts()
     sending.replication.give_up("b")
-    assert sending.parts() == [] and not sending.replication.snapshot_wanted
+    assert sending.parts() == []
+    assert not sending.replication.snapshot_wanted
     sending.hear()
     assert not sending.replication.snapshot_wanted
     assert sending.parts() == [PART_BYTES]
@@ -225,7 +226,8 @@
             received = assembly.add(message)
             if received == message.total:
                 snapshot = assembly.take_whole(message)
-                assert snapshot is not None and snapshot.data == sending.data
+                assert snapshot is not None
+                assert snapshot.data == sending.data
             sending.answer(received)
         if sending.is_over:
             return
@@ -444,7 +446,8 @@
             lossy.send()
         lossy.time_passes(8, True)
     assert lossy.sending.is_over
-    assert lossy.snapshot is not None and lossy.snapshot.data == lossy.sending.data
+    assert lossy.snapshot is not None
+    assert lossy.snapshot.data == lossy.sending.data
 
 
 def _leader_and_away(simulation: Simulation, changes: int) -> tuple[str, str]:
--- a/tests/consensus/test_uncommitted.py
+++ b/tests/consensus/test_uncommitted.py
@@ -61,7 +61,8 @@
             await asyncio.sleep(0.01)
             most = max(most, *(log_bytes(group) for group in network.groups.values()))
         await asyncio.gather(*calls)
-        assert leader.is_leader and 400 < len(refused) < 500
+        assert leader.is_leader
+        assert 400 < len(refused) < 500
         assert MOST_BYTES / 2 < most < MOST_BYTES + KEPT_BYTES
         set_full(disks, False)
         await leader.propose(command("last"))
--- a/tests/consensus/test_unsaved.py
+++ b/tests/consensus/test_unsaved.py
@@ -48,13 +48,15 @@
     parts.unsaved.compacted(12)
     assert parts.unsaved.saved_to == 12
     save = take(parts.unsaved)
-    assert [entry.index for entry in save.entries] == [13, 14, 15] and save.truncate_from is None
+    assert [entry.index for entry in save.entries] == [13, 14, 15]
+    assert save.truncate_from is None
 
 
 def test_an_older_own_snapshot_takes_nothing_back() -> None:
     parts = Parts()
     parts.unsaved.compacted(5)
-    assert parts.unsaved.saved_to == 10 and parts.unsaved.take(HARD) is None
+    assert parts.unsaved.saved_to == 10
+    assert parts.unsaved.take(HARD) is None
 
 
 def test_entries_under_way_when_a_snapshot_comes_do_not_count_for_it() -> None:
@@ -63,12 +65,15 @@
     save = take(parts.unsaved)
     parts.install(SNAPSHOT, commit=9)
     parts.unsaved.done(save)
-    assert parts.unsaved.saved_to == 9 and parts.unsaved.installing
+    assert parts.unsaved.saved_to == 9
+    assert parts.unsaved.installing
     second = take(parts.unsaved)
-    assert second.snapshot is SNAPSHOT and second.truncate_from is None
+    assert second.snapshot is SNAPSHOT
+    assert second.truncate_from is None
     assert parts.unsaved.saved_to == 9
     parts.unsaved.done(second)
-    assert parts.unsaved.saved_to == 20 and not parts.unsaved.installing
+    assert parts.unsaved.saved_to == 20
+    assert not parts.unsaved.installing
 
 
 def test_a_newer_snapshot_waits_for_the_one_that_is_being_saved() -> None:
@@ -79,7 +84,8 @@
     parts.install(newer, commit=20)
     assert parts.unsaved.take(HARD) is None
     parts.unsaved.done(first)
-    assert parts.unsaved.saved_to <= 20 and parts.unsaved.installing
+    assert parts.unsaved.saved_to <= 20
+    assert parts.unsaved.installing
     second = take(parts.unsaved)
     assert second.snapshot is newer
     parts.unsaved.done(second)
@@ -91,7 +97,8 @@
     parts.install(SNAPSHOT, commit=9)
     parts.unsaved.compacted(9)  # was under way when the other came
     parts.log.compact(9, 0)
-    assert parts.unsaved.saved_to == 9 and parts.log.base_index == 20
+    assert parts.unsaved.saved_to == 9
+    assert parts.log.base_index == 20
     save = take(parts.unsaved)
     assert save.snapshot is SNAPSHOT
 
@@ -105,7 +112,8 @@
     parts.unsaved.done(save)
     assert parts.unsaved.saved_to == 11
     again = take(parts.unsaved)
-    assert again.truncate_from == 12 and [entry.term for entry in again.entries] == [3, 3]
+    assert again.truncate_from == 12
+    assert [entry.term for entry in again.entries] == [3, 3]
 
 
 def test_messages_wait_for_all_that_was_unsaved_when_they_were_held() -> None:
@@ -120,7 +128,8 @@
     assert parts.unsaved.take_released() == []
     parts.unsaved.done(first)
     second = take(parts.unsaved)
-    assert second.snapshot is SNAPSHOT and list(second.messages_after_sync) == [reply]
+    assert second.snapshot is SNAPSHOT
+    assert list(second.messages_after_sync) == [reply]
     assert first.messages_after_sync == ()
 
 
--- a/tests/control/test_cut_off.py
+++ b/tests/control/test_cut_off.py
@@ -163,9 +163,11 @@
     beside = FeedNode(cluster, BESIDE, victims)  # starts now, and reaches only the victims
     await beside.subscriber.start()
     missed = await majority_goes_on(cluster, others, probes, (near, far))
-    assert missed == [] and beside.version == 0
+    assert missed == []
+    assert beside.version == 0
     probing.cancel()
-    assert probes.wrong == [] and probes.refused >= 8 * (CUT_S / PROBE_S - 1)
+    assert probes.wrong == []
+    assert probes.refused >= 8 * (CUT_S / PROBE_S - 1)
     await asyncio.sleep(PROBE_S)  # what was passed on just before the cut ends may be begun
     await comes_back(cluster, others, (near, far, beside))
     if not case.is_heard:
@@ -245,7 +247,8 @@
     cluster.heal()
     for _ in range(50):
         await asyncio.sleep(0.1)
-        assert leader.leadership.has_lease and leader.group.term == term
+        assert leader.leadership.has_lease
+        assert leader.group.term == term
         for machine in cluster.machines.values():
             assert machine is leader or not machine.leadership.has_lease
     for ip in cluster.ips:
@@ -349,7 +352,8 @@
         node.subscriber._on_tables = lambda old, new: seen.append(node.version)
         await node.subscriber.start()
         assert await node.has_version(2, CONFIG_S)
-        assert taken[:2] == [1, 2] and 1 not in seen
+        assert taken[:2] == [1, 2]
+        assert 1 not in seen
         await node.subscriber.stop()
         await cluster.stop()
 
@@ -399,7 +403,8 @@
 def test_tables_of_an_older_term_are_refused_for_life() -> None:
     follower = TableFollower()
     assert not takes_an_old_leader(follower)
-    assert follower.tables.versions.epoch == 3 and follower.confirmed_at == 0.0
+    assert follower.tables.versions.epoch == 3
+    assert follower.confirmed_at == 0.0
     follower.whole(tables_of(3, 5), 2.0)
     follower.whole(tables_of(4, 6), 3.0)
     assert follower.tables.versions.epoch == 4
--- a/tests/control/test_faults.py
+++ b/tests/control/test_faults.py
@@ -77,7 +77,8 @@
         assert (await cluster.call(put_call(1, document), first)).status == 200, "sent once more"
         assert (await cluster.call(put_call(1, encoded(version=3)), first)).status == 412
         configuration = (await told_by(await cluster.leader())).tables.configuration
-        assert configuration is not None and configuration.version == 2
+        assert configuration is not None
+        assert configuration.version == 2
 
     each_point(scenario)
 
--- a/tests/control/test_feed.py
+++ b/tests/control/test_feed.py
@@ -103,7 +103,8 @@
     channel = StandInChannel()
     assert feed.subscribe(channel, gateway(1)) == Redirect(OTHER_LEADER)
     assert feed.renew(channel, Renew(gateway(1))) == Redirect(OTHER_LEADER)
-    assert feed.publisher.sessions == set() and feed.nodes.records == {}
+    assert feed.publisher.sessions == set()
+    assert feed.nodes.records == {}
 
 
 def test_a_leader_without_a_lease_names_nobody_and_confirms_nothing() -> None:
@@ -122,7 +123,8 @@
     for change in early.pushed:
         follower.change(change)
     for tables in (follower.tables, late.tables):
-        assert tables.configuration is not None and tables.configuration.version == 5
+        assert tables.configuration is not None
+        assert tables.configuration.version == 5
 
 
 def test_a_renewal_confirms_only_what_was_pushed_before_it() -> None:
@@ -130,7 +132,8 @@
     channel, follower = feed.session()
     apply(feed.state, PutWorker(worker("i-1")))
     answer = feed.renew(channel, Renew(gateway(1)))
-    assert isinstance(answer, Renewed) and len(channel.pushed) == 1
+    assert isinstance(answer, Renewed)
+    assert len(channel.pushed) == 1
     assert not follower.renewed(answer, 1.0), "the change has not been taken yet"
     follower.change(channel.pushed[0])
     assert follower.renewed(answer, 1.0)
@@ -148,7 +151,8 @@
     stuck.full = True
     apply(feed.state, PutWorker(worker("i-1")))
     feed.server.publish_state()
-    assert stuck.closed and len(good.pushed) == 1
+    assert stuck.closed
+    assert len(good.pushed) == 1
     assert feed.publisher.sessions == {good}
 
 
@@ -184,7 +188,8 @@
     feed = Feed()
     channels = [feed.session(number)[0] for number in (1, 2)]
     feed.server.end_sessions()
-    assert all(channel.closed for channel in channels) and feed.publisher.sessions == set()
+    assert all(channel.closed for channel in channels)
+    assert feed.publisher.sessions == set()
 
 
 def test_a_store_that_leads_a_partition_reports_it_with_its_renewal() -> None:
--- a/tests/control/test_held_up.py
+++ b/tests/control/test_held_up.py
@@ -53,7 +53,8 @@
         call = relayed_call(GONE, leader)  # of a round that begins just now
         await asyncio.sleep(TIMING.election_max_s + (MARGIN_S if late else -MARGIN_S))
         answer = await leader.router.answer_relayed(call)
-        assert answer.too_old == late and answer.status == (503 if late else 200)
+        assert answer.too_old == late
+        assert answer.status == (503 if late else 200)
         assert ("i-9" in leader.state.workers) != late
         if late:
             assert (answer.term, answer.round) == leader.leadership.newest_round
@@ -87,7 +88,8 @@
         call = relayed_call(GONE, leader)
         loop.stand_still(CUT_S)
         answer = await leader.router.answer_relayed(call)
-        assert answer.too_old and not leader.state.workers
+        assert answer.too_old
+        assert not leader.state.workers
         await cluster.stop()
 
     run(scenario())
@@ -100,7 +102,8 @@
         cluster.kill(leader.ip)
         leader = await cluster.leader()
         answer = await leader.router.answer_relayed(call)
-        assert answer.too_old and not leader.state.workers
+        assert answer.too_old
+        assert not leader.state.workers
         await cluster.stop()
 
     run(scenario())
@@ -153,7 +156,8 @@
         await asyncio.sleep(CUT_S)
         follower.group._running()._state.heard_round = 1
         assert (await follower.router.answer(GONE)).status == 200
-        assert [call.round for call in refused] == [1] and "i-9" in leader.state.workers
+        assert [call.round for call in refused] == [1]
+        assert "i-9" in leader.state.workers
         await cluster.stop()
 
     run(scenario())
--- a/tests/control/test_leadership.py
+++ b/tests/control/test_leadership.py
@@ -165,7 +165,9 @@
     duties = runner(group, leadership)
     group.error = error
     run(duties.run_once(1.0))
-    assert group.proposed == [] and group.changes == []
+    assert group.proposed == []
+    assert group.changes == []
     group.error = None
     run(duties.run_once(1.2))
-    assert len(group.proposed) == len(COMMANDS) and group.changes == [JOINED]
+    assert len(group.proposed) == len(COMMANDS)
+    assert group.changes == [JOINED]
--- a/tests/control/test_publisher.py
+++ b/tests/control/test_publisher.py
@@ -61,7 +61,8 @@
         assert tables.nodes == (gateway(1),)
         assert tables.placements[0].group == "batch-0"
         assert tables.controls == ("10.0.0.1", "10.0.0.2")
-        assert tables.configuration is not None and tables.configuration.version == 5
+        assert tables.configuration is not None
+        assert tables.configuration.version == 5
         assert tables.versions == feed.publisher.versions
         assert tables.versions.epoch == 3
 
@@ -96,12 +97,14 @@
     feed.nodes.hear(0.1, msgspec.structs.replace(gateway(2), life="restarted"))
     feed.nodes.hear(0.1, gateway(6))
     (change,) = feed.publish()
-    assert [node.node_id for node in change.nodes] == ["edge-2", "edge-6"] and not change.nodes_gone
+    assert [node.node_id for node in change.nodes] == ["edge-2", "edge-6"]
+    assert not change.nodes_gone
     for now in (0.4, 0.8, 1.2, 1.6):
         feed.nodes.hear(now, gateway(6))
         feed.nodes.expire(now)
     (change,) = feed.publish()
-    assert not change.nodes and set(change.nodes_gone) == {f"edge-{number}" for number in (1, 3, 4, 5)}
+    assert not change.nodes
+    assert set(change.nodes_gone) == {f"edge-{number}" for number in (1, 3, 4, 5)}
     assert {node.node_id: node.life for node in follower.tables.nodes} == {
         "edge-2": "restarted",
         "edge-6": gateway(6).life,
@@ -114,7 +117,8 @@
     assert feed.publisher.renew("unknown") is None
     feed.publisher.open("known")
     renewed = feed.publisher.renew("known")
-    assert renewed is not None and renewed.versions == feed.publisher.versions
+    assert renewed is not None
+    assert renewed.versions == feed.publisher.versions
     feed.publisher.close("known")
     assert feed.publisher.renew("known") is None
 
--- a/tests/control/test_stores.py
+++ b/tests/control/test_stores.py
@@ -24,7 +24,8 @@
     assert placement.voters == (stores[0].member, stores[2].member, stores[3].member)
     assert first_placement(stores[:2], 3) is None
     crowded = first_placement([store(1, "a"), store(2, "a"), store(3, "b")], 3)
-    assert crowded is not None and len(set(crowded.voters)) == 3
+    assert crowded is not None
+    assert len(set(crowded.voters)) == 3
 
 
 PLACEMENT = PlacementRecord("batch-0", tuple(each.member for each in STORES[:3]))
@@ -172,7 +173,8 @@
         second = asyncio.create_task(desk.desk.start(0.0, "store-2"))
         again = asyncio.create_task(desk.desk.start(0.0, "store-1"))
         await turns()
-        assert not second.done() and not again.done()
+        assert not second.done()
+        assert not again.done()
         desk.commits.set()
         with pytest.raises(RetirementRefused, match="2 stores would remain"):
             await second
--- a/tests/edge/test_batch_calls.py
+++ b/tests/edge/test_batch_calls.py
@@ -87,9 +87,11 @@
 
 
 def test_only_calls_of_the_batch_interface_count_as_such() -> None:
-    assert is_batch_call("GET", "/v1/lots/1") and is_batch_call("DELETE", "/v1/lots/1")
+    assert is_batch_call("GET", "/v1/lots/1")
+    assert is_batch_call("DELETE", "/v1/lots/1")
     assert is_batch_call("GET", "/v1/items/1")
-    assert not is_batch_call("POST", "/v1/lots/1") and not is_batch_call("DELETE", "/v1/items/1")
+    assert not is_batch_call("POST", "/v1/lots/1")
+    assert not is_batch_call("DELETE", "/v1/items/1")
 
 
 class Links:
@@ -126,7 +128,8 @@
 
     answer, links = call(reply)
     assert answer.status == 202
-    assert links.asked[-1] == "10.0.0.2" and len(links.asked) <= 2
+    assert links.asked[-1] == "10.0.0.2"
+    assert len(links.asked) <= 2
 
 
 @pytest.mark.parametrize(("full", "status"), [(True, 429), (False, 503)])
@@ -183,7 +186,8 @@
 @pytest.mark.parametrize("after", ["x", "-1", "%D9%A3", "9" * 19, "9" * 5000])
 def test_what_is_no_position_is_refused_at_once(after: str) -> None:
     answer, links = call(lambda ip, message: Unknown(), "GET", f"/v1/lots/job-1?after={after}")
-    assert answer.status == 400 and links.asked == []
+    assert answer.status == 400
+    assert links.asked == []
 
 
 def test_a_submission_carries_its_route() -> None:
--- a/tests/edge/test_drain.py
+++ b/tests/edge/test_drain.py
@@ -42,7 +42,8 @@
     drain = Drain()
     drain.begin(100.0, 1.0)
     assert drain.ends_at == 100.5
-    assert drain.accepts(100.5, 110.0) and not drain.accepts(100.6, 110.0)
+    assert drain.accepts(100.5, 110.0)
+    assert not drain.accepts(100.6, 110.0)
 
 
 def test_waits_that_began_before_the_drain_end_with_it() -> None:
@@ -100,7 +101,9 @@
             await asyncio.sleep(4.0)
             wire.send(asked)
             refused = (await wire.rest()).lower()
-            assert b" 503 " in refused and b"retry-after" in refused and b"connection: close" in refused
+            assert b" 503 " in refused
+            assert b"retry-after" in refused
+            assert b"connection: close" in refused
             assert len(tier.seen) == 2
             ending.cancel()
             stream.cancel()
--- a/tests/edge/test_live.py
+++ b/tests/edge/test_live.py
@@ -87,7 +87,9 @@
     async def story() -> None:
         assert (await tier.ask()).head.status == 200
         first, second, third = (told_ms(request) for _, request in tier.seen)
-        assert first <= 2000 and second <= first - 800 and third <= second - 800
+        assert first <= 2000
+        assert second <= first - 800
+        assert third <= second - 800
 
     play(tier, story)
 
@@ -505,7 +507,8 @@
             tier.watch.check(now + step * 0.05)
         for _ in range(20):
             await asyncio.sleep(0)
-        assert not asking.done() and len(tier.seen) == 1
+        assert not asking.done()
+        assert len(tier.seen) == 1
         asking.cancel()
 
     play(tier, story)
--- a/tests/edge/test_stalls.py
+++ b/tests/edge/test_stalls.py
@@ -53,7 +53,8 @@
     watched = Watched()
     watched.worker.announce(0.0, 0.0, ((1, 100),))
     assert watched.interrupted_at() == pytest.approx(PATIENCE_S + CHECK_INTERVAL_S)
-    assert watched.worker.suspect(watched.now) and watched.worker.keeps(1)
+    assert watched.worker.suspect(watched.now)
+    assert watched.worker.keeps(1)
 
 
 def test_what_may_not_run_twice_stays_where_it_is() -> None:
--- a/tests/edge/test_timeouts.py
+++ b/tests/edge/test_timeouts.py
@@ -75,7 +75,8 @@
             wire.send(HEAD + b"body")
             got = await wire.rest()
             assert now() - began < TIMEOUT_S + SLACK_S
-            assert b"id: 2" in got and not got.endswith(b"0\r\n\r\n")
+            assert b"id: 2" in got
+            assert not got.endswith(b"0\r\n\r\n")
 
     run(play())
 
@@ -106,7 +107,8 @@
             wire.send(HEAD.replace(b": 4", b": 400"))
             sending = asyncio.create_task(send_slowly(wire.send, pause_s))
             head = await wire.until(b"\r\n\r\n")
-            assert b" 408 " in head and b"Connection: close" in head
+            assert b" 408 " in head
+            assert b"Connection: close" in head
             assert now() - began < TIMEOUT_S + SLACK_S
             assert not tier.seen
             sending.cancel()
--- a/tests/lab/test_load.py
+++ b/tests/lab/test_load.py
@@ -38,10 +38,12 @@
     )  # fmt: skip
     result = load(written(tmp_path / "s.toml", scenario), logs=str(tmp_path / "logs"))
     counts = result.counts
-    assert result.broken == "" and counts["crashed"] == counts["wrong_bodies"] == counts["never_ready"] == 0
+    assert result.broken == ""
+    assert counts["crashed"] == counts["wrong_bodies"] == counts["never_ready"] == 0
     assert counts["never_answered"] <= counts["tries"] * 0.1  # what the killed one held
     assert counts["served"] + counts["late"] > counts["intents"] / 3
-    assert counts["messages"] > 0 and counts["connections"] > 0
+    assert counts["messages"] > 0
+    assert counts["connections"] > 0
     assert all("module_fault" not in p.read_text() for p in (tmp_path / "logs").glob("*.log"))
 
 
@@ -53,14 +55,16 @@
         async with StandIn() as taken:
             world.processes[0].listen = taken.address
             await world.open()
-            assert world.processes[0].listen[1] != taken.address.port and all(h.up for h in world.hosts)
+            assert world.processes[0].listen[1] != taken.address.port
+            assert all(h.up for h in world.hosts)
             await world.close()
 
     run(test)
 
 
 def test_only_loopback_is_a_target() -> None:
-    assert read_target("127.0.0.1:80") == ("127.0.0.1", 80) and read_target("[::1]:9") == ("::1", 9)
+    assert read_target("127.0.0.1:80") == ("127.0.0.1", 80)
+    assert read_target("[::1]:9") == ("::1", 9)
     for wrong in ("10.0.0.1:80", "example.org:80", "localhost:80", "127.0.0.1", "127.0.0.1:x"):
         with pytest.raises(schema.ScenarioError, match="loopback"):
             read_target(wrong)
@@ -93,7 +97,8 @@
             for n in (1, 2):
                 ask(pool, get)
                 await until(lambda n=n: len(ends) == n)  # type: ignore[misc]
-            assert len(server.talks) == 1 and [kind for kind, _ in ends] == ["answered", "answered"]
+            assert len(server.talks) == 1
+            assert [kind for kind, _ in ends] == ["answered", "answered"]
             server.talks[0].close()  # between requests: the next goes out on a new one
             ask(pool, get)
             await until(lambda: len(ends) == 3)
@@ -101,7 +106,8 @@
             server.answer = lambda talk, request: talk.reset()
             ask(pool, get)
             await until(lambda: len(ends) == 4)
-            assert ends[3] == ("broken", None) and len(server.talks) == 3  # once more, and no further
+            assert ends[3] == ("broken", None)
+            assert len(server.talks) == 3
             pool.close()
         ask(pool, get)
         await until(lambda: len(ends) == 5)
@@ -129,7 +135,8 @@
         waiting = asyncio.ensure_future(ask(b"/v1/servers?index=1&wait=20000"))
         await until(lambda: port.watches)
         port.tell(entry | {"health": "removed"})
-        assert b'"whole":false' in (body := await waiting) and b"removed" in body
+        assert b'"whole":false' in (body := await waiting)
+        assert b"removed" in body
         assert b'"hosts":[]' in await ask(b"/v1/servers?index=2&wait=1")
         writer.close()
         port.close()
@@ -179,4 +186,5 @@
     assert [w.split(b"\r\n")[0] for w in wrote[:3]] == [
         b"HTTP/1.1 200 OK", b"HTTP/1.1 503 Service Unavailable", b"HTTP/1.1 500 Answer"
     ]  # fmt: skip
-    assert b"x-not-run: 1" in wrote[1] and b"\x00" in wrote[3]
+    assert b"x-not-run: 1" in wrote[1]
+    assert b"\x00" in wrote[3]
--- a/tests/lab/test_rules.py
+++ b/tests/lab/test_rules.py
@@ -126,6 +126,7 @@
     assert not result.broken
     counts = result.counts
     # Each client's request has come to an end, and what was taken was checked.
-    assert counts["served"] > 0 and world.rules.checked[1] > 0
+    assert counts["served"] > 0
+    assert world.rules.checked[1] > 0
     assert sum(len(h.calls) + len(h.out) for h in world.hosts) == 0
     assert all(w.in_service == 0 and w.lined_up == 0 for w in world.workers if w.state == "up")
--- a/tests/lab/test_schema.py
+++ b/tests/lab/test_schema.py
@@ -43,7 +43,8 @@
     path.write_text(text)
     with pytest.raises(schema.ScenarioError) as error:
         scenario_file.load(path)
-    assert str(error.value).startswith(str(path)) and WRONG[text] in str(error.value)
+    assert str(error.value).startswith(str(path))
+    assert WRONG[text] in str(error.value)
     assert "\n" not in str(error.value)
 
 
--- a/tests/lab/test_tools.py
+++ b/tests/lab/test_tools.py
@@ -49,7 +49,8 @@
     (folder / experiment.RUNS).write_text(kept + kept[:40])  # cut off in the middle of a line
     entries = experiment.sweep(scenario, points, folder, jobs=1)
     whole = (folder / experiment.RUNS).read_text()
-    assert whole.startswith(kept) and len(experiment.finished(folder)) == 8
+    assert whole.startswith(kept)
+    assert len(experiment.finished(folder)) == 8
     with open(folder / experiment.TABLE, newline="") as table:
         rows = list(csv.DictReader(table))
     assert [(r["gatekeepers.count"], r["load.rate"], r["seed"]) for r in rows] == [
@@ -71,7 +72,8 @@
 
 def test_a_side_compared_with_itself_differs_in_nothing(scenario: str) -> None:
     table, broken = experiment.compare(scenario, ([], ""), ([], ""), [1, 2], jobs=1)
-    assert not broken and all(d.mean == 0.0 for d in table)
+    assert not broken
+    assert all(d.mean == 0.0 for d in table)
     table, _ = experiment.compare(scenario, ([], ""), ([], "admit-all"), [1, 2], jobs=1)
     by_name = {d.metric: d for d in table}
     assert by_name["refused_share"].b == 0.0 < by_name["refused_share"].a
@@ -85,7 +87,8 @@
         if len(drawn.faults) > 2 and drawn.gatekeepers.count < 5 and (rule := hunt.breaks(drawn, "wrong")[0]):
             break
     smallest, runs = hunt.shrink(drawn, rule, "wrong", most=40)
-    assert runs <= 40 and len(smallest.faults) < len(drawn.faults)
+    assert runs <= 40
+    assert len(smallest.faults) < len(drawn.faults)
     assert hunt.breaks(smallest, "wrong")[0] == rule
 
 
@@ -99,7 +102,8 @@
 def test_the_examples_break_no_rule_also_with_more_faults(path: Path) -> None:
     sets = ["duration_s=20", "workers.count=6", "gatekeepers.count=5", "load.part=0.4", "random_faults=3"]
     result, _ = experiment.run(path, sets, seed=3)
-    assert not result.broken and result.counts["served"] > 100
+    assert not result.broken
+    assert result.counts["served"] > 100
     again, _ = experiment.run(path, sets, seed=3)
     assert again.to_json() == result.to_json()
 
@@ -109,7 +113,8 @@
 ) -> None:
     out, picture = tmp_path / "r.json", tmp_path / "r.svg"
     assert main(["lab", "run", scenario, "--out", str(out), "--plot", str(picture)]) == 0
-    assert "G 0." in capsys.readouterr().out and picture.read_text().count("<svg") == 1
+    assert "G 0." in capsys.readouterr().out
+    assert picture.read_text().count("<svg") == 1
     assert main(["lab", "run", scenario, "--json"]) == 0
     assert json.loads(capsys.readouterr().out)["broken"] == ""
     png = tmp_path / "r.png"
@@ -118,7 +123,8 @@
     capsys.readouterr()
     assert main(["lab", "explain", scenario, "--pick", "slowest"]) == 0
     told = capsys.readouterr().out
-    assert "comes as request" in told and "its client has the answer" in told
+    assert "comes as request" in told
+    assert "its client has the answer" in told
     folder = str(tmp_path / "out")
     grid = ["--grid", "gatekeepers.count=1,3", "--seeds", "1..2", "--jobs", "1"]
     assert main(["lab", "sweep", scenario, *grid, "--out", folder]) == 0
@@ -129,8 +135,10 @@
         main(["lab", "compare", scenario, "--b-policy", "even-split", "--seeds", "1,2", "--jobs", "1"]) == 0
     )
     assert "beyond_share" in capsys.readouterr().out
-    assert main(["lab", "schema"]) == 0 and '"$ref"' in capsys.readouterr().out
-    assert main(["completion", "bash"]) == 0 and "_PEWTERRING_COMPLETE" in capsys.readouterr().out
+    assert main(["lab", "schema"]) == 0
+    assert '"$ref"' in capsys.readouterr().out
+    assert main(["completion", "bash"]) == 0
+    assert "_PEWTERRING_COMPLETE" in capsys.readouterr().out
 
 
 def test_a_broken_rule_ends_a_run_with_its_trail(
@@ -140,7 +148,8 @@
     spoilt = ["--set", 'faults=[{kind = "spoilt_answers", at_s = 0.5, part = 1.0, share = 0.5}]']
     assert main(["lab", "run", scenario, "--policy", "wrong", "--trail", *spoilt]) == 3
     said = capsys.readouterr()
-    assert "rule 2" in said.err and "--seed 1" in said.err
+    assert "rule 2" in said.err
+    assert "--seed 1" in said.err
     assert "attempt 0 ends: aborted" in said.out
 
 
@@ -164,4 +173,5 @@
 ) -> None:
     assert main(["lab", *given]) == 2
     err = capsys.readouterr().err
-    assert said in err and err.count("\n") == 1
+    assert said in err
+    assert err.count("\n") == 1
--- a/tests/lab/test_world.py
+++ b/tests/lab/test_world.py
@@ -38,7 +38,8 @@
         ).stdout
         for n in ("1", "2")
     }
-    assert len(said) == 1 and len(said.pop()) > 1000
+    assert len(said) == 1
+    assert len(said.pop()) > 1000
     assert play(small(), seed=5)[0].to_json() != play(small(), seed=6)[0].to_json()
 
 
@@ -50,7 +51,8 @@
         return came
 
     before = arrivals(small())
-    assert len(before) > 100 and arrivals(small(workers={"count": 7})) == before
+    assert len(before) > 100
+    assert arrivals(small(workers={"count": 7})) == before
     assert Stream(1, "worker", 4).uniform() != Stream(1, "worker", 5).uniform()
     a, b = Stream(1, "worker", 4), Stream(1, "worker", 4)
     b.normal()  # one kind of draw does not move another
@@ -60,12 +62,14 @@
 @pytest.mark.parametrize("policy", sorted(POLICIES))
 def test_baselines_play_to_the_end_or_break_a_rule(policy: str) -> None:
     result, _ = play(small(), policy=policy)
-    assert result.counts["served"] > 0 and not result.broken
+    assert result.counts["served"] > 0
+    assert not result.broken
 
 
 def test_a_gatekeeper_that_stands_still_is_excused_and_answers_later() -> None:
     result, world = play(small(faults=[{"kind": "freeze", "at_s": 2.0, "for_s": 3.0, "part": 1.0}]))
-    assert not result.broken and all(not h.backlog for h in world.hosts)
+    assert not result.broken
+    assert all(not h.backlog for h in world.hosts)
     assert result.counts["never_answered"] + result.counts["late"] + result.counts["failed"] > 0
 
 
@@ -75,7 +79,8 @@
     # A costly request that is out for the whole of a short deadline fails, restart or not.
     patient = [{**cls, "deadline_s": 20.0} for cls in SMALL["classes"]]
     result, world = play(small(faults=[restart], plans=everywhere, classes=patient))
-    assert not result.broken and [h.life for h in world.hosts] == [3] * 4
+    assert not result.broken
+    assert [h.life for h in world.hosts] == [3] * 4
     assert result.counts["unreachable"] == result.counts["failed"] == 0
 
 
@@ -161,7 +166,9 @@
         if s.fell:
             break
     # 2 x 0.25 cores x 1 s, and three mean requests for chance, are 0.8 s of work.
-    assert s.fell == 1 and n == 8 and s.foreseeable
+    assert s.fell == 1
+    assert n == 8
+    assert s.foreseeable
     assert s.worker.in_service == 0
 
 
@@ -169,31 +176,38 @@
     s = Setting(cold_share=0.25, cold_s=8.0, fall_multiple=2.0)
     s.worker.restart(START)
     s.send(0, 5.0)
-    assert s.fell == 1 and not s.foreseeable
+    assert s.fell == 1
+    assert not s.foreseeable
     s.worker.restart(START)
     s.worker.slow = 20.0
     for n in range(1, 5):
         s.send(n, 0.1)
-    assert s.fell == 2 and not s.foreseeable
+    assert s.fell == 2
+    assert not s.foreseeable
 
 
 def test_connections_are_kept_capped_and_lapse() -> None:
     s = Setting(connections=2, idle_s=4.0)
     w = s.worker
-    assert w.connect(1, START) is False and w.connect(2, START) is False and w.connect(3, START) is None
+    assert w.connect(1, START) is False
+    assert w.connect(2, START) is False
+    assert w.connect(3, START) is None
     w.release(1, START, True)
     assert w.connect(1, START + 1) is True
     w.release(1, START + 1, True)
     assert w.connect(3, START + 2) is None  # an idle one is another's
     assert w.connect(3, START + 5.1) is False  # it has lapsed
     w.release(2, START + 6, False)
-    assert w.open == 1 and w.idle[1] == deque()
+    assert w.open == 1
+    assert w.idle[1] == deque()
 
 
 def test_true_stores_fill_and_hold() -> None:
     store = Store(2.0, 4.0, 0.0)
     assert [store.take(0.0, 2.0) for _ in range(3)] == [True, True, False]
-    assert store.take(0.5, 1.0) and not store.has(0.5, 0.1) and store.refill(100.0) == 4.0
+    assert store.take(0.5, 1.0)
+    assert not store.has(0.5, 0.1)
+    assert store.refill(100.0) == 4.0
     assert Store(0.0, 0.0, 0.0).take(1.0, 99.0)
 
 
@@ -208,13 +222,15 @@
         add()
     engine.run(START + 1)
     assert heard.count((i.Code.RESOURCE_EXHAUSTED, 0.0)) == 3
-    assert (i.Code.OK, 2.0) in heard and (i.Code.DEADLINE_EXCEEDED, 0.0) in heard
+    assert (i.Code.OK, 2.0) in heard
+    assert (i.Code.DEADLINE_EXCEEDED, 0.0) in heard
     total = counter.numbers[0][7][0]
     assert total == 5.0  # also those whose answers came too late
     counter.begin_split()
     add(side=1)
     engine.run(START + 2)
-    assert counter.numbers[1][7][0] == 6.0 and counter.numbers[0][7][0] == 5.0
+    assert counter.numbers[1][7][0] == 6.0
+    assert counter.numbers[0][7][0] == 5.0
     counter.end_split()
     counter.forget()
     add()
@@ -251,4 +267,5 @@
         world.engine.at(START + at, lambda: seen.append(active(world)))
     assert not world.run().broken
     before, both, last, after = seen
-    assert before == after and before not in (both, last)
+    assert before == after
+    assert before not in (both, last)
--- a/tests/local/test_engine.py
+++ b/tests/local/test_engine.py
@@ -48,14 +48,17 @@
         try:
             whole = await asked(worker, Request_Id="r-1", Target_Instance=worker.id)
             words = words_of(b"one two")
-            assert data(whole) == list(enumerate(words, 1)) and whole.head.get(b"request-id") == b"r-1"
+            assert data(whole) == list(enumerate(words, 1))
+            assert whole.head.get(b"request-id") == b"r-1"
             assert whole.head.get(b"response-signature") is not None
             rest = await asked(worker, Request_Id="r-2", Last_Event_Id="2")
             assert data(rest) == list(enumerate(words, 1))[2:]
             other = await asked(worker, Request_Id="r-3", Target_Instance="i-other")
-            assert other.head.status == 421 and other.head.get(b"not-executed") is not None
+            assert other.head.status == 421
+            assert other.head.get(b"not-executed") is not None
             nameless = await asked(worker)
-            assert nameless.head.status == 400 and nameless.head.get(b"not-executed") is not None
+            assert nameless.head.status == 400
+            assert nameless.head.get(b"not-executed") is not None
         finally:
             await worker.stop()
 
@@ -73,7 +76,8 @@
         try:
             async with asyncio.timeout(PATIENCE_S):
                 await worker.registered.wait()
-            assert refusing.bodies and b'"backend":"s"' in taking.bodies[0]
+            assert refusing.bodies
+            assert b'"backend":"s"' in taking.bodies[0]
             assert worker.address.encode() in taking.bodies[0]
         finally:
             await worker.stop()
--- a/tests/local/test_local.py
+++ b/tests/local/test_local.py
@@ -28,7 +28,8 @@
     layout = Layout("127.0.5", tmp_path)
     for process in layout.processes():
         report = read_report(layout.settings(process, bootstrap=True), process.program)
-        assert report.unknown == () and str(report.settings.ip) == process.ip
+        assert report.unknown == ()
+        assert str(report.settings.ip) == process.ip
     assert len({process.ip for process in layout.processes()}) == 8
 
 
@@ -71,4 +72,6 @@
         timeout=PATIENCE_S,
         env={**os.environ},
     )
-    assert done.returncode == 1 and str(folder) in done.stderr and "Traceback" not in done.stderr
+    assert done.returncode == 1
+    assert str(folder) in done.stderr
+    assert "Traceback" not in done.stderr
--- a/tests/membership/test_explore.py
+++ b/tests/membership/test_explore.py
@@ -26,7 +26,8 @@
 
 def test_every_interleaving_settles() -> None:
     states, tried = explore(size=3, depth=2, crashes=1)
-    assert states > 50 and tried > states
+    assert states > 50
+    assert tried > states
 
 
 @pytest.mark.parametrize("kind", [NeverRefutes, RefutesTooLow])
--- a/tests/membership/test_members.py
+++ b/tests/membership/test_members.py
@@ -34,7 +34,8 @@
 @given(messages)
 def test_messages_come_back_as_they_were_and_fit(message: Message) -> None:
     data = write(message)
-    assert len(data) <= MOST_BYTES and read(data) == message
+    assert len(data) <= MOST_BYTES
+    assert read(data) == message
 
 
 @given(messages, st.data())
@@ -45,7 +46,8 @@
     before = dict(there.members)
     found = read(cut)
     if found is None:
-        assert there.hear(1.0, 1, cut) == [] and there.members == before
+        assert there.hear(1.0, 1, cut) == []
+        assert there.members == before
     else:  # cut between two rumours: a message of its own
         assert found.rumours == message.rumours[: len(found.rumours)]
 
@@ -56,7 +58,8 @@
     there.tick(0.0)
     there.hear(0.5, sender, data)
     there.tick(1.0)
-    assert set(there.members) <= set(range(4)) and 0 in there.alive()
+    assert set(there.members) <= set(range(4))
+    assert 0 in there.alive()
 
 
 def test_one_that_says_nothing_is_pressed_asked_for_suspected_and_declared() -> None:
@@ -73,11 +76,13 @@
                 probed = message.sequence
             if message.kind == Kind.ASK and message.about == 1:
                 kinds.append(Kind.ASK)
-                assert message.sequence == probed and to in (2, 3)
+                assert message.sequence == probed
+                assert to in (2, 3)
             if message.kind == Kind.PING and to != 1:  # the others answer
                 a.hear(now, to, write(Message(Kind.ACK, 0, to, message.sequence, to)))
         now = max(now + 1e-6, a.due())
-    assert kinds and [c.state for c in a.changes if c.member == 1] == [State.ALIVE, State.SUSPECT, State.DEAD]
+    assert kinds
+    assert [c.state for c in a.changes if c.member == 1] == [State.ALIVE, State.SUSPECT, State.DEAD]
     assert a.alive() == [0, 2, 3]
 
 
@@ -86,12 +91,14 @@
     a.hear(0.0, 1, write(Message(Kind.PING, 0, 9, 1, 0)))
     a.hold(1.0, 1, 0, 9, State.SUSPECT)
     ((to, ack),) = a.hear(1.1, 1, write(Message(Kind.PING, 0, 9, 2, 0)))
-    assert to == 1 and Rumour(1, 0, 9, State.SUSPECT) in said(ack).rumours
+    assert to == 1
+    assert Rumour(1, 0, 9, State.SUSPECT) in said(ack).rumours
     b.hear(1.2, 0, ack)
     assert b.incarnation == 1
     ((_, ping),) = b.hear(1.3, 0, write(Message(Kind.PING, 0, 7, 5, 1)))
     a.hear(1.4, 1, ping)
-    assert a.state(1) == State.ALIVE and a.members[1].incarnation == 1
+    assert a.state(1) == State.ALIVE
+    assert a.members[1].incarnation == 1
 
 
 def test_old_news_do_not_raise_the_dead() -> None:
@@ -110,7 +117,8 @@
     ((_, ack),) = a.hear(1.0, 1, write(Message(Kind.PING, 0, 99, 1, 0)))
     assert a.members[1].life == 9  # old incarnations override nothing
     again.hear(1.1, 0, ack)
-    assert again.incarnation == 7 and again.conflicts == 0
+    assert again.incarnation == 7
+    assert again.conflicts == 0
     ((_, told),) = again.hear(1.2, 0, write(Message(Kind.PING, 0, 7, 2, 1)))
     a.hear(1.3, 1, told)
     assert (a.members[1].life, a.state(1)) == (99, State.ALIVE)
@@ -121,7 +129,8 @@
     one.rumour(0.0, Rumour(1, 0, 20, State.ALIVE))
     assert one.conflicts == 0  # a former life, perhaps
     one.rumour(1.0, Rumour(1, 2, 20, State.ALIVE))  # which speaks anew
-    assert one.conflicts == 1 and one.incarnation == 3
+    assert one.conflicts == 1
+    assert one.incarnation == 3
 
 
 def test_who_leaves_is_gone_at_once_and_says_no_more() -> None:
@@ -130,8 +139,11 @@
     b.hear(0.0, 0, write(Message(Kind.PING, 0, 7, 1, 1)))
     ((to, bye),) = b.leave(1.0)
     a.hear(1.1, 1, bye)
-    assert to == 0 and a.state(1) == State.LEFT and a.alive() == [0]
-    assert b.tick(2.0) == [] and b.hear(2.0, 0, write(Message(Kind.PING, 0, 7, 3, 1))) == []
+    assert to == 0
+    assert a.state(1) == State.LEFT
+    assert a.alive() == [0]
+    assert b.tick(2.0) == []
+    assert b.hear(2.0, 0, write(Message(Kind.PING, 0, 7, 3, 1))) == []
 
 
 def test_a_clock_that_steps_harms_nothing() -> None:
@@ -148,7 +160,8 @@
 def test_a_fleet_agrees_and_declares_no_live_one_dead(loss: float) -> None:
     fleet = Fleet(30, 1, loss, setup=FAST)
     fleet.run(60)
-    assert fleet.wrong() == (0, 0) and fleet.declared(0) == 0
+    assert fleet.wrong() == (0, 0)
+    assert fleet.declared(0) == 0
     sent = fleet.sent
     fleet.run(20)
     assert (fleet.sent - sent) / 20 / 30 < 12  # messages a second and instance
--- a/tests/node/test_settings_file.py
+++ b/tests/node/test_settings_file.py
@@ -60,17 +60,20 @@
 def test_a_file_that_still_changes_is_left_alone(process: Process) -> None:
     process.path.write_text(settings_text(seed_nodes="10.9.0.1:8146")[:80])  # half of it
     process.reloader.poll()
-    assert process.applied == [] and process.refused == []
+    assert process.applied == []
+    assert process.refused == []
     process.path.write_text(settings_text(seed_nodes="10.9.0.1:8146"))
     process.poll_twice()
-    assert len(process.applied) == 1 and process.refused == []
+    assert len(process.applied) == 1
+    assert process.refused == []
 
 
 def test_a_file_that_cannot_be_used_changes_nothing(process: Process) -> None:
     before = process.reloader.settings
     process.replace(settings_text(seed_nodes="10.9.0.1:8146", heartbeat_ms="soon"))
     process.poll_twice()
-    assert process.applied == [] and "heartbeat_ms" in str(process.refused[0])
+    assert process.applied == []
+    assert "heartbeat_ms" in str(process.refused[0])
     assert process.reloader.settings == before
     process.poll_twice()
     assert len(process.refused) == 1  # one state of the file is refused once
@@ -79,7 +82,8 @@
 def test_a_file_without_what_the_program_needs_is_refused(process: Process) -> None:
     process.replace(settings_text(listen_addrs__front=None))
     process.reloader.reload()
-    assert process.applied == [] and "listen_addrs.front" in str(process.refused[0])
+    assert process.applied == []
+    assert "listen_addrs.front" in str(process.refused[0])
 
 
 def test_a_file_that_is_gone_changes_nothing_until_it_is_back(process: Process) -> None:
@@ -107,4 +111,5 @@
 def test_the_same_content_again_is_not_applied(process: Process) -> None:
     process.replace(settings_text())
     process.poll_twice()
-    assert process.applied == [] and process.refused == []
+    assert process.applied == []
+    assert process.refused == []
--- a/tests/observability/test_log.py
+++ b/tests/observability/test_log.py
@@ -34,22 +34,29 @@
 def test_a_line_has_the_events_name_and_its_fields(lines: Lines) -> None:
     logger.bind(event="request_held", request="9c41", seconds=0.5).info("a request is held")
     (line,) = lines.objects()
-    assert line["event"] == "request_held" and line["request"] == "9c41" and line["seconds"] == 0.5
-    assert line["node"] == "n-1" and line["level"] == "info" and line["message"] == "a request is held"
-    assert isinstance(line["time"], float) and lines.texts[0].endswith("}\n")
+    assert line["event"] == "request_held"
+    assert line["request"] == "9c41"
+    assert line["seconds"] == 0.5
+    assert line["node"] == "n-1"
+    assert line["level"] == "info"
+    assert line["message"] == "a request is held"
+    assert isinstance(line["time"], float)
+    assert lines.texts[0].endswith("}\n")
 
 
 def test_an_event_without_a_name_is_named_by_its_place(lines: Lines) -> None:
     logger.info("something")
     (line,) = lines.objects()
     expected = "test_an_event_without_a_name_is_named_by_its_place"
-    assert line["event"].startswith("tests.observability") and line["event"].endswith(expected)
+    assert line["event"].startswith("tests.observability")
+    assert line["event"].endswith(expected)
 
 
 def test_bound_fields_do_not_replace_those_of_every_line(lines: Lines) -> None:
     logger.bind(event="e", node="other", time=0).info("x")
     (line,) = lines.objects()
-    assert line["node"] == "n-1" and line["time"] > 0
+    assert line["node"] == "n-1"
+    assert line["time"] > 0
 
 
 def test_an_exception_comes_with_its_trace(lines: Lines) -> None:
@@ -58,7 +65,8 @@
     except RuntimeError:
         logger.bind(event="failed").exception("it failed")
     (line,) = lines.objects()
-    assert line["level"] == "error" and "RuntimeError: broken" in line["exception"]
+    assert line["level"] == "error"
+    assert "RuntimeError: broken" in line["exception"]
 
 
 def test_repeated_events_are_thinned_out_and_counted(lines: Lines) -> None:
@@ -93,5 +101,7 @@
         logging.root.handlers[:] = handlers
         logging.root.setLevel(level)
     line = json.loads(capsys.readouterr().err)
-    assert line["event"] == "library.asyncio" and line["message"] == "task 7 failed"
-    assert line["level"] == "warning" and line["program"] == "gateway"
+    assert line["event"] == "library.asyncio"
+    assert line["message"] == "task 7 failed"
+    assert line["level"] == "warning"
+    assert line["program"] == "gateway"
--- a/tests/observability/test_metrics.py
+++ b/tests/observability/test_metrics.py
@@ -38,9 +38,12 @@
 
 def test_counters_and_gauges_are_written_with_their_kind() -> None:
     text = render([single("a_total", "A.", 2), Family("b", "B.", {("x",): 1.5, ("y",): 0}, ("kind",))])
-    assert b"# TYPE a_total counter" in text and b"# TYPE b gauge" in text
+    assert b"# TYPE a_total counter" in text
+    assert b"# TYPE b gauge" in text
     found = samples(text)
-    assert found["a_total", ()] == 2 and found["b", ("x",)] == 1.5 and found["b", ("y",)] == 0
+    assert found["a_total", ()] == 2
+    assert found["b", ("x",)] == 1.5
+    assert found["b", ("y",)] == 0
 
 
 def test_the_process_itself_is_measured() -> None:
--- a/tests/routing/test_worker_state.py
+++ b/tests/routing/test_worker_state.py
@@ -40,12 +40,15 @@
     state = WorkerState(WorkerRecord("w1", "s", "10.0.0.1:80", "z", 4, "ready"), 1000)
     state.announce(0.0, 0.1, PARTS)
     state.fell_silent(1.0)
-    assert state.suspect(1.1) and state.keeps(1)
+    assert state.suspect(1.1)
+    assert state.keeps(1)
     state.heard(1.2)
-    assert not state.suspect(1.2) and state.keeps(1)
+    assert not state.suspect(1.2)
+    assert state.keeps(1)
     state.failed(2.0)
     state.heard(2.1)  # it answers another attempt: what failed may have lost what it kept
-    assert state.suspect(2.1) and not state.keeps(1)
+    assert state.suspect(2.1)
+    assert not state.keeps(1)
 
 
 def test_prompts_to_read_add_up_and_are_read_in_time() -> None:
--- a/tests/schedules.py
+++ b/tests/schedules.py
@@ -1,6 +1,7 @@
 """Seeded schedules against the whole program, small, on loopback sockets in virtual time.
 
-What happens is drawn beforehand; what must hold is checked on each event, from the stand-ins' side."""
+What happens is drawn beforehand; what must hold is checked on each event, from the stand-ins' side.
+"""
 
 import asyncio
 import random
--- a/tests/simulation/breakages.py
+++ b/tests/simulation/breakages.py
@@ -66,7 +66,6 @@
 
 def promotion_without_catch_up() -> Any:
     """A learner becomes a voter whatever it holds."""
-
     real = MembershipPlanner._observe
 
     def observe(self: MembershipPlanner, now: float, group: Any, candidates: Candidates) -> Any:
--- a/tests/storage/test_bad_files.py
+++ b/tests/storage/test_bad_files.py
@@ -39,7 +39,8 @@
     before = content(disk)
     with pytest.raises(error) as refused:
         DiskGroupStorage(disk, "group").load()
-    assert name in str(refused.value) and "\n" not in str(refused.value)
+    assert name in str(refused.value)
+    assert "\n" not in str(refused.value)
     assert content(disk) == before
 
 
@@ -54,7 +55,8 @@
 def test_the_files_as_they_are_can_be_read_and_the_old_ones_go() -> None:
     disk = written_disk()
     loaded = DiskGroupStorage(disk, "group").load()
-    assert loaded.snapshot == b'"state"' and loaded.snapshot_file == SNAPSHOT
+    assert loaded.snapshot == b'"state"'
+    assert loaded.snapshot_file == SNAPSHOT
     assert [found.index for found in loaded.state.entries] == [3]
     assert sorted(disk.names()) == [SNAPSHOT, LOG]
 
--- a/tests/test_accounts.py
+++ b/tests/test_accounts.py
@@ -96,7 +96,8 @@
     assert sum(net.asked(n % 2, "narrow") for n in range(9)) == 4
     n, send = net.sent[0]
     net.end(n, send)
-    assert net.asked(2, "narrow") and not net.asked(2, "narrow")
+    assert net.asked(2, "narrow")
+    assert not net.asked(2, "narrow")
 
 
 def test_a_slot_whose_end_is_lost_comes_free() -> None:
@@ -132,12 +133,14 @@
     id = net.ask(1, "narrow")
     net.do(1, i.Expired(id))
     net.deliver()
-    assert not net.sent and not finals(net.all[1].do(i.TimerDue(WAIT)))
+    assert not net.sent
+    assert not finals(net.all[1].do(i.TimerDue(WAIT)))
 
 
 def test_a_sparse_fleet_sends_on_what_the_quota_holds_wherever_it_comes_in() -> None:
     """Told of each other's use a tenth of a second late, thirty gatekeepers sent on 15% beyond and refused
-    as much inside."""
+    as much inside.
+    """
     net, rng = Net(), random.Random(3)
     start, count = net.now, 0
     while net.now < start + 20.0:
@@ -199,7 +202,8 @@
     intake: float, beyond: float
 ) -> None:
     """Of 50 a second it heard 15, or 8: it took those for all, what went unanswered was sent on by views that
-    had faded between two answers, and nobody told it of that. Three and five times the quota were sent on."""
+    had faded between two answers, and nobody told it of that. Three and five times the quota were sent on.
+    """
     net = Busy(intake)
     count, most = net.day(5.0, 30.0), PLAN.depth + 30.0 * PLAN.refill
     assert 0.95 * most < count <= (1 + beyond) * most
@@ -284,7 +288,8 @@
 
 def test_where_few_answers_come_a_keeper_is_not_asked_again() -> None:
     """Asked three times each by gatekeepers that were told too much already, keepers answered still fewer:
-    40% of the messages were lost (i1836be)."""
+    40% of the messages were lost (i1836be).
+    """
     net, asked = Net(), []
     for n in range(20):
         net.mail.clear()
@@ -296,7 +301,8 @@
         asked.append(sum(isinstance(read_ask(t.data), Ask) for _, t in net.mail))
         for _, send in net.sent[n:]:
             net.do(1, i.Outcome(send.id, 0, send.server, i.Code.OK, 0.1, True))
-    assert asked[0] == 3 and asked[-1] == 1
+    assert asked[0] == 3
+    assert asked[-1] == 1
 
 
 def test_slots_count_as_full_for_a_while_after_the_keeper_said_so() -> None:
@@ -307,7 +313,8 @@
     sent = len(net.sent)
     net.ask(5, "narrow")
     net.wait(1.0)
-    assert len(net.sent) == sent and net.refused[-1][1].why == "limit"
+    assert len(net.sent) == sent
+    assert net.refused[-1][1].why == "limit"
     net.now += 5.0
     for n, send in net.sent:
         net.end(n, send)
@@ -321,7 +328,8 @@
     times: float, refused: tuple[float, float]
 ) -> None:
     """The keepers of busy accounts are overrun with questions: what they left unanswered went by the
-    own view, which knows nothing of the others, 23% of what was sent (a price of 0.11 on a calm day)."""
+    own view, which knows nothing of the others, 23% of what was sent (a price of 0.11 on a calm day).
+    """
     for seed in (1, 2):
         rng = random.Random(seed)
         net = Net(lost=lambda rng=rng: rng.random() < 0.3)  # type: ignore[misc]
@@ -336,7 +344,8 @@
                 beyond, store = (beyond, store - 1) if store >= 1 else (beyond + 1, store)
                 net.end(n, send)
             done = len(net.sent)
-        assert beyond <= 0.08 * done and done >= 0.75 * min(1.0, times) * 20 * PLAN.refill
+        assert beyond <= 0.08 * done
+        assert done >= 0.75 * min(1.0, times) * 20 * PLAN.refill
         assert refused[0] <= len(net.refused) / tries <= refused[1]
 
 
@@ -348,6 +357,7 @@
     net.all[1].now = net.now = net.now + 0.15  # two thirds of a fifth of the aim
     for _ in range(2):
         net.do(1, i.TimerDue(WAIT))
-    assert not net.sent and len(net.mail) == 1
+    assert not net.sent
+    assert len(net.mail) == 1
     net.deliver()
     assert len(net.sent) == 1
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -17,7 +17,8 @@
 def test_served_needs_no_answer_of_ours() -> None:
     d = Drive()
     assert d.end(d.sent(), i.Code.OK) == []
-    assert not d.gatekeeper.held and d.gatekeeper.out == 0
+    assert not d.gatekeeper.held
+    assert d.gatekeeper.out == 0
 
 
 @pytest.mark.parametrize("cls", CLASSES)
@@ -26,7 +27,8 @@
     d = Drive()
     first = d.sent(cls)
     (again,) = d.end(first, code)
-    assert isinstance(again, i.Send) and again.server != first.server
+    assert isinstance(again, i.Send)
+    assert again.server != first.server
 
 
 @pytest.mark.parametrize("cls", CLASSES)
@@ -81,7 +83,8 @@
     d = Drive(servers=alone)
     first = d.sent("token-cell")
     (again,) = d.end(first, i.Code.UNAVAILABLE)
-    assert isinstance(again, i.Send) and again.server != first.server
+    assert isinstance(again, i.Send)
+    assert again.server != first.server
     third = d.end(again, i.Code.INTERNAL, attempt=1)
     assert [s.server for s in sends(third)] in ([], [again.server])
 
@@ -139,7 +142,8 @@
     assert d.do(i.Expired(first.id)) == [i.Cancel(first.id, 0)]
     assert d.gatekeeper.out == 1
     assert d.end(first, i.Code.CANCELLED) == []
-    assert d.gatekeeper.out == 0 and not d.gatekeeper.flying
+    assert d.gatekeeper.out == 0
+    assert not d.gatekeeper.flying
 
 
 def test_cancel_only_where_allowed() -> None:
@@ -180,7 +184,8 @@
 def test_advice_only_where_clients_hear_it() -> None:
     d = Drive(servers=())
     (refusal,) = d.ask()
-    assert isinstance(refusal, i.Refuse) and 0 < refusal.retry_after <= LIMITS.max_retry_after
+    assert isinstance(refusal, i.Refuse)
+    assert 0 < refusal.retry_after <= LIMITS.max_retry_after
     d = Drive(settings(limits=i.Limits(max_attempts=2)), servers=())
     assert [(a.id, a.retry_after) for a in d.ask() if isinstance(a, i.Refuse)] == [(1, 0.0)]
 
@@ -227,4 +232,5 @@
     d.serve(20, latency=0.1)
     d.gatekeeper.ceiling.limit = 0.0
     (refusal,) = d.ask()
-    assert isinstance(refusal, i.Refuse) and refusal.retry_after == pytest.approx(0.1)
+    assert isinstance(refusal, i.Refuse)
+    assert refusal.retry_after == pytest.approx(0.1)
--- a/tests/test_belief.py
+++ b/tests/test_belief.py
@@ -127,7 +127,8 @@
             one.end(answer)
             assert (await caller.answer()).status == 200
             await until(lambda: not node.silent)
-            assert not node.out and node.answered > 0
+            assert not node.out
+            assert node.answered > 0
 
     run(test)
 
@@ -141,6 +142,7 @@
             await until(lambda: any(n.came_up for n in gatekeeper.fleet.nodes.values()))
             (node,) = gatekeeper.fleet.nodes.values()
             assert abs(rig.gateway.loop.time() - node.came_up - 5.0) < 2.0
-            assert isinstance(node.entry, i.Server) and node.entry.came_up == node.came_up
+            assert isinstance(node.entry, i.Server)
+            assert node.entry.came_up == node.came_up
 
     run(test)
--- a/tests/test_ceiling.py
+++ b/tests/test_ceiling.py
@@ -97,7 +97,8 @@
 
 def test_copies_that_win_do_not_hide_how_long_answers_take() -> None:
     """The slow attempts were cancelled and left out: the usual latency fell to a third, more attempts looked
-    silent and got copies, and a fleet of forty stayed so, with a probe for every second request."""
+    silent and got copies, and a fleet of forty stayed so, with a probe for every second request.
+    """
     d = Drive()
     d.serve(40)
     for _ in range(60):
--- a/tests/test_config_command.py
+++ b/tests/test_config_command.py
@@ -59,7 +59,8 @@
     assert shown["limits.sockets"] == {"value": 1024, "from": "default"}
     assert shown["settings.profiles.1.effect"] == {"value": "token", "from": "file"}
     assert shown["settings.guarantees.cold"]["value"] == "17 s"
-    assert main(["config", "show", path]) == 0 and "settings.fleet_size" in capsys.readouterr().out
+    assert main(["config", "show", path]) == 0
+    assert "settings.fleet_size" in capsys.readouterr().out
 
 
 def test_the_schema_says_what_the_reader_reads(capsys: pytest.CaptureFixture[str]) -> None:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -81,7 +81,8 @@
 def test_without_a_version_the_whole_list_comes_first() -> None:
     agent = Agent(ok(as_json(7, True, entry("a", A))))
     told, _ = followed(agent, None, 2)
-    assert agent.asked == [b"/v1/servers", WATCH % 7] and told[0].whole
+    assert agent.asked == [b"/v1/servers", WATCH % 7]
+    assert told[0].whole
 
 
 @pytest.mark.parametrize(
@@ -100,7 +101,8 @@
     agent = Agent(bad, bad, ok(as_json(60, True, entry("a", A))))
     told, failed = followed(agent, 41, 4)
     assert agent.asked == [WATCH % 41, b"/v1/servers", b"/v1/servers", WATCH % 60]
-    assert [x.version for x in told] == [60] and len(failed) == 2
+    assert [x.version for x in told] == [60]
+    assert len(failed) == 2
 
 
 def test_an_older_whole_list_is_no_answer_to_a_watch() -> None:
@@ -109,7 +111,8 @@
     agent = Agent(old, ok(as_json(60, True, entry("a", A, "draining"))))
     told, failed = followed(agent, 41, 3)
     assert agent.asked == [WATCH % 41, b"/v1/servers", WATCH % 60]
-    assert [x.version for x in told] == [60] and len(failed) == 1
+    assert [x.version for x in told] == [60]
+    assert len(failed) == 1
 
 
 @pytest.mark.parametrize("bad", [write_response(500, []), write_response(503, [])])
@@ -118,7 +121,8 @@
     agent = Agent(bad, bad, ok(as_json(60, True, entry("a", A))))
     told, failed = followed(agent, 41, 4)
     assert agent.asked == [WATCH % 41, WATCH % 41, WATCH % 41, WATCH % 60]
-    assert [x.version for x in told] == [60] and len(failed) == 2
+    assert [x.version for x in told] == [60]
+    assert len(failed) == 2
 
 
 @pytest.mark.parametrize("bad", [None, b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\nContent-Length: 8\r\n\r\n"])
@@ -127,7 +131,8 @@
     agent = Agent(bad, bad, ok(as_json(60, True, entry("a", A))), bad, ok(as_json(61, False)))
     told, failed = followed(agent, 41, 6)
     assert agent.asked == [WATCH % 41, AT_ONCE % 41, AT_ONCE % 41, WATCH % 60, AT_ONCE % 60, WATCH % 61]
-    assert [x.version for x in told] == [60, 61] and len(failed) == 3
+    assert [x.version for x in told] == [60, 61]
+    assert len(failed) == 3
 
 
 def test_what_a_broken_watch_missed_is_asked_for_before_it_counts_as_told(
@@ -135,7 +140,8 @@
 ) -> None:
     """It does 6 s after the silence, or after the end of an outage, where lists are asked for; sending may go
     on for half a second at the least. The third call of a watch that fell silent came 12 s after that, the
-    first one after an outage up to 11 s behind its end."""
+    first one after an outage up to 11 s behind its end.
+    """
     monkeypatch.setattr(discovery, "BACKOFF_S", BACKOFF_S)
     monkeypatch.setattr("random.uniform", lambda low, high: high)  # each pause as long as it may be
     calls, clock, watches = list[float](), 0.0, list[Discovery]()
@@ -160,23 +166,28 @@
             watch.ended(Ending.TIMED_OUT, None)
 
     run(test)
-    assert calls[0] <= 3.5 and calls[1] <= 6.5 and len(calls) == 12
+    assert calls[0] <= 3.5
+    assert calls[1] <= 6.5
+    assert len(calls) == 12
     assert all(later - sooner <= 6.5 for sooner, later in itertools.pairwise(calls))
 
 
 def test_an_agent_is_asked_again_at_once_and_without_a_wait() -> None:
     """What it has counts as told from the first moment after an outage: pauses of 2 to 8 s and calls that may
-    wait came too late for a drain."""
+    wait came too late for a drain.
+    """
     agent = Agent(None, write_response(503, []), None, ok(as_json(60, False)))
     told, failed = followed(agent, 41, 5, within=8.0)
     assert agent.asked == [WATCH % 41, AT_ONCE % 41, AT_ONCE % 41, AT_ONCE % 41, WATCH % 60]
-    assert [x.version for x in told] == [60] and len(failed) == 3
+    assert [x.version for x in told] == [60]
+    assert len(failed) == 3
 
 
 @pytest.mark.parametrize("within", [0.5, 1.0, 2.0])
 def test_an_agent_s_news_come_in_time_even_if_an_outage_broke_the_watch_just_opened(within: float) -> None:
     """What it got meanwhile counts as told at its return: a watch of 2 s and a second more came too late.
-    Reckoned with every failure at its longest, the last of them just before the return."""
+    Reckoned with every failure at its longest, the last of them just before the return.
+    """
     loop = type("Loop", (), {})()
     watch = Discovery(loop, A, lambda x: None, lambda why: None, within)
     longest = watch.wait_ms / 1000 + watch.margin_s + discovery.BACKOFF_AGENT_S[0]
@@ -194,7 +205,8 @@
 def test_changes_in_answer_to_the_whole_list_are_a_gap() -> None:
     agent = Agent(ok(as_json(60, False)), ok(as_json(60, True)))
     told, failed = followed(agent, None, 3)
-    assert len(failed) == 1 and [x.whole for x in told] == [True]
+    assert len(failed) == 1
+    assert [x.whole for x in told] == [True]
 
 
 def test_silence_is_a_failure(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -218,12 +230,14 @@
             for _ in range(40):
                 watch.retry("a test")
             assert first / 2 <= pauses[0] <= first
-            assert max(pauses) <= most and min(pauses[10:]) >= most / 2
+            assert max(pauses) <= most
+            assert min(pauses[10:]) >= most / 2
 
 
 def test_who_knows_a_list_leaves_an_overbooked_discovery_time(monkeypatch: pytest.MonkeyPatch) -> None:
     """Twenty-eight of forty gatekeepers restart at once, know an old list and are turned away: in no five
-    seconds after the first do they call more than 56 times."""
+    seconds after the first do they call more than 56 times.
+    """
     monkeypatch.setattr(discovery, "BACKOFF_S", BACKOFF_S)
 
     async def test() -> None:
@@ -264,12 +278,14 @@
     ]
     assert directory.wanted() == {Target(1, A)}
     changed = directory.take(listing(entry("b", C), whole=False), i.ListForm.CHANGES)
-    assert [s.id for s in changed.servers] == [2] and directory.targets == {1: Target(1, A), 2: Target(2, C)}
+    assert [s.id for s in changed.servers] == [2]
+    assert directory.targets == {1: Target(1, A), 2: Target(2, C)}
     gone = directory.take(listing(entry("a", A, "removed"), whole=False), i.ListForm.CHANGES)
     assert [(s.id, s.mode) for s in gone.servers] == [(1, i.Mode.DELETED)]
     assert directory.targets == {2: Target(2, C)}
     whole = directory.take(listing(entry("a", A)), i.ListForm.WHOLE)
-    assert [s.id for s in whole.servers] == [3] and directory.targets == {3: Target(3, A)}
+    assert [s.id for s in whole.servers] == [3]
+    assert directory.targets == {3: Target(3, A)}
     assert len(directory.ids) == 1
 
 
@@ -280,8 +296,10 @@
     def seen(born_ms: float) -> float:
         return directory.take(listing(entry("a", A, born_ms=born_ms)), i.ListForm.WHOLE).servers[0].came_up
 
-    assert seen(0) == 0.0 and not directory.restarted
-    assert seen(4_990_000) == 990.0 and directory.restarted == {Target(1, A): 990.0}
+    assert seen(0) == 0.0
+    assert not directory.restarted
+    assert seen(4_990_000) == 990.0
+    assert directory.restarted == {Target(1, A): 990.0}
     clock[0], unix[0] = 1100.0, 5100.7
     assert seen(4_990_000) == 990.0
     assert seen(5_090_700) == pytest.approx(1090.0)
@@ -296,7 +314,8 @@
             first, second = module.of(i.ServerList)
             assert (first.form, [s.id for s in first.servers]) == (i.ListForm.REMEMBERED, [1, 2])
             assert (second.form, [s.mode for s in second.servers]) == (i.ListForm.CHANGES, [i.Mode.DRAINING])
-            assert agent.asked[0] == b"/v1/servers?index=1&wait=250" and rig.gateway.ready  # a quarter of 1 s
+            assert agent.asked[0] == b"/v1/servers?index=1&wait=250"
+            assert rig.gateway.ready
 
     run(test)
 
--- a/tests/test_examples.py
+++ b/tests/test_examples.py
@@ -43,10 +43,13 @@
             quota = b"units=1,spread=1,first=0"
             asked = asking(target=other, X_Class=b"read", Plan=b"unlimited", Quota_Info=quota)
             served = await caller.ask(asked)
-            assert served.status == 200 and served.body.startswith(b"toy-")
+            assert served.status == 200
+            assert served.body.startswith(b"toy-")
             basic = [asking(X_Class=b"read", Plan=b"basic", Quota_Info=quota) for _ in range(20)]
             statuses = [(await caller.ask(asked)).status for asked in basic]
-            assert statuses[0] == 200 and statuses[-1] == 429 and set(statuses) == {200, 429}
+            assert statuses[0] == 200
+            assert statuses[-1] == 429
+            assert set(statuses) == {200, 429}
         finally:
             gatekeeper.terminate()
             toy.terminate()
@@ -58,8 +61,10 @@
 
 def test_the_example_configuration_is_whole() -> None:
     config = load(str(ROOT / "examples" / "config.json"), {})
-    assert set(config.settings.classes) == {"read", "book", "pay"} and config.known is not None
-    assert config.discovery is not None and config.transport.conn_idle == 15.0
+    assert set(config.settings.classes) == {"read", "book", "pay"}
+    assert config.known is not None
+    assert config.discovery is not None
+    assert config.transport.conn_idle == 15.0
 
 
 def test_the_tiers_examples_are_what_local_uses() -> None:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -37,7 +37,8 @@
 
 def test_even_where_all_are_alike() -> None:
     got = shares_of(Drive(), 800)
-    assert set(got) == set(range(8)) and max(got.values()) < 2 * min(got.values())
+    assert set(got) == set(range(8))
+    assert max(got.values()) < 2 * min(got.values())
 
 
 def test_nothing_to_a_server_listed_draining_deleted_or_left_out() -> None:
@@ -128,7 +129,8 @@
     d = Drive()
     first, told = silence(d)
     (copy,) = sends(told)
-    assert copy.id == first.id and copy.server != first.server
+    assert copy.id == first.id
+    assert copy.server != first.server
     assert i.Probe(first.server) in told
     assert first.server not in shares_of(d, 200)
 
@@ -136,7 +138,8 @@
 def test_no_copy_where_two_may_not_be_out_or_effects_forbid_it() -> None:
     d = Drive(settings(limits=i.Limits(max_attempts=3)))
     _, told = silence(d)
-    assert not sends(told) and not [a for a in told if isinstance(a, i.Probe)]
+    assert not sends(told)
+    assert not [a for a in told if isinstance(a, i.Probe)]
     d = Drive()
     d.serve(40)
     d.sent("once")
@@ -149,7 +152,8 @@
     first, _ = silence(d)
     d.do(i.ProbeResult(first.server, i.Code.OK, 0.01))
     node = d.gatekeeper.fleet.nodes[first.server]
-    assert not node.silent and d.gatekeeper.fleet.warmth(node, d.now) < 0.5
+    assert not node.silent
+    assert d.gatekeeper.fleet.warmth(node, d.now) < 0.5
 
 
 def test_brief_standstill_is_not_a_restart() -> None:
@@ -219,7 +223,8 @@
 
 def test_where_many_send_cold_servers_are_tried_though_warm_ones_look_idle() -> None:
     """Twenty gatekeepers, each with an attempt or two out: by own attempts alone some warm server always
-    looks idle, and none would try the cold ones. Six in ten workers replaced left the others in a jam."""
+    looks idle, and none would try the cold ones. Six in ten workers replaced left the others in a jam.
+    """
     servers = tuple(server(n, came_up=0.0 if n < 8 else 100.0) for n in range(20))
     d = Drive(settings(fleet=20), servers)
     tried: set[int] = set()
@@ -235,7 +240,8 @@
 def test_the_parts_of_many_senders_add_up_to_a_cold_server_s_fair_part() -> None:
     """Six in ten servers are new. Chance on top of the budget halved what they got, and a budget reckoned by
     what was wanted instead of what was sent on gave them more than the warm ones: either way half a fleet
-    stood in a jam beside an idle one."""
+    stood in a jam beside an idle one.
+    """
     servers = tuple(server(n, came_up=0.0 if n < 24 else 100.0) for n in range(60))
     setups = [dataclasses.replace(settings(me=n, fleet=40), mail_per_s=100.0) for n in range(40)]
     fleet = [Drive(s, servers, seed=n) for n, s in enumerate(setups)]
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -125,7 +125,8 @@
             assert len(worker.requests) == int(stays)
             # Nor is there a mark on the customer that it names.
             gatekeeper = rig.gateway.module
-            assert isinstance(gatekeeper, Gatekeeper) and len(gatekeeper.quota.customers) == int(stays)
+            assert isinstance(gatekeeper, Gatekeeper)
+            assert len(gatekeeper.quota.customers) == int(stays)
 
     run(test)
 
@@ -142,7 +143,8 @@
             worker.talks[0].write(OK)
             assert (await first.answer()).status == 200
             assert (await first.ask(asking(X_Request_Id=b"7"))).status == 409
-            assert len(worker.requests) == 1 and rig.gateway.taken == 1
+            assert len(worker.requests) == 1
+            assert rig.gateway.taken == 1
 
     run(test)
 
@@ -151,11 +153,13 @@
     async def test() -> None:
         async with Rig(Script(), Address("127.0.0.1", 9)) as rig:
             gateway = rig.gateway
-            assert not gateway.is_known(b"7") and gateway.is_known(b"7")
+            assert not gateway.is_known(b"7")
+            assert gateway.is_known(b"7")
             for _ in range(2):
                 gateway.turned_over -= gateway.patience
                 gateway.is_known(b"8")
-            assert not gateway.is_known(b"7") and sum(map(len, gateway.recent)) == 2
+            assert not gateway.is_known(b"7")
+            assert sum(map(len, gateway.recent)) == 2
 
     run(test)
 
@@ -233,7 +237,8 @@
         async with StandIn(give) as worker, Rig(module, worker.address) as rig:
             status = (await rig.ask(asking())).status
             found.extend(module.of(i.Outcome))
-            assert (status == 200) == (found[0].code is i.Code.OK) and status not in (429, 503)
+            assert (status == 200) == (found[0].code is i.Code.OK)
+            assert status not in (429, 503)
 
     run(test)
     (outcome,) = found
@@ -355,7 +360,8 @@
             assert (await rig.ask(asking(X_Deadline_Ms=b"80"))).status == 504
             (outcome,) = module.of(i.Outcome)
             assert (outcome.code, outcome.no_more) == (i.Code.DEADLINE_EXCEEDED, False)
-            assert not module.of(i.Expired) and not rig.log.lines[1:]
+            assert not module.of(i.Expired)
+            assert not rig.log.lines[1:]
 
     run(test)
 
@@ -366,7 +372,8 @@
         module = Script(send_to(*[1] * attempts))
         async with StandIn(silent) as worker, Rig(module, worker.address) as rig:
             assert (await rig.ask(asking(X_Deadline_Ms=b"50"))).status == 504
-            assert len(module.of(i.Expired)) == 1 and not rig.gateway.calls
+            assert len(module.of(i.Expired)) == 1
+            assert not rig.gateway.calls
             assert rig.gateway.faults == 1
 
     run(test)
@@ -531,7 +538,8 @@
             rig.gateway.carry_out(0.0, i.Probe(1))
             await until(lambda: module.of(i.ProbeResult))
             assert [(p.server, p.code) for p in module.of(i.ProbeResult)] == [(1, i.Code.OK)]
-            assert worker.requests[1].target == b"/healthz" and len(worker.talks) == 2
+            assert worker.requests[1].target == b"/healthz"
+            assert len(worker.talks) == 2
 
     run(test)
 
@@ -574,7 +582,8 @@
             )
             assert await caller.reader.readuntil(b"\r\n\r\n") == b"HTTP/1.1 100 Continue\r\n\r\n"
             assert (await caller.ask(b"hi")).status == 200
-            assert worker.requests[0].body == b"hi" and worker.requests[0].get(b"expect") is None
+            assert worker.requests[0].body == b"hi"
+            assert worker.requests[0].get(b"expect") is None
 
     run(test)
 
@@ -611,9 +620,11 @@
             assert (await asked.ask(HEALTH)).keep_alive
             busy.write(asking())  # held by a module that says nothing
             await until(lambda: rig.gateway.by_client)
-            assert await silent.ended() and await asked.ended()
+            assert await silent.ended()
+            assert await asked.ended()
             await until(lambda: len(rig.listener.clients) == 1)
-            assert rig.gateway.by_client and not rig.listener.idle
+            assert rig.gateway.by_client
+            assert not rig.listener.idle
 
     run(test)
 
@@ -669,7 +680,8 @@
             caller.writer.transport.abort()
             await until(lambda: not rig.listener.clients)
             await asyncio.sleep(0)
-            assert rig.gateway.taken == 1 and len(worker.requests) == 1
+            assert rig.gateway.taken == 1
+            assert len(worker.requests) == 1
 
     run(test)
 
@@ -709,7 +721,8 @@
                 caller.writer.write_eof() if how == "eof" else caller.writer.transport.abort()
                 await until(lambda: not rig.gateway.by_client and not rig.gateway.calls)
                 await until(lambda: not rig.listener.clients)
-            assert rig.gateway.left == 2 and rig.gateway.faults == 0
+            assert rig.gateway.left == 2
+            assert rig.gateway.faults == 0
 
     run(test)
 
@@ -723,8 +736,10 @@
 
         async with StandIn() as a, StandIn() as b, Rig(None, a.address, b.address) as rig:
             found = await asyncio.gather(*(one(rig, n) for n in range(100)))
-            assert set(found) <= {200, 429} and found.count(200) > 0
+            assert set(found) <= {200, 429}
+            assert found.count(200) > 0
             assert len(a.requests) + len(b.requests) == found.count(200)
-            assert rig.gateway.taken == 100 and not rig.gateway.calls
+            assert rig.gateway.taken == 100
+            assert not rig.gateway.calls
 
     run(test)
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -44,7 +44,8 @@
 
 def test_a_class_goes_elsewhere_where_it_is_left_unanswered_and_the_others_stay() -> None:
     """At each answer of another class the worker counted as well again: half of one class's requests waited
-    at workers that served the rest as usual (cludo-main rough-2)."""
+    at workers that served the rest as usual (cludo-main rough-2).
+    """
     d = Drive(servers=ONE)
     warm(d)
     first, _ = unanswered(d, "once")
@@ -57,7 +58,8 @@
     d = Drive(servers=ONE)
     warm(d)
     first, done = unanswered(d, "once")
-    assert i.Cancel(first.id, 0) in done and not sends(done)
+    assert i.Cancel(first.id, 0) in done
+    assert not sends(done)
     ended = d.do(i.Outcome(first.id, 0, first.server, i.Code.CANCELLED, 1.0))
     assert ended == [i.Fail(first.id)]
 
@@ -81,9 +83,11 @@
     if duplicate:
         (copy,) = sends(done)
     else:
-        assert i.Cancel(first.id, 0) in done and not sends(done)
+        assert i.Cancel(first.id, 0) in done
+        assert not sends(done)
         (copy,) = sends(d.do(i.Outcome(first.id, 0, first.server, i.Code.CANCELLED, 1.0)))
-    assert copy.id == first.id and copy.server != first.server
+    assert copy.id == first.id
+    assert copy.server != first.server
 
 
 def test_a_fault_speaks_for_a_class_of_which_nothing_came_back_lately() -> None:
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -41,8 +41,11 @@
         assert (first is None) == (cut < len(data))
         reader.feed(data[cut:])
         message = first or reader.next()
-        assert message is not None and message.body == body and message.keep_alive
-        assert reader.next() is None and not reader.started
+        assert message is not None
+        assert message.body == body
+        assert message.keep_alive
+        assert reader.next() is None
+        assert not reader.started
 
 
 def test_a_request_byte_by_byte_keeps_what_it_says() -> None:
@@ -78,7 +81,8 @@
         message = first or reader.next()
         assert message is not None
         assert (message.status, message.body, message.keep_alive) == (status, body, stays)
-        assert not reader.started and reader.close() is None
+        assert not reader.started
+        assert reader.close() is None
 
 
 def test_an_answer_that_ends_with_its_connection() -> None:
@@ -99,14 +103,17 @@
     for cut in range(len(data)):
         reader = ResponseReader()
         reader.feed(data[:cut])
-        assert reader.next() is None and reader.close() is None
+        assert reader.next() is None
+        assert reader.close() is None
 
 
 def test_answers_to_head_have_no_body() -> None:
     reader = ResponseReader(bodiless=True)
     reader.feed(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n")
     message = reader.next()
-    assert message is not None and message.body == b"" and message.keep_alive
+    assert message is not None
+    assert message.body == b""
+    assert message.keep_alive
 
 
 LINE = b"POST /a HTTP/1.1\r\n"
@@ -191,19 +198,23 @@
     reader = RequestReader()
     reader.feed(LINE + b"Content-Length: %d\r\n\r\n" % MAX_BODY + b"x" * MAX_BODY)
     message = reader.next()
-    assert message is not None and len(message.body) == MAX_BODY
+    assert message is not None
+    assert len(message.body) == MAX_BODY
 
 
 def test_continue_is_wanted_once_and_only_while_the_body_is_away() -> None:
     reader = RequestReader()
     reader.feed(LINE + b"Expect: 100-continue\r\nContent-Length: 2\r\n\r\n")
     assert reader.next() is None
-    assert reader.wants_continue() and not reader.wants_continue()
+    assert reader.wants_continue()
+    assert not reader.wants_continue()
     reader.feed(b"x")
-    assert reader.next() is None and not reader.wants_continue()
+    assert reader.next() is None
+    assert not reader.wants_continue()
     early = RequestReader()
     early.feed(LINE + b"Expect: 100-continue\r\nContent-Length: 2\r\n\r\nx")
-    assert early.next() is None and not early.wants_continue()
+    assert early.next() is None
+    assert not early.wants_continue()
 
 
 @pytest.mark.parametrize(
@@ -220,7 +231,8 @@
     reader = RequestReader()
     reader.feed(b"GET / HTTP/%b\r\n%b\r\n" % (version, connection))
     message = reader.next()
-    assert message is not None and message.keep_alive is stays
+    assert message is not None
+    assert message.keep_alive is stays
 
 
 def test_headers_of_one_hop_are_not_passed_on() -> None:
@@ -327,7 +339,8 @@
     reader = ResponseReader()
     reader.feed(interim * 8 + last)
     answer = reader.next()
-    assert answer is not None and answer.body == b"x"
+    assert answer is not None
+    assert answer.body == b"x"
     reader = ResponseReader()
     reader.feed(interim * 9)
     with pytest.raises(Malformed):
@@ -343,7 +356,9 @@
         first = reader.next()
         reader.feed(data[cut:])
         answer = first or reader.next()
-        assert answer is not None and answer.body == b"ok" and answer.keep_alive
+        assert answer is not None
+        assert answer.body == b"ok"
+        assert answer.keep_alive
         assert answer.headers == [(b"x-a", b"1"), (b"content-length", b"2")]
 
 
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -67,7 +67,8 @@
     """Where the chance let the whole refill through at an empty store, many came a little too early."""
     fleet = Fleet("busy")
     sent = 60 * fleet.admitted(tries, 60.0, size, unevenly=True)
-    assert fleet.beyond <= 0.05 * sent and sent >= 0.95 * (fleet.plan.depth + 60 * fleet.plan.refill)
+    assert fleet.beyond <= 0.05 * sent
+    assert sent >= 0.95 * (fleet.plan.depth + 60 * fleet.plan.refill)
 
 
 def test_traffic_that_shifts_at_a_stroke_grants_no_second_burst() -> None:
@@ -98,7 +99,8 @@
         fleet.pass_time(0.1)
     (customer,) = fleet.all[1].gatekeeper.quota.customers.values()
     (told,) = customer.told.values()
-    assert told.spent == pytest.approx(knows.quota.customers[1].own.spent, abs=0.2) and told.spent > 1.0
+    assert told.spent == pytest.approx(knows.quota.customers[1].own.spent, abs=0.2)
+    assert told.spent > 1.0
 
 
 def test_former_lives_are_let_go_of_when_their_use_is_refilled() -> None:
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -138,7 +138,8 @@
             await until(lambda: module.asking)
             caller.close()
             await until(lambda: rig.gateway.left)
-            assert not module.asking and not rig.gateway.calls
+            assert not module.asking
+            assert not rig.gateway.calls
             # The keeper says nothing to the next one either: when that one goes on, the first would have.
             answer = await rig.ask(asking(target=path, Plan=plan, X_Request_Id=b"marker"))
             assert answer.status == 200
@@ -164,11 +165,13 @@
             talk.reset()
             await until(lambda: not rig.gateway.calls)
             (outcome,) = module.of(i.Outcome)
-            assert outcome.no_more and outcome.code is (i.Code.CANCELLED if limits.cancel else i.Code.ABORTED)
+            assert outcome.no_more
+            assert outcome.code is (i.Code.CANCELLED if limits.cancel else i.Code.ABORTED)
             one.answer = two.answer = lambda talk, request: OK
             assert (await rig.ask(asking(X_Request_Id=b"marker"))).status == 200
             sent = [r.get(b"x-request-id") for r in one.requests + two.requests]
-            assert len(sent) == 2 and b"marker" in sent
+            assert len(sent) == 2
+            assert b"marker" in sent
 
     run(test)
 
@@ -193,7 +196,8 @@
             gate.open.set()
             await until(lambda: not rig.gateway.calls)
             assert sorted(o.code.value for o in module.of(i.Outcome)[2:]) == ["ok", "too_late"]
-            assert len(two.requests) == before and len(one.requests) == 2
+            assert len(two.requests) == before
+            assert len(one.requests) == 2
 
     run(test)
 
@@ -212,7 +216,8 @@
             caller.close() if how == "closes" else caller.writer.transport.abort()
             await until(lambda: rig.gateway.left == 1)
             await until(lambda: not rig.listener.clients and not rig.gateway.calls)
-            assert rig.gateway.taken == 1 and rig.listener.held == 0
+            assert rig.gateway.taken == 1
+            assert rig.listener.held == 0
 
     run(test)
 
@@ -233,7 +238,8 @@
             await until(client.hung_up)
             client.resume()
             await until(lambda: not rig.listener.clients)
-            assert rig.gateway.taken == 0 and not worker.requests
+            assert rig.gateway.taken == 0
+            assert not worker.requests
 
     run(test)
 
@@ -252,7 +258,9 @@
             rig.listener.start()
             assert (await stays.answer()).status == 200
             await until(lambda: len(rig.listener.clients) == 1)
-            assert len(worker.requests) == 1 and rig.gateway.taken == 1 and rig.listener.held == 0
+            assert len(worker.requests) == 1
+            assert rig.gateway.taken == 1
+            assert rig.listener.held == 0
 
     run(test)
 
@@ -270,7 +278,9 @@
             answer = await caller.answer()
             assert (answer.status, answer.keep_alive) == (503, False)
             await until(lambda: not rig.listener.clients)
-            assert rig.service.descriptors.used == 0 and rig.listener.held == 0 and rig.gateway.taken == 0
+            assert rig.service.descriptors.used == 0
+            assert rig.listener.held == 0
+            assert rig.gateway.taken == 0
 
     run(test)
 
@@ -316,7 +326,8 @@
         async with StandIn() as worker, Rig(module, worker.address) as rig:
             assert (await rig.ask(asking())).status == 502
             assert [o.code for o in module.of(i.Outcome)] == [i.Code.UNAVAILABLE]
-            assert not worker.talks and not rig.gateway.calls
+            assert not worker.talks
+            assert not rig.gateway.calls
 
     run(test)
 
@@ -326,7 +337,8 @@
     class_vanishes: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The workers know it no more by then, and would run it a second time. A request keeps the class that it
-    came with, whatever settings come while it is under way."""
+    came with, whatever settings come while it is under way.
+    """
 
     async def test() -> None:
         window = 0.2  # of the class; a connection may take a second to come up
@@ -425,7 +437,8 @@
                 caller = await rig.caller()
                 assert (await caller.ask(asking())).status == 502
             assert [o.code for o in module.of(i.Outcome)] == [i.Code.TOO_LATE]
-            assert rig.gateway.faults == 1 and not rig.gateway.calls
+            assert rig.gateway.faults == 1
+            assert not rig.gateway.calls
             assert rig.service.descriptors.used == 1  # the client's
             assert (await caller.ask(asking())).status == 200
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -38,7 +38,8 @@
         match a:
             case i.Send(id, target):
                 r, cls = self.requests[id], CLASSES[self.requests[id].cls]
-                assert id in self.owed and self.now <= r.not_after
+                assert id in self.owed
+                assert self.now <= r.not_after
                 assert self.listed[target].mode == i.Mode.SERVING
                 attempts = self.sent.setdefault(id, [])
                 number = len(attempts)
@@ -71,7 +72,8 @@
             case i.Probe():
                 assert self.limits.probing
             case i.Tell(_, data):
-                assert self.limits.peers and len(data) <= 256
+                assert self.limits.peers
+                assert len(data) <= 256
             case i.SetTimer(delay, label):
                 assert delay > 0
                 self.timers.append((self.now + delay, label))
@@ -169,7 +171,9 @@
         id, n = min(w.out, key=lambda out: (w.requests[out[0]].not_after, out))
         w.now = max(w.now, w.requests[id].not_after)
         w.outcome(id, n, i.Code.DEADLINE_EXCEEDED)
-    assert not w.owed and not w.gatekeeper.held and w.gatekeeper.out == 0
+    assert not w.owed
+    assert not w.gatekeeper.held
+    assert w.gatekeeper.out == 0
     assert not any(n.out for n in w.gatekeeper.fleet.nodes.values())
 
 
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -75,12 +75,13 @@
 
 def test_nested_settings_are_read_as_pairs_are() -> None:
     pairs = dict(flatten(SETTINGS))
-    assert (
-        pairs["profiles.count"] == "2" and pairs["zones"] == "a,b" and pairs["policy_limits.cancel"] == "true"
-    )
+    assert pairs["profiles.count"] == "2"
+    assert pairs["zones"] == "a,b"
+    assert pairs["policy_limits.cancel"] == "true"
     settings, transport = read_json(SETTINGS)
     assert settings == read_settings(Fields("init", pairs))
-    assert settings.classes["kept"].group is i.Group.CELL and settings.classes["kept"].repeat_window == 4.0
+    assert settings.classes["kept"].group is i.Group.CELL
+    assert settings.classes["kept"].repeat_window == 4.0
     assert (settings.rules.tip_after, settings.limits.max_attempts, settings.mail_per_s) == (1.0, 3, 100.0)
     assert (transport.conn_idle, transport.connect_timeout, transport.max_open) == (15.0, 0.25, 20000)
     unusable: list[object] = [None, [], {}, {**SETTINGS, "me": "x"}]
@@ -93,9 +94,13 @@
     known = json.loads(as_json(41, True, entry("s", Address("127.0.0.1", 9))))
     path = configured(tmp_path, known=known, peers=["127.0.0.1:1", "127.0.0.1:2"], discovery="127.0.0.1:3")
     config = load(str(path), {})
-    assert config.seed == 0x8C1F30D27A5BE964 and config.sockets == 1024 and config.name == "n3"
-    assert config.known is not None and config.known.version == 41
-    assert config.peers == (Address("127.0.0.1", 1), Address("127.0.0.1", 2)) and config.peers_all is None
+    assert config.seed == 0x8C1F30D27A5BE964
+    assert config.sockets == 1024
+    assert config.name == "n3"
+    assert config.known is not None
+    assert config.known.version == 41
+    assert config.peers == (Address("127.0.0.1", 1), Address("127.0.0.1", 2))
+    assert config.peers_all is None
     assert load(None, {"ROUTER_CONFIG": str(path)}) == config
 
 
@@ -130,10 +135,12 @@
 
 
 def test_the_command_line(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
-    assert program.main(["version"]) == 0 and capsys.readouterr().out.startswith("pewterring ")
+    assert program.main(["version"]) == 0
+    assert capsys.readouterr().out.startswith("pewterring ")
     assert program.main(["check", str(configured(tmp_path))]) == 0
     assert "n3" in capsys.readouterr().out
-    assert program.main([]) == 2 and "Commands:" in capsys.readouterr().err
+    assert program.main([]) == 2
+    assert "Commands:" in capsys.readouterr().err
 
 
 def test_addresses() -> None:
@@ -153,7 +160,8 @@
     log("later")
     lines = [orjson.loads(line) for line in out.getvalue().splitlines()]
     assert [line["event"] for line in lines] == ["seen"] * 3 + ["lines_skipped", "later"]
-    assert lines[0] == {"time": 5.25, "event": "seen", "n": 0, "odd": "a:1"} and lines[3]["count"] == 7
+    assert lines[0] == {"time": 5.25, "event": "seen", "n": 0, "odd": "a:1"}
+    assert lines[3]["count"] == 7
 
 
 def test_a_log_that_nobody_reads_harms_nothing() -> None:
@@ -264,8 +272,10 @@
             for _ in range(3):
                 rested(rig.service.pool)
                 response = await fresh.ask(asking())
-                assert response.status == 200 and response.keep_alive
-            assert len(worker.talks) == 1 and await silent[0].ended()
+                assert response.status == 200
+                assert response.keep_alive
+            assert len(worker.talks) == 1
+            assert await silent[0].ended()
 
     run(test)
 
@@ -345,9 +355,8 @@
     async def test() -> None:
         async with Rig(Script(), Address("127.0.0.1", 9), sockets=60) as rig:
             budget = rig.service.descriptors
-            assert (
-                0 < rig.gateway.max_open == budget.calls and 2 * budget.calls <= budget.hard < budget.all < 60
-            )
+            assert 0 < rig.gateway.max_open == budget.calls
+            assert 2 * budget.calls <= budget.hard < budget.all < 60
 
     run(test)
 
@@ -412,7 +421,8 @@
                 assert (response.status, response.keep_alive) == (200, False)
                 assert await caller.ended()
             await end
-            assert rig.log.lines[-1]["event"] == "stopped" and rig.log.lines[-1]["served"] == 3
+            assert rig.log.lines[-1]["event"] == "stopped"
+            assert rig.log.lines[-1]["served"] == 3
 
     run(test)
 
@@ -428,14 +438,17 @@
             )
             assert process.stderr is not None
             started = orjson.loads(await process.stderr.readline())
-            assert started["event"] == "started" and started["ready"]
+            assert started["event"] == "started"
+            assert started["ready"]
             caller = await Caller.to(read_address(started["listen"]))
             response = await caller.ask(asking())
-            assert (response.status, response.body) == (200, b"served") and response.keep_alive
+            assert (response.status, response.body) == (200, b"served")
+            assert response.keep_alive
             process.send_signal(signal.SIGTERM)
             assert orjson.loads(await process.stderr.readline())["event"] == "stopping"
             response, served = await caller.ask(asking()), 2
-            assert response.status == 200 and response.keep_alive  # it serves on on the connections there are
+            assert response.status == 200
+            assert response.keep_alive
             while response.keep_alive:
                 response = await caller.ask(asking())
                 assert response.status in (200, 429)
@@ -495,9 +508,13 @@
             before, stopped = len(statuses), loop.time()
             await asyncio.gather(*clients)
             rest = [orjson.loads(line) for line in (await process.stderr.read()).splitlines()]
-            assert await process.wait() == 0 and rest[-1]["event"] == "stopped"
-            assert set(statuses) <= {200, 429} and len(statuses) > before and closes > 4
-            assert rest[-1]["taken"] == len(statuses) and rest[-1]["left"] == rest[-1]["failed"] == 0
+            assert await process.wait() == 0
+            assert rest[-1]["event"] == "stopped"
+            assert set(statuses) <= {200, 429}
+            assert len(statuses) > before
+            assert closes > 4
+            assert rest[-1]["taken"] == len(statuses)
+            assert rest[-1]["left"] == rest[-1]["failed"] == 0
 
     run(test)
 
@@ -509,7 +526,8 @@
         path = configured(tmp_path, listen=f"127.0.0.1:{taken.getsockname()[1]}")
         command = [sys.executable, "-m", "pewterring", "serve", str(path)]
         done = subprocess.run(command, cwd=ROOT, capture_output=True, timeout=60, check=False)
-    assert done.returncode == 1 and orjson.loads(done.stderr)["event"] == "cannot_serve"
+    assert done.returncode == 1
+    assert orjson.loads(done.stderr)["event"] == "cannot_serve"
 
 
 class Lists(StandIn):
@@ -553,7 +571,8 @@
             assert [b"index" in request.target for request in second.requests] == [False, True]
             await until(lambda: all(talk.ended for talk in first.talks))
             caller = await Caller.to(address)
-            assert (await caller.ask(asking())).status == 200 and len(new.requests) == 1
+            assert (await caller.ask(asking())).status == 200
+            assert len(new.requests) == 1
             old.talks[0].write(OK)
             assert (await holding.answer()).status == 200
             path.write_text("{")
@@ -581,6 +600,7 @@
             await until(lambda: service.gateway.ready)
             service.close()
             service.reload()  # after the end it begins nothing
-            assert service.discovery is not None and service.discovery.closed
+            assert service.discovery is not None
+            assert service.discovery.closed
 
     run(test)
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -25,7 +25,8 @@
 def test_no_mail_where_peers_may_not_be_told_or_there_are_none() -> None:
     for setup in (settings(limits=i.Limits()), settings(fleet=1)):
         d = Drive(setup)
-        assert d.tick() == [] and d.tick(1.0) == []
+        assert d.tick() == []
+        assert d.tick(1.0) == []
 
 
 def test_lower_median_of_live_limits() -> None:
@@ -63,7 +64,8 @@
     s.hear(0.0, 1, beat(11, 5, out=5), 30.0)
     s.hear(0.1, 1, beat(11, 4, out=25), 30.0)
     s.hear(0.2, 1, beat(11, 5, out=25), 30.0)
-    assert s.peers[1].beat.out == 5 and s.peers[1].heard == 0.0
+    assert s.peers[1].beat.out == 5
+    assert s.peers[1].heard == 0.0
 
 
 def test_restarted_peer_is_heard_and_its_former_life_is_not() -> None:
@@ -137,7 +139,8 @@
 
 def test_who_restarts_takes_its_part_at_once() -> None:
     """Its peers have shared the whole ceiling out among them, and its demand would grow from nought: with the
-    floor of one slot it refused most of its first seconds."""
+    floor of one slot it refused most of its first seconds.
+    """
     d = Drive()
     for peer in (1, 2):
         d.do(i.PeerMail(peer, beat(peer, 1, limit=32.0, share=16.0)))
--- a/tests/test_sparse.py
+++ b/tests/test_sparse.py
@@ -24,7 +24,8 @@
 def test_beats_go_to_a_few_whatever_the_size() -> None:
     d = member(3)
     told = [t for _ in range(40) for t in d.tick(BEAT_S / 2)]
-    assert len(told) == 40 and len({t.peer for t in told}) > 20
+    assert len(told) == 40
+    assert len({t.peer for t in told}) > 20
     assert all(t.peer != 3 and t.data[:1] == BEAT for t in told)
 
 
@@ -47,7 +48,8 @@
     s.divide(1.0, 400.0)
     assert s.elsewhere == FLEET - 1
     s.divide(100.0, 400.0)
-    assert s.elsewhere == 400.0 and s.room(0) < 3.0
+    assert s.elsewhere == 400.0
+    assert s.room(0) < 3.0
 
 
 def test_servers_are_chosen_in_proportion_to_rating() -> None:
@@ -98,7 +100,8 @@
         gatekeeper = Drive(settings(me=me, fleet=40), servers, seed=me).gatekeeper
         for id in gatekeeper.fleet.near:
             counts[order[id - 1]] += 1
-    assert min(counts) >= 7 and max(counts) <= 9
+    assert min(counts) >= 7
+    assert max(counts) <= 9
 
 
 def test_a_release_leaves_most_near_servers_where_they_stay() -> None:
@@ -116,7 +119,8 @@
 
 def test_the_line_to_sparse_fleets_goes_by_what_beats_to_all_would_take() -> None:
     """At 42 gatekeepers, where beats to all filled the intake, G fell at a stroke; messages had cost more
-    than they were worth from some fourteen on."""
+    than they were worth from some fourteen on.
+    """
     for intake, most in ((100.0, 13), (200.0, 25)):
         for fleet in (2, 4, most, most + 1, 41, 42, 200):
             setup = dataclasses.replace(settings(fleet=fleet), mail_per_s=intake)
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -72,16 +72,17 @@
     )
     for fleet in (60, 3, 60, 3):
         renew(gatekeeper, d.now, settings(fleet=fleet))
-        assert gatekeeper.quota.customers[1].own.spent == spent and gatekeeper.ceiling.mean["pure"] == mean
-        assert (
-            gatekeeper.fleet.nodes is nodes
-            and (out.id, 0) in gatekeeper.flying
-            and gatekeeper.out == 2 + len(capped)
-        )
+        assert gatekeeper.quota.customers[1].own.spent == spent
+        assert gatekeeper.ceiling.mean["pure"] == mean
+        assert gatekeeper.fleet.nodes is nodes
+        assert (out.id, 0) in gatekeeper.flying
+        assert gatekeeper.out == 2 + len(capped)
         for c in gatekeeper.quota.customers.values():
-            assert c.cap <= c.plan.cap_depth / 2 / c.size and c.pool <= c.plan.cap_depth / 2
+            assert c.cap <= c.plan.cap_depth / 2 / c.size
+            assert c.pool <= c.plan.cap_depth / 2
     assert gatekeeper.quota.customer(d.now, 77, PLANS["capped"], 3, 0).cap == 0.0
-    assert d.end(out, i.Code.OK) == [] and d.tick(1.0)
+    assert d.end(out, i.Code.OK) == []
+    assert d.tick(1.0)
 
 
 def test_a_request_is_answered_under_the_class_and_plan_that_it_came_with() -> None:
@@ -128,7 +129,8 @@
 
 def test_the_switch_in_a_running_program_and_back_twice(tmp_path: Path) -> None:
     """Requests are out at each switch: every one is answered once, what must not run twice is not sent twice,
-    and a customer's use goes with it."""
+    and a customer's use goes with it.
+    """
 
     async def test() -> None:
         async with StandIn(held) as worker:
@@ -137,7 +139,8 @@
             service = Service(load(str(path), {}), log, read_again=lambda: load(str(path), {}, strict=True))
             service.gateway.remembered(listing(entry("s-1", worker.address)))
             await service.start()
-            assert service.listener is not None and isinstance(service.module, Gatekeeper)
+            assert service.listener is not None
+            assert isinstance(service.module, Gatekeeper)
             gatekeeper, total = service.module, 0
             await until(lambda: service.gateway.ready and not service.gateway.inbox)
             gatekeeper.ceiling.limit = 4000.0  # quotas alone are to decide here
@@ -157,7 +160,8 @@
                 service.reload()  # two in a row
                 done, nothing = log.lines[-2:]
                 assert (done["event"], nothing["changed"]) == ("reloaded", []), done
-                assert "plans" in str(done["settings"]) and "limits" in str(done["settings"])
+                assert "plans" in str(done["settings"])
+                assert "limits" in str(done["settings"])
                 assert gatekeeper.s.limits.may_duplicate == (tree is OLD)
                 path.write_text("{")
                 service.reload()
@@ -167,13 +171,15 @@
                         talk.requests.clear()
                         talk.write(OK)
                 statuses = [(await caller.answer()).status for caller in callers]
-                assert statuses.count(200) == sent and statuses.count(429) == 4 - sent
+                assert statuses.count(200) == sent
+                assert statuses.count(429) == 4 - sent
                 for caller in callers:
                     caller.close()
                 assert gatekeeper.quota.customers[0xB4D65521].own.spent == pytest.approx(total, abs=0.1)
             ids = [dict(r.headers)[b"x-request-id"] for r in worker.requests]
             assert len(ids) == len(set(ids)) == 5
-            assert service.gateway.faults == 0 and not service.gateway.by_client
+            assert service.gateway.faults == 0
+            assert not service.gateway.by_client
             service.close()
 
     run(test)
@@ -213,10 +219,12 @@
         assert log.lines[-1]["needs_restart"] == ["settings.me", "memory_mb", "name", "sockets"] or (
             log.lines[-1]["needs_restart"] == ["settings.me", "name", "sockets"]
         )
-        assert service.config.settings.me == 0 and service.config.settings.fleet_size == 60
+        assert service.config.settings.me == 0
+        assert service.config.settings.fleet_size == 60
         configured(tmp_path, settings=OLD | {"fleet_size": 0})
         service.reload()
-        assert log.lines[-1]["event"] == "reload_failed" and "fleet_size" in json.dumps(log.lines[-1])
+        assert log.lines[-1]["event"] == "reload_failed"
+        assert "fleet_size" in json.dumps(log.lines[-1])
         service.pool.close()
 
     run(test)
--- a/tests/test_tally.py
+++ b/tests/test_tally.py
@@ -25,8 +25,11 @@
         now = 100.0 + 0.01 * n if n + 1 < len(events) else 101.5
         assert counted.handle(now, event) == plain.handle(now, event)
     (line,) = [orjson.loads(raw) for raw in out.getvalue().splitlines()]
-    assert line["event"] == "tally" and line["list_whole"] == 1 and line["asked"] == 8
-    assert line["sent"] + line["refused_quota"] == 8 and line["workers"] == 8
+    assert line["event"] == "tally"
+    assert line["list_whole"] == 1
+    assert line["asked"] == 8
+    assert line["sent"] + line["refused_quota"] == 8
+    assert line["workers"] == 8
     assert line["out"] == line["sent"]
 
 
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -79,5 +79,7 @@
 
     monkeypatch.setattr(Fleet, "__init__", as_then)
     lines, kinds = trace(3, 30.0)
-    assert kinds["Send"] > 1000 and kinds["Refuse"] > 100 and kinds["Tell"] > 200
+    assert kinds["Send"] > 1000
+    assert kinds["Refuse"] > 100
+    assert kinds["Tell"] > 200
     assert hashlib.sha256("\n".join(lines).encode()).hexdigest() == RECORDED
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -54,7 +54,8 @@
 
 def test_a_reply_to_each_batch_and_an_empty_one_to_the_empty() -> None:
     replies = run(START)
-    assert len(replies) == 2 and replies[0] == []
+    assert len(replies) == 2
+    assert replies[0] == []
     assert all(line.startswith("timer\twho=gatekeeper_") for line in replies[1])
 
 
@@ -63,7 +64,8 @@
     (line,) = run(text)[2]
     tag, *parts = line.split("\t")
     fields = dict(p.split("=") for p in parts)
-    assert tag == "forward" and fields["request_id"] == "2902179685503428"
+    assert tag == "forward"
+    assert fields["request_id"] == "2902179685503428"
     done = (
         f"closed_attempt\twho=gatekeeper_0\trequest_id=2902179685503428\tno_more=0"
         f"\ttime_taken=18500000\tworker={fields['worker']}\tstate_code=INTERNAL\ttrial=0\n"
@@ -129,9 +131,13 @@
 
 def test_the_program_ends_with_its_input_and_says_what_was_wrong() -> None:
     good = run_adapter(START)
-    assert good.returncode == 0 and good.stderr == "" and good.stdout.count("done\n") == 2
+    assert good.returncode == 0
+    assert good.stderr == ""
+    assert good.stdout.count("done\n") == 2
     bad = run_adapter(START + "hello\n")
-    assert bad.returncode != 0 and "hello" in bad.stderr and "Traceback" not in bad.stderr
+    assert bad.returncode != 0
+    assert "hello" in bad.stderr
+    assert "Traceback" not in bad.stderr
 
 
 def test_actions_do_not_depend_on_the_hash_seed_nor_on_the_neighbours() -> None:
--- a/tests/test_workers.py
+++ b/tests/test_workers.py
@@ -112,7 +112,8 @@
             assert await ends.one(worker.address) is Ending.SERVED  # on a new one
             ends.pool.idle[Target(1, worker.address)][0].idle_since -= 0.6  # too old, and not swept yet
             assert await ends.one(worker.address) is Ending.SERVED
-            assert ends.pool.opened == 3 and ends.pool.reused == 0
+            assert ends.pool.opened == 3
+            assert ends.pool.reused == 0
 
     run(test)
 
@@ -145,7 +146,8 @@
         ends = Ends()
         async with StandIn(lambda talk, request: answer) as worker:
             assert [await ends.one(worker.address) for _ in range(2)] == [Ending.SERVED] * 2
-            assert len(worker.talks) == 2 and not ends.pool.idle
+            assert len(worker.talks) == 2
+            assert not ends.pool.idle
 
     run(test)
 
@@ -272,7 +274,8 @@
         connection, exchange = piped(ends, takes)
         then(connection, exchange)
         connection.connection_lost(None) if connection.up else None
-        assert ends.found == [ending] and exchange.ending is ending
+        assert ends.found == [ending]
+        assert exchange.ending is ending
         if takes == 10 and ending is Ending.SERVED:
             assert not ends.pool.idle  # half a request still waits in it
 
@@ -379,7 +382,8 @@
             await until(lambda: len(ends.found) == 2)
             ends.pool.drop_idle(Target(1, worker.address), made_before=between)
             await until(lambda: worker.talks[0].ended)
-            assert len(ends.pool.idle[Target(1, worker.address)]) == 1 and not worker.talks[1].ended
+            assert len(ends.pool.idle[Target(1, worker.address)]) == 1
+            assert not worker.talks[1].ended
             assert ends.pool.endings == {Ending.LEFT: 1}
 
     run(test)
@@ -393,7 +397,8 @@
             assert await ends.one(two.address) is Ending.SERVED
             ends.pool.retain({Target(1, two.address)})
             await until(lambda: one.talks[0].ended)
-            assert set(ends.pool.idle) == {Target(1, two.address)} and not two.talks[0].ended
+            assert set(ends.pool.idle) == {Target(1, two.address)}
+            assert not two.talks[0].ended
             ends.pool.close()
             await until(lambda: two.talks[0].ended and ends.budget.used == 0)
 
@@ -402,17 +407,24 @@
 
 def test_the_budget_leaves_room_to_accept_and_sheds_workers_first_and_clients_last() -> None:
     budget = Descriptors(200)
-    assert 2 * budget.calls <= budget.hard and budget.soft < budget.hard < budget.all < 200
+    assert 2 * budget.calls <= budget.hard
+    assert budget.soft < budget.hard < budget.all < 200
     freed, early, late = [], [1, 2], [3]
     budget.freed = lambda: freed.append(1)
     budget.shed_early = lambda: bool(early and early.pop())
     budget.shed_late = lambda: bool(late and late.pop())
-    assert all(budget.take() for _ in range(budget.soft)) and len(early) == 2 and budget.crowded
-    assert budget.take() and budget.take() and (early, late) == ([], [3])
-    assert sum(budget.take() for _ in range(200)) == budget.hard - budget.soft - 2 and not late
+    assert all(budget.take() for _ in range(budget.soft))
+    assert len(early) == 2
+    assert budget.crowded
+    assert budget.take()
+    assert budget.take()
+    assert (early, late) == ([], [3])
+    assert sum(budget.take() for _ in range(200)) == budget.hard - budget.soft - 2
+    assert not late
     assert sum(budget.take(accepting=True) for _ in range(200)) == budget.all - budget.hard
     budget.give_back()
-    assert freed == [1] and budget.take(accepting=True)
+    assert freed == [1]
+    assert budget.take(accepting=True)
 
 
 @pytest.mark.parametrize(
@@ -434,7 +446,8 @@
             assert CODES[Ending.STALLED] is Code.ABORTED  # it may have run
             await until(lambda: worker.talks[0].ended and ends.budget.used == 0)
             worker.answer = lambda talk, request: OK
-            assert await ends.one(worker.address) is Ending.SERVED and len(worker.talks) == 2
+            assert await ends.one(worker.address) is Ending.SERVED
+            assert len(worker.talks) == 2
 
     run(test)
 
@@ -468,7 +481,8 @@
         async with StandIn(slowly) as worker:
             assert await ends.one(worker.address) is Ending.SERVED
             rested(ends.pool)
-            assert await ends.one(worker.address) is Ending.SERVED and len(worker.talks) == 1
+            assert await ends.one(worker.address) is Ending.SERVED
+            assert len(worker.talks) == 1
 
     run(test)
 
@@ -491,7 +505,8 @@
             machine.answer = lambda talk, request: OK
             ends.pool.start(new, asking(), lambda e, r: ends.found.append(e))
             await until(lambda: len(ends.found) == 3)
-            assert len(machine.talks) == 3 and idle.ending is Ending.SERVED
+            assert len(machine.talks) == 3
+            assert idle.ending is Ending.SERVED
 
     run(test)
 
@@ -503,18 +518,22 @@
         ends = Ends()
         large = write_response(200, [], b"x" * MAX_ANSWER)
         async with StandIn(lambda talk, request: large) as worker:
-            assert await ends.one(worker.address) is Ending.SERVED and ends.pool.held == 0
+            assert await ends.one(worker.address) is Ending.SERVED
+            assert ends.pool.held == 0
             large = write_response(200, [], b"x" * (MAX_ANSWER + 1))
-            assert await ends.one(worker.address) is Ending.MALFORMED and ends.pool.held == 0
+            assert await ends.one(worker.address) is Ending.MALFORMED
+            assert ends.pool.held == 0
             ends.pool.room = 200_000
             large = write_response(200, [], b"x" * 300_000)
-            assert await ends.one(worker.address) is Ending.NO_ROOM and ends.pool.held == 0
+            assert await ends.one(worker.address) is Ending.NO_ROOM
+            assert ends.pool.held == 0
             large = write_response(200, [], b"x" * 100_000)
             assert await ends.one(worker.address) is Ending.SERVED
             large = large[:90_000]
             given_up = ends.start(worker.address)
             await until(lambda: ends.pool.held)
             given_up.give_up(Ending.CANCELLED)
-            assert ends.pool.held == 0 and CODES[Ending.NO_ROOM] is Code.ABORTED
+            assert ends.pool.held == 0
+            assert CODES[Ending.NO_ROOM] is Code.ABORTED
 
     run(test)
--- a/tests/transport/scripted.py
+++ b/tests/transport/scripted.py
@@ -214,5 +214,6 @@
         transport = self.network.last
         transport.deliver(answer)
         await settle()
-        assert recorder.ended.is_set() and recorder.error is None
+        assert recorder.ended.is_set()
+        assert recorder.error is None
         return transport
--- a/tests/transport/test_http_resets.py
+++ b/tests/transport/test_http_resets.py
@@ -90,7 +90,8 @@
             else:
                 kind = StaleConnection if reused and not cut else AnswerBroken
                 assert type(recorder.error) is kind
-                assert recorder.error is not None and recorder.error.sent
+                assert recorder.error is not None
+                assert recorder.error.sent
             assert worker.pool.connections_made == 1  # the client itself sends nothing twice
             assert transport.taken.endswith(RAW_REQUEST)
 
@@ -112,7 +113,8 @@
             transport = worker.network.last
             transport.end(ending)
             await settle()
-            assert recorder.error is not None and recorder.error.sent
+            assert recorder.error is not None
+            assert recorder.error.sent
             assert transport.taken[before:] == RAW_REQUEST[:cut]
             assert worker.pool.connections_made == 1
 
@@ -191,7 +193,8 @@
             first.deliver(surplus[:split])
             first.deliver(surplus[split:] + NEXT_OK)
             await settle()
-            assert isinstance(recorder.error, AnswerBroken) and recorder.error.sent
+            assert isinstance(recorder.error, AnswerBroken)
+            assert recorder.error.sent
             assert (recorder.head, recorder.body) == (None, b"")
             assert first.ended
 
--- a/tests/transport/test_line_resets.py
+++ b/tests/transport/test_line_resets.py
@@ -92,7 +92,8 @@
             await settle()
             error = task.exception()
             assert asked.handled == (["q"] if cut == len(line) else [])
-            assert isinstance(error, ChannelClosed) and not isinstance(error, RequestNotSent)
+            assert isinstance(error, ChannelClosed)
+            assert not isinstance(error, RequestNotSent)
 
         play(story)
 
@@ -151,7 +152,8 @@
         second = await side.ask("second")
         side.transport.deliver(CODEC.line(Told("first"), reply_to=1))
         await settle()
-        assert side.last_id() == 2 and not second.done()
+        assert side.last_id() == 2
+        assert not second.done()
         second.cancel()
 
     play(story)
@@ -179,7 +181,8 @@
         task = await side.ask("ours")
         side.transport.deliver(CODEC.line(Ask("theirs"), request_id=1))
         await settle()
-        assert side.handled == ["theirs"] and not task.done()
+        assert side.handled == ["theirs"]
+        assert not task.done()
         assert side.sent.endswith(CODEC.line(Told("theirs"), reply_to=1))
         task.cancel()
 
@@ -230,9 +233,12 @@
                     side = Side(warnings=seen)
                     side.transport.deliver(stream[:split])
                     side.transport.deliver(stream[split:])
-                    assert side.transport.ended and side.channel.closed
-                    assert side.handled == [] and side.sent == b""
-            assert len(lines) == 1 and "192.0.2.1" in lines[0]
+                    assert side.transport.ended
+                    assert side.channel.closed
+                    assert side.handled == []
+                    assert side.sent == b""
+            assert len(lines) == 1
+            assert "192.0.2.1" in lines[0]
 
         play(story)
 
@@ -249,9 +255,12 @@
                 await asyncio.sleep(GREETING_S - 0.1)
                 assert not side.channel.closed
                 await asyncio.sleep(0.2)
-                assert side.transport.ended and side.channel.closed
+                assert side.transport.ended
+                assert side.channel.closed
                 assert isinstance(task.exception(), ChannelClosed)
-        assert len(lines) == 1 and "192.0.2.1" in lines[0] and "no greeting" in lines[0]
+        assert len(lines) == 1
+        assert "192.0.2.1" in lines[0]
+        assert "no greeting" in lines[0]
 
     play(story)
 
@@ -262,7 +271,8 @@
         await asyncio.sleep(GREETING_S - 0.1)
         side.transport.deliver(greeting())
         await asyncio.sleep(2 * GREETING_S)
-        assert not side.channel.closed and not side.transport.ended
+        assert not side.channel.closed
+        assert not side.transport.ended
         side.transport.deliver(CODEC.line(Ask("q"), request_id=1))
         assert side.handled == ["q"]
 
@@ -275,7 +285,8 @@
             side = Side()
             side.transport.end(Ending.RESET)
             await asyncio.sleep(2 * GREETING_S)
-        assert side.channel.closed and lines == []
+        assert side.channel.closed
+        assert lines == []
 
     play(story)
 
