--- a/benchmarks/admission_exchange.py
+++ b/benchmarks/admission_exchange.py
@@ -24,8 +24,8 @@
 from pewterring.admission.relay_plan import Speaker, make_plan
 from pewterring.admission.relayed_shares import RelayedShares
 from pewterring.admission.shares import BEAT_S, LEASE_S
-from pewterring.peer_messages import read_beat
-from pewterring.state import Peer
+from pewterring.standalone.peer_messages import read_beat
+from pewterring.standalone.policy.state import Peer
 from pewterring.transport.datagrams import IP_UDP_BYTES
 
 WAYS = ("all", "sampled", "relayed")
--- a/benchmarks/lab_speed.py
+++ b/benchmarks/lab_speed.py
@@ -12,10 +12,10 @@
 from collections.abc import Sequence
 from pathlib import Path
 
-from pewterring import interface as i
 from pewterring.lab import scenario_file
 from pewterring.lab.faults import prepare
 from pewterring.lab.policies import POLICIES, LabAction, Policy
+from pewterring.standalone.policy import interface as i
 
 CALM = Path(__file__).resolve().parent.parent / "examples" / "lab" / "calm.toml"
 
--- a/pewterring/__main__.py
+++ b/pewterring/__main__.py
@@ -3,7 +3,7 @@
 import sys
 
 from pewterring.cli.serving import serve
-from pewterring.config import ConfigError
+from pewterring.standalone.config import ConfigError
 
 TIER_PROGRAMS = ("gateway", "control", "store")
 
--- a/pewterring/admission/batch.py
+++ b/pewterring/admission/batch.py
@@ -5,11 +5,11 @@
 
 import math
 
-from pewterring import interface as i
 from pewterring.admission.digests import Totals
 from pewterring.admission.service import ServiceAdmission
 from pewterring.admission.shares import BEAT_S, LEASE_S
-from pewterring.peer_messages import read_beat
+from pewterring.standalone.peer_messages import read_beat
+from pewterring.standalone.policy import interface as i
 
 
 class BatchAdmission:
--- a/pewterring/admission/ceiling.py
+++ b/pewterring/admission/ceiling.py
@@ -3,7 +3,7 @@
 import math
 from collections import deque
 
-from pewterring import interface as i
+from pewterring.standalone.policy import interface as i
 
 
 class Ceiling:
--- a/pewterring/admission/datagram.py
+++ b/pewterring/admission/datagram.py
@@ -4,7 +4,7 @@
 import zlib
 from collections.abc import Iterator, Mapping
 
-from pewterring.peer_messages import BEAT_FORM
+from pewterring.standalone.peer_messages import BEAT_FORM
 
 MAGIC = b"PA1"
 GATEWAY, BATCH = 0, 1  # what kind of process speaks
--- a/pewterring/admission/digests.py
+++ b/pewterring/admission/digests.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable, Mapping
 from typing import NamedTuple
 
-from pewterring.peer_messages import Beat
+from pewterring.standalone.peer_messages import Beat
 
 GROUP_MAGIC = b"PG1"  # of one group of processes, between relays
 FLEET_MAGIC = b"PF1"  # of the whole fleet, from a relay to the members of its group
--- a/pewterring/admission/relay_exchange.py
+++ b/pewterring/admission/relay_exchange.py
@@ -21,7 +21,7 @@
     write_group_digest,
 )
 from pewterring.admission.relay_plan import RelayPlan
-from pewterring.peer_messages import Beat, read_beat
+from pewterring.standalone.peer_messages import Beat, read_beat
 
 KEPT_ROUNDS = 8  # a heartbeat or digest older than so many rounds counts no more
 Datagram = tuple[str, bytes]  # receiver's IP and content
--- a/pewterring/admission/service.py
+++ b/pewterring/admission/service.py
@@ -6,12 +6,12 @@
 
 import math
 
-from pewterring import interface as i
 from pewterring.admission.ceiling import Ceiling
 from pewterring.admission.digests import Totals
 from pewterring.admission.relayed_shares import RelayedShares
 from pewterring.admission.shares import LEASE_S
-from pewterring.peer_messages import Beat, read_beat
+from pewterring.standalone.peer_messages import Beat, read_beat
+from pewterring.standalone.policy import interface as i
 
 # Of the slots that no process has out, one gateway may take so much past its share; in large fleets as much
 # as so many gateways could take together. Symptom answered: a burst at one gateway is refused while workers
--- a/pewterring/admission/shares.py
+++ b/pewterring/admission/shares.py
@@ -2,8 +2,8 @@
 
 import math
 
-from pewterring import peer_messages as mail
-from pewterring.state import Peer
+from pewterring.standalone import peer_messages as mail
+from pewterring.standalone.policy.state import Peer
 
 BEAT_S = 0.5  # heartbeat period (ours, DESIGN)
 LEASE_S = 4 * BEAT_S  # a peer silent for this long is evicted: at 8% loss one in 24,000 beats misleads
--- a/pewterring/batch/dispatch.py
+++ b/pewterring/batch/dispatch.py
@@ -12,11 +12,11 @@
 from pewterring.configuration.model import Route, RouteType
 from pewterring.distribution.messages import WorkerRecord
 from pewterring.distribution.tables import Tables
-from pewterring.interface import RequestClass
 from pewterring.routing.chooser import PER_TOKEN_S, WorkerChooser
 from pewterring.routing.load_report import Load
 from pewterring.routing.prompt import PREFIX_HEADER, USAGE_HEADER, Prompt, read_prompt
 from pewterring.routing.worker_state import WorkerState
+from pewterring.standalone.policy.interface import RequestClass
 
 WORKER_FILL = 0.9  # of a worker's slots that may be taken, by all that is known, when an item is placed there
 SEEMS_FULL = 0.75  # of a worker's slots taken: it may well refuse an item for want of room
--- a/pewterring/batch/runner.py
+++ b/pewterring/batch/runner.py
@@ -9,8 +9,8 @@
 from pewterring.batch.execution import EventHandler
 from pewterring.batch.scheduler import Failure, QueuedItem
 from pewterring.distribution.messages import WorkerRecord
-from pewterring.http.messages import HOP_BY_HOP
 from pewterring.routing.load_report import LOAD, Load, parse_load
+from pewterring.standalone.http.messages import HOP_BY_HOP
 from pewterring.transport.http_answer import AnswerHead
 from pewterring.transport.http_client import WorkerPool
 from pewterring.transport.http_common import MISDIRECTED, Headers
--- a/pewterring/cli/config.py
+++ b/pewterring/cli/config.py
@@ -14,8 +14,8 @@
 from pewterring.cli.findings import Findings
 from pewterring.cli.gatekeeper_settings import json_schema
 from pewterring.cli.parser import add_subcommands
-from pewterring.config import CONFIG
 from pewterring.node.keys import REQUIRED_BY, SETTINGS_VARIABLE
+from pewterring.standalone.config import CONFIG
 
 __all__ = ["configure", "json_schema"]
 
--- a/pewterring/cli/gatekeeper.py
+++ b/pewterring/cli/gatekeeper.py
@@ -4,7 +4,7 @@
 import sys
 
 from pewterring.cli.serving import check, serve
-from pewterring.config import CONFIG
+from pewterring.standalone.config import CONFIG
 
 
 def configure(parser: argparse.ArgumentParser) -> None:
--- a/pewterring/cli/gatekeeper_settings.py
+++ b/pewterring/cli/gatekeeper_settings.py
@@ -15,8 +15,8 @@
 import orjson
 
 from pewterring.cli.findings import Findings
-from pewterring.config import CONFIG, DISCOVERY, LISTEN, NAME, ConfigError, load
-from pewterring.settings import Fields, flatten, read_all, slips
+from pewterring.standalone.config import CONFIG, DISCOVERY, LISTEN, NAME, ConfigError, load
+from pewterring.standalone.settings import Fields, flatten, read_all, slips
 
 T = TypeVar("T")
 # The file's own keys: kind, the environment's variable that stands in, the default, what it is.
--- a/pewterring/cli/main.py
+++ b/pewterring/cli/main.py
@@ -7,7 +7,7 @@
 
 from pewterring.cli.errors import DONE, FAILED, INTERRUPTED, USAGE_ERROR, CommandError
 from pewterring.cli.parser import PROGRAM, Parser, make_parser
-from pewterring.config import ConfigError
+from pewterring.standalone.config import ConfigError
 
 
 def main(argv: Sequence[str]) -> int:
--- a/pewterring/cli/serving.py
+++ b/pewterring/cli/serving.py
@@ -5,12 +5,12 @@
 import contextlib
 import signal
 
-from pewterring.config import load
+from pewterring.standalone.config import load
 
 
 def serve(path: str | None) -> int:
-    from pewterring.gateway.service import Service
-    from pewterring.log import Log
+    from pewterring.standalone.log import Log
+    from pewterring.standalone.proxy.service import Service
 
     service: Service | None = None
     hung_up = False
--- a/pewterring/edge/live.py
+++ b/pewterring/edge/live.py
@@ -6,7 +6,6 @@
 from dataclasses import dataclass, field
 from enum import Enum, auto
 
-from pewterring import interface as i
 from pewterring.admission.service import ServiceAdmission
 from pewterring.configuration.model import Route
 from pewterring.edge.attempt import (
@@ -25,6 +24,7 @@
 from pewterring.routing.chooser import WorkerChooser
 from pewterring.routing.prompt import Prompt
 from pewterring.routing.worker_state import WorkerState
+from pewterring.standalone.policy import interface as i
 from pewterring.transport.http_answer import AnswerHead
 from pewterring.transport.http_client import AnswerBroken, ExchangeError, StaleConnection, WorkerPool
 from pewterring.transport.http_fetch import AnswerStream
--- a/pewterring/lab/calls.py
+++ b/pewterring/lab/calls.py
@@ -1,8 +1,8 @@
 """What the emulator holds of requests: a client's intent, each try of it, each attempt of a gatekeeper."""
 
-from pewterring import interface as i
 from pewterring.lab.customers import Customer
 from pewterring.lab.schema import RequestClass
+from pewterring.standalone.policy import interface as i
 
 
 class Intent:
--- a/pewterring/lab/conversions.py
+++ b/pewterring/lab/conversions.py
@@ -1,8 +1,8 @@
 """Parts of a scenario as the decision module's interface has them."""
 
-from pewterring import interface as i
 from pewterring.lab import schema
 from pewterring.lab.workers import Worker
+from pewterring.standalone.policy import interface as i
 
 EFFECTS = {"safe": i.Effect.PURE, "keyed": i.Effect.TOKEN, "unsafe": i.Effect.SIDE_EFFECT}
 
--- a/pewterring/lab/counter.py
+++ b/pewterring/lab/counter.py
@@ -2,9 +2,9 @@
 
 from collections.abc import Callable
 
-from pewterring import interface as i
 from pewterring.lab.engine import Engine
 from pewterring.lab.schema import Counters
+from pewterring.standalone.policy import interface as i
 
 MOST_LIFE = 60.0  # seconds; a name is forgotten when the life given in its first call is up
 
--- a/pewterring/lab/discovery.py
+++ b/pewterring/lab/discovery.py
@@ -1,10 +1,10 @@
 """Discovery in the emulator: what it knows of workers, and when each gatekeeper hears of it."""
 
-from pewterring import interface as i
 from pewterring.lab.conversions import to_server
 from pewterring.lab.host import Host
 from pewterring.lab.streams import Stream
 from pewterring.lab.surroundings import Surroundings
+from pewterring.standalone.policy import interface as i
 
 CATCH_UP_S = (0.05, 0.3)  # until a gatekeeper that has started is told what it missed
 CALL_S, LOST_CALL_S = 0.01, 0.1  # until a call for the list is answered, and until it has failed
--- a/pewterring/lab/host.py
+++ b/pewterring/lab/host.py
@@ -3,11 +3,11 @@
 from collections.abc import Callable
 from typing import Any
 
-from pewterring import interface as i
 from pewterring.lab.calls import Attempt, Call
 from pewterring.lab.engine import START
 from pewterring.lab.policies import Policy
 from pewterring.lab.streams import Stream
+from pewterring.standalone.policy import interface as i
 
 
 class Host:
--- a/pewterring/lab/loopback/clients.py
+++ b/pewterring/lab/loopback/clients.py
@@ -3,8 +3,8 @@
 import asyncio
 from collections.abc import Callable
 
-from pewterring.http.messages import Malformed, Response
-from pewterring.http.reader import ResponseReader
+from pewterring.standalone.http.messages import Malformed, Response
+from pewterring.standalone.http.reader import ResponseReader
 
 MOST_IDLE = 256  # connections that stand by, to one gatekeeper
 RACE_WINDOW_S = 0.02  # a close that comes so soon after a request was sent before that was read
--- a/pewterring/lab/loopback/load.py
+++ b/pewterring/lab/loopback/load.py
@@ -13,9 +13,6 @@
 from pathlib import Path
 from typing import Any
 
-from pewterring import interface as i
-from pewterring.http.messages import Request, Response
-from pewterring.http.writer import write_request
 from pewterring.lab import scenario_file, schema
 from pewterring.lab.account import Result
 from pewterring.lab.calls import Attempt, Call, Intent
@@ -32,7 +29,10 @@
 from pewterring.lab.streams import Stream
 from pewterring.lab.workers import Worker
 from pewterring.lab.world import GIVES_UP_S, World
-from pewterring.net.connection import Address, read_address
+from pewterring.standalone.http.messages import Request, Response
+from pewterring.standalone.http.writer import write_request
+from pewterring.standalone.network.connection import Address, read_address
+from pewterring.standalone.policy import interface as i
 
 MOST_GATEKEEPERS, MOST_WORKERS, MOST_SECONDS, MOST_REQUESTS = 8, 64, 600.0, 300_000
 HEALTH = {i.Mode.SERVING: "up", i.Mode.DRAINING: "draining", i.Mode.DELETED: "removed"}
--- a/pewterring/lab/loopback/ports.py
+++ b/pewterring/lab/loopback/ports.py
@@ -10,13 +10,13 @@
 
 import orjson
 
-from pewterring import interface as i
-from pewterring.http.messages import Malformed, Request
-from pewterring.http.reader import RequestReader
-from pewterring.http.writer import write_response
 from pewterring.lab.calls import Attempt
 from pewterring.lab.workers import Worker
-from pewterring.net.connection import Address
+from pewterring.standalone.http.messages import Malformed, Request
+from pewterring.standalone.http.reader import RequestReader
+from pewterring.standalone.http.writer import write_response
+from pewterring.standalone.network.connection import Address
+from pewterring.standalone.policy import interface as i
 
 HOST = "127.0.0.1"
 NOT_RUN = [(b"x-not-run", b"1")]
--- a/pewterring/lab/loopback/processes.py
+++ b/pewterring/lab/loopback/processes.py
@@ -10,9 +10,9 @@
 
 import orjson
 
-from pewterring import interface as i
 from pewterring.lab.loopback.ports import HOST
-from pewterring.net.connection import Address
+from pewterring.standalone.network.connection import Address
+from pewterring.standalone.policy import interface as i
 
 NS = 1_000_000_000
 READY_S, POLL_S = 20.0, 0.02
--- a/pewterring/lab/peer_network.py
+++ b/pewterring/lab/peer_network.py
@@ -1,8 +1,8 @@
 """Messages between gatekeepers in the emulator: delay, loss, and what each takes in."""
 
-from pewterring import interface as i
 from pewterring.lab.host import Host
 from pewterring.lab.surroundings import Surroundings
+from pewterring.standalone.policy import interface as i
 
 
 class PeerNetwork:
--- a/pewterring/lab/policies.py
+++ b/pewterring/lab/policies.py
@@ -10,10 +10,10 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from pewterring import interface as i
 from pewterring.admission.ceiling import Ceiling
-from pewterring.choice import Gatekeeper
 from pewterring.lab.stores import Store
+from pewterring.standalone.policy import interface as i
+from pewterring.standalone.policy.decisions import Gatekeeper
 
 
 @dataclass(frozen=True, slots=True)
--- a/pewterring/lab/rules.py
+++ b/pewterring/lab/rules.py
@@ -7,10 +7,10 @@
 
 from dataclasses import dataclass
 
-from pewterring import interface as i
 from pewterring.lab.calls import Attempt, Call
 from pewterring.lab.engine import START
 from pewterring.lab.workers import Worker
+from pewterring.standalone.policy import interface as i
 
 RULES = {
     1: "one final answer in time",
--- a/pewterring/lab/surroundings.py
+++ b/pewterring/lab/surroundings.py
@@ -4,13 +4,13 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from pewterring import interface as i
 from pewterring.lab import schema
 from pewterring.lab.account import Account
 from pewterring.lab.engine import Engine
 from pewterring.lab.host import Host
 from pewterring.lab.rules import Rules
 from pewterring.lab.workers import Worker
+from pewterring.standalone.policy import interface as i
 
 
 class Surroundings(Protocol):
--- a/pewterring/lab/workers.py
+++ b/pewterring/lab/workers.py
@@ -10,11 +10,11 @@
 from collections.abc import Callable
 from typing import Literal
 
-from pewterring import interface as i
 from pewterring.lab.calls import Attempt
 from pewterring.lab.engine import Engine
 from pewterring.lab.schema import Workers
 from pewterring.lab.streams import Stream
+from pewterring.standalone.policy import interface as i
 
 COLD_STEP = 0.25  # seconds between two updates of a warming worker's speed
 SLACK_JOBS = 3.0  # mean requests that a cold worker may get past its budget by chance
--- a/pewterring/lab/world.py
+++ b/pewterring/lab/world.py
@@ -10,7 +10,6 @@
 from collections.abc import Callable
 from typing import Any
 
-from pewterring import interface as i
 from pewterring.lab import schema
 from pewterring.lab.account import Account, Result
 from pewterring.lab.calls import Attempt, Call, Intent
@@ -26,6 +25,7 @@
 from pewterring.lab.rules import Broken, Rules
 from pewterring.lab.streams import Stream
 from pewterring.lab.workers import Worker
+from pewterring.standalone.policy import interface as i
 
 READY_S = 0.1  # until the front takes in a gatekeeper that has started
 LEAVES_S, AT_LEAST_S, KILL_S = (
--- /dev/null
+++ b/pewterring/standalone/__init__.py
@@ -0,0 +1,1 @@
+"""The gateway of older deployments, which needs no control group: `pewterring serve`."""
--- a/pewterring/config.py
+++ b/pewterring/standalone/config.py
@@ -7,10 +7,10 @@
 
 import orjson
 
-from pewterring import interface as i
-from pewterring.net.connection import Address, read_address
-from pewterring.net.discovery import Listing, read_listing
-from pewterring.settings import Transport, read_json
+from pewterring.standalone.network.connection import Address, read_address
+from pewterring.standalone.network.discovery import Listing, read_listing
+from pewterring.standalone.policy import interface as i
+from pewterring.standalone.settings import Transport, read_json
 
 CONFIG, LISTEN, DISCOVERY, NAME = "ROUTER_CONFIG", "ROUTER_LISTEN", "ROUTER_DISCOVERY", "ROUTER_NAME"
 TALLY = "ROUTER_TALLY_S"  # the period of the lines that docs/oncall.md tells how to sum; unset or 0: none
--- a/pewterring/http/reader.py
+++ b/pewterring/standalone/http/reader.py
@@ -8,7 +8,7 @@
 from enum import Enum
 from typing import Generic, TypeVar
 
-from pewterring.http.messages import Headers, Malformed, Request, Response
+from pewterring.standalone.http.messages import Headers, Malformed, Request, Response
 
 MAX_HEAD = 16 * 1024
 MAX_BODY = 64 * 1024  # the protocol's bound
--- a/pewterring/http/writer.py
+++ b/pewterring/standalone/http/writer.py
@@ -1,6 +1,6 @@
 """Messages to bytes: the head and the body in one piece, framed by Content-Length."""
 
-from pewterring.http.messages import REASONS, Headers
+from pewterring.standalone.http.messages import REASONS, Headers
 
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
--- a/pewterring/net/clients.py
+++ b/pewterring/standalone/network/clients.py
@@ -5,12 +5,12 @@
 from collections import Counter
 from typing import Protocol
 
-from pewterring.http.messages import Malformed, Request
-from pewterring.http.reader import MAX_BODY, MAX_HEAD, RequestReader
-from pewterring.http.writer import CONTINUE, write_response
-from pewterring.net.connection import Address, Connection
-from pewterring.net.descriptors import Descriptors
-from pewterring.net.ending import Ending
+from pewterring.standalone.http.messages import Malformed, Request
+from pewterring.standalone.http.reader import MAX_BODY, MAX_HEAD, RequestReader
+from pewterring.standalone.http.writer import CONTINUE, write_response
+from pewterring.standalone.network.connection import Address, Connection
+from pewterring.standalone.network.descriptors import Descriptors
+from pewterring.standalone.network.ending import Ending
 
 BACKLOG = 512
 ACCEPT_RETRY_S = 0.05  # after the system refused a descriptor; accepting also goes on when one comes free
--- a/pewterring/net/discovery.py
+++ b/pewterring/standalone/network/discovery.py
@@ -7,12 +7,12 @@
 
 import orjson
 
-from pewterring.http.messages import Response
-from pewterring.http.writer import write_request
-from pewterring.net.connection import Address, read_address
-from pewterring.net.descriptors import Descriptors
-from pewterring.net.ending import Ending
-from pewterring.net.workers import Exchange, Pool, Target
+from pewterring.standalone.http.messages import Response
+from pewterring.standalone.http.writer import write_request
+from pewterring.standalone.network.connection import Address, read_address
+from pewterring.standalone.network.descriptors import Descriptors
+from pewterring.standalone.network.ending import Ending
+from pewterring.standalone.network.workers import Exchange, Pool, Target
 
 PATH = b"/v1/servers"
 MAX_LIST = 8 * 1024 * 1024
--- a/pewterring/net/ending.py
+++ b/pewterring/standalone/network/ending.py
@@ -2,8 +2,8 @@
 
 from enum import Enum
 
-from pewterring.http.messages import Response
-from pewterring.interface import Code
+from pewterring.standalone.http.messages import Response
+from pewterring.standalone.policy.interface import Code
 
 
 class Ending(Enum):
--- a/pewterring/net/peers.py
+++ b/pewterring/standalone/network/peers.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable, Sequence
 from typing import cast
 
-from pewterring.net.connection import Address
+from pewterring.standalone.network.connection import Address
 
 MAX_DATAGRAM = 256  # the protocol's bound
 
--- a/pewterring/net/workers.py
+++ b/pewterring/standalone/network/workers.py
@@ -7,11 +7,11 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from pewterring.http.messages import Malformed, Response
-from pewterring.http.reader import MAX_ANSWER, ResponseReader
-from pewterring.net.connection import Address, Connection
-from pewterring.net.descriptors import Descriptors
-from pewterring.net.ending import SUSPECT, Ending, of_answer
+from pewterring.standalone.http.messages import Malformed, Response
+from pewterring.standalone.http.reader import MAX_ANSWER, ResponseReader
+from pewterring.standalone.network.connection import Address, Connection
+from pewterring.standalone.network.descriptors import Descriptors
+from pewterring.standalone.network.ending import SUSPECT, Ending, of_answer
 
 # What giving an exchange up is, where part of its request is not written, and where none is.
 UNSENT = {Ending.TIMED_OUT: Ending.BROKEN_EARLY, Ending.CANCELLED: Ending.TOO_LATE}
--- a/pewterring/choice.py
+++ b/pewterring/standalone/policy/decisions.py
@@ -1,5 +1,5 @@
-"""Every decision of a gatekeeper. The types, events and actions are in pewterring/interface.py, what is
-remembered in pewterring/state.py, the bytes told to peers in pewterring/peer_messages.py.
+"""Every decision of a standalone gateway. Types, events and actions are in `interface`, what is remembered
+in `state`, the bytes told to peers in `pewterring.standalone.peer_messages`.
 
 The ordinary path is docs/design.md's: a customer's quota (Quota), a slot below min(share, local limit) of the
 inferred ceiling (Ceiling, Shares), then the server with the least expected wait (Fleet). Nothing queues here.
@@ -8,12 +8,12 @@
 import math
 import random
 
-from pewterring import interface as i
-from pewterring import peer_messages as mail
 from pewterring.admission.ceiling import Ceiling
 from pewterring.admission.shares import BEAT_S, Shares
-from pewterring.peer_messages import Ask, Back, Grant
-from pewterring.state import Account, Health, Held, Node, Use
+from pewterring.standalone import peer_messages as mail
+from pewterring.standalone.peer_messages import Ask, Back, Grant
+from pewterring.standalone.policy import interface as i
+from pewterring.standalone.policy.state import Account, Health, Held, Node, Use
 
 TICK, LOOK, ASK, WAIT = 1, 2, 3, 4  # labels of the timers
 NEWS_S = 0.1  # news of quotas between heartbeats come no closer than this, and farther where mail is scarce
--- a/pewterring/state.py
+++ b/pewterring/standalone/policy/state.py
@@ -3,8 +3,8 @@
 import math
 from dataclasses import dataclass, field
 
-from pewterring import interface as i
-from pewterring.peer_messages import Ask, Beat
+from pewterring.standalone.peer_messages import Ask, Beat
+from pewterring.standalone.policy import interface as i
 
 
 @dataclass(slots=True)
--- a/pewterring/gateway/calls.py
+++ b/pewterring/standalone/proxy/calls.py
@@ -3,11 +3,11 @@
 import asyncio
 from dataclasses import dataclass, field
 
-from pewterring import interface as i
-from pewterring.http.messages import Request, Response
-from pewterring.net.clients import Client
-from pewterring.net.ending import Ending
-from pewterring.net.workers import Exchange
+from pewterring.standalone.http.messages import Request, Response
+from pewterring.standalone.network.clients import Client
+from pewterring.standalone.network.ending import Ending
+from pewterring.standalone.network.workers import Exchange
+from pewterring.standalone.policy import interface as i
 
 
 @dataclass(slots=True, eq=False)
--- a/pewterring/gateway/directory.py
+++ b/pewterring/standalone/proxy/directory.py
@@ -4,9 +4,9 @@
 import time
 from collections.abc import Callable
 
-from pewterring import interface as i
-from pewterring.net.discovery import Entry, Listing
-from pewterring.net.workers import Target
+from pewterring.standalone.network.discovery import Entry, Listing
+from pewterring.standalone.network.workers import Target
+from pewterring.standalone.policy import interface as i
 
 MODES = {"up": i.Mode.SERVING, "draining": i.Mode.DRAINING, "removed": i.Mode.DELETED}
 
--- a/pewterring/gateway/gateway.py
+++ b/pewterring/standalone/proxy/gateway.py
@@ -7,19 +7,19 @@
 from collections.abc import Callable
 from typing import Protocol, TypeVar
 
-from pewterring import interface as i
-from pewterring.gateway.calls import Arrived, Attempt, Call, Ended, Gone, Item, Overdue, Unanswered
-from pewterring.gateway.directory import Directory
-from pewterring.gateway.intake import for_worker, read_request
-from pewterring.http.messages import Malformed, Request, Response, end_to_end
-from pewterring.http.writer import write_request
-from pewterring.log import Log
-from pewterring.net.clients import Client
-from pewterring.net.discovery import Listing
-from pewterring.net.ending import CODES, Ending
-from pewterring.net.peers import Peers
-from pewterring.net.workers import Pool
-from pewterring.settings import Transport
+from pewterring.standalone.http.messages import Malformed, Request, Response, end_to_end
+from pewterring.standalone.http.writer import write_request
+from pewterring.standalone.log import Log
+from pewterring.standalone.network.clients import Client
+from pewterring.standalone.network.discovery import Listing
+from pewterring.standalone.network.ending import CODES, Ending
+from pewterring.standalone.network.peers import Peers
+from pewterring.standalone.network.workers import Pool
+from pewterring.standalone.policy import interface as i
+from pewterring.standalone.proxy.calls import Arrived, Attempt, Call, Ended, Gone, Item, Overdue, Unanswered
+from pewterring.standalone.proxy.directory import Directory
+from pewterring.standalone.proxy.intake import for_worker, read_request
+from pewterring.standalone.settings import Transport
 
 T = TypeVar("T")
 R = TypeVar("R")
--- a/pewterring/gateway/intake.py
+++ b/pewterring/standalone/proxy/intake.py
@@ -5,9 +5,9 @@
 from functools import lru_cache
 from typing import NamedTuple
 
-from pewterring import interface as i
-from pewterring.http.messages import Malformed, Request, end_to_end
-from pewterring.http.writer import write_request
+from pewterring.standalone.http.messages import Malformed, Request, end_to_end
+from pewterring.standalone.http.writer import write_request
+from pewterring.standalone.policy import interface as i
 
 CUSTOMER = re.compile(rb"[0-9a-fA-F]{16}")
 MOST_CUSTOMER = 2**33
--- a/pewterring/gateway/service.py
+++ b/pewterring/standalone/proxy/service.py
@@ -7,17 +7,17 @@
 from dataclasses import fields, replace
 from typing import Any, TypeVar
 
-from pewterring.choice import Gatekeeper
-from pewterring.config import Config, ConfigError
-from pewterring.gateway.gateway import Gateway, Module
-from pewterring.gateway.switch import renew
-from pewterring.interface import Settings
-from pewterring.log import Log
-from pewterring.net.clients import Listener
-from pewterring.net.descriptors import Descriptors
-from pewterring.net.discovery import Discovery
-from pewterring.net.peers import Peers
-from pewterring.net.workers import Pool
+from pewterring.standalone.config import Config, ConfigError
+from pewterring.standalone.log import Log
+from pewterring.standalone.network.clients import Listener
+from pewterring.standalone.network.descriptors import Descriptors
+from pewterring.standalone.network.discovery import Discovery
+from pewterring.standalone.network.peers import Peers
+from pewterring.standalone.network.workers import Pool
+from pewterring.standalone.policy.decisions import Gatekeeper
+from pewterring.standalone.policy.interface import Settings
+from pewterring.standalone.proxy.gateway import Gateway, Module
+from pewterring.standalone.proxy.switch import renew
 
 SWEEP_S = 0.25
 BUFFERS = 8  # one part in so many of the memory is for answers that have not come whole, one for requests
@@ -70,7 +70,7 @@
         )
         module = self.module = module or Gatekeeper(config.settings, config.seed)
         if config.tally_s > 0:
-            from pewterring.gateway.tally import Tally
+            from pewterring.standalone.proxy.tally import Tally
 
             module = Tally(module, log, config.tally_s)
         self.gateway = Gateway(self.loop, config.settings, transport, module, self.pool, log)
--- a/pewterring/gateway/switch.py
+++ b/pewterring/standalone/proxy/switch.py
@@ -6,8 +6,8 @@
 
 from collections.abc import Iterable
 
-from pewterring import interface as i
-from pewterring.choice import Customer, Gatekeeper
+from pewterring.standalone.policy import interface as i
+from pewterring.standalone.policy.decisions import Customer, Gatekeeper
 
 # By part of the module: what follows from the settings and nothing else.
 FOLLOWS = {
--- a/pewterring/gateway/tally.py
+++ b/pewterring/standalone/proxy/tally.py
@@ -7,10 +7,10 @@
 from collections import Counter
 from typing import Any
 
-from pewterring import interface as i
-from pewterring.choice import Gatekeeper
-from pewterring.gateway.gateway import Module
-from pewterring.log import Log
+from pewterring.standalone.log import Log
+from pewterring.standalone.policy import interface as i
+from pewterring.standalone.policy.decisions import Gatekeeper
+from pewterring.standalone.proxy.gateway import Module
 
 
 class Tally:
--- a/pewterring/settings.py
+++ b/pewterring/standalone/settings.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from typing import Any, NoReturn, TypeVar
 
-from pewterring import interface as i
+from pewterring.standalone.policy import interface as i
 
 T = TypeVar("T")
 NS = 1_000_000_000
--- a/pewterring/simulator_adapter/__main__.py
+++ b/pewterring/standalone/simulator/__main__.py
@@ -1,12 +1,12 @@
-"""python -m pewterring.simulator_adapter: hosts one Gatekeeper for each instance on the simulator's wire."""
+"""python -m pewterring.standalone.simulator: one Gatekeeper for each instance on the simulator's wire."""
 
 import sys
 import traceback
 from collections.abc import Iterator
 from typing import TextIO
 
-from pewterring.choice import Gatekeeper
-from pewterring.wire import codec
+from pewterring.standalone.policy.decisions import Gatekeeper
+from pewterring.standalone.simulator import codec
 
 
 def answer(batch: codec.Batch, held: dict[str, Gatekeeper]) -> Iterator[str]:
@@ -40,7 +40,7 @@
     try:
         serve(iter(sys.stdin), sys.stdout)
     except (codec.WireError, UnicodeDecodeError) as error:
-        print(f"pewterring.simulator_adapter: {error}", file=sys.stderr)
+        print(f"pewterring.standalone.simulator: {error}", file=sys.stderr)
         return 2
     return 0
 
--- a/pewterring/wire/codec.py
+++ b/pewterring/standalone/simulator/codec.py
@@ -4,8 +4,8 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from pewterring import interface as i
-from pewterring.settings import NS, FieldError, Fields, read_settings
+from pewterring.standalone.policy import interface as i
+from pewterring.standalone.settings import NS, FieldError, Fields, read_settings
 
 CODES = {
     "OK": i.Code.OK,
--- a/pewterring/transport/http_common.py
+++ b/pewterring/transport/http_common.py
@@ -10,8 +10,8 @@
 from collections.abc import Iterable
 from http import HTTPStatus
 
-from pewterring.http.messages import HOP_BY_HOP
-from pewterring.net.connection import Connection
+from pewterring.standalone.http.messages import HOP_BY_HOP
+from pewterring.standalone.network.connection import Connection
 
 Headers = list[tuple[bytes, bytes]]  # names and values as sent
 
--- a/tests/admission/relayed_fleet.py
+++ b/tests/admission/relayed_fleet.py
@@ -7,7 +7,7 @@
 from pewterring.admission.relay_exchange import RelayExchange
 from pewterring.admission.relay_plan import RelayPlan, Speaker, make_plan
 from pewterring.admission.shares import BEAT_S
-from pewterring.peer_messages import Beat, write_beat
+from pewterring.standalone.peer_messages import Beat, write_beat
 
 SERVICE = 7
 DELAY_S = 0.01
--- a/tests/admission/test_fleet_in_overload.py
+++ b/tests/admission/test_fleet_in_overload.py
@@ -6,7 +6,7 @@
 
 from pewterring.admission.service import ServiceAdmission
 from pewterring.admission.shares import BEAT_S
-from pewterring.peer_messages import Beat, write_beat
+from pewterring.standalone.peer_messages import Beat, write_beat
 
 GATEWAYS, SLOTS, RUN_S = 8, 144, 0.75
 STEP_S = 0.01
--- a/tests/admission/test_relayed_shares.py
+++ b/tests/admission/test_relayed_shares.py
@@ -8,7 +8,7 @@
 from pewterring.admission.relayed_shares import TOTALS_S, RelayedShares
 from pewterring.admission.service import ServiceAdmission
 from pewterring.admission.shares import BEAT_S, GHOST_S, LEASE_S, Shares
-from pewterring.peer_messages import Beat, write_beat
+from pewterring.standalone.peer_messages import Beat, write_beat
 
 FLEET = 100
 CEILING = 400.0
--- a/tests/admission/test_relays.py
+++ b/tests/admission/test_relays.py
@@ -19,7 +19,7 @@
 )
 from pewterring.admission.relay_exchange import KEPT_ROUNDS
 from pewterring.admission.relay_plan import MAX_MEMBERS, RELAYS, Speaker, make_plan
-from pewterring.peer_messages import Beat
+from pewterring.standalone.peer_messages import Beat
 from tests.admission.relayed_fleet import SERVICE, Fleet
 
 SETTLED = 6  # rounds from the first heartbeat until all know of all
--- a/tests/admission/test_service.py
+++ b/tests/admission/test_service.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from pewterring import interface as i
 from pewterring.admission.service import IDLE_LENT, URGENT_SHARE, ServiceAdmission, SlotCeiling
-from pewterring.peer_messages import Beat, write_beat
+from pewterring.standalone.peer_messages import Beat, write_beat
+from pewterring.standalone.policy import interface as i
 
 ROUTE = i.RequestClass("r", aim=100.0, deadline=100.0)
 
--- a/tests/batch/test_dispatch.py
+++ b/tests/batch/test_dispatch.py
@@ -13,9 +13,9 @@
 from pewterring.configuration.model import Engine, Service, WeightedService
 from pewterring.distribution.messages import NodeRecord, WorkerRecord
 from pewterring.distribution.tables import Tables
-from pewterring.peer_messages import Beat, write_beat
 from pewterring.routing.chooser import PER_TOKEN_S, WorkerChooser
 from pewterring.routing.load_report import Load
+from pewterring.standalone.peer_messages import Beat, write_beat
 from tests.batch.stand_ins import ROUTE, ManualClock, item, route, tables, worker
 
 SERVICE = service_number("s")
--- a/tests/batch/test_program.py
+++ b/tests/batch/test_program.py
@@ -34,7 +34,7 @@
     WorkerRecord,
 )
 from pewterring.node.settings import NodeSettings
-from pewterring.peer_messages import Beat, write_beat
+from pewterring.standalone.peer_messages import Beat, write_beat
 from pewterring.transport.datagrams import DatagramPort
 from pewterring.transport.lines import Channel, LineServer, LinkPool, MessageCodec, TransportError
 from tests.batch.stand_ins import ROUTE, item
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,7 +1,7 @@
 """Settings, events and short ways to drive a Gatekeeper in the tests."""
 
-from pewterring import interface as i
-from pewterring.choice import TICK, Gatekeeper
+from pewterring.standalone.policy import interface as i
+from pewterring.standalone.policy.decisions import TICK, Gatekeeper
 
 AIM, DEADLINE = 1.0, 4.0
 CLASSES = {
--- a/tests/lab/test_load.py
+++ b/tests/lab/test_load.py
@@ -5,15 +5,15 @@
 
 import pytest
 
-from pewterring import interface as i
-from pewterring.http.messages import Response
-from pewterring.http.reader import ResponseReader
-from pewterring.http.writer import write_request, write_response
 from pewterring.lab import hunt, schema
 from pewterring.lab.loopback.clients import ClientPool, Exchange
 from pewterring.lab.loopback.clock import RealEngine
 from pewterring.lab.loopback.load import SocketWorld, fits, load, read_target
 from pewterring.lab.loopback.ports import HOST, DiscoveryPort, Relay, WorkerPort
+from pewterring.standalone.http.messages import Response
+from pewterring.standalone.http.reader import ResponseReader
+from pewterring.standalone.http.writer import write_request, write_response
+from pewterring.standalone.policy import interface as i
 from tests.lab.scenarios import small
 from tests.stand_ins import StandIn, run, until
 
--- a/tests/lab/test_rules.py
+++ b/tests/lab/test_rules.py
@@ -5,9 +5,9 @@
 
 import pytest
 
-from pewterring import interface as i
 from pewterring.lab import schema
 from pewterring.lab.policies import POLICIES, Baseline, LabAction
+from pewterring.standalone.policy import interface as i
 from tests.lab.scenarios import play, small
 
 
--- a/tests/lab/test_world.py
+++ b/tests/lab/test_world.py
@@ -8,7 +8,6 @@
 
 import pytest
 
-from pewterring import interface as i
 from pewterring.lab.calls import Attempt
 from pewterring.lab.counter import CounterService
 from pewterring.lab.engine import START, Engine
@@ -19,6 +18,7 @@
 from pewterring.lab.streams import Stream
 from pewterring.lab.workers import Worker
 from pewterring.lab.world import World
+from pewterring.standalone.policy import interface as i
 from tests.lab.scenarios import SMALL, play, small
 
 PLAY = """
--- a/tests/routing/test_heartbeats.py
+++ b/tests/routing/test_heartbeats.py
@@ -10,7 +10,6 @@
 from pewterring.admission.digests import HEAD as DIGEST_HEAD
 from pewterring.admission.shares import BEAT_S
 from pewterring.distribution.messages import NodeRecord
-from pewterring.peer_messages import Beat, write_beat
 from pewterring.routing.heartbeats import (
     RELAYED_BYTES_A_SECOND,
     RELAYED_FLEET,
@@ -18,6 +17,7 @@
     needs_relays,
     rounds_apart,
 )
+from pewterring.standalone.peer_messages import Beat, write_beat
 from pewterring.transport.datagrams import IP_UDP_BYTES
 
 SERVICE = 5
--- a/tests/schedules.py
+++ b/tests/schedules.py
@@ -8,13 +8,13 @@
 from collections import defaultdict
 from dataclasses import dataclass, field, replace
 
-from pewterring import interface as i
-from pewterring.choice import Gatekeeper
-from pewterring.gateway.service import Service
-from pewterring.http.messages import Request
-from pewterring.http.reader import ResponseReader
-from pewterring.http.writer import write_response
-from pewterring.net.connection import Address
+from pewterring.standalone.http.messages import Request
+from pewterring.standalone.http.reader import ResponseReader
+from pewterring.standalone.http.writer import write_response
+from pewterring.standalone.network.connection import Address
+from pewterring.standalone.policy import interface as i
+from pewterring.standalone.policy.decisions import Gatekeeper
+from pewterring.standalone.proxy.service import Service
 from tests.stand_ins import Rig, StandIn, Talk, as_json, asking, entry, until
 from tests.transport import virtual_time
 
--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -10,18 +10,18 @@
 
 import orjson
 
-from pewterring import interface as i
-from pewterring.config import Config
-from pewterring.gateway.gateway import Module
-from pewterring.gateway.service import Service
-from pewterring.http.messages import Request, Response
-from pewterring.http.reader import RequestReader, ResponseReader
-from pewterring.http.writer import write_response
-from pewterring.log import Log
-from pewterring.net.connection import Address
-from pewterring.net.discovery import Entry, Listing
-from pewterring.net.workers import Pool
-from pewterring.settings import Transport
+from pewterring.standalone.config import Config
+from pewterring.standalone.http.messages import Request, Response
+from pewterring.standalone.http.reader import RequestReader, ResponseReader
+from pewterring.standalone.http.writer import write_response
+from pewterring.standalone.log import Log
+from pewterring.standalone.network.connection import Address
+from pewterring.standalone.network.discovery import Entry, Listing
+from pewterring.standalone.network.workers import Pool
+from pewterring.standalone.policy import interface as i
+from pewterring.standalone.proxy.gateway import Module
+from pewterring.standalone.proxy.service import Service
+from pewterring.standalone.settings import Transport
 from tests.helpers import settings
 
 PATIENCE = 20.0  # for events that must come; no test measures it
--- a/tests/test_accounts.py
+++ b/tests/test_accounts.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from pewterring import interface as i
-from pewterring.choice import TICK, WAIT
-from pewterring.peer_messages import Ask, Back, Grant, read_ask
+from pewterring.standalone.peer_messages import Ask, Back, Grant, read_ask
+from pewterring.standalone.policy import interface as i
+from pewterring.standalone.policy.decisions import TICK, WAIT
 from tests.helpers import DEADLINE, PLANS, Drive, finals, settings
 
 FLEET, SIZE = 40, 30  # of gatekeepers; of the customer's set, from number 0 on
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from pewterring import interface as i
+from pewterring.standalone.policy import interface as i
 from tests.helpers import DEADLINE, LIMITS, SERVERS, Drive, finals, sends, server, settings
 
 MAY_HAVE_RUN = [i.Code.INTERNAL, i.Code.DEADLINE_EXCEEDED, i.Code.ABORTED, i.Code.CANCELLED]
--- a/tests/test_belief.py
+++ b/tests/test_belief.py
@@ -3,10 +3,10 @@
 from collections.abc import Callable
 from dataclasses import replace
 
-from pewterring import interface as i
-from pewterring.choice import Gatekeeper
-from pewterring.http.messages import Request
-from pewterring.net.connection import Address
+from pewterring.standalone.http.messages import Request
+from pewterring.standalone.network.connection import Address
+from pewterring.standalone.policy import interface as i
+from pewterring.standalone.policy.decisions import Gatekeeper
 from tests.helpers import LIMITS, settings
 from tests.stand_ins import OK, Rig, StandIn, Talk, asking, entry, listing, run, until
 
--- a/tests/test_ceiling.py
+++ b/tests/test_ceiling.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from pewterring import interface as i
 from pewterring.admission.ceiling import Ceiling
+from pewterring.standalone.policy import interface as i
 from tests.helpers import CLASSES, SERVERS, Drive
 
 PURE = CLASSES["pure"]
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -7,15 +7,15 @@
 import orjson
 import pytest
 
-from pewterring import interface as i
-from pewterring.gateway.directory import Directory
-from pewterring.http.messages import Request
-from pewterring.http.writer import write_response
-from pewterring.net import discovery
-from pewterring.net.connection import Address
-from pewterring.net.discovery import Discovery, Listing, read_listing
-from pewterring.net.ending import Ending
-from pewterring.net.workers import Target
+from pewterring.standalone.http.messages import Request
+from pewterring.standalone.http.writer import write_response
+from pewterring.standalone.network import discovery
+from pewterring.standalone.network.connection import Address
+from pewterring.standalone.network.discovery import Discovery, Listing, read_listing
+from pewterring.standalone.network.ending import Ending
+from pewterring.standalone.network.workers import Target
+from pewterring.standalone.policy import interface as i
+from pewterring.standalone.proxy.directory import Directory
 from tests.stand_ins import Rig, Script, StandIn, Talk, as_json, entry, listing, run, until
 
 A, B, C = (Address("127.0.0.1", n) for n in (9001, 9002, 9003))
--- a/tests/test_examples.py
+++ b/tests/test_examples.py
@@ -6,11 +6,11 @@
 import sys
 from pathlib import Path
 
-from pewterring.config import load
 from pewterring.local import sample
 from pewterring.local.layout import DEFAULT_NETWORK, FRONT_PORT, Layout
-from pewterring.net.connection import read_address
 from pewterring.node.settings import read_report
+from pewterring.standalone.config import load
+from pewterring.standalone.network.connection import read_address
 from tests.stand_ins import Caller, asking, run
 
 ROOT = Path(__file__).resolve().parent.parent
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from pewterring import interface as i
+from pewterring.standalone.policy import interface as i
 from tests.helpers import RULES, SERVERS, Drive, sends, server, settings
 
 
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -7,14 +7,14 @@
 
 import pytest
 
-from pewterring import interface as i
-from pewterring.choice import Gatekeeper
-from pewterring.http.messages import Request
-from pewterring.http.reader import MAX_BODY
-from pewterring.http.writer import write_response
-from pewterring.net import clients as clients_module
-from pewterring.net.connection import Address
-from pewterring.settings import Transport
+from pewterring.standalone.http.messages import Request
+from pewterring.standalone.http.reader import MAX_BODY
+from pewterring.standalone.http.writer import write_response
+from pewterring.standalone.network import clients as clients_module
+from pewterring.standalone.network.connection import Address
+from pewterring.standalone.policy import interface as i
+from pewterring.standalone.policy.decisions import Gatekeeper
+from pewterring.standalone.settings import Transport
 from tests.helpers import DEADLINE
 from tests.stand_ins import (
     OK,
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from pewterring import interface as i
-from pewterring.choice import LOOK
+from pewterring.standalone.policy import interface as i
+from pewterring.standalone.policy.decisions import LOOK
 from tests.helpers import LIMITS, Drive, sends, server, settings
 
 ONE = (server(1), server(3))
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -6,9 +6,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from pewterring.http.messages import Malformed, Request, Response, end_to_end
-from pewterring.http.reader import MAX_BODY, MAX_HEAD, RequestReader, ResponseReader
-from pewterring.http.writer import write_request, write_response
+from pewterring.standalone.http.messages import Malformed, Request, Response, end_to_end
+from pewterring.standalone.http.reader import MAX_BODY, MAX_HEAD, RequestReader, ResponseReader
+from pewterring.standalone.http.writer import write_request, write_response
 
 CHUNKED = b"Transfer-Encoding: chunked\r\n\r\n"
 REQUESTS = {
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -7,10 +7,12 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 # From the ground up: each may import those before it, and within itself.
-LAYERS = ["durations", "membership", "interface", "peer_messages", "state", "admission", "choice", "settings",
-          "log", "http", "net", "config", "wire", "simulator_adapter", "gateway", "consensus",
-          "storage", "transport", "node", "observability", "configuration", "distribution",
-          "registry", "routing", "control", "batch", "edge", "local", "lab", "cli", "__main__"]  # fmt: skip
+LAYERS = ["durations", "membership", "standalone.policy.interface", "standalone.peer_messages",
+          "standalone.policy.state", "admission", "standalone.policy.decisions", "standalone.settings",
+          "standalone.log", "standalone.http", "standalone.network", "standalone.config",
+          "standalone.simulator", "standalone.proxy", "consensus", "storage", "transport", "node",
+          "observability", "configuration", "distribution", "registry", "routing", "control", "batch",
+          "edge", "local", "lab", "cli", "__main__"]  # fmt: skip
 RUN_TIME = {"orjson"}  # beside the standard library
 # Libraries of the serving tier, for its parts alone.
 TIER = {
@@ -66,8 +68,17 @@
 
 
 def layer(name: str) -> int:
-    parts = name.split(".")
-    return LAYERS.index(parts[1]) if len(parts) > 1 and parts[1] in LAYERS else -1
+    """The layer of a module or of a name in it: that of the longest part of its path which is listed."""
+    parts = name.split(".")[1:]
+    for length in range(len(parts), 0, -1):
+        if (path := ".".join(parts[:length])) in LAYERS:
+            return LAYERS.index(path)
+    return -1
+
+
+def test_every_module_has_a_layer() -> None:
+    packages = {"pewterring", "pewterring.standalone", "pewterring.standalone.policy"}
+    assert {name for name in modules() if layer(name) < 0} == packages
 
 
 def test_packages_import_downward() -> None:
@@ -88,8 +99,9 @@
 
 def test_the_core_stands_without_sockets() -> None:
     found = modules()
-    for name in ("interface", "peer_messages", "state", "choice", "settings"):
-        roots = {x.split(".")[0] for x in found[f"pewterring.{name}"]}
+    core = ("policy.interface", "peer_messages", "policy.state", "policy.decisions", "settings")
+    for name in core:
+        roots = {x.split(".")[0] for x in found[f"pewterring.standalone.{name}"]}
         assert not roots & {"asyncio", "socket", "time", "os", "orjson"}, name
 
 
@@ -104,7 +116,7 @@
 
 def test_serve_loads_nothing_that_it_does_not_use() -> None:
     """32 MB and a quick start: no command line's library, no lab, none of the lab's libraries."""
-    look = "import sys; import pewterring.__main__, pewterring.gateway.service; print(*sys.modules)"
+    look = "import sys; import pewterring.__main__, pewterring.standalone.proxy.service; print(*sys.modules)"
     loaded = subprocess.run(
         [sys.executable, "-c", look], check=True, capture_output=True, text=True, cwd=ROOT
     )
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from pewterring import interface as i
-from pewterring.choice import Quota
-from pewterring.peer_messages import BEAT_FORM, NEWS_FORM, number
+from pewterring.standalone.peer_messages import BEAT_FORM, NEWS_FORM, number
+from pewterring.standalone.policy import interface as i
+from pewterring.standalone.policy.decisions import Quota
 from tests.helpers import LIMITS, PLANS, Drive, sends, settings
 
 SMALL = PLANS["small"]
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -7,16 +7,16 @@
 
 import pytest
 
-from pewterring import interface as i
-from pewterring.choice import Gatekeeper
-from pewterring.gateway import gateway as gateway_module
-from pewterring.gateway import service as service_module
-from pewterring.http.messages import Request
-from pewterring.http.reader import MAX_BODY, MAX_HEAD
-from pewterring.http.writer import write_response
-from pewterring.net import clients as clients_module
-from pewterring.net.clients import Client
-from pewterring.net.connection import Address
+from pewterring.standalone.http.messages import Request
+from pewterring.standalone.http.reader import MAX_BODY, MAX_HEAD
+from pewterring.standalone.http.writer import write_response
+from pewterring.standalone.network import clients as clients_module
+from pewterring.standalone.network.clients import Client
+from pewterring.standalone.network.connection import Address
+from pewterring.standalone.policy import interface as i
+from pewterring.standalone.policy.decisions import Gatekeeper
+from pewterring.standalone.proxy import gateway as gateway_module
+from pewterring.standalone.proxy import service as service_module
 from tests.helpers import CLASSES, LIMITS, settings
 from tests.stand_ins import (
     OK,
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -5,8 +5,8 @@
 
 import pytest
 
-from pewterring import interface as i
-from pewterring.choice import WAIT, Gatekeeper
+from pewterring.standalone.policy import interface as i
+from pewterring.standalone.policy.decisions import WAIT, Gatekeeper
 from tests.helpers import CLASSES, DEADLINE, LIMITS, PLANS, SERVERS, server, settings
 
 CODES = list(i.Code)
--- a/tests/test_schedules.py
+++ b/tests/test_schedules.py
@@ -5,10 +5,10 @@
 
 import pytest
 
-from pewterring import interface as i
-from pewterring.choice import Fleet
-from pewterring.gateway.service import Service
-from pewterring.net.workers import Pool
+from pewterring.standalone.network.workers import Pool
+from pewterring.standalone.policy import interface as i
+from pewterring.standalone.policy.decisions import Fleet
+from pewterring.standalone.proxy.service import Service
 from tests.schedules import BARE, FREE, played
 
 SEEDS = range(1, 7)
@@ -21,7 +21,7 @@
 
 
 def reuse_at_once(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr("pewterring.net.workers.REST_PART", float("inf"))
+    patch.setattr("pewterring.standalone.network.workers.REST_PART", float("inf"))
 
 
 def no_drain_check(patch: pytest.MonkeyPatch) -> None:
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -16,16 +16,16 @@
 import pytest
 
 from pewterring import __main__ as program
-from pewterring import interface as i
-from pewterring.config import ConfigError, load
-from pewterring.gateway import service as service_module
-from pewterring.http.messages import Request
-from pewterring.http.writer import write_response
-from pewterring.log import Log
-from pewterring.net import clients as clients_module
-from pewterring.net.connection import Address, read_address
-from pewterring.net.peers import Peers
-from pewterring.settings import FieldError, Fields, flatten, read_json, read_settings
+from pewterring.standalone.config import ConfigError, load
+from pewterring.standalone.http.messages import Request
+from pewterring.standalone.http.writer import write_response
+from pewterring.standalone.log import Log
+from pewterring.standalone.network import clients as clients_module
+from pewterring.standalone.network.connection import Address, read_address
+from pewterring.standalone.network.peers import Peers
+from pewterring.standalone.policy import interface as i
+from pewterring.standalone.proxy import service as service_module
+from pewterring.standalone.settings import FieldError, Fields, flatten, read_json, read_settings
 from tests.helpers import DEADLINE
 from tests.stand_ins import (
     OK,
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -5,9 +5,9 @@
 
 import pytest
 
-from pewterring import interface as i
 from pewterring.admission.shares import LEASE_S, Shares
-from pewterring.peer_messages import BEAT_FORM
+from pewterring.standalone.peer_messages import BEAT_FORM
+from pewterring.standalone.policy import interface as i
 from tests.helpers import Drive, settings
 
 
--- a/tests/test_sparse.py
+++ b/tests/test_sparse.py
@@ -3,11 +3,11 @@
 import dataclasses
 import random
 
-from pewterring import interface as i
 from pewterring.admission.ceiling import Ceiling
 from pewterring.admission.shares import BEAT_S, Shares
-from pewterring.choice import Fleet
-from pewterring.peer_messages import BEAT, Beat, write_beat
+from pewterring.standalone.peer_messages import BEAT, Beat, write_beat
+from pewterring.standalone.policy import interface as i
+from pewterring.standalone.policy.decisions import Fleet
 from tests.helpers import CLASSES, SERVERS, Drive, sends, server, settings
 
 FLEET = 300
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -9,13 +9,13 @@
 
 import pytest
 
-from pewterring import interface as i
-from pewterring.choice import TICK, Gatekeeper
-from pewterring.config import ConfigError, load
-from pewterring.gateway.service import Service
-from pewterring.gateway.switch import FOLLOWS, renew
-from pewterring.http.messages import Request
-from pewterring.peer_messages import number
+from pewterring.standalone.config import ConfigError, load
+from pewterring.standalone.http.messages import Request
+from pewterring.standalone.peer_messages import number
+from pewterring.standalone.policy import interface as i
+from pewterring.standalone.policy.decisions import TICK, Gatekeeper
+from pewterring.standalone.proxy.service import Service
+from pewterring.standalone.proxy.switch import FOLLOWS, renew
 from tests.helpers import CLASSES, PLANS, Drive, sends, settings
 from tests.stand_ins import OK, Caller, Quiet, StandIn, Talk, asking, entry, listing, run, until
 from tests.test_service import SETTINGS, configured
--- a/tests/test_tally.py
+++ b/tests/test_tally.py
@@ -6,12 +6,12 @@
 import orjson
 import pytest
 
-from pewterring import interface as i
 from pewterring.__main__ import main
-from pewterring.choice import Gatekeeper
 from pewterring.cli.tally import read, windows
-from pewterring.gateway.tally import Tally
-from pewterring.log import Log
+from pewterring.standalone.log import Log
+from pewterring.standalone.policy import interface as i
+from pewterring.standalone.policy.decisions import Gatekeeper
+from pewterring.standalone.proxy.tally import Tally
 from tests.helpers import SERVERS, settings
 
 
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -12,8 +12,8 @@
 
 import pytest
 
-from pewterring import interface as i
-from pewterring.choice import Fleet, Gatekeeper
+from pewterring.standalone.policy import interface as i
+from pewterring.standalone.policy.decisions import Fleet, Gatekeeper
 from tests.helpers import SERVERS, settings
 
 RECORDED = "03d1114c8e4b97ed2b8f35b6c2f3870070b6f2aa3e3b6cbcadb2760bfff31c18"
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -9,9 +9,9 @@
 
 import pytest
 
-from pewterring import interface as i
-from pewterring.simulator_adapter.__main__ import serve
-from pewterring.wire import codec
+from pewterring.standalone.policy import interface as i
+from pewterring.standalone.simulator import codec
+from pewterring.standalone.simulator.__main__ import serve
 from tests import limits
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -123,7 +123,7 @@
 
 def run_adapter(text: str, seed: str = "0") -> subprocess.CompletedProcess[str]:
     env = {**os.environ, "PYTHONHASHSEED": seed}
-    command = [sys.executable, "-m", "pewterring.simulator_adapter"]
+    command = [sys.executable, "-m", "pewterring.standalone.simulator"]
     return subprocess.run(
         command, input=text, capture_output=True, text=True, cwd=ROOT, env=env, timeout=60, check=False
     )
@@ -162,7 +162,7 @@
     def broken(self: object, now: float, event: i.Event) -> list[i.Action]:
         raise RuntimeError("two\nlines")
 
-    monkeypatch.setattr("pewterring.choice.Gatekeeper.handle", broken)
+    monkeypatch.setattr("pewterring.standalone.policy.decisions.Gatekeeper.handle", broken)
     assert run(START)[1][0] == "exception\twho=gatekeeper_0\ttext=RuntimeError('two\\nlines')"
 
 
--- a/tests/test_workers.py
+++ b/tests/test_workers.py
@@ -7,14 +7,14 @@
 
 import pytest
 
-from pewterring.http.messages import Request, Response
-from pewterring.http.reader import MAX_ANSWER
-from pewterring.http.writer import write_response
-from pewterring.interface import NEVER_RAN, Code
-from pewterring.net.connection import Address
-from pewterring.net.descriptors import Descriptors
-from pewterring.net.ending import CODES, Ending, of_answer
-from pewterring.net.workers import Exchange, Pool, Target, WorkerConnection
+from pewterring.standalone.http.messages import Request, Response
+from pewterring.standalone.http.reader import MAX_ANSWER
+from pewterring.standalone.http.writer import write_response
+from pewterring.standalone.network.connection import Address
+from pewterring.standalone.network.descriptors import Descriptors
+from pewterring.standalone.network.ending import CODES, Ending, of_answer
+from pewterring.standalone.network.workers import Exchange, Pool, Target, WorkerConnection
+from pewterring.standalone.policy.interface import NEVER_RAN, Code
 from tests.stand_ins import OK, StandIn, Talk, asking, rested, run, until
 
 
