--- /dev/null
+++ b/tests/golden/control_commands.py
@@ -0,0 +1,66 @@
+"""Commands that stand in entries of the control group's log."""
+
+from typing import get_args
+
+import msgspec
+
+from pewterring.control.commands import (
+    Command,
+    CreateGroup,
+    EndRetirement,
+    PatchConfiguration,
+    PutConfiguration,
+    PutNodes,
+    PutWorker,
+    RemoveWorkers,
+    SetRetiring,
+    SilenceWorkers,
+)
+from pewterring.control.state import encode_command
+from tests.golden.records import (
+    DOCUMENT,
+    DOCUMENT_DIGEST,
+    GATEWAY_NODE,
+    OTHER_WORKER,
+    PATCH,
+    PATCH_DIGEST,
+    PLACEMENT,
+    PLAIN_WORKER,
+    STORE_NODE,
+    WORKER,
+    raw,
+)
+from tests.golden.rows import Family, Row
+
+# In this order they are the log of the stored data as well.
+COMMANDS: tuple[tuple[str, Command], ...] = (
+    ("PutConfiguration-first", PutConfiguration(0, 7, DOCUMENT_DIGEST, raw(DOCUMENT))),
+    ("PatchConfiguration-full", PatchConfiguration(7, 8, PATCH_DIGEST, raw(PATCH))),
+    ("PutWorker-full", PutWorker(worker=WORKER)),
+    ("PutWorker-other", PutWorker(worker=OTHER_WORKER)),
+    ("PutWorker-defaults", PutWorker(worker=PLAIN_WORKER)),
+    ("SilenceWorkers-full", SilenceWorkers(ids=("w-1", "w-9"))),
+    ("RemoveWorkers-full", RemoveWorkers(ids=("w-2", "w-8"), for_good=True)),
+    ("RemoveWorkers-defaults", RemoveWorkers(ids=("w-3",))),
+    ("PutNodes-full", PutNodes(nodes=(STORE_NODE, GATEWAY_NODE), gone=("gateway-9",))),
+    ("PutNodes-defaults", PutNodes()),
+    ("CreateGroup-full", CreateGroup(placement=PLACEMENT)),
+    ("SetRetiring-full", SetRetiring(node_id="store-1", member="10.0.1.1#a1")),
+    ("EndRetirement-full", EndRetirement(node_id="store-1")),
+    ("SetRetiring-other", SetRetiring(node_id="store-2", member="10.0.1.2#b2")),
+    # Refused when it is applied: it builds on another version than the current one.
+    (
+        "PutConfiguration-full",
+        PutConfiguration(base=6, version=9, digest=DOCUMENT_DIGEST, document=raw(DOCUMENT)),
+    ),
+)
+
+
+def _row(name: str, command: Command) -> Row:
+    decoder = msgspec.json.Decoder(Command)
+    return Row(name, command, lambda: encode_command(command), decoder.decode)
+
+
+FAMILY = Family(
+    "control_commands.txt", tuple(_row(name, command) for name, command in COMMANDS), get_args(Command)
+)
