--- a/tests/golden/generate.py
+++ b/tests/golden/generate.py
@@ -7,13 +7,25 @@
 
 import sys
 
-from tests.golden import batch_commands, control_commands, member_messages
+from tests.golden import (
+    batch_commands,
+    batch_messages,
+    control_calls,
+    control_commands,
+    feed_messages,
+    line_forms,
+    member_messages,
+)
 from tests.golden.rows import Family, GoldenError, add_rows
 
 FAMILIES: tuple[Family, ...] = (
     member_messages.FAMILY,
     control_commands.FAMILY,
     batch_commands.FAMILY,
+    feed_messages.FAMILY,
+    batch_messages.FAMILY,
+    line_forms.FAMILY,
+    control_calls.FAMILY,
 )
 
 
