--- a/tests/golden/generate.py
+++ b/tests/golden/generate.py
@@ -15,8 +15,10 @@
     feed_messages,
     line_forms,
     member_messages,
+    state_snapshots,
 )
 from tests.golden.rows import Family, GoldenError, add_rows
+from tests.golden.stored_data import WRITERS, add_folder
 
 FAMILIES: tuple[Family, ...] = (
     member_messages.FAMILY,
@@ -26,6 +28,7 @@
     batch_messages.FAMILY,
     line_forms.FAMILY,
     control_calls.FAMILY,
+    state_snapshots.FAMILY,
 )
 
 
@@ -40,6 +43,8 @@
             status = 1
         else:
             print(f"{family.file}: {len(added)} rows added")
+    for name in WRITERS:
+        print(f"{name}: {'written' if add_folder(name) else 'is there, and stays as it is'}")
     return status
 
 
--- /dev/null
+++ b/tests/golden/state_snapshots.py
@@ -0,0 +1,106 @@
+"""States of control and of a batch partition as they stand in snapshots, with all fields set."""
+
+import msgspec
+
+from pewterring.batch import state as batch_state
+from pewterring.batch.state import BatchState
+from pewterring.control.state import ControlState, Retirement, Snapshot
+from tests.golden.batch_commands import ITEMS, RESULTS
+from tests.golden.records import (
+    DOCUMENT,
+    DOCUMENT_DIGEST,
+    GATEWAY_NODE,
+    PLACEMENT,
+    STORE_NODE,
+    STORES,
+    WORKER,
+    raw,
+)
+from tests.golden.rows import Family, Row
+
+NOW_S = 1000.0  # what the clock of a batch partition shows
+
+# The types of a batch partition's snapshot, which the program keeps to itself.
+StoredJob = batch_state._StoredJob
+StoredJobs = batch_state._Stored
+
+CONTROL = Snapshot(
+    version=7,
+    document=raw(DOCUMENT),
+    taken={7: DOCUMENT_DIGEST},
+    workers=(WORKER,),
+    departed=("w-2",),
+    nodes=(STORE_NODE, GATEWAY_NODE),
+    stores=(STORE_NODE,),
+    placements=(PLACEMENT,),
+    retirements=(Retirement(node_id="store-1", member=STORES[0], ended=True),),
+    forgotten=6,
+)
+EMPTY_CONTROL = Snapshot(
+    version=0,
+    document=raw(b"null"),
+    taken={},
+    workers=(),
+    departed=(),
+    nodes=(),
+    stores=(),
+    placements=(),
+    retirements=(),
+)
+JOB = StoredJob(
+    id="job-1",
+    host="chat.example",
+    path_prefix="/batch/",
+    age_ms=1500.0,
+    total=3,
+    items=ITEMS[1:2],
+    results=RESULTS,
+    ended=True,
+    failed_attempts={"b": 2},
+)
+PLAIN_JOB = StoredJob(
+    id="job-2",
+    host="chat.example",
+    path_prefix="/batch/",
+    age_ms=0.0,
+    total=1,
+    items=ITEMS[:1],
+    results=(),
+    ended=False,
+)
+
+
+def restored_control(snapshot: Snapshot) -> ControlState:
+    """The state that a member takes from the snapshot."""
+    state = ControlState()
+    state.restore(msgspec.json.encode(snapshot))
+    return state
+
+
+def restored_batch(snapshot: msgspec.Struct) -> BatchState:
+    """The state that a member takes from the snapshot."""
+    state = BatchState(lambda: NOW_S)
+    state.restore(msgspec.json.encode(snapshot))
+    return state
+
+
+def _control_row(name: str, value: Snapshot) -> Row:
+    decoder = msgspec.json.Decoder(Snapshot)
+    return Row(name, value, lambda: restored_control(value).snapshot(), decoder.decode)
+
+
+def _batch_row(name: str, value: msgspec.Struct) -> Row:
+    decoder = msgspec.json.Decoder(StoredJobs)
+    return Row(name, value, lambda: restored_batch(value).snapshot(), decoder.decode)
+
+
+FAMILY = Family(
+    "state_snapshots.txt",
+    (
+        _control_row("control-full", CONTROL),
+        _control_row("control-empty", EMPTY_CONTROL),
+        _batch_row("batch-full", StoredJobs(jobs=(JOB, PLAIN_JOB))),
+        _batch_row("batch-empty", StoredJobs(jobs=())),
+    ),
+    (Snapshot, StoredJobs),
+)
