--- a/tests/golden/control_calls.py
+++ b/tests/golden/control_calls.py
@@ -59,7 +59,7 @@
     """The leadership of a control machine that is alone; it commits nothing."""
 
     async def propose(self, command: Command) -> Result:
-        raise NotLeading
+        raise NotLeading(f"commits no {command}")
 
     async def read_barrier(self) -> None:
         pass
--- a/tests/golden/rows.py
+++ b/tests/golden/rows.py
@@ -149,7 +149,8 @@
 
 def _line(row: Row) -> bytes:
     encoded = row.encode()
-    assert encoded.endswith(b"\n") == row.ends_line and b"\n" not in encoded[:-1]
+    assert encoded.endswith(b"\n") == row.ends_line
+    assert b"\n" not in encoded[:-1]
     text = encoded.removesuffix(b"\n")
     return b" ".join((row.name.encode(), _checksum(text), text)) + b"\n"
 
--- a/tests/golden/state_snapshots.py
+++ b/tests/golden/state_snapshots.py
@@ -1,9 +1,10 @@
 """States of control and of a batch partition as they stand in snapshots, with all fields set."""
 
+from typing import Any
+
 import msgspec
 
-from pewterring.batch import state as batch_state
-from pewterring.batch.state import BatchState
+from pewterring.batch.state import BatchState, Job
 from pewterring.control.state import ControlState, Retirement, Snapshot
 from tests.golden.batch_commands import ITEMS, RESULTS
 from tests.golden.records import (
@@ -20,10 +21,6 @@
 
 NOW_S = 1000.0  # what the clock of a batch partition shows
 
-# The types of a batch partition's snapshot, which the program keeps to itself.
-StoredJob = batch_state._StoredJob
-StoredJobs = batch_state._Stored
-
 CONTROL = Snapshot(
     version=7,
     document=raw(DOCUMENT),
@@ -47,27 +44,50 @@
     placements=(),
     retirements=(),
 )
-JOB = StoredJob(
-    id="job-1",
-    host="chat.example",
-    path_prefix="/batch/",
-    age_ms=1500.0,
-    total=3,
-    items=ITEMS[1:2],
-    results=RESULTS,
-    ended=True,
-    failed_attempts={"b": 2},
-)
-PLAIN_JOB = StoredJob(
-    id="job-2",
-    host="chat.example",
-    path_prefix="/batch/",
-    age_ms=0.0,
-    total=1,
-    items=ITEMS[:1],
-    results=(),
-    ended=False,
-)
+JOBS = [
+    Job(
+        id="job-1",
+        route=("chat.example", "/batch/"),
+        accepted_at=NOW_S - 1.5,
+        total=3,
+        items={"b": ITEMS[1]},
+        results=list(RESULTS),
+        ended=True,
+        failed_attempts={"b": 2},
+    ),
+    Job(
+        id="job-2",
+        route=("chat.example", "/batch/"),
+        accepted_at=NOW_S,
+        total=1,
+        items={"a": ITEMS[0]},
+    ),
+]
+
+# The same jobs as the content of a snapshot.
+STORED_JOBS = [
+    {
+        "id": "job-1",
+        "host": "chat.example",
+        "path_prefix": "/batch/",
+        "age_ms": 1500.0,
+        "total": 3,
+        "items": ITEMS[1:2],
+        "results": RESULTS,
+        "ended": True,
+        "failed_attempts": {"b": 2},
+    },
+    {
+        "id": "job-2",
+        "host": "chat.example",
+        "path_prefix": "/batch/",
+        "age_ms": 0.0,
+        "total": 1,
+        "items": ITEMS[:1],
+        "results": (),
+        "ended": False,
+    },
+]
 
 
 def restored_control(snapshot: Snapshot) -> ControlState:
@@ -77,10 +97,10 @@
     return state
 
 
-def restored_batch(snapshot: msgspec.Struct) -> BatchState:
+def restored_batch(data: bytes) -> BatchState:
     """The state that a member takes from the snapshot."""
     state = BatchState(lambda: NOW_S)
-    state.restore(msgspec.json.encode(snapshot))
+    state.restore(data)
     return state
 
 
@@ -89,9 +109,14 @@
     return Row(name, value, lambda: restored_control(value).snapshot(), decoder.decode)
 
 
-def _batch_row(name: str, value: msgspec.Struct) -> Row:
-    decoder = msgspec.json.Decoder(StoredJobs)
-    return Row(name, value, lambda: restored_batch(value).snapshot(), decoder.decode)
+def _batch_row(name: str, jobs: list[Job], stored: list[dict[str, Any]]) -> Row:
+    content = msgspec.json.encode({"jobs": stored})
+    return Row(
+        name,
+        jobs,
+        lambda: restored_batch(content).snapshot(),
+        lambda data: list(restored_batch(data).jobs()),
+    )
 
 
 FAMILY = Family(
@@ -99,8 +124,8 @@
     (
         _control_row("control-full", CONTROL),
         _control_row("control-empty", EMPTY_CONTROL),
-        _batch_row("batch-full", StoredJobs(jobs=(JOB, PLAIN_JOB))),
-        _batch_row("batch-empty", StoredJobs(jobs=())),
+        _batch_row("batch-full", JOBS, STORED_JOBS),
+        _batch_row("batch-empty", [], []),
     ),
-    (Snapshot, StoredJobs),
+    (Snapshot,),
 )
--- a/tests/golden/test_stored_data.py
+++ b/tests/golden/test_stored_data.py
@@ -3,7 +3,6 @@
 import shutil
 from collections.abc import Sequence
 from pathlib import Path
-from typing import get_args
 
 import msgspec
 import pytest
@@ -16,7 +15,6 @@
 from pewterring.control.state import ControlState, Retirement, encode_command
 from pewterring.control.stores import FIRST_GROUP
 from pewterring.distribution.messages import SILENT
-from pewterring.storage import group as group_storage
 from pewterring.storage.identity import member_name
 from pewterring.storage.records import read_record
 from tests.golden import state_snapshots
@@ -51,6 +49,7 @@
     control_entries,
     opened,
 )
+from tests.golden.tagged_types import STORAGE, tagged_types
 
 # The folders, and the index of the snapshot in each.
 CONTROL_FOLDERS = {"control-log": 0, "control-snapshot": 15, "control-earlier": 15}
@@ -123,7 +122,8 @@
     apply_all(state, storage.load())
     storage.close()
     assert (state.version, bytes(state.document)) == (8, PATCHED)
-    assert state.has_taken(7, DOCUMENT_DIGEST) and state.has_taken(8, PATCH_DIGEST)
+    assert state.has_taken(7, DOCUMENT_DIGEST)
+    assert state.has_taken(8, PATCH_DIGEST)
     assert not state.has_taken(9, DOCUMENT_DIGEST)
     assert state.workers == {"w-1": msgspec.structs.replace(WORKER, state=SILENT)}
     assert list(state.departed) == ["w-2", "w-8"]
@@ -156,7 +156,7 @@
     found = {
         tag for name in ("control-log", "store-log") for path in _segments(name) for tag in _record_tags(path)
     }
-    assert found == {tag_of(kind) for kind in get_args(group_storage._Record)}
+    assert found == {tag_of(kind) for kind in tagged_types() if kind.__module__ == STORAGE}
 
 
 def _segments(name: str) -> list[Path]:
