--- a/pewterring/cli/tier.py
+++ b/pewterring/cli/tier.py
@@ -131,7 +131,7 @@
 def _make(name: str, settings: NodeSettings, failed: asyncio.Event) -> Program:
     # Each program loads only what it uses.
     if name == "gateway":
-        from pewterring.edge.program import GatewayProgram
+        from pewterring.gateway.program import GatewayProgram
 
         return GatewayProgram(settings)
     if name == "control":
--- a/pewterring/edge/batch_calls.py
+++ b/pewterring/gateway/batch_calls.py
@@ -29,7 +29,7 @@
 from pewterring.configuration.model import Route
 from pewterring.distribution.messages import STORE
 from pewterring.distribution.tables import Tables
-from pewterring.edge.answers import Answer, failure, success
+from pewterring.gateway.answers import Answer, failure, success
 from pewterring.transport.lines import LinkPool, RequestNotSent, TransportError
 
 LOTS, ITEMS = "/v1/lots/", "/v1/items/"
--- a/pewterring/edge/live.py
+++ b/pewterring/gateway/live.py
@@ -8,7 +8,7 @@
 
 from pewterring.admission.service import ServiceAdmission
 from pewterring.configuration.model import Route
-from pewterring.edge.attempt import (
+from pewterring.gateway.attempt import (
     Verdict,
     answer_headers,
     is_event_stream,
@@ -17,10 +17,10 @@
     read_load,
     worker_request,
 )
-from pewterring.edge.drain import Drain
-from pewterring.edge.metrics import Limit
-from pewterring.edge.request_trace import RequestTrace
-from pewterring.edge.stalls import GAP_SHARE, StallWatch, WatchedAttempt, WorkerSilent
+from pewterring.gateway.drain import Drain
+from pewterring.gateway.metrics import Limit
+from pewterring.gateway.request_trace import RequestTrace
+from pewterring.gateway.stalls import GAP_SHARE, StallWatch, WatchedAttempt, WorkerSilent
 from pewterring.routing.chooser import WorkerChooser
 from pewterring.routing.prompt import Prompt
 from pewterring.routing.worker_state import WorkerState
--- a/pewterring/edge/program.py
+++ b/pewterring/gateway/program.py
@@ -21,15 +21,15 @@
 from pewterring.distribution.messages import FEED_MESSAGES, GATEWAY_PROGRAM, NodeRecord
 from pewterring.distribution.subscriber import FeedSubscriber
 from pewterring.distribution.tables import Tables
-from pewterring.edge.admissions import GatewayAdmissions
-from pewterring.edge.answers import Answer, failure
-from pewterring.edge.batch_calls import BatchCalls, BatchRequest, is_batch_call, longest_s
-from pewterring.edge.drain import Drain
-from pewterring.edge.live import LiveContext, LiveRequest
-from pewterring.edge.metrics import GatewayMetrics, GatewayState, Limit
-from pewterring.edge.prompt_exchange import PromptExchange
-from pewterring.edge.request_trace import RequestTrace
-from pewterring.edge.stalls import CHECK_INTERVAL_S, StallWatch
+from pewterring.gateway.admissions import GatewayAdmissions
+from pewterring.gateway.answers import Answer, failure
+from pewterring.gateway.batch_calls import BatchCalls, BatchRequest, is_batch_call, longest_s
+from pewterring.gateway.drain import Drain
+from pewterring.gateway.live import LiveContext, LiveRequest
+from pewterring.gateway.metrics import GatewayMetrics, GatewayState, Limit
+from pewterring.gateway.prompt_exchange import PromptExchange
+from pewterring.gateway.request_trace import RequestTrace
+from pewterring.gateway.stalls import CHECK_INTERVAL_S, StallWatch
 from pewterring.node.settings import NodeSettings, RequestLogMode
 from pewterring.observability.metrics import CONTENT_TYPE, METRICS_PATH, render
 from pewterring.routing.chooser import WorkerChooser
--- a/pewterring/edge/request_trace.py
+++ b/pewterring/gateway/request_trace.py
@@ -5,7 +5,7 @@
 from loguru import logger
 
 from pewterring.configuration.model import Route
-from pewterring.edge.metrics import Limit
+from pewterring.gateway.metrics import Limit
 from pewterring.observability.log import EVENT
 from pewterring.observability.request_log import LINE_FORMAT, REQUEST_EVENT, Reason, RequestLine
 
--- a/tests/edge/gateway.py
+++ b/tests/gateway/gateway.py
@@ -16,7 +16,7 @@
 )
 from pewterring.distribution.messages import WorkerRecord
 from pewterring.distribution.tables import Tables
-from pewterring.edge.program import GatewayProgram
+from pewterring.gateway.program import GatewayProgram
 from pewterring.node.settings import Address, Bounds, NodeSettings
 from pewterring.transport.http_client import WorkerPool
 from pewterring.transport.http_exchange import SendRequest
--- a/tests/edge/test_batch_calls.py
+++ b/tests/gateway/test_batch_calls.py
@@ -21,8 +21,8 @@
 from pewterring.configuration.model import Route, RouteType
 from pewterring.distribution.messages import NodeRecord
 from pewterring.distribution.tables import Tables
-from pewterring.edge.answers import Answer
-from pewterring.edge.batch_calls import (
+from pewterring.gateway.answers import Answer
+from pewterring.gateway.batch_calls import (
     BadSubmission,
     BatchCalls,
     BatchRequest,
--- a/tests/edge/test_denied.py
+++ b/tests/gateway/test_denied.py
@@ -5,7 +5,7 @@
 import pytest
 
 from pewterring.configuration.model import ClientLimits
-from tests.edge.gateway import answered, gateway
+from tests.gateway.gateway import answered, gateway
 from tests.transport.virtual_time import run
 
 
--- a/tests/edge/test_drain.py
+++ b/tests/gateway/test_drain.py
@@ -5,10 +5,10 @@
 import pytest
 
 from pewterring.configuration.model import RouteType
-from pewterring.edge.drain import Drain
+from pewterring.gateway.drain import Drain
 from pewterring.transport.http_exchange import ExchangeError, SendRequest
 from pewterring.transport.http_fetch import fetch
-from tests.edge.gateway import (
+from tests.gateway.gateway import (
     GRACE_S,
     IP,
     Gateway,
--- a/tests/edge/test_gone.py
+++ b/tests/gateway/test_gone.py
@@ -10,7 +10,7 @@
 from pewterring.transport.http_client import WorkerConnection
 from pewterring.transport.http_request import ServerRequest
 from pewterring.transport.http_responder import Responder
-from tests.edge.gateway import IP, Behaviour, answered, gateway, route, silent, slow_stream
+from tests.gateway.gateway import IP, Behaviour, answered, gateway, route, silent, slow_stream
 from tests.transport.http_stand_ins import Wire
 from tests.transport.virtual_time import now, run
 
--- a/tests/edge/test_live.py
+++ b/tests/gateway/test_live.py
@@ -8,14 +8,14 @@
 import pytest
 
 from pewterring.configuration.model import RouteType
-from pewterring.edge.attempt import worker_request
+from pewterring.gateway.attempt import worker_request
 from pewterring.routing.prompt import Prompt
 from pewterring.routing.worker_state import WorkerState
 from pewterring.transport.http_client import WorkerPool
 from pewterring.transport.http_exchange import ExchangeError, SendRequest
 from pewterring.transport.http_request import ServerRequest
 from pewterring.transport.http_responder import Responder
-from tests.edge.live_tier import (
+from tests.gateway.live_tier import (
     PATIENCE_S,
     PLAIN,
     UNFRAMED_HEAD,
@@ -242,7 +242,7 @@
 def test_a_resumption_asked_for_one_event_early_is_caught(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr("pewterring.edge.live.worker_request", one_event_early)
+    monkeypatch.setattr("pewterring.gateway.live.worker_request", one_event_early)
     tier = Tier(route(RouteType.STREAMING, resumable=True), [cut_stream, whole_stream])
 
     async def story() -> None:
--- a/tests/edge/test_request_log.py
+++ b/tests/gateway/test_request_log.py
@@ -13,7 +13,7 @@
 from pewterring.observability.request_log import REQUEST_EVENT
 from pewterring.transport.http_request import ServerRequest
 from pewterring.transport.http_responder import Responder
-from tests.edge.gateway import Gateway, answered, gateway
+from tests.gateway.gateway import Gateway, answered, gateway
 from tests.transport.virtual_time import run
 
 Lines = list[dict[str, Any]]
--- a/tests/edge/test_request_trace.py
+++ b/tests/gateway/test_request_trace.py
@@ -7,8 +7,8 @@
 
 from pewterring.__main__ import main
 from pewterring.configuration.model import Route, RouteType, WeightedService
-from pewterring.edge.metrics import Limit
-from pewterring.edge.request_trace import RequestTrace
+from pewterring.gateway.metrics import Limit
+from pewterring.gateway.request_trace import RequestTrace
 from pewterring.observability.log import EventThinner, JsonLineSink
 from pewterring.observability.request_log import LINE_FORMAT, REQUEST_EVENT, Reason
 
--- a/tests/edge/test_resets.py
+++ b/tests/gateway/test_resets.py
@@ -10,8 +10,8 @@
 from pewterring.admission.service import ServiceAdmission
 from pewterring.configuration.model import Route, RouteType, WeightedService
 from pewterring.distribution.messages import WorkerRecord
-from pewterring.edge.live import LiveContext, LiveRequest
-from pewterring.edge.stalls import StallWatch
+from pewterring.gateway.live import LiveContext, LiveRequest
+from pewterring.gateway.stalls import StallWatch
 from pewterring.routing.chooser import WorkerChooser
 from pewterring.routing.prompt import NO_PROMPT
 from pewterring.transport.http_client import SendRequest
--- a/tests/edge/test_silent_workers.py
+++ b/tests/gateway/test_silent_workers.py
@@ -9,7 +9,7 @@
 from pewterring.routing.worker_state import VOUCHED_S
 from pewterring.transport.http_request import ServerRequest
 from pewterring.transport.http_responder import Responder
-from tests.edge.gateway import Behaviour, Gateway, answered, gateway
+from tests.gateway.gateway import Behaviour, Gateway, answered, gateway
 from tests.transport.virtual_time import now, run
 
 
--- a/tests/edge/test_stalls.py
+++ b/tests/gateway/test_stalls.py
@@ -6,7 +6,13 @@
 import pytest
 
 from pewterring.distribution.messages import WorkerRecord
-from pewterring.edge.stalls import CHECK_INTERVAL_S, MOST_READING_S, StallWatch, WatchedAttempt, WorkerSilent
+from pewterring.gateway.stalls import (
+    CHECK_INTERVAL_S,
+    MOST_READING_S,
+    StallWatch,
+    WatchedAttempt,
+    WorkerSilent,
+)
 from pewterring.routing.worker_state import WorkerState
 from pewterring.transport.http_fetch import AnswerStream
 
--- a/tests/edge/test_timeouts.py
+++ b/tests/gateway/test_timeouts.py
@@ -8,7 +8,7 @@
 from pewterring.transport.http_client import WorkerConnection
 from pewterring.transport.http_request import ServerRequest
 from pewterring.transport.http_responder import Responder
-from tests.edge.gateway import EVENTS, Gateway, answered, event, gateway, route, silent, slow_stream
+from tests.gateway.gateway import EVENTS, Gateway, answered, event, gateway, route, silent, slow_stream
 from tests.transport.virtual_time import now, run
 
 TIMEOUT_MS, TIMEOUT_S = 2000, 2.0
--- a/tests/observability/test_metrics.py
+++ b/tests/observability/test_metrics.py
@@ -8,7 +8,7 @@
 
 from pewterring.admission.service import ServiceAdmission
 from pewterring.distribution.tables import Tables
-from pewterring.edge.metrics import GatewayMetrics, GatewayState, Limit
+from pewterring.gateway.metrics import GatewayMetrics, GatewayState, Limit
 from pewterring.observability.metrics import Family, render, single
 
 ROOT = Path(__file__).resolve().parents[2]
@@ -86,6 +86,6 @@
 
 
 def test_the_library_is_loaded_at_the_first_scrape_only() -> None:
-    look = "import sys; import pewterring.edge.metrics; print('prometheus_client' in sys.modules)"
+    look = "import sys; import pewterring.gateway.metrics; print('prometheus_client' in sys.modules)"
     done = subprocess.run([sys.executable, "-c", look], check=True, capture_output=True, text=True, cwd=ROOT)
     assert done.stdout.strip() == "False"
--- a/tests/simulation/batch.py
+++ b/tests/simulation/batch.py
@@ -14,7 +14,7 @@
 from pewterring.control.calls import RETIRE_GET_PATH, RETIRE_START_PATH, Answer, Call
 from pewterring.distribution.messages import WorkerRecord
 from pewterring.distribution.subscriber import FeedSubscriber
-from pewterring.edge.batch_calls import BatchCalls, BatchRequest
+from pewterring.gateway.batch_calls import BatchCalls, BatchRequest
 from tests.simulation.schedule import On
 
 if TYPE_CHECKING:
--- a/tests/simulation/world.py
+++ b/tests/simulation/world.py
@@ -13,7 +13,7 @@
 from pewterring.distribution.messages import FEED_MESSAGES, GroupStatus, NodeRecord
 from pewterring.distribution.subscriber import FeedSubscriber
 from pewterring.distribution.tables import Tables
-from pewterring.edge.batch_calls import BatchCalls
+from pewterring.gateway.batch_calls import BatchCalls
 from pewterring.node.settings import Address, NodeSettings
 from pewterring.transport.lines import LinkPool, MessageCodec
 from tests.node_settings import addresses, node_settings
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -12,7 +12,7 @@
           "standalone.log", "standalone.http", "standalone.network", "standalone.config",
           "standalone.simulator", "standalone.proxy", "consensus", "storage", "transport", "node",
           "observability", "configuration", "distribution", "registry", "routing", "control", "batch",
-          "edge", "local", "lab", "cli", "__main__"]  # fmt: skip
+          "gateway", "local", "lab", "cli", "__main__"]  # fmt: skip
 RUN_TIME = {"orjson"}  # beside the standard library
 # Libraries of the serving tier, for its parts alone.
 TIER = {
@@ -37,7 +37,7 @@
     "routing",
     "control",
     "batch",
-    "edge",
+    "gateway",
     "local",
 ]
 # Of a part alone, never on the way of `serve`.
