--- a/tests/test_config_command.py
+++ b/tests/cli/test_config_command.py
@@ -9,7 +9,7 @@
 from pewterring.__main__ import main
 from pewterring.cli.config import json_schema
 
-EXAMPLE = Path(__file__).resolve().parent.parent / "examples" / "config.json"
+EXAMPLE = Path(__file__).resolve().parents[2] / "examples" / "config.json"
 
 
 def written(tmp_path: Path, **changes: Any) -> str:
--- a/tests/test_tally.py
+++ b/tests/cli/test_tally.py
@@ -12,7 +12,7 @@
 from pewterring.standalone.policy import interface as i
 from pewterring.standalone.policy.decisions import Gatekeeper
 from pewterring.standalone.proxy.tally import Tally
-from tests.helpers import SERVERS, settings
+from tests.standalone.helpers import SERVERS, settings
 
 
 def test_a_line_counts_a_period_and_changes_no_action() -> None:
--- a/tests/lab/test_load.py
+++ b/tests/lab/test_load.py
@@ -15,7 +15,7 @@
 from pewterring.standalone.http.writer import write_request, write_response
 from pewterring.standalone.policy import interface as i
 from tests.lab.scenarios import small
-from tests.stand_ins import StandIn, run, until
+from tests.standalone.stand_ins import StandIn, run, until
 
 
 def written(path: Path, scenario: schema.Scenario) -> str:
--- a/tests/schedules.py
+++ b/tests/standalone/schedules.py
@@ -15,7 +15,7 @@
 from pewterring.standalone.policy import interface as i
 from pewterring.standalone.policy.decisions import Gatekeeper
 from pewterring.standalone.proxy.service import Service
-from tests.stand_ins import Rig, StandIn, Talk, as_json, asking, entry, until
+from tests.standalone.stand_ins import Rig, StandIn, Talk, as_json, asking, entry, until
 from tests.transport import virtual_time
 
 WORKERS, REQUESTS, LEAVING, DAY_S = 3, 300, 75, 1.5
--- a/tests/stand_ins.py
+++ b/tests/standalone/stand_ins.py
@@ -22,7 +22,7 @@
 from pewterring.standalone.proxy.gateway import Module
 from pewterring.standalone.proxy.service import Service
 from pewterring.standalone.settings import Transport
-from tests.helpers import settings
+from tests.standalone.helpers import settings
 
 PATIENCE = 20.0  # for events that must come; no test measures it
 OK = write_response(200, [(b"content-type", b"text/plain")], b"served")
--- a/tests/test_accounts.py
+++ b/tests/standalone/test_accounts.py
@@ -9,7 +9,7 @@
 from pewterring.standalone.peer_messages import Ask, Back, Grant, read_ask
 from pewterring.standalone.policy import interface as i
 from pewterring.standalone.policy.decisions import TICK, WAIT
-from tests.helpers import DEADLINE, PLANS, Drive, finals, settings
+from tests.standalone.helpers import DEADLINE, PLANS, Drive, finals, settings
 
 FLEET, SIZE = 40, 30  # of gatekeepers; of the customer's set, from number 0 on
 PLAN = i.Plan("steady", refill=10.0, depth=20.0)
--- a/tests/test_answers.py
+++ b/tests/standalone/test_answers.py
@@ -3,7 +3,7 @@
 import pytest
 
 from pewterring.standalone.policy import interface as i
-from tests.helpers import DEADLINE, LIMITS, SERVERS, Drive, finals, sends, server, settings
+from tests.standalone.helpers import DEADLINE, LIMITS, SERVERS, Drive, finals, sends, server, settings
 
 MAY_HAVE_RUN = [i.Code.INTERNAL, i.Code.DEADLINE_EXCEEDED, i.Code.ABORTED, i.Code.CANCELLED]
 NEVER_RAN = [i.Code.RESOURCE_EXHAUSTED, i.Code.UNAVAILABLE, i.Code.TOO_LATE]
--- a/tests/test_belief.py
+++ b/tests/standalone/test_belief.py
@@ -7,8 +7,8 @@
 from pewterring.standalone.network.connection import Address
 from pewterring.standalone.policy import interface as i
 from pewterring.standalone.policy.decisions import Gatekeeper
-from tests.helpers import LIMITS, settings
-from tests.stand_ins import OK, Rig, StandIn, Talk, asking, entry, listing, run, until
+from tests.standalone.helpers import LIMITS, settings
+from tests.standalone.stand_ins import OK, Rig, StandIn, Talk, asking, entry, listing, run, until
 
 
 class Worker(StandIn):
--- a/tests/test_ceiling.py
+++ b/tests/standalone/test_ceiling.py
@@ -4,7 +4,7 @@
 
 from pewterring.admission.ceiling import Ceiling
 from pewterring.standalone.policy import interface as i
-from tests.helpers import CLASSES, SERVERS, Drive
+from tests.standalone.helpers import CLASSES, SERVERS, Drive
 
 PURE = CLASSES["pure"]
 
--- a/tests/test_discovery.py
+++ b/tests/standalone/test_discovery.py
@@ -16,7 +16,7 @@
 from pewterring.standalone.network.workers import Target
 from pewterring.standalone.policy import interface as i
 from pewterring.standalone.proxy.directory import Directory
-from tests.stand_ins import Rig, Script, StandIn, Talk, as_json, entry, listing, run, until
+from tests.standalone.stand_ins import Rig, Script, StandIn, Talk, as_json, entry, listing, run, until
 
 A, B, C = (Address("127.0.0.1", n) for n in (9001, 9002, 9003))
 WATCH, AT_ONCE = b"/v1/servers?index=%d&wait=2000", b"/v1/servers?index=%d&wait=0"
--- a/tests/test_fleet.py
+++ b/tests/standalone/test_fleet.py
@@ -6,7 +6,7 @@
 import pytest
 
 from pewterring.standalone.policy import interface as i
-from tests.helpers import RULES, SERVERS, Drive, sends, server, settings
+from tests.standalone.helpers import RULES, SERVERS, Drive, sends, server, settings
 
 
 def shares_of(
--- a/tests/test_gateway.py
+++ b/tests/standalone/test_gateway.py
@@ -15,8 +15,8 @@
 from pewterring.standalone.policy import interface as i
 from pewterring.standalone.policy.decisions import Gatekeeper
 from pewterring.standalone.settings import Transport
-from tests.helpers import DEADLINE
-from tests.stand_ins import (
+from tests.standalone.helpers import DEADLINE
+from tests.standalone.stand_ins import (
     OK,
     PATH,
     PATIENCE,
--- a/tests/test_health.py
+++ b/tests/standalone/test_health.py
@@ -6,7 +6,7 @@
 
 from pewterring.standalone.policy import interface as i
 from pewterring.standalone.policy.decisions import LOOK
-from tests.helpers import LIMITS, Drive, sends, server, settings
+from tests.standalone.helpers import LIMITS, Drive, sends, server, settings
 
 ONE = (server(1), server(3))
 
--- a/tests/test_quota.py
+++ b/tests/standalone/test_quota.py
@@ -9,7 +9,7 @@
 from pewterring.standalone.peer_messages import BEAT_FORM, NEWS_FORM, number
 from pewterring.standalone.policy import interface as i
 from pewterring.standalone.policy.decisions import Quota
-from tests.helpers import LIMITS, PLANS, Drive, sends, settings
+from tests.standalone.helpers import LIMITS, PLANS, Drive, sends, settings
 
 SMALL = PLANS["small"]
 
--- a/tests/test_races.py
+++ b/tests/standalone/test_races.py
@@ -17,8 +17,8 @@
 from pewterring.standalone.policy.decisions import Gatekeeper
 from pewterring.standalone.proxy import gateway as gateway_module
 from pewterring.standalone.proxy import service as service_module
-from tests.helpers import CLASSES, LIMITS, settings
-from tests.stand_ins import (
+from tests.standalone.helpers import CLASSES, LIMITS, settings
+from tests.standalone.stand_ins import (
     OK,
     Caller,
     Rig,
--- a/tests/test_rules.py
+++ b/tests/standalone/test_rules.py
@@ -7,7 +7,7 @@
 
 from pewterring.standalone.policy import interface as i
 from pewterring.standalone.policy.decisions import WAIT, Gatekeeper
-from tests.helpers import CLASSES, DEADLINE, LIMITS, PLANS, SERVERS, server, settings
+from tests.standalone.helpers import CLASSES, DEADLINE, LIMITS, PLANS, SERVERS, server, settings
 
 CODES = list(i.Code)
 STEP = 0.1  # the clock of these tests moves on by so much at most
--- a/tests/test_schedules.py
+++ b/tests/standalone/test_schedules.py
@@ -1,4 +1,4 @@
-"""The whole program under seeded schedules of all that can end at a wrong instant (tests/schedules.py)."""
+"""The whole program under seeded schedules of all that can end at a wrong instant (see `schedules`)."""
 
 from collections.abc import Callable
 from dataclasses import replace
@@ -9,7 +9,7 @@
 from pewterring.standalone.policy import interface as i
 from pewterring.standalone.policy.decisions import Fleet
 from pewterring.standalone.proxy.service import Service
-from tests.schedules import BARE, FREE, played
+from tests.standalone.schedules import BARE, FREE, played
 
 SEEDS = range(1, 7)
 
--- a/tests/test_service.py
+++ b/tests/standalone/test_service.py
@@ -26,8 +26,8 @@
 from pewterring.standalone.policy import interface as i
 from pewterring.standalone.proxy import service as service_module
 from pewterring.standalone.settings import FieldError, Fields, flatten, read_json, read_settings
-from tests.helpers import DEADLINE
-from tests.stand_ins import (
+from tests.standalone.helpers import DEADLINE
+from tests.standalone.stand_ins import (
     OK,
     Caller,
     Quiet,
@@ -44,7 +44,7 @@
     until,
 )
 
-ROOT = Path(__file__).resolve().parent.parent
+ROOT = Path(__file__).resolve().parents[2]
 HEALTH = b"GET /healthz HTTP/1.1\r\n\r\n"
 SETTINGS: dict[str, Any] = {
     "me": 1, "fleet_size": 3, "az": "a", "discovery": "push",
--- a/tests/test_shares.py
+++ b/tests/standalone/test_shares.py
@@ -8,7 +8,7 @@
 from pewterring.admission.shares import LEASE_S, Shares
 from pewterring.standalone.peer_messages import BEAT_FORM
 from pewterring.standalone.policy import interface as i
-from tests.helpers import Drive, settings
+from tests.standalone.helpers import Drive, settings
 
 
 def beat(incarnation: int, sequence: int, limit: float = 30.0, out: int = 0, share: float = 10.0) -> bytes:
--- a/tests/test_sparse.py
+++ b/tests/standalone/test_sparse.py
@@ -8,7 +8,7 @@
 from pewterring.standalone.peer_messages import BEAT, Beat, write_beat
 from pewterring.standalone.policy import interface as i
 from pewterring.standalone.policy.decisions import Fleet
-from tests.helpers import CLASSES, SERVERS, Drive, sends, server, settings
+from tests.standalone.helpers import CLASSES, SERVERS, Drive, sends, server, settings
 
 FLEET = 300
 
--- a/tests/test_switch.py
+++ b/tests/standalone/test_switch.py
@@ -16,9 +16,9 @@
 from pewterring.standalone.policy.decisions import TICK, Gatekeeper
 from pewterring.standalone.proxy.service import Service
 from pewterring.standalone.proxy.switch import FOLLOWS, renew
-from tests.helpers import CLASSES, PLANS, Drive, sends, settings
-from tests.stand_ins import OK, Caller, Quiet, StandIn, Talk, asking, entry, listing, run, until
-from tests.test_service import SETTINGS, configured
+from tests.standalone.helpers import CLASSES, PLANS, Drive, sends, settings
+from tests.standalone.stand_ins import OK, Caller, Quiet, StandIn, Talk, asking, entry, listing, run, until
+from tests.standalone.test_service import SETTINGS, configured
 
 ONCE = {"name": "once", "objective": 1_200_000_000, "deadline": 4_000_000_000, "effect": "side_effect"}
 OLD: dict[str, Any] = SETTINGS | {
--- a/tests/test_trace.py
+++ b/tests/standalone/test_trace.py
@@ -14,7 +14,7 @@
 
 from pewterring.standalone.policy import interface as i
 from pewterring.standalone.policy.decisions import Fleet, Gatekeeper
-from tests.helpers import SERVERS, settings
+from tests.standalone.helpers import SERVERS, settings
 
 RECORDED = "03d1114c8e4b97ed2b8f35b6c2f3870070b6f2aa3e3b6cbcadb2760bfff31c18"
 
--- a/tests/test_wire.py
+++ b/tests/standalone/test_wire.py
@@ -14,7 +14,7 @@
 from pewterring.standalone.simulator.__main__ import serve
 from tests import limits
 
-ROOT = Path(__file__).resolve().parent.parent
+ROOT = Path(__file__).resolve().parents[2]
 INIT = (
     "init\twho=gatekeeper_{n}\tsalt=12345\taz=floor-2\tdiscovery=push\tfleet_size=2\tme={n}"
     "\tguarantees.cold=17000000000\tguarantees.cold_share=0.2\tguarantees.fall_multiple=2.5"
--- a/tests/test_workers.py
+++ b/tests/standalone/test_workers.py
@@ -15,7 +15,7 @@
 from pewterring.standalone.network.ending import CODES, Ending, of_answer
 from pewterring.standalone.network.workers import Exchange, Pool, Target, WorkerConnection
 from pewterring.standalone.policy.interface import NEVER_RAN, Code
-from tests.stand_ins import OK, StandIn, Talk, asking, rested, run, until
+from tests.standalone.stand_ins import OK, StandIn, Talk, asking, rested, run, until
 
 
 class Ends:
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -19,7 +19,7 @@
 import orjson
 import pytest
 
-from tests.stand_ins import PATIENCE, asking
+from tests.standalone.stand_ins import PATIENCE, asking
 
 ROOT = Path(__file__).resolve().parent.parent
 pytestmark = pytest.mark.skipif(not Path("/proc/self/maps").exists(), reason="reads /proc")
--- a/tests/test_examples.py
+++ b/tests/test_examples.py
@@ -11,7 +11,7 @@
 from pewterring.node.settings import read_report
 from pewterring.standalone.config import load
 from pewterring.standalone.network.connection import read_address
-from tests.stand_ins import Caller, asking, run
+from tests.standalone.stand_ins import Caller, asking, run
 
 ROOT = Path(__file__).resolve().parent.parent
 
