--- a/tests/golden/generate_surfaces.py
+++ b/tests/golden/generate_surfaces.py
@@ -9,12 +9,17 @@
 
 import sys
 from collections.abc import Callable, Mapping, Sequence
+from functools import partial
 
-from tests.golden import datagram_cases
+from tests.golden import datagram_cases, settings_cases
 from tests.golden.golden_files import hex_lines, write_new
 
 FILES: Mapping[str, Callable[[], str]] = {
     datagram_cases.GOLDEN_FILE: lambda: hex_lines(datagram_cases.encoded()),
+    settings_cases.NODE_KEYS_FILE: settings_cases.node_keys,
+    settings_cases.VARIABLES_FILE: settings_cases.environment_variables,
+    settings_cases.CONFIGURATION_KEYS_FILE: settings_cases.configuration_keys,
+    **{name: partial(settings_cases.deployment_keys, name) for name in settings_cases.DEPLOYMENT_FILES},
 }
 
 
