--- /dev/null
+++ b/tests/golden/request_log_cases.py
@@ -0,0 +1,39 @@
+"""Log lines of single requests: one for each reason, and one with every field set."""
+
+import msgspec
+
+from pewterring.observability.request_log import LINE_FORMAT, REQUEST_EVENT, Reason, RequestLine
+
+GOLDEN_FILE = "request-log.txt"
+FULL_LINE = RequestLine(
+    format=LINE_FORMAT,
+    request="7",
+    route="chat",
+    reason=Reason.WORKER_FAILED,
+    status=502,
+    aim_s=0.25,
+    tokens=5000,
+    to_read=400,
+    admitted_s=0.01,
+    sent_s=0.02,
+    waiting_s=0.03,
+    first_s=0.5,
+    end_s=1.5,
+    pause_s=0.125,
+    attempts=2,
+    worker="w1",
+    out=3,
+    failure="reset",
+)
+LINES = [FULL_LINE, *(RequestLine(LINE_FORMAT, str(n), "code", reason) for n, reason in enumerate(Reason))]
+
+
+def encoded() -> str:
+    """The lines as JSON, with the name of their event before them."""
+    return "".join(f"{REQUEST_EVENT} {msgspec.json.encode(line).decode()}\n" for line in LINES)
+
+
+def decoded(text: str) -> list[RequestLine]:
+    """The lines that `encoded` made."""
+    prefix = f"{REQUEST_EVENT} "
+    return [msgspec.json.decode(line.removeprefix(prefix), type=RequestLine) for line in text.splitlines()]
