--- /dev/null
+++ b/tests/golden/control_http_cases.py
@@ -0,0 +1,114 @@
+"""HTTP calls of operators and workers at control, and the answers; all without sockets.
+
+This is the one place where control is built: one machine that leads and commits at once.
+"""
+
+import asyncio
+
+from pewterring.control.api import ControlApi
+from pewterring.control.commands import EndRetirement, PutNodes
+from pewterring.control.http_server import LIMITS
+from pewterring.distribution.messages import NodeRecord
+from pewterring.transport.http_request import RequestReader
+from pewterring.transport.http_responder import Responder
+from tests.control.records import apply, store
+from tests.control.test_service import Machine
+from tests.golden.golden_files import DIRECTORY
+from tests.golden.http_transcripts import Transcript
+from tests.transport.http_stand_ins import AnswerTaker
+
+INPUTS = DIRECTORY / "inputs"
+STORES = 4
+CONFIGURATION = (INPUTS / "configuration.json").read_bytes()
+PATCH = (INPUTS / "patch.json").read_bytes()
+UNKNOWN_SERVICE = (
+    b'{"version":1,"routes":[{"hostname":"h","path_prefix":"/","route_type":"idempotent","backend":"x"}],'
+    b'"backends":[]}'
+)
+HEARTBEAT = (
+    b'{"backend":"large","address":"10.1.0.50:8080","zone":"a","version":"2","capacity":48,"state":"ready",'
+    b'"cold_remaining_ms":1.5,"stage":"warm","models":[{"name":"m","version":2}],"sequence":4}'
+)
+
+
+def _call(line: str, body: bytes = b"", base_version: str = "") -> bytes:
+    headers = f"Base-Version: {base_version}\r\n" if base_version else ""
+    length = f"Content-Length: {len(body)}\r\n" if body else ""
+    return f"{line} HTTP/1.1\r\nHost: h\r\n{headers}{length}\r\n".encode() + body
+
+
+# Each conversation by name: its calls in order, all at the same machine.
+CASES: dict[str, tuple[bytes, ...]] = {
+    "configuration": (
+        _call("GET /v1/Config.Get"),
+        _call("POST /v1/Config.Replace", CONFIGURATION, "0"),
+        _call("GET /v1/Config.Get"),
+        _call("POST /v1/Config.Update", PATCH, "9"),
+        _call("GET /v1/Config.Get"),
+    ),
+    "configuration-refused": (
+        _call("POST /v1/Config.Replace", CONFIGURATION, "x"),
+        _call("POST /v1/Config.Replace", CONFIGURATION, "9"),
+        _call("POST /v1/Config.Replace", UNKNOWN_SERVICE, "0"),
+        _call("POST /v1/Config.Replace", CONFIGURATION, "3"),
+    ),
+    "workers": (
+        _call("POST /v1/Instances.Heartbeat/w1", HEARTBEAT),
+        _call("GET /v1/Tier.Status"),
+        _call("POST /v1/Instances.Heartbeat/w1", HEARTBEAT.replace(b":8080", b"")),
+        _call("POST /v1/Instances.Deregister/w1"),
+        _call("GET /v1/Tier.Status"),
+        _call("POST /v1/Instances.Heartbeat/", HEARTBEAT),
+    ),
+    "retirement": (
+        _call("GET /v1/Retire.Get/store-1"),
+        _call("POST /v1/Retire.Start/store-1", b'{"duration_s":10}'),
+        _call("GET /v1/Retire.Get/store-1"),
+        _call("POST /v1/Retire.Start/store-2"),
+        _call("POST /v1/Retire.Start/store-9"),
+        _call("GET /v1/Tier.Status"),
+    ),
+    "unknown-paths": (_call("GET /v1/Other"), _call("GET /v1/Config.Replace"), _call("POST /v1/Config.Get")),
+}
+
+
+def _machine() -> Machine:
+    machine = Machine()
+    stores: tuple[NodeRecord, ...] = tuple(store(number) for number in range(1, STORES + 1))
+    apply(machine.state, PutNodes(stores))
+    for record in stores:
+        machine.nodes.records[record.node_id] = record
+    return machine
+
+
+async def _answer(machine: Machine, call: bytes) -> bytes:
+    request = RequestReader(LIMITS, 0.0).feed(call)
+    assert request is not None, "not a whole request"
+    taker = AnswerTaker()
+    await ControlApi(machine.router.answer)(request, Responder(taker, request))
+    return taker.answer
+
+
+async def _play(calls: tuple[bytes, ...]) -> str:
+    machine, transcript = _machine(), Transcript()
+    for call in calls:
+        transcript.add("request", call)
+        transcript.add("answer", await _answer(machine, call))
+    return transcript.text()
+
+
+def transcript(name: str) -> str:
+    """One conversation."""
+    return asyncio.run(_play(CASES[name]))
+
+
+def ended_retirement() -> str:
+    """What is answered after a retirement has ended."""
+    machine = _machine()
+    call = _call("GET /v1/Retire.Get/store-1")
+    asyncio.run(_answer(machine, _call("POST /v1/Retire.Start/store-1")))
+    apply(machine.state, EndRetirement("store-1"))
+    transcript = Transcript()
+    transcript.add("request", call)
+    transcript.add("answer", asyncio.run(_answer(machine, call)))
+    return transcript.text()
--- a/tests/golden/generate_surfaces.py
+++ b/tests/golden/generate_surfaces.py
@@ -16,6 +16,7 @@
 from tests.golden import (
     command_line_cases,
     datagram_cases,
+    http_files,
     metric_cases,
     request_log_cases,
     settings_cases,
@@ -39,6 +40,7 @@
     metric_cases.GOLDEN_FILE: metric_cases.names_and_labels,
     metric_cases.TEXT_FILE: metric_cases.exposed,
     request_log_cases.GOLDEN_FILE: request_log_cases.encoded,
+    **http_files.TRANSCRIPTS,
     command_line_cases.OPTIONS_FILE: command_line_cases.options,
     command_line_cases.STATUSES_FILE: command_line_cases.statuses,
     **{name: partial(_printed, arguments) for name, arguments in command_line_cases.OUTPUTS.items()},
