--- a/tests/gateway/gateway.py
+++ b/tests/gateway/gateway.py
@@ -2,6 +2,7 @@
 
 import asyncio
 import contextlib
+import math
 import random
 from collections.abc import AsyncIterator, Awaitable, Callable
 from dataclasses import dataclass, field, replace
@@ -16,6 +17,7 @@
 )
 from pewterring.distribution.messages import WorkerRecord
 from pewterring.distribution.tables import Tables
+from pewterring.gateway.batch_calls import BatchCalls
 from pewterring.gateway.program import GatewayProgram
 from pewterring.node.settings import Address, Bounds, NodeSettings
 from pewterring.transport.http_client import WorkerPool
@@ -84,6 +86,29 @@
     def port(self) -> int:
         return self.program._front.port
 
+    @property
+    def ready_port(self) -> int:
+        """The port of readiness and metrics."""
+        return self.program._ready.port
+
+    def age_tables(self) -> None:
+        """From now on control has not confirmed the tables for ever."""
+        self.program._feed._follower.confirmed_at = -math.inf
+
+    def take_room(self, service: str) -> None:
+        """Takes all room that admission leaves for requests to a service."""
+        admission = self.program._admissions.of(service)
+        while admission.acquire(0):
+            pass
+
+    def begin_drain(self, began: float, grace_s: float) -> None:
+        """The end of the process has begun at a time of its clock."""
+        self.program._drain.begin(began, grace_s)
+
+    def take_batch_calls(self, calls: BatchCalls) -> None:
+        """Replaces what carries batch calls to stores."""
+        self.program._batch = calls
+
     async def start(self, behaviours: tuple[Behaviour, ...]) -> None:
         for number, behaviour in enumerate(behaviours):
             server = HttpServer(self._worker(behaviour), lambda: LIMITS, now)
--- a/tests/golden/command_line_cases.py
+++ b/tests/golden/command_line_cases.py
@@ -120,14 +120,14 @@
 def cluster_status(*options: str) -> str:
     """What `cluster status` prints of the answer that control gives with `TIER_STATUS`."""
     answer = (200, msgspec.json.encode(TIER_STATUS))
-    with mock.patch.object(cluster, "_get", lambda address, path, timeout_s: answer):
+    with mock.patch.object(cluster, "_get", return_value=answer):
         return printed(("cluster", "status", "--control", "127.0.0.1:1", *options), Path())
 
 
 def _arguments(parser: argparse.ArgumentParser, path: str) -> Iterator[str]:
     """Each option and argument of a command with what it takes, then those of its sub-commands."""
-    for action in parser._actions:
-        if isinstance(action, argparse._SubParsersAction):
+    for action in parser._actions:  # noqa: SLF001 - argparse has no public list of them
+        if isinstance(action.choices, dict):
             for name, inner in action.choices.items():
                 yield f"{path} {name}"
                 yield from _arguments(inner, f"{path} {name}")
--- a/tests/golden/datagram_cases.py
+++ b/tests/golden/datagram_cases.py
@@ -157,7 +157,7 @@
     plan = make_plan(speakers)
     own, other = (plan.groups[plan.group_of[ip]] for ip in ("10.1.0.1", "10.2.0.1"))
     relay = own.relays[0]
-    exchange = RelayExchange(relay, INCARNATION, lambda number, totals: None)
+    exchange = RelayExchange(relay, INCARNATION, lambda *_: None)
     exchange.plan = plan
     heartbeat = datagram.write_heartbeat(datagram.GATEWAY, {0x01020304: peers.write_beat(BEAT)})
     digest = _only(
--- a/tests/golden/gateway_http_cases.py
+++ b/tests/golden/gateway_http_cases.py
@@ -4,7 +4,6 @@
 """
 
 import asyncio
-import math
 import random
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
@@ -71,18 +70,13 @@
     gateway: Gateway
     transcript: Transcript
 
-    @property
-    def program(self) -> GatewayProgram:
-        """The program itself."""
-        return self.gateway.program
-
     async def ask(self, request: bytes) -> None:
         """A request of a client."""
         await ask(self.transcript, self.gateway.port, request)
 
     async def ask_readiness(self, request: bytes) -> None:
         """A request at the address of readiness and metrics."""
-        await ask(self.transcript, self.program._ready.port, request)
+        await ask(self.transcript, self.gateway.ready_port, request)
 
 
 Story = Callable[[Played], Awaitable[None]]
@@ -129,21 +123,19 @@
 
 async def _with_old_tables(played: Played) -> None:
     played.gateway.configure()
-    played.program._feed._follower.confirmed_at = -math.inf
+    played.gateway.age_tables()
     await played.ask(_request("GET /nowhere"))
 
 
 async def _without_room(played: Played) -> None:
     played.gateway.configure()
-    admission = played.program._admissions.of("s")
-    while admission.acquire(0.0):
-        pass
+    played.gateway.take_room("s")
     await played.ask(LIVE)
 
 
 async def _draining(played: Played) -> None:
     played.gateway.configure()
-    played.program._drain.begin(-1000.0, 1.0)
+    played.gateway.begin_drain(-1000.0, 1.0)
     await played.ask(LIVE)
     await played.ask(_request("POST /jobs/1", "", ITEMS))
 
@@ -155,7 +147,7 @@
         self.reply = reply
         self.now = 0.0
 
-    async def request(self, ip: str, message: msgspec.Struct, timeout_s: float) -> msgspec.Struct:
+    async def request(self, _ip: str, message: msgspec.Struct, _timeout_s: float) -> msgspec.Struct:
         """Answers as `reply` says."""
         self.now += CALL_S
         return self.reply(message)
@@ -166,17 +158,21 @@
         played.gateway.configure()
         links = _Links(reply)
         store = NodeRecord("s1", "store", "10.0.0.1", "z", "life", "10.0.0.1#m")
-        played.program._batch = BatchCalls(
-            cast(LinkPool, links), lambda: Tables(nodes=(store,)), random.Random(1), lambda: links.now
-        )
+        tables = Tables(nodes=(store,))
+        calls = BatchCalls(cast(LinkPool, links), lambda: tables, random.Random(1), lambda: links.now)
+        played.gateway.take_batch_calls(calls)
         for request in requests:
             await played.ask(request)
 
     return story
 
 
+def _told(answer: msgspec.Struct) -> Reply:
+    return lambda _message: answer
+
+
 def _raise(error: Exception) -> Reply:
-    def reply(message: msgspec.Struct) -> msgspec.Struct:
+    def reply(_message: msgspec.Struct) -> msgspec.Struct:
         raise error
 
     return reply
@@ -221,25 +217,25 @@
         ),
         (),
     ),
-    "batch-submitted": (_batch(lambda message: batch.JobAccepted(), SUBMIT), ()),
-    "batch-quota-full": (_batch(lambda message: batch.JobRefused(True, 1.5), SUBMIT), ()),
-    "batch-not-taken": (_batch(lambda message: batch.JobRefused(False, 0.25), SUBMIT), ()),
+    "batch-submitted": (_batch(_told(batch.JobAccepted()), SUBMIT), ()),
+    "batch-quota-full": (_batch(_told(batch.JobRefused(True, 1.5)), SUBMIT), ()),
+    "batch-not-taken": (_batch(_told(batch.JobRefused(False, 0.25)), SUBMIT), ()),
     "batch-bad-submission": (
         _batch(
-            lambda message: batch.JobAccepted(),
+            _told(batch.JobAccepted()),
             _request("POST /jobs/1", "", TWICE),
             b"POST /jobs/1 HTTP/1.1\r\nHost: h\r\nConnection: close\r\nContent-Length: 0\r\n\r\n",
         ),
         (),
     ),
-    "batch-results": (_batch(lambda message: RESULTS, PAGE), ()),
+    "batch-results": (_batch(_told(RESULTS), PAGE), ()),
     "batch-results-from-no-position": (
-        _batch(lambda message: RESULTS, _request("GET /v1/lots/j?after=x")),
+        _batch(_told(RESULTS), _request("GET /v1/lots/j?after=x")),
         (),
     ),
-    "batch-item": (_batch(lambda message: batch.ItemBody("q83v"), ITEM), ()),
-    "batch-ended": (_batch(lambda message: batch.JobEnded(), END), ()),
-    "batch-unknown": (_batch(lambda message: batch.Unknown(), PAGE, ITEM, END), ()),
+    "batch-item": (_batch(_told(batch.ItemBody("q83v")), ITEM), ()),
+    "batch-ended": (_batch(_told(batch.JobEnded()), END), ()),
+    "batch-unknown": (_batch(_told(batch.Unknown()), PAGE, ITEM, END), ()),
     "batch-no-store-asked": (_batch(_raise(RequestNotSent("down")), SUBMIT, PAGE, ITEM, END), ()),
     "batch-no-store-sure": (_batch(_raise(TransportError("lost")), SUBMIT, PAGE, ITEM, END), ()),
 }
--- a/tests/golden/generate_surfaces.py
+++ b/tests/golden/generate_surfaces.py
@@ -20,6 +20,7 @@
     metric_cases,
     request_log_cases,
     settings_cases,
+    simulator_wire_cases,
 )
 from tests.golden.golden_files import hex_lines, write_new
 
@@ -41,6 +42,7 @@
     metric_cases.TEXT_FILE: metric_cases.exposed,
     request_log_cases.GOLDEN_FILE: request_log_cases.encoded,
     **http_files.TRANSCRIPTS,
+    simulator_wire_cases.GOLDEN_FILE: simulator_wire_cases.written,
     command_line_cases.OPTIONS_FILE: command_line_cases.options,
     command_line_cases.STATUSES_FILE: command_line_cases.statuses,
     **{name: partial(_printed, arguments) for name, arguments in command_line_cases.OUTPUTS.items()},
--- a/tests/golden/standalone_http_cases.py
+++ b/tests/golden/standalone_http_cases.py
@@ -99,7 +99,7 @@
     answers = [_json_answer(WHOLE_LIST), _json_answer(CHANGE)]
     async with asyncio.timeout(PATIENCE), RecordingWorker(transcript, answers) as agent:
         address = Address(IP, await agent.listen())
-        discovery = Discovery(asyncio.get_running_loop(), address, told.put_nowait, lambda why: None)
+        discovery = Discovery(asyncio.get_running_loop(), address, told.put_nowait, lambda _: None)
         discovery.start(None)
         listings = [await told.get() for _ in answers]
         said = transcript.text()
