--- a/tests/gateway/gateway.py
+++ b/tests/gateway/gateway.py
@@ -10,6 +10,7 @@
 from pewterring.configuration.model import (
     ClientLimits,
     Configuration,
+    Engine,
     Route,
     RouteType,
     Service,
@@ -20,6 +21,7 @@
 from pewterring.gateway.batch_calls import BatchCalls
 from pewterring.gateway.program import GatewayProgram
 from pewterring.node.settings import Address, Bounds, NodeSettings
+from pewterring.routing.prompt import Prompt
 from pewterring.transport.http_client import WorkerPool
 from pewterring.transport.http_exchange import SendRequest
 from pewterring.transport.http_fetch import WholeAnswer, fetch
@@ -109,6 +111,12 @@
         """Replaces what carries batch calls to stores."""
         self.program._batch = calls
 
+    def known_of_workers(self, prompt: Prompt) -> list[tuple[int, float]]:
+        """Of each worker how many tokens of a prompt it would have to read, and its load; sorted."""
+        program = self.program
+        states = program._chooser.workers.values()
+        return sorted((state.uncached(prompt), state.load(program._clock())) for state in states)
+
     async def start(self, behaviours: tuple[Behaviour, ...]) -> None:
         for number, behaviour in enumerate(behaviours):
             server = HttpServer(self._worker(behaviour), lambda: LIMITS, now)
@@ -120,12 +128,16 @@
         await self.program._ready.start(IP, 0)
         self.servers += [self.program._front, self.program._ready]
 
-    def configure(self, limits: ClientLimits | None = None) -> None:
+    def configure(self, limits: ClientLimits | None = None, engine: Engine | None = None) -> None:
         """Hands over the tables, as control does; they count as confirmed now."""
         follower = self.program._feed._follower
         old = follower.tables
         configuration = Configuration(
-            1, self.routes, {"s": Service("s", max_connections=20)}, limits or ClientLimits(), b""
+            1,
+            self.routes,
+            {"s": Service("s", max_connections=20, engine=engine)},
+            limits or ClientLimits(),
+            b"",
         )
         follower.tables = Tables(configuration=configuration, workers=self.workers)
         follower.confirmed_at = now()
--- a/tests/golden/gateway_http_cases.py
+++ b/tests/golden/gateway_http_cases.py
@@ -12,11 +12,12 @@
 import msgspec
 
 from pewterring.batch import messages as batch
-from pewterring.configuration.model import ClientLimits, RouteType
+from pewterring.configuration.model import ClientLimits, Engine, RouteType
 from pewterring.distribution.messages import NodeRecord, WorkerRecord
 from pewterring.distribution.tables import Tables
 from pewterring.edge.batch_calls import BatchCalls
 from pewterring.edge.program import GatewayProgram
+from pewterring.routing.prompt import read_prompt
 from pewterring.transport.lines import LinkPool, RequestNotSent, TransportError
 from tests.edge.gateway import Gateway, route, settings
 from tests.golden.http_transcripts import IP, RecordingWorker, Transcript, ask
@@ -56,10 +57,11 @@
 
 LIVE = _request(
     "POST /live/x?q=1",
-    "Request-Timeout-Ms: 4000\r\nPrompt-Prefix: 9c2e41:300,5d07b8:240\r\nToken-Usage: prompt=540\r\n"
+    "Request-Timeout-Ms: 4000\r\nPrompt-Prefix: 9c2e41:300,5d07b8:240\r\nToken-Usage: 540,20\r\n"
     "Expect-Version: 2\r\nModel-Id: m\r\nTarget-Instance: other\r\nX-Own: kept\r\n",
     b"question",
 )
+PROMPT = read_prompt("9c2e41:300,5d07b8:240", "540,20")  # as `LIVE` has it
 STREAM = _request("POST /stream/x", "Request-Timeout-Ms: 4000\r\nAccept: text/event-stream\r\n", b"question")
 
 
@@ -143,20 +145,22 @@
 class _Links:
     """Stands in for the links to stores; the clock moves on with each call."""
 
-    def __init__(self, reply: Reply) -> None:
+    def __init__(self, reply: Reply, transcript: Transcript) -> None:
         self.reply = reply
+        self.transcript = transcript
         self.now = 0.0
 
     async def request(self, _ip: str, message: msgspec.Struct, _timeout_s: float) -> msgspec.Struct:
         """Answers as `reply` says."""
         self.now += CALL_S
+        self.transcript.add("message to the store", msgspec.json.encode(message))
         return self.reply(message)
 
 
 def _batch(reply: Reply, *requests: bytes) -> Story:
     async def story(played: Played) -> None:
         played.gateway.configure()
-        links = _Links(reply)
+        links = _Links(reply, played.transcript)
         store = NodeRecord("s1", "store", "10.0.0.1", "z", "life", "10.0.0.1#m")
         tables = Tables(nodes=(store,))
         calls = BatchCalls(cast(LinkPool, links), lambda: tables, random.Random(1), lambda: links.now)
@@ -197,6 +201,10 @@
         _asked(_request("POST /once/x", "", b"q")),
         (_worker_answer("200 OK", "Request-Id: 7\r\n", b"result"),),
     ),
+    "live-encoded-answer": (
+        _asked(_request("POST /once/x", "", b"q")),
+        (_worker_answer("200 OK", SIGNED + "Content-Encoding: gzip\r\n", b"result"),),
+    ),
     "live-all-declined": (_asked(LIVE), (_worker_answer("429 Full", "Not-Executed: 1\r\n"),) * MOST_SENDS),
     "live-no-worker": (_asked(LIVE), ()),
     "live-no-room": (_without_room, ()),
@@ -241,6 +249,19 @@
 }
 
 
+def known_after_an_answer() -> list[tuple[int, float]]:
+    """What the gateway knows of its workers after one has answered: tokens of `PROMPT` to read, and load."""
+    known: list[tuple[int, float]] = []
+
+    async def story(played: Played) -> None:
+        played.gateway.configure(engine=Engine(capacity=4, kv_tokens=100_000))
+        await played.ask(LIVE)
+        known.extend(played.gateway.known_of_workers(PROMPT))
+
+    asyncio.run(_play(story, CASES["live-answer"][1]))
+    return known
+
+
 def transcript(name: str) -> str:
     """One conversation."""
     story, answers = CASES[name]
--- a/tests/golden/test_channel_lines.py
+++ b/tests/golden/test_channel_lines.py
@@ -14,7 +14,7 @@
     assert cases.written().encode() == b"".join(GOLDEN)
 
 
-@pytest.mark.parametrize(("cluster", "greeting"), zip(("", "blue"), GREETINGS, strict=True))
+@pytest.mark.parametrize(("cluster", "greeting"), list(zip(("", "blue"), GREETINGS, strict=True)))
 def test_the_golden_greeting_is_taken_from_the_same_cluster_alone(cluster: str, greeting: bytes) -> None:
     cases.codec(cluster).check_greeting(greeting)
     with pytest.raises(ForeignPeer):
