--- a/tests/golden/datagram_cases.py
+++ b/tests/golden/datagram_cases.py
@@ -9,13 +9,13 @@
 from functools import partial
 from typing import Any
 
-from pewterring import peer_messages as peers
 from pewterring.admission import datagram, digests
 from pewterring.admission.batch import BatchAdmission
 from pewterring.admission.relay_exchange import RelayExchange
 from pewterring.admission.relay_plan import Speaker, make_plan
 from pewterring.membership import messages as membership
 from pewterring.routing import prompt_hints
+from pewterring.standalone import peer_messages as peers
 
 GOLDEN_FILE = "datagrams.txt"
 INCARNATION = 0x89ABCDEF
--- a/tests/golden/settings_cases.py
+++ b/tests/golden/settings_cases.py
@@ -11,13 +11,13 @@
 
 import orjson
 
-from pewterring import config as standalone
-from pewterring import interface
 from pewterring.configuration import model, patch, reader
-from pewterring.net.connection import Address as StandaloneAddress
-from pewterring.net.discovery import Entry, Listing
 from pewterring.node import keys, settings
-from pewterring.settings import Transport
+from pewterring.standalone import config as standalone
+from pewterring.standalone.network.connection import Address as StandaloneAddress
+from pewterring.standalone.network.discovery import Entry, Listing
+from pewterring.standalone.policy import interface
+from pewterring.standalone.settings import Transport
 from tests.golden.golden_files import DIRECTORY, sorted_lines
 
 ROOT = Path(__file__).resolve().parents[2]
--- a/tests/golden/simulator_wire_cases.py
+++ b/tests/golden/simulator_wire_cases.py
@@ -3,8 +3,8 @@
 This is the one place where events and actions are built.
 """
 
-from pewterring import interface as i
-from pewterring.wire import codec
+from pewterring.standalone.policy import interface as i
+from pewterring.standalone.simulator import codec
 from tests.golden.golden_files import DIRECTORY
 from tests.golden.settings_cases import STANDALONE
 
--- a/tests/golden/standalone_http_cases.py
+++ b/tests/golden/standalone_http_cases.py
@@ -6,9 +6,9 @@
 import asyncio
 from collections.abc import Callable
 
-from pewterring import interface as i
-from pewterring.net.connection import Address
-from pewterring.net.discovery import Discovery, Entry, Listing
+from pewterring.standalone.network.connection import Address
+from pewterring.standalone.network.discovery import Discovery, Entry, Listing
+from pewterring.standalone.policy import interface as i
 from tests.golden.http_transcripts import IP, RecordingWorker, Transcript, ask
 from tests.stand_ins import PATIENCE, Rig, Script, send_to
 
