--- a/tests/golden/gateway_http_cases.py
+++ b/tests/golden/gateway_http_cases.py
@@ -15,11 +15,11 @@
 from pewterring.configuration.model import ClientLimits, Engine, RouteType
 from pewterring.distribution.messages import NodeRecord, WorkerRecord
 from pewterring.distribution.tables import Tables
-from pewterring.edge.batch_calls import BatchCalls
-from pewterring.edge.program import GatewayProgram
+from pewterring.gateway.batch_calls import BatchCalls
+from pewterring.gateway.program import GatewayProgram
 from pewterring.routing.prompt import read_prompt
 from pewterring.transport.lines import LinkPool, RequestNotSent, TransportError
-from tests.edge.gateway import Gateway, route, settings
+from tests.gateway.gateway import Gateway, route, settings
 from tests.golden.http_transcripts import IP, RecordingWorker, Transcript, ask
 
 PATIENCE_S = 20.0
--- a/tests/golden/metric_cases.py
+++ b/tests/golden/metric_cases.py
@@ -7,7 +7,7 @@
 
 from pewterring.admission.service import ServiceAdmission
 from pewterring.distribution.tables import Tables
-from pewterring.edge.metrics import GatewayMetrics, GatewayState
+from pewterring.gateway.metrics import GatewayMetrics, GatewayState
 from pewterring.observability.metrics import CONTENT_TYPE, METRICS_PATH, Family, render
 from tests.golden.golden_files import sorted_lines
 
--- a/tests/golden/standalone_http_cases.py
+++ b/tests/golden/standalone_http_cases.py
@@ -10,7 +10,7 @@
 from pewterring.standalone.network.discovery import Discovery, Entry, Listing
 from pewterring.standalone.policy import interface as i
 from tests.golden.http_transcripts import IP, RecordingWorker, Transcript, ask
-from tests.stand_ins import PATIENCE, Rig, Script, send_to
+from tests.standalone.stand_ins import PATIENCE, Rig, Script, send_to
 
 PATH = "/api/00000000b4d65521"
 HEAD = (
