--- a/pewterring/consensus/following.py
+++ b/pewterring/consensus/follower.py
@@ -5,8 +5,8 @@
 from pewterring.consensus.errors import InvariantBroken
 from pewterring.consensus.log import Log
 from pewterring.consensus.messages import AppendReply, AppendRequest, Entry, SnapshotPart, SnapshotReply
+from pewterring.consensus.snapshot_transfer import SnapshotAssembly
 from pewterring.consensus.state import MemberState
-from pewterring.consensus.transfer import SnapshotAssembly
 from pewterring.consensus.types import Role, Snapshot
 
 
--- a/pewterring/consensus/leading.py
+++ b/pewterring/consensus/leader.py
@@ -8,6 +8,7 @@
 from pewterring.consensus.errors import MembershipRefused
 from pewterring.consensus.farewell import Farewells
 from pewterring.consensus.handover import Handover
+from pewterring.consensus.heartbeat_rounds import Rounds
 from pewterring.consensus.membership import MEMBERS, check_change, encode_membership, majority_value
 from pewterring.consensus.messages import (
     AppendReply,
@@ -19,10 +20,9 @@
     TimeoutNow,
 )
 from pewterring.consensus.replication import Replication
-from pewterring.consensus.rounds import Rounds
 from pewterring.consensus.state import MemberState
 from pewterring.consensus.types import ReadTicket, Role, Snapshot
-from pewterring.consensus.uncommitted import Uncommitted
+from pewterring.consensus.uncommitted_limit import Uncommitted
 
 
 class Leading:
--- a/pewterring/consensus/raft.py
+++ b/pewterring/consensus/raft.py
@@ -12,8 +12,8 @@
 from pewterring.consensus.election import Election
 from pewterring.consensus.errors import NotLeader
 from pewterring.consensus.farewell import Farewell
-from pewterring.consensus.following import Following
-from pewterring.consensus.leading import Leading
+from pewterring.consensus.follower import Following
+from pewterring.consensus.leader import Leading
 from pewterring.consensus.messages import (
     AppendReply,
     AppendRequest,
--- a/pewterring/consensus/replication.py
+++ b/pewterring/consensus/replication.py
@@ -8,7 +8,7 @@
 from pewterring.consensus.errors import InvariantBroken
 from pewterring.consensus.log import Log
 from pewterring.consensus.messages import AppendReply, AppendRequest, Entry, SnapshotPart, SnapshotReply
-from pewterring.consensus.transfer import SnapshotTransfer
+from pewterring.consensus.snapshot_transfer import SnapshotTransfer
 from pewterring.consensus.types import RaftLimits, Snapshot
 
 
--- a/pewterring/consensus/state.py
+++ b/pewterring/consensus/state.py
@@ -8,7 +8,7 @@
 from pewterring.consensus.messages import ConsensusMessage, Entry
 from pewterring.consensus.persistent import HardState, PersistentState
 from pewterring.consensus.types import RaftLimits, RaftTiming, Role
-from pewterring.consensus.unsaved import Unsaved
+from pewterring.consensus.unpersisted import Unsaved
 
 RETRY_PART = (0.25, 0.5)  # of the shortest election time-out: how soon a poll that was not won is repeated
 
--- a/tests/consensus/planned_simulation.py
+++ b/tests/consensus/planned_simulation.py
@@ -15,7 +15,7 @@
 from pewterring.consensus.planner import Candidates, MembershipPlanner, voters_needed
 from pewterring.consensus.raft import Raft
 from pewterring.control.program import TICK_S
-from tests.consensus.parts import TIMING, Member
+from tests.consensus.simulated_members import TIMING, Member
 from tests.consensus.simulation import Simulation
 
 CATCH_UP_S = 4.8
--- a/tests/consensus/breakages.py
+++ b/tests/consensus/raft_breakages.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
-from pewterring.consensus.following import Following
-from pewterring.consensus.leading import Leading
+from pewterring.consensus.follower import Following
+from pewterring.consensus.leader import Leading
 from pewterring.consensus.messages import (
     AppendReply,
     ConsensusMessage,
@@ -17,8 +17,8 @@
 )
 from pewterring.consensus.raft import Raft
 from pewterring.consensus.replication import Replication
+from pewterring.consensus.snapshot_transfer import SnapshotAssembly
 from pewterring.consensus.state import MemberState
-from pewterring.consensus.transfer import SnapshotAssembly
 from pewterring.consensus.types import ReadTicket, Ready, Save, Snapshot
 
 
--- a/tests/consensus/scenarios.py
+++ b/tests/consensus/scenarios.py
@@ -2,7 +2,7 @@
 
 from pewterring.consensus.messages import AppendRequest, ConsensusMessage, SnapshotPart
 from pewterring.consensus.raft import Raft
-from tests.consensus.parts import Violation, Weather
+from tests.consensus.simulated_members import Violation, Weather
 from tests.consensus.simulation import Simulation
 
 NEVER_S = 1000.0
--- a/tests/consensus/schedules.py
+++ b/tests/consensus/schedules.py
@@ -3,7 +3,7 @@
 import random
 
 from pewterring.consensus.raft import Raft
-from tests.consensus.parts import Weather
+from tests.consensus.simulated_members import Weather
 from tests.consensus.simulation import Simulation
 
 
--- a/tests/consensus/simulation.py
+++ b/tests/consensus/simulation.py
@@ -10,7 +10,7 @@
 from pewterring.consensus.raft import Raft
 from pewterring.consensus.types import Ready, Save, Snapshot
 from tests.consensus.memory_storage import MemoryStorage
-from tests.consensus.parts import LIMITS, SNAPSHOT_AFTER, TIMING, Member, Violation, Weather
+from tests.consensus.simulated_members import LIMITS, SNAPSHOT_AFTER, TIMING, Member, Violation, Weather
 
 
 def _encoded(member: Member) -> bytes:
--- a/tests/consensus/test_farewells.py
+++ b/tests/consensus/test_farewells.py
@@ -13,11 +13,11 @@
 from pewterring.consensus.group import ReplicatedGroup
 from pewterring.consensus.messages import AppendReply, ConsensusMessage, Leave, Left, Membership
 from pewterring.consensus.raft import Raft
-from tests.consensus.breakages import IgnoresFarewells, TakesLateFarewells
 from tests.consensus.memory_storage import MemoryStorage
-from tests.consensus.parts import Violation
 from tests.consensus.planned_group import PlannedGroupStandIn
 from tests.consensus.planned_simulation import CATCH_UP_S, PATIENCE_S, PlannedSimulation
+from tests.consensus.raft_breakages import IgnoresFarewells, TakesLateFarewells
+from tests.consensus.simulated_members import Violation
 from tests.consensus.test_group import NAMES, Network, wait_until
 from tests.consensus.test_losses import HALF_S, kinds, tolerated_losses
 from tests.consensus.test_planner import breaks_a_rule, every_group
--- a/tests/consensus/test_handover.py
+++ b/tests/consensus/test_handover.py
@@ -6,10 +6,10 @@
 import pytest
 
 from pewterring.consensus.errors import NotLeader
-from pewterring.consensus.leading import Leading
+from pewterring.consensus.leader import Leading
 from pewterring.consensus.messages import ConsensusMessage, TimeoutNow, VoteRequest
 from pewterring.consensus.raft import Raft
-from tests.consensus.parts import Violation
+from tests.consensus.simulated_members import Violation
 from tests.consensus.simulation import Simulation
 from tests.consensus.test_group import Network, command
 from tests.consensus.virtual_time import run
--- a/tests/consensus/test_leases.py
+++ b/tests/consensus/test_leases.py
@@ -4,12 +4,12 @@
 
 import pytest
 
-from pewterring.consensus.leading import Leading
+from pewterring.consensus.leader import Leading
 from pewterring.consensus.membership import MEMBERS, encode_membership
 from pewterring.consensus.messages import Membership
 from pewterring.consensus.raft import Raft
-from tests.consensus.parts import TIMING, Violation
 from tests.consensus.scenarios import _read_and_write
+from tests.consensus.simulated_members import TIMING, Violation
 from tests.consensus.simulation import Simulation
 
 DRIFT = 0.1  # a clock that runs faster or slower by more than this is not allowed for
--- a/tests/consensus/test_losses.py
+++ b/tests/consensus/test_losses.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from tests.consensus.parts import Violation
 from tests.consensus.planned_simulation import CATCH_UP_S, PlannedSimulation
+from tests.consensus.simulated_members import Violation
 
 HALF_S = CATCH_UP_S / 2
 ROUNDS = 4
--- a/tests/consensus/test_machine.py
+++ b/tests/consensus/test_raft.py
@@ -4,7 +4,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, rule
 
-from tests.consensus.parts import Weather
+from tests.consensus.simulated_members import Weather
 from tests.consensus.simulation import Simulation
 
 NAMES = st.sampled_from("abc")
--- a/tests/consensus/test_transfer.py
+++ b/tests/consensus/test_snapshot_transfer.py
@@ -22,9 +22,9 @@
     SnapshotReply,
 )
 from pewterring.consensus.replication import Flow, Replication
-from pewterring.consensus.transfer import MOST_AHEAD_BYTES, SnapshotAssembly
+from pewterring.consensus.snapshot_transfer import MOST_AHEAD_BYTES, SnapshotAssembly
 from pewterring.consensus.types import RaftLimits, Snapshot
-from tests.consensus.parts import LIMITS, Weather
+from tests.consensus.simulated_members import LIMITS, Weather
 from tests.consensus.simulation import Simulation
 
 MEMBERS = Membership(voters=("a", "b", "c"))
--- a/tests/consensus/test_unsaved.py
+++ b/tests/consensus/test_unpersisted.py
@@ -7,7 +7,7 @@
 from pewterring.consensus.messages import Entry, Membership, SnapshotReply
 from pewterring.consensus.persistent import HardState
 from pewterring.consensus.types import Save, Snapshot
-from pewterring.consensus.unsaved import Unsaved
+from pewterring.consensus.unpersisted import Unsaved
 
 HARD = HardState(2, "a")
 SNAPSHOT = Snapshot(20, 2, Membership(("a", "b", "c")), b"state")
--- a/tests/simulation/breakages.py
+++ b/tests/simulation/breakages.py
@@ -13,9 +13,9 @@
 from pewterring.batch.messages import JobAccepted, SubmitJob
 from pewterring.batch.service import BatchService, SubmitReply
 from pewterring.configuration.digest import digest_of
-from pewterring.consensus.following import Following
+from pewterring.consensus.follower import Following
 from pewterring.consensus.group import ReplicatedGroup
-from pewterring.consensus.leading import Leading
+from pewterring.consensus.leader import Leading
 from pewterring.consensus.messages import SnapshotPart
 from pewterring.consensus.planner import Candidates, MembershipPlanner
 from pewterring.consensus.state import MemberState
--- a/tests/simulation/watch.py
+++ b/tests/simulation/watch.py
@@ -7,7 +7,7 @@
 from unittest import mock
 
 from pewterring.consensus.group import ReplicatedGroup
-from pewterring.consensus.leading import Leading
+from pewterring.consensus.leader import Leading
 from pewterring.consensus.membership import address_of, encode_membership
 from pewterring.consensus.messages import Entry, Membership
 from pewterring.control.program import GROUP
