--- a/benchmarks/redundancy.py
+++ b/benchmarks/redundancy.py
@@ -42,7 +42,7 @@
 from pewterring.consensus.farewell import LEAVE_PART
 from pewterring.consensus.group import ReplicatedGroup, StateMachine
 from pewterring.consensus.membership import address_of
-from pewterring.consensus.messages import CONSENSUS_MESSAGES, ConsensusMessage, Membership, SnapshotPart
+from pewterring.consensus.messages import CONSENSUS_MESSAGES, ConsensusMessage, Membership, SnapshotChunk
 from pewterring.consensus.persistent import HardState
 from pewterring.consensus.planner import CHANGES_A_CHECK, Candidates, MembershipPlanner, voters_needed
 from pewterring.consensus.types import RaftLimits
@@ -462,7 +462,7 @@
 
 def speeds_here(kind: Kind, state: bytes, given: argparse.Namespace) -> Machine:
     """What the codec and the state machine take on this machine, and the rest as given."""
-    part = SnapshotPart(
+    part = SnapshotChunk(
         group=GROUP,
         sender="a",
         target="b",
@@ -473,7 +473,7 @@
         offset=0,
         total=len(state),
         checksum=1,
-        data=os.urandom(RaftLimits().snapshot_part_bytes),
+        data=os.urandom(RaftLimits().snapshot_chunk_bytes),
         round=1,
     )
     line = CODEC.line(part)
--- a/pewterring/batch/group_log.py
+++ b/pewterring/batch/group_log.py
@@ -2,7 +2,7 @@
 
 from pewterring.batch.commands import Command, Outcome, encode_command
 from pewterring.batch.errors import LeadershipLost, NotTaken, OutcomeUnsure
-from pewterring.consensus.errors import ConsensusError, NotLeader, TooManyUncommitted
+from pewterring.consensus.errors import ConsensusError, NotLeaderError, TooManyUncommittedError
 from pewterring.consensus.group import ReplicatedGroup
 
 
@@ -30,9 +30,9 @@
         """See `PartitionLog`."""
         try:
             outcome = await self._group.propose(encode_command(command))
-        except NotLeader as error:
+        except NotLeaderError as error:
             raise LeadershipLost(str(error)) from error
-        except TooManyUncommitted as error:
+        except TooManyUncommittedError as error:
             raise NotTaken(str(error)) from error
         except ConsensusError as error:
             raise OutcomeUnsure(str(error)) from error
--- a/pewterring/consensus/election.py
+++ b/pewterring/consensus/election.py
@@ -51,20 +51,20 @@
         """Stands without a poll, since the leader of the own term wishes it; later ones change nothing."""
         state = self._state
         if message.term == state.term and state.role is Role.FOLLOWER and self.may_stand:
-            self._stand(now, handed_over=True)
+            self._stand(now, leadership_transferred=True)
 
-    def _stand(self, now: float, handed_over: bool = False) -> None:
+    def _stand(self, now: float, leadership_transferred: bool = False) -> None:
         state = self._state
         state.role = Role.CANDIDATE
         state.leader = None
         state.hard_state = HardState(state.term + 1, state.member)
-        state.heard_round = 0
+        state.last_leader_round = 0
         state.election_at = state.retry_time(now)
         self._poll = Poll(state.term)
-        for request in self._requests(prevote=False, handed_over=handed_over):
-            state.unsaved.hold(request)
+        for request in self._requests(prevote=False, leadership_transferred=leadership_transferred):
+            state.unpersisted.hold(request)
 
-    def _requests(self, prevote: bool, handed_over: bool = False) -> list[VoteRequest]:
+    def _requests(self, prevote: bool, leadership_transferred: bool = False) -> list[VoteRequest]:
         state = self._state
         return [
             VoteRequest(
@@ -75,7 +75,7 @@
                 last_index=state.log.last_index,
                 last_term=state.log.last_term,
                 prevote=prevote,
-                handed_over=handed_over,
+                leadership_transferred=leadership_transferred,
             )
             for voter in state.voters
             if voter != state.member
@@ -90,10 +90,10 @@
             return False
         return True
 
-    def on_saved(self, now: float) -> bool:
+    def on_persisted(self, now: float) -> bool:
         """Counts the own vote once it is on disk; True if that makes this member the leader."""
         state = self._state
-        if state.role is not Role.CANDIDATE or not state.unsaved.is_saved(state.hard_state):
+        if state.role is not Role.CANDIDATE or not state.unpersisted.is_persisted(state.hard_state):
             return False
         return self._count(now, state.member)
 
@@ -115,7 +115,7 @@
         A request that was handed over follows a lease given up; one that comes late, in a later term,
         gets no vote by its term.
         """
-        if request.handed_over:
+        if request.leadership_transferred:
             return False
         return self._state.role is Role.LEADER or now < self._state.vote_free_at
 
@@ -149,7 +149,7 @@
 
     def _reply(self, request: VoteRequest, granted: bool, term: int) -> None:
         state = self._state
-        state.send_when_saved(
+        state.send_when_persisted(
             VoteReply(
                 group=state.group,
                 sender=state.member,
--- a/pewterring/consensus/farewell.py
+++ b/pewterring/consensus/farewell.py
@@ -5,11 +5,11 @@
 while. It is a voter like any other until then. Where nobody can take its place nothing changes.
 
 A farewell stands in every answer to the leader while the process lives, so each new leader hears it, and the
-answers of a later life, which do not have it, take it back. `Leave` says it at once, without waiting for the
-next heartbeat, and asks for `Left`: a member that was removed hears no heartbeats.
+answers of a later life, which do not have it, take it back. `DepartureNotice` says it at once, without
+waiting for the next heartbeat, and asks for `DepartureAck`: a member that was removed hears no heartbeats.
 """
 
-from pewterring.consensus.messages import Leave, Left
+from pewterring.consensus.messages import DepartureAck, DepartureNotice
 from pewterring.consensus.state import MemberState
 
 LEAVE_PART = 0.5  # of the grace after SIGTERM: a process waits so long for another to take its vote, at most
@@ -26,18 +26,22 @@
     def say(self) -> None:
         """Tells all voters, since any of them may lead by now; to be said again until it is answered."""
         state = self._state
-        state.leaving = True
+        state.departing = True
         if self._since is None:
-            self._since = (state.term, state.heard_round)
+            self._since = (state.term, state.last_leader_round)
         state.outbox += [
-            Leave(
-                group=state.group, sender=state.member, target=voter, term=state.term, round=state.heard_round
+            DepartureNotice(
+                group=state.group,
+                sender=state.member,
+                target=voter,
+                term=state.term,
+                round=state.last_leader_round,
             )
             for voter in state.voters
             if voter != state.member
         ]
 
-    def on_left(self, message: Left) -> None:
+    def on_left(self, message: DepartureAck) -> None:
         """Takes the answer. One to an earlier life's farewell answers nothing."""
         if self._since is None or message.term < self._since[0]:
             return
--- a/pewterring/consensus/follower.py
+++ b/pewterring/consensus/follower.py
@@ -2,9 +2,9 @@
 
 from dataclasses import dataclass
 
-from pewterring.consensus.errors import InvariantBroken
+from pewterring.consensus.errors import InvariantError
 from pewterring.consensus.log import Log
-from pewterring.consensus.messages import AppendReply, AppendRequest, Entry, SnapshotPart, SnapshotReply
+from pewterring.consensus.messages import AppendReply, AppendRequest, Entry, SnapshotChunk, SnapshotReply
 from pewterring.consensus.snapshot_transfer import SnapshotAssembly
 from pewterring.consensus.state import MemberState
 from pewterring.consensus.types import Role, Snapshot
@@ -49,25 +49,23 @@
     if term is None:
         return Placement(fresh[-1].index, None, fresh)
     if first <= commit:
-        raise InvariantBroken(f"entry {first} is committed with term {term}, and the leader has another")
+        raise InvariantError(f"entry {first} is committed with term {term}, and the leader has another")
     return Placement(fresh[-1].index, first, fresh)
 
 
-class Following:
+class FollowerRole:
     """The part of a member that takes a leader's messages."""
 
     def __init__(self, state: MemberState) -> None:
         self._state = state
         self._assembly = SnapshotAssembly()
 
-    def _hear_leader(self, now: float, request: AppendRequest | SnapshotPart) -> None:
+    def _hear_leader(self, now: float, request: AppendRequest | SnapshotChunk) -> None:
         state = self._state
         if state.role is Role.LEADER and request.term == state.term:
-            raise InvariantBroken(
-                f"{request.sender} leads in term {request.term}, in which this member leads"
-            )
+            raise InvariantError(f"{request.sender} leads in term {request.term}, in which this member leads")
         state.become_follower(now, request.term, request.sender)
-        state.heard_round = max(state.heard_round, request.round)
+        state.last_leader_round = max(state.last_leader_round, request.round)
         state.vote_free_at = now + state.timing.election_min_s
         state.election_at = state.election_time(now)
 
@@ -86,7 +84,7 @@
         agreed = self._accept(request)
         state.commit_index = max(state.commit_index, min(request.commit, agreed))
         # A heartbeat's answer does not wait for the disk: it tells only what is there already.
-        match = agreed if request.entries else min(agreed, state.unsaved.saved_to)
+        match = agreed if request.entries else min(agreed, state.unpersisted.persisted_index)
         self._reply_append(request, True, match, request.round)
 
     def _accept(self, request: AppendRequest) -> int:
@@ -106,11 +104,11 @@
             accepted=accepted,
             match=match,
             round=round_number,
-            leaving=state.leaving,
+            departing=state.departing,
         )
-        state.send_when_saved(reply, match if accepted else 0)
+        state.send_when_persisted(reply, match if accepted else 0)
 
-    def on_snapshot_part(self, now: float, part: SnapshotPart) -> None:
+    def on_snapshot_part(self, now: float, part: SnapshotChunk) -> None:
         """Takes a part of a snapshot, and the snapshot once it is whole."""
         if part.term < self._state.term:
             self._reply_snapshot(part, 0, round_number=0)
@@ -118,7 +116,7 @@
         self._hear_leader(now, part)
         self._reply_snapshot(part, self._take_part(part), part.round)
 
-    def _take_part(self, part: SnapshotPart) -> int:
+    def _take_part(self, part: SnapshotChunk) -> int:
         """How many bytes of the part's snapshot are there; all where it is needed no more."""
         if part.last_index <= self._state.commit_index:
             return part.total
@@ -136,10 +134,10 @@
         if state.log.term_at(snapshot.index) != snapshot.term:
             state.log.reset(snapshot.index, snapshot.term)
             state.members.reset(snapshot.membership)
-            state.unsaved.replaced(snapshot, state.commit_index)
+            state.unpersisted.replaced(snapshot, state.commit_index)
         state.commit_index = snapshot.index
 
-    def _reply_snapshot(self, part: SnapshotPart, received: int, round_number: int) -> None:
+    def _reply_snapshot(self, part: SnapshotChunk, received: int, round_number: int) -> None:
         state = self._state
         reply = SnapshotReply(
             group=state.group,
@@ -150,4 +148,4 @@
             received=received,
             round=round_number,
         )
-        state.send_when_saved(reply, part.last_index if received >= part.total else 0)
+        state.send_when_persisted(reply, part.last_index if received >= part.total else 0)
--- a/pewterring/consensus/group.py
+++ b/pewterring/consensus/group.py
@@ -14,9 +14,9 @@
 
 from loguru import logger
 
-from pewterring.consensus.errors import GroupFailed, OutcomeUnknown, StorageError
+from pewterring.consensus.errors import GroupFailedError, OutcomeUnknownError, StorageError
 from pewterring.consensus.log import entry_size
-from pewterring.consensus.messages import ConsensusMessage, Entry, Leave, Left, Membership
+from pewterring.consensus.messages import ConsensusMessage, DepartureAck, DepartureNotice, Entry, Membership
 from pewterring.consensus.persistent import GroupStorage, LoadedGroup
 from pewterring.consensus.raft import Raft
 from pewterring.consensus.storage_jobs import StorageJobs
@@ -65,7 +65,7 @@
         snapshot_after_bytes: int = SNAPSHOT_AFTER_BYTES,
         on_leadership: Callable[[bool], None] | None = None,
         on_farewell: Callable[[], None] | None = None,
-        on_failure: Callable[[GroupFailed], None] | None = None,
+        on_failure: Callable[[GroupFailedError], None] | None = None,
         executor: Executor | None = None,
     ) -> None:
         self.group = group
@@ -83,7 +83,7 @@
         self._on_failure = on_failure
         self._jobs = StorageJobs(group, executor, after=self._process, fail=self._fail)
         self._raft: Raft | None = None
-        self._failure: GroupFailed | None = None
+        self._failure: GroupFailedError | None = None
         self._stopped = False
         self._waiting = WaitingCalls()
         self._told_term: int | None = (
@@ -100,12 +100,12 @@
     # Life.
 
     async def start(self) -> None:
-        """Reads the storage and takes part in the group; raises `GroupFailed` if that cannot be."""
+        """Reads the storage and takes part in the group; raises `GroupFailedError` if that cannot be."""
         try:
             loaded = await self._jobs.call(self._storage.load)
             self._restore_loaded(loaded)
         except Exception as error:
-            raise GroupFailed(f"group {self.group} cannot start: {error}") from error
+            raise GroupFailedError(f"group {self.group} cannot start: {error}") from error
         self._raft = Raft(
             self.group, self.member, self._timing, self._rng, loaded.state, self._clock(), self._limits
         )
@@ -122,8 +122,8 @@
         self._next_snapshot_bytes = self._snapshot_size(len(loaded.snapshot))
 
     async def stop(self) -> None:
-        """Takes part no longer. A save under way is finished; calls under way end with `OutcomeUnknown`."""
-        self._halt(OutcomeUnknown(f"group {self.group} stops"))
+        """Takes part no longer. A save under way is finished; open calls end with `OutcomeUnknownError`."""
+        self._halt(OutcomeUnknownError(f"group {self.group} stops"))
         await self._jobs.stop()
 
     def _halt(self, error: Exception) -> None:
@@ -139,7 +139,7 @@
     def _fail(self, cause: BaseException) -> None:
         if self._stopped:
             return
-        self._failure = GroupFailed(f"group {self.group} stopped: {type(cause).__name__}: {cause}")
+        self._failure = GroupFailedError(f"group {self.group} stopped: {type(cause).__name__}: {cause}")
         self._failure.__cause__ = cause
         self._halt(self._failure)
         if self._on_failure is not None:
@@ -149,7 +149,7 @@
         if self._failure is not None:
             raise self._failure
         if self._raft is None or self._stopped:
-            raise GroupFailed(f"group {self.group} does not run")
+            raise GroupFailedError(f"group {self.group} does not run")
         return self._raft
 
     # What is known.
@@ -194,9 +194,9 @@
         """Up to which index `member` has the log on disk, as far as this leader knows; 0 elsewhere."""
         return self._raft.match(member) if self._raft is not None else 0
 
-    def silent_s(self, member: str, now: float) -> float:
+    def seconds_since_contact(self, member: str, now: float) -> float:
         """For how long `member` has answered no heartbeat of this leadership; 0 elsewhere."""
-        return self._raft.silent_s(member, now) if self._raft is not None else 0.0
+        return self._raft.seconds_since_contact(member, now) if self._raft is not None else 0.0
 
     def is_leaving(self, member: str) -> bool:
         """Whether `member` has told this leader that its process is about to end; False elsewhere."""
@@ -227,23 +227,23 @@
             self._fail(error)
         else:
             self._schedule()
-            if isinstance(message, Left):
+            if isinstance(message, DepartureAck):
                 self._farewell_answered.set()
-            if isinstance(message, Leave) and self.is_leader and self._on_farewell is not None:
+            if isinstance(message, DepartureNotice) and self.is_leader and self._on_farewell is not None:
                 self._on_farewell()
 
     async def propose(self, command: bytes) -> object:
         """Replicates a command, JSON on one line, and returns what applying it here returned.
 
-        Raises `NotLeader` or `TooManyUncommitted` if nothing was done, `OutcomeUnknown` if leadership was
-        lost meanwhile.
+        Raises `NotLeaderError` or `TooManyUncommittedError` if nothing was done, `OutcomeUnknownError` if
+        leadership was lost meanwhile.
         """
         index, term = self._running().propose(self._clock(), command)
         self._schedule()
         return await self._waiting.proposal(index, term)
 
     async def change_membership(self, membership: Membership) -> None:
-        """Replicates a change of membership; also raises `MembershipRefused`."""
+        """Replicates a change of membership; also raises `MembershipRejectedError`."""
         index, term = self._running().propose_membership(self._clock(), membership)
         self._schedule()
         await self._waiting.proposal(index, term)
@@ -290,7 +290,7 @@
     async def read_barrier(self) -> None:
         """Returns when the state machine has applied all that was committed before the call.
 
-        Returns at once while the lease holds. Raises `NotLeader`.
+        Returns at once while the lease holds. Raises `NotLeaderError`.
         """
         raft = self._running()
         ticket = raft.request_read(self._clock())
@@ -327,7 +327,7 @@
     def _take_ready(self, raft: Raft) -> bool:
         """Does what the core wants; True if it may want more at once."""
         ready = raft.take_ready(self._clock(), can_save=not self._jobs.busy)
-        for message in ready.messages_first:
+        for message in ready.messages_before_sync:
             self._send(message)
         for entry in ready.committed:
             self._apply(entry)
@@ -349,7 +349,7 @@
         for ticket in ready.confirmed_reads:
             self._waiting.confirmed(raft.term, ticket.number)
         self._waiting.keep_term(raft.term if raft.is_leader else None, raft.leader)
-        self._tell_leadership(raft.term if raft.leads_committed else None)
+        self._tell_leadership(raft.term if raft.is_ready_leader else None)
         if not raft.is_leader:
             self._end_handover()
 
@@ -389,7 +389,7 @@
             self._process()
 
     def _hand_over_if_disk_lags(self, raft: Raft) -> None:
-        if raft.is_leader and self._jobs.busy and raft.unsaved_bytes > MOST_UNSAVED_BYTES:
+        if raft.is_leader and self._jobs.busy and raft.unpersisted_bytes > MOST_UNSAVED_BYTES:
             raft.hand_over(self._clock())
 
     # Storage.
--- a/pewterring/consensus/heartbeat_rounds.py
+++ b/pewterring/consensus/heartbeat_rounds.py
@@ -7,7 +7,7 @@
 from pewterring.consensus.types import RaftTiming, ReadTicket
 
 
-class Rounds:
+class HeartbeatRounds:
     """Rounds are numbered from 1 within one term of leadership. Times are when a round was sent."""
 
     def __init__(self, member: str, timing: RaftTiming, now: float) -> None:
@@ -61,7 +61,7 @@
         """Whether no other member can have been elected by `now`."""
         return now < self.confirmed_at(voters) + self._timing.lease_s
 
-    def out_of_touch(self, voters: Iterable[str], now: float) -> bool:
+    def has_lost_majority(self, voters: Iterable[str], now: float) -> bool:
         """Whether a majority has been silent for so long that the leader must step down."""
         return now > max(self.confirmed_at(voters), self._elected_at) + self._timing.election_max_s
 
@@ -69,7 +69,7 @@
         """When the last round that `member` answered was sent."""
         return self._answered_at.get(member, -inf)
 
-    def silent_s(self, member: str, now: float) -> float:
+    def seconds_since_contact(self, member: str, now: float) -> float:
         """For how long `member` has answered no round; at most the time of this leadership."""
         return now - max(self.last_answered_at(member), self._elected_at)
 
--- a/pewterring/consensus/leader.py
+++ b/pewterring/consensus/leader.py
@@ -5,16 +5,16 @@
 
 import msgspec
 
-from pewterring.consensus.errors import MembershipRefused
+from pewterring.consensus.errors import MembershipRejectedError
 from pewterring.consensus.farewell import Farewells
 from pewterring.consensus.handover import Handover
-from pewterring.consensus.heartbeat_rounds import Rounds
+from pewterring.consensus.heartbeat_rounds import HeartbeatRounds
 from pewterring.consensus.membership import MEMBERS, check_change, encode_membership, majority_value
 from pewterring.consensus.messages import (
     AppendReply,
+    DepartureAck,
+    DepartureNotice,
     Entry,
-    Leave,
-    Left,
     Membership,
     SnapshotReply,
     TimeoutNow,
@@ -22,23 +22,23 @@
 from pewterring.consensus.replication import Replication
 from pewterring.consensus.state import MemberState
 from pewterring.consensus.types import ReadTicket, Role, Snapshot
-from pewterring.consensus.uncommitted_limit import Uncommitted
+from pewterring.consensus.uncommitted_limit import UncommittedLimit
 
 
-class Leading:
+class LeaderRole:
     """Heartbeats, replication, commitment and reads of a leader."""
 
     def __init__(self, state: MemberState, now: float) -> None:
         state.role = Role.LEADER
         state.leader = state.member
         self._state = state
-        self._rounds = Rounds(state.member, state.timing, now)
+        self._rounds = HeartbeatRounds(state.member, state.timing, now)
         self._handover = Handover(state.timing)
         self._farewells = Farewells()
         self._replication = Replication(state.group, state.member, state.term, state.log, state.limits)
         # When an answer of a member came, be it to a round of long ago: one that reads slowly is not silent.
         self._heard_at: dict[str, float] = {}
-        self._uncommitted = Uncommitted(state.limits.uncommitted_bytes)
+        self._uncommitted = UncommittedLimit(state.limits.uncommitted_bytes)
         self._first_index = self.append("empty", b"null")
         self._set_members(state.members.current)
         self._begin_round(now)
@@ -72,19 +72,19 @@
     def match(self, member: str) -> int:
         """Up to which index `member` is known to have the log on disk."""
         if member == self._state.member:
-            return self._state.unsaved.saved_to
+            return self._state.unpersisted.persisted_index
         peer = self._replication.peers.get(member)
         return peer.match if peer else 0
 
-    def silent_s(self, member: str, now: float) -> float:
+    def seconds_since_contact(self, member: str, now: float) -> float:
         """For how long `member` has answered no heartbeat of this leadership; never the leader itself."""
-        return 0.0 if member == self._state.member else self._rounds.silent_s(member, now)
+        return 0.0 if member == self._state.member else self._rounds.seconds_since_contact(member, now)
 
     def is_leaving(self, member: str) -> bool:
         """Whether the process of `member` said that it is about to end, and no later one answered."""
         return self._farewells.is_leaving(member)
 
-    def on_leave(self, message: Leave) -> None:
+    def on_leave(self, message: DepartureNotice) -> None:
         """Takes a farewell, and answers that of a member which is no voter any more."""
         state = self._state
         if message.sender in state.voters:
@@ -96,7 +96,7 @@
     def _answer_farewell(self, member: str, number: int) -> None:
         state = self._state
         state.outbox.append(
-            Left(group=state.group, sender=state.member, target=member, term=state.term, round=number)
+            DepartureAck(group=state.group, sender=state.member, target=member, term=state.term, round=number)
         )
 
     def _answer_farewells(self) -> None:
@@ -113,7 +113,7 @@
         return entry.index
 
     def append_command(self, data: bytes) -> int:
-        """Appends a command and returns its index; raises `TooManyUncommitted`."""
+        """Appends a command and returns its index; raises `TooManyUncommittedError`."""
         self._uncommitted.committed(self._state.commit_index)
         self._uncommitted.check_room(len(data))
         return self.append("command", data)
@@ -122,9 +122,9 @@
         """Appends a change of membership and returns its index."""
         state = self._state
         if not self.has_committed:
-            raise MembershipRefused("no entry of the leader's term is committed yet")
+            raise MembershipRejectedError("no entry of the leader's term is committed yet")
         if state.members.last_change > state.commit_index:
-            raise MembershipRefused("the change before is not committed yet")
+            raise MembershipRejectedError("the change before is not committed yet")
         check_change(state.members.current, membership)
         index = self.append(MEMBERS, encode_membership(membership))
         self._set_members(membership)
@@ -135,7 +135,7 @@
         state = self._state
         if now < self.due_at:
             return
-        if self._rounds.out_of_touch(state.voters, now) or self._handover.is_over(now):
+        if self._rounds.has_lost_majority(state.voters, now) or self._handover.is_over(now):
             state.become_follower(now, state.term, None)
             return
         self._handover.tell_again()
@@ -162,7 +162,7 @@
         self._handover.begin(now)
         return True
 
-    def give_way(self, now: float) -> bool:
+    def yield_to_later_term(self, now: float) -> bool:
         """Hands over because of a member in a later term; False where the leader must step down for it.
 
         The member cannot follow this leader, and while a majority does, nobody leads in the later term. The
@@ -205,7 +205,7 @@
         self._heard_at[reply.sender] = now
         self._rounds.answered(reply.sender, reply.round)
         if isinstance(reply, AppendReply):
-            self._farewells.on_reply(reply.sender, reply.round, reply.leaving)
+            self._farewells.on_reply(reply.sender, reply.round, reply.departing)
             advanced = self._replication.on_append_reply(reply)
         else:
             advanced = self._replication.on_snapshot_reply(reply)
--- a/pewterring/consensus/log.py
+++ b/pewterring/consensus/log.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterable, Sequence
 
-from pewterring.consensus.errors import InvariantBroken
+from pewterring.consensus.errors import InvariantError
 from pewterring.consensus.messages import Entry
 
 ENTRY_OVERHEAD_BYTES = 64  # of one entry in a message besides its data, about
@@ -59,14 +59,14 @@
         """The entries from `first` to `last`, both included."""
         start = first - self.base_index - 1
         if start < 0:
-            raise InvariantBroken(f"entry {first} is no longer kept; the log starts at {self.base_index + 1}")
+            raise InvariantError(f"entry {first} is no longer kept; the log starts at {self.base_index + 1}")
         return self._entries[start : last - self.base_index]
 
     def batch(self, first: int, limit_bytes: int) -> tuple[tuple[Entry, ...], int]:
         """Entries from `first` on up to about `limit_bytes`, one at least, and their size in bytes."""
         start = first - self.base_index - 1
         if start < 0:
-            raise InvariantBroken(f"entry {first} is no longer kept; the log starts at {self.base_index + 1}")
+            raise InvariantError(f"entry {first} is no longer kept; the log starts at {self.base_index + 1}")
         end = start
         size = 0
         while end < len(self._entries):
@@ -81,7 +81,7 @@
         """Adds entries at the end."""
         for entry in entries:
             if entry.index != self.last_index + 1 or entry.term < self.last_term:
-                raise InvariantBroken(
+                raise InvariantError(
                     f"entry {entry.index} of term {entry.term} cannot follow "
                     f"entry {self.last_index} of term {self.last_term}"
                 )
@@ -90,7 +90,7 @@
     def truncate(self, first_dropped: int) -> None:
         """Forgets the entries from `first_dropped` on."""
         if first_dropped <= self.base_index:
-            raise InvariantBroken(f"entry {first_dropped} is covered by a snapshot and cannot be dropped")
+            raise InvariantError(f"entry {first_dropped} is covered by a snapshot and cannot be dropped")
         del self._entries[first_dropped - self.base_index - 1 :]
 
     def reset(self, index: int, term: int) -> None:
@@ -99,13 +99,13 @@
         self.base_index = index
         self.base_term = term
 
-    def compact(self, index: int, kept_bytes: int) -> None:
-        """Forgets entries up to `index`, but for the last of those, up to `kept_bytes` of them."""
+    def compact(self, index: int, retained_bytes: int) -> None:
+        """Forgets entries up to `index`, but for the last of those, up to `retained_bytes` of them."""
         drop = min(index - self.base_index, len(self._entries))
         kept = 0
         while drop > 0:
             kept += entry_size(self._entries[drop - 1])
-            if kept > kept_bytes:
+            if kept > retained_bytes:
                 break
             drop -= 1
         if drop > 0:
--- a/pewterring/consensus/membership.py
+++ b/pewterring/consensus/membership.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from pewterring.consensus.errors import MembershipRefused
+from pewterring.consensus.errors import MembershipRejectedError
 from pewterring.consensus.messages import Entry, Membership
 
 MEMBERS = "members"  # the kind of entries that change the membership
@@ -32,12 +32,12 @@
 def check_change(old: Membership, new: Membership) -> None:
     """Refuses changes whose majorities need not overlap with those before."""
     if not new.voters:
-        raise MembershipRefused("a group needs a voter")
+        raise MembershipRejectedError("a group needs a voter")
     if len(set(new.voters)) != len(new.voters) or set(new.voters) & set(new.learners):
-        raise MembershipRefused("a member is named twice")
+        raise MembershipRejectedError("a member is named twice")
     changed = set(old.voters) ^ set(new.voters)
     if len(changed) > 1:
-        raise MembershipRefused(f"more than one voter changes: {', '.join(sorted(changed))}")
+        raise MembershipRejectedError(f"more than one voter changes: {', '.join(sorted(changed))}")
 
 
 class MembershipHistory:
--- a/pewterring/consensus/messages.py
+++ b/pewterring/consensus/messages.py
@@ -35,13 +35,13 @@
 class VoteRequest(Message, frozen=True, tag=True, kw_only=True):
     """Asks for a vote. With `prevote` it only asks whether one would be granted at `term`.
 
-    With `handed_over` the leader of the term before has given up its lease and wants to be succeeded.
+    With `leadership_transferred` the leader of the term before has given up its lease for a successor.
     """
 
     last_index: int
     last_term: int
     prevote: bool
-    handed_over: bool = False
+    leadership_transferred: bool = msgspec.field(default=False, name="handed_over")  # the wire's name
 
 
 class VoteReply(Message, frozen=True, tag=True, kw_only=True):
@@ -67,17 +67,17 @@
 class AppendReply(Message, frozen=True, tag=True, kw_only=True, omit_defaults=True):
     """Answers `AppendRequest`. `match` is the last index known to agree, or a hint where to try next.
 
-    `leaving` says that the member's process is about to end.
+    `departing` says that the member's process is about to end.
     """
 
     accepted: bool
     match: int
     round: int
-    leaving: bool = False
+    departing: bool = msgspec.field(default=False, name="leaving")  # the wire's name
 
 
-class SnapshotPart(Message, frozen=True, tag=True, kw_only=True):
-    """One piece of a snapshot: `data` is base64 of bytes from `offset`; `total` is its size in bytes.
+class SnapshotChunk(Message, frozen=True, tag="SnapshotPart", kw_only=True):  # the wire's name
+    """One chunk of a snapshot: `data` is base64 of bytes from `offset`; `total` is its size in bytes.
 
     `checksum` is the CRC-32 of all of it.
     """
@@ -93,7 +93,7 @@
 
 
 class SnapshotReply(Message, frozen=True, tag=True, kw_only=True):
-    """Answers `SnapshotPart`: how many bytes the member has of that snapshot."""
+    """Answers `SnapshotChunk`: how many bytes the member has of that snapshot."""
 
     last_index: int
     received: int
@@ -104,8 +104,8 @@
     """Tells a voter to stand for election at once; the leader of `term` claims no lease any more."""
 
 
-class Leave(Message, frozen=True, tag=True, kw_only=True):
-    """A voter's farewell: its process is about to end, and a learner that is ready may take its place.
+class DepartureNotice(Message, frozen=True, tag="Leave", kw_only=True):  # the wire's name
+    """A voter's process is about to end, and a learner that is ready may take its place.
 
     `round` is the last one of the leader of `term` that this life of the member has heard: what a later life
     answers outweighs it.
@@ -114,8 +114,8 @@
     round: int
 
 
-class Left(Message, frozen=True, tag=True, kw_only=True):
-    """Answers `Leave`, whose round it returns: its sender is no voter any more, by a committed change."""
+class DepartureAck(Message, frozen=True, tag="Left", kw_only=True):  # the wire's name
+    """Answers `DepartureNotice`, whose round it returns: a committed change has removed the voter."""
 
     round: int
 
@@ -125,20 +125,20 @@
     | VoteReply
     | AppendRequest
     | AppendReply
-    | SnapshotPart
+    | SnapshotChunk
     | SnapshotReply
     | TimeoutNow
-    | Leave
-    | Left
+    | DepartureNotice
+    | DepartureAck
 )
 CONSENSUS_MESSAGES = (
     VoteRequest,
     VoteReply,
     AppendRequest,
     AppendReply,
-    SnapshotPart,
+    SnapshotChunk,
     SnapshotReply,
     TimeoutNow,
-    Leave,
-    Left,
+    DepartureNotice,
+    DepartureAck,
 )
--- a/pewterring/consensus/planner.py
+++ b/pewterring/consensus/planner.py
@@ -49,7 +49,7 @@
         """Up to which index the member is known to have the log on disk."""
         ...
 
-    def silent_s(self, member: str, now: float) -> float:
+    def seconds_since_contact(self, member: str, now: float) -> float:
         """For how long the member has answered no heartbeat of this leadership."""
         ...
 
@@ -108,27 +108,29 @@
     def _observe(self, now: float, group: PlannedGroup, candidates: Candidates) -> "_View":
         members = _members(group.membership)
         self._watched_since = {member: self._watched_since.get(member, now) for member in members}
-        silent_s = {
-            member: min(group.silent_s(member, now), now - since)
+        since_contact_s = {
+            member: min(group.seconds_since_contact(member, now), now - since)
             for member, since in self._watched_since.items()
         }
-        silent_s[self._own_member] = 0.0
-        renamed = {member for member in members if self._is_renamed(member, silent_s[member], candidates)}
+        since_contact_s[self._own_member] = 0.0
+        renamed = {
+            member for member in members if self._is_renamed(member, since_contact_s[member], candidates)
+        }
         leaving = {member for member in members if group.is_leaving(member)}
-        ended = {member for member in leaving if silent_s[member] >= ANSWERS_S}
-        lost = renamed | ended | {member for member in members if silent_s[member] >= self._lost_s}
-        gone = renamed | {member for member in members if silent_s[member] >= self._learner_lost_s}
+        ended = {member for member in leaving if since_contact_s[member] >= ANSWERS_S}
+        lost = renamed | ended | {member for member in members if since_contact_s[member] >= self._lost_s}
+        gone = renamed | {member for member in members if since_contact_s[member] >= self._learner_lost_s}
         holders = {member for member in members if group.match(member) >= self._committed_before}
         all_answer = now - self._started_at >= ANSWERS_S and all(
-            silent_s[voter] < ANSWERS_S for voter in group.membership.voters
+            since_contact_s[voter] < ANSWERS_S for voter in group.membership.voters
         )
         retiring = candidates.retiring
-        return _View(group.membership, silent_s, lost, gone, holders, retiring, leaving, all_answer)
+        return _View(group.membership, since_contact_s, lost, gone, holders, retiring, leaving, all_answer)
 
-    def _is_renamed(self, member: str, silent_s: float, candidates: Candidates) -> bool:
+    def _is_renamed(self, member: str, since_contact_s: float, candidates: Candidates) -> bool:
         """Whether the member's address is in use under another name: its disk was lost."""
         newest = candidates.newest.get(address_of(member), member)
-        return newest != member and member != self._own_member and silent_s >= ANSWERS_S
+        return newest != member and member != self._own_member and since_contact_s >= ANSWERS_S
 
     def _next_change(self, now: float, view: "_View", candidates: Candidates) -> Membership | None:
         useless = view.useless_learners
@@ -200,7 +202,7 @@
     """What one check of the group showed."""
 
     membership: Membership
-    silent_s: Mapping[str, float]
+    since_contact_s: Mapping[str, float]
     lost: Set[str]
     gone: Set[str]  # so long that a learner is given up
     holders: Set[str]  # hold all that was committed at the check before
@@ -212,7 +214,7 @@
     def lost_voters(self) -> list[str]:
         """Lost voters, the one that was silent longest first."""
         lost = [voter for voter in self.membership.voters if voter in self.lost]
-        return sorted(lost, key=lambda voter: -self.silent_s[voter])
+        return sorted(lost, key=lambda voter: -self.since_contact_s[voter])
 
     @property
     def good_voters(self) -> list[str]:
--- a/pewterring/consensus/raft.py
+++ b/pewterring/consensus/raft.py
@@ -10,19 +10,19 @@
 from collections.abc import Sequence
 
 from pewterring.consensus.election import Election
-from pewterring.consensus.errors import NotLeader
+from pewterring.consensus.errors import NotLeaderError
 from pewterring.consensus.farewell import Farewell
-from pewterring.consensus.follower import Following
-from pewterring.consensus.leader import Leading
+from pewterring.consensus.follower import FollowerRole
+from pewterring.consensus.leader import LeaderRole
 from pewterring.consensus.messages import (
     AppendReply,
     AppendRequest,
     ConsensusMessage,
+    DepartureAck,
+    DepartureNotice,
     Entry,
-    Leave,
-    Left,
     Membership,
-    SnapshotPart,
+    SnapshotChunk,
     SnapshotReply,
     TimeoutNow,
     VoteReply,
@@ -50,9 +50,9 @@
         self.member = member
         self._state = MemberState(group, member, timing, limits or RaftLimits(), rng, persisted, now)
         self._election = Election(self._state)
-        self._following = Following(self._state)
+        self._following = FollowerRole(self._state)
         self._farewell = Farewell(self._state)
-        self._led: Leading | None = None
+        self._led: LeaderRole | None = None
 
     @property
     def term(self) -> int:
@@ -75,7 +75,7 @@
         return self._state.role is Role.LEADER
 
     @property
-    def leads_committed(self) -> bool:
+    def is_ready_leader(self) -> bool:
         """Whether this member leads and an entry of its own term is committed."""
         return self._leading is not None and self._leading.has_committed
 
@@ -102,36 +102,36 @@
     @property
     def installing(self) -> bool:
         """Whether a received snapshot is not on disk yet."""
-        return self._state.unsaved.installing
+        return self._state.unpersisted.installing
 
     @property
-    def unsaved_bytes(self) -> int:
+    def unpersisted_bytes(self) -> int:
         """Bytes of the entries that the own disk does not hold yet, about."""
-        return self._state.log.bytes_after(self._state.unsaved.saved_to)
+        return self._state.log.bytes_after(self._state.unpersisted.persisted_index)
 
     @property
-    def _leading(self) -> Leading | None:
+    def _leading(self) -> LeaderRole | None:
         return self._led if self._state.role is Role.LEADER else None
 
-    def _leading_or_refuse(self) -> Leading:
+    def _leading_or_refuse(self) -> LeaderRole:
         leading = self._leading
         if leading is None:
-            raise NotLeader(self.leader)
+            raise NotLeaderError(self.leader)
         return leading
 
-    def _accepting_or_refuse(self) -> Leading:
+    def _accepting_or_refuse(self) -> LeaderRole:
         leading = self._leading_or_refuse()
         if leading.hands_over:
-            raise NotLeader(None)
+            raise NotLeaderError(None)
         return leading
 
     def match(self, member: str) -> int:
         """Up to which index `member` has the log on disk, as far as this leader knows; 0 elsewhere."""
         return self._leading.match(member) if self._leading is not None else 0
 
-    def silent_s(self, member: str, now: float) -> float:
+    def seconds_since_contact(self, member: str, now: float) -> float:
         """For how long `member` has answered no heartbeat of this leadership; 0 elsewhere."""
-        return self._leading.silent_s(member, now) if self._leading is not None else 0.0
+        return self._leading.seconds_since_contact(member, now) if self._leading is not None else 0.0
 
     def is_leaving(self, member: str) -> bool:
         """Whether `member` has said its farewell to this leader; False elsewhere."""
@@ -154,7 +154,7 @@
     @property
     def newest_round(self) -> int:
         """The leader's newest round in the current term, as far as this member knows."""
-        return self._leading.round_number if self._leading is not None else self._state.heard_round
+        return self._leading.round_number if self._leading is not None else self._state.last_leader_round
 
     def is_recent_round(self, term: int, number: int, now: float) -> bool:
         """Whether this member leads in `term` and sent that round within the longest election time-out."""
@@ -185,28 +185,28 @@
                 self._lead_if(self._election.on_reply(now, message), now)
             case AppendRequest():
                 self._following.on_append(now, message)
-            case SnapshotPart():
+            case SnapshotChunk():
                 self._following.on_snapshot_part(now, message)
             case AppendReply() | SnapshotReply():
                 self._on_follower_reply(now, message)
             case TimeoutNow():
                 self._election.on_timeout_now(now, message)
-            case Leave():
+            case DepartureNotice():
                 if self._leading is not None:
                     self._leading.on_leave(message)
-            case Left():
+            case DepartureAck():
                 self._farewell.on_left(message)
 
     def _lead_if(self, elected: bool, now: float) -> None:
         if elected:
             self._led = self._begin_leading(now)
 
-    def _begin_leading(self, now: float) -> Leading:
-        return Leading(self._state, now)
+    def _begin_leading(self, now: float) -> LeaderRole:
+        return LeaderRole(self._state, now)
 
     def _on_follower_reply(self, now: float, reply: AppendReply | SnapshotReply) -> None:
         if reply.term > self.term:
-            if self._leading is None or not self._leading.give_way(now):
+            if self._leading is None or not self._leading.yield_to_later_term(now):
                 self._state.become_follower(now, reply.term, None)
         elif reply.term == self.term and self._leading is not None:
             self._leading.on_reply(now, reply)
@@ -214,7 +214,7 @@
     def propose(self, now: float, data: bytes) -> tuple[int, int]:
         """Appends a command, JSON on one line, and returns the entry's index and term.
 
-        Raises `NotLeader` or `TooManyUncommitted` where nothing was done.
+        Raises `NotLeaderError` or `TooManyUncommittedError` where nothing was done.
         """
         return self._accepting_or_refuse().append_command(data), self.term
 
@@ -246,11 +246,11 @@
             leading.flush(now)
         save = None
         if can_save:
-            save = state.unsaved.take(state.hard_state)
-            state.outbox += state.unsaved.take_released()
+            save = state.unpersisted.take(state.hard_state)
+            state.outbox += state.unpersisted.take_released()
         messages, state.outbox = state.outbox, []
         return Ready(
-            messages_first=messages,
+            messages_before_sync=messages,
             save=save,
             committed=self._take_committed(),
             confirmed_reads=leading.take_confirmed_reads() if leading is not None else (),
@@ -268,13 +268,13 @@
     def persisted(self, now: float, save: Save) -> None:
         """All of `save` is on disk; a snapshot in it is in the state machine."""
         state = self._state
-        state.unsaved.done(save)
+        state.unpersisted.done(save)
         if save.snapshot is not None:
             state.applied_index = max(state.applied_index, save.snapshot.index)
         if self._leading is not None:
             self._leading.advance_commit(now)
         else:
-            self._lead_if(self._election.on_saved(now), now)
+            self._lead_if(self._election.on_persisted(now), now)
 
     def make_snapshot(self, data: bytes) -> Snapshot:
         """A snapshot of the state machine, which has applied all that `take_ready` has given."""
@@ -290,11 +290,11 @@
     def compact(self, snapshot: Snapshot) -> None:
         """`snapshot`, made here, is on disk: forgets entries that it covers."""
         state = self._state
-        state.unsaved.compacted(snapshot.index)
+        state.unpersisted.compacted(snapshot.index)
         sending = self._leading.oldest_snapshot() if self._leading is not None else None
         index = snapshot.index if sending is None else min(snapshot.index, sending)
-        state.log.compact(index, state.limits.kept_bytes)
-        state.log.compact(snapshot.index, state.limits.kept_for_snapshots_bytes)
+        state.log.compact(index, state.limits.retained_bytes)
+        state.log.compact(snapshot.index, state.limits.retained_for_transfers_bytes)
         state.members.compact(state.log.base_index)
         if self._leading is not None:
             self._leading.compacted()
--- a/pewterring/consensus/replication.py
+++ b/pewterring/consensus/replication.py
@@ -5,9 +5,9 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from pewterring.consensus.errors import InvariantBroken
+from pewterring.consensus.errors import InvariantError
 from pewterring.consensus.log import Log
-from pewterring.consensus.messages import AppendReply, AppendRequest, Entry, SnapshotPart, SnapshotReply
+from pewterring.consensus.messages import AppendReply, AppendRequest, Entry, SnapshotChunk, SnapshotReply
 from pewterring.consensus.snapshot_transfer import SnapshotTransfer
 from pewterring.consensus.types import RaftLimits, Snapshot
 
@@ -66,7 +66,7 @@
         return len(self.in_flight) < limits.window_messages and self.in_flight_bytes < limits.window_bytes
 
 
-Outgoing = list[AppendRequest | SnapshotPart]
+Outgoing = list[AppendRequest | SnapshotChunk]
 
 
 class Replication:
@@ -145,9 +145,9 @@
 
     def _part(
         self, peer: Peer, transfer: SnapshotTransfer, offset: int, data: bytes, round_number: int
-    ) -> SnapshotPart:
+    ) -> SnapshotChunk:
         snapshot = transfer.snapshot
-        return SnapshotPart(
+        return SnapshotChunk(
             group=self._group,
             sender=self._member,
             target=peer.name,
@@ -175,7 +175,7 @@
                 peer.probe(min(reply.match + 1, peer.next_index))
             return False
         if reply.match > self._log.last_index:
-            raise InvariantBroken(f"{peer.name} claims entry {reply.match}, which the leader does not have")
+            raise InvariantError(f"{peer.name} claims entry {reply.match}, which the leader does not have")
         advanced = peer.matched(reply.match)
         if peer.flow is Flow.PROBE:
             peer.flow = Flow.STREAM
--- a/pewterring/consensus/snapshot_transfer.py
+++ b/pewterring/consensus/snapshot_transfer.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 from math import inf
 
-from pewterring.consensus.messages import SnapshotPart
+from pewterring.consensus.messages import SnapshotChunk
 from pewterring.consensus.types import RaftLimits, Snapshot
 
 MOST_AHEAD_BYTES = 4_000_000  # how far behind a missing part others are kept; a leader's window is smaller
@@ -38,11 +38,11 @@
         """Offset and bytes of the next part; None where no part may be sent now."""
         if self.waiting and not self._may_follow(limits):
             return None
-        return self.sent, self.snapshot.data[self.sent : self.sent + limits.snapshot_part_bytes]
+        return self.sent, self.snapshot.data[self.sent : self.sent + limits.snapshot_chunk_bytes]
 
     def _may_follow(self, limits: RaftLimits) -> bool:
         """Whether a part may be sent behind others; the first goes alone, as it begins the assembly."""
-        window_bytes = limits.snapshot_parts_in_flight * limits.snapshot_part_bytes
+        window_bytes = limits.snapshot_chunks_in_flight * limits.snapshot_chunk_bytes
         in_flight = self.sent - self.received
         return self.received > 0 and self.sent < len(self.snapshot.data) and in_flight < window_bytes
 
@@ -68,7 +68,7 @@
         if self._advanced:
             self._advanced = False
             self.idle_since = now
-        patience_s *= 1 if self.overtaken else limits.snapshot_parts_in_flight
+        patience_s *= 1 if self.overtaken else limits.snapshot_chunks_in_flight
         if self.waiting and now - self.idle_since > patience_s:
             self.go_back()
 
@@ -116,7 +116,7 @@
         self._data = bytearray()
         self._ahead: dict[int, bytes] = {}  # by offset: parts that came before one that they follow
 
-    def add(self, part: SnapshotPart) -> int:
+    def add(self, part: SnapshotChunk) -> int:
         """Takes a part and returns how many bytes of its snapshot are there.
 
         Only a first part begins a snapshot, and none that the same leader made before the one under way:
@@ -137,7 +137,7 @@
             self._data += data
         self._ahead = {offset: data for offset, data in self._ahead.items() if offset > len(self._data)}
 
-    def take_whole(self, part: SnapshotPart) -> Snapshot | None:
+    def take_whole(self, part: SnapshotChunk) -> Snapshot | None:
         """The snapshot whose last part was added, or None where its bytes are not as sent; starts afresh."""
         data = bytes(self._data)
         self._id = None
@@ -146,7 +146,7 @@
             return None
         return Snapshot(part.last_index, part.last_term, part.membership, data)
 
-    def _is_older(self, part: SnapshotPart) -> bool:
+    def _is_older(self, part: SnapshotChunk) -> bool:
         return self._id is not None and part.term == self._sent_in and part.last_index < self._id.index
 
     def _begin(self, snapshot_id: _SnapshotId, sent_in: int) -> None:
--- a/pewterring/consensus/state.py
+++ b/pewterring/consensus/state.py
@@ -8,9 +8,10 @@
 from pewterring.consensus.messages import ConsensusMessage, Entry
 from pewterring.consensus.persistent import HardState, PersistentState
 from pewterring.consensus.types import RaftLimits, RaftTiming, Role
-from pewterring.consensus.unpersisted import Unsaved
+from pewterring.consensus.unpersisted import UnpersistedState
 
-RETRY_PART = (0.25, 0.5)  # of the shortest election time-out: how soon a poll that was not won is repeated
+# Of the shortest election time-out: how soon a poll that was not won is repeated.
+POLL_RETRY_FRACTIONS = (0.25, 0.5)
 
 
 class MemberState:
@@ -38,10 +39,10 @@
         self.applied_index = persisted.snapshot_index
         self.log = Log(persisted.snapshot_index, persisted.snapshot_term, persisted.entries)
         self.members = MembershipHistory(persisted.snapshot_membership, persisted.entries)
-        self.unsaved = Unsaved(self.log, self.hard_state)
+        self.unpersisted = UnpersistedState(self.log, self.hard_state)
         self.outbox: list[ConsensusMessage] = []
-        self.heard_round = 0  # the newest one of this term's leader
-        self.leaving = False  # the process is about to end
+        self.last_leader_round = 0  # the newest one of this term's leader
+        self.departing = False  # the process is about to end
         is_new = persisted.term == 0  # it cannot have answered a leader in an earlier life
         self.vote_free_at = now if is_new else now + timing.election_min_s
         self.election_at = self.retry_time(now) if is_new else self.election_time(now)
@@ -62,14 +63,14 @@
 
     def retry_time(self, now: float) -> float:
         """When to repeat a poll that begins now, should it not be won."""
-        shortest, longest = RETRY_PART
+        shortest, longest = POLL_RETRY_FRACTIONS
         return now + self._rng.uniform(shortest, longest) * self.timing.election_min_s
 
     def become_follower(self, now: float, term: int, leader: str | None) -> None:
         """Gives up what it was and follows `leader`, or nobody yet."""
         if term > self.term:
             self.hard_state = HardState(term)
-            self.heard_round = 0
+            self.last_leader_round = 0
         if self.role is not Role.FOLLOWER:
             self.election_at = self.election_time(now)
         self.role = Role.FOLLOWER
@@ -84,11 +85,11 @@
         """Drops entries from the log, and the changes of membership among them."""
         self.log.truncate(first_dropped)
         self.members.truncate(first_dropped)
-        self.unsaved.truncated(first_dropped)
+        self.unpersisted.truncated(first_dropped)
 
-    def send_when_saved(self, message: ConsensusMessage, index: int = 0) -> None:
+    def send_when_persisted(self, message: ConsensusMessage, index: int = 0) -> None:
         """Sends `message` once the term, the vote and the log up to `index` are on disk."""
-        if self.unsaved.is_saved(self.hard_state) and index <= self.unsaved.saved_to:
+        if self.unpersisted.is_persisted(self.hard_state) and index <= self.unpersisted.persisted_index:
             self.outbox.append(message)
         else:
-            self.unsaved.hold(message)
+            self.unpersisted.hold(message)
--- a/pewterring/consensus/storage_jobs.py
+++ b/pewterring/consensus/storage_jobs.py
@@ -7,7 +7,7 @@
 
 from loguru import logger
 
-from pewterring.consensus.errors import StorageFull
+from pewterring.consensus.errors import StorageFullError
 from pewterring.consensus.room import FULL_RETRY_S, retry_while_full
 
 _Result = TypeVar("_Result")
@@ -76,13 +76,13 @@
         if job.cancelled() or self._stopped:
             return
         error = job.exception()
-        if isinstance(error, StorageFull) and must_be_done:
+        if isinstance(error, StorageFullError) and must_be_done:
             self._begin_later(work, done)
             return
         self._job = None
         if error is None:
             self._succeed(done)
-        elif isinstance(error, StorageFull):
+        elif isinstance(error, StorageFullError):
             logger.info("group {} has no room for a snapshot; it is tried again later", self._group)
         else:
             self._fail(error)
--- a/pewterring/consensus/types.py
+++ b/pewterring/consensus/types.py
@@ -7,7 +7,7 @@
 from pewterring.consensus.messages import ConsensusMessage, Entry, Membership
 from pewterring.consensus.persistent import HardState
 
-LEASE_PART = 0.75  # of the shortest election time-out; the rest is for clocks that run at other rates
+LEASE_FRACTION = 0.75  # of the shortest election time-out; the rest is for clocks that run at other rates
 
 
 class Role(Enum):
@@ -30,7 +30,7 @@
     @property
     def lease_s(self) -> float:
         """How long after a heartbeat was sent a majority's answers to it keep others from being elected."""
-        return LEASE_PART * self.election_min_s
+        return LEASE_FRACTION * self.election_min_s
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,11 +40,11 @@
     message_bytes: int = 250_000  # entries in one message
     window_bytes: int = 1_000_000  # heartbeats wait behind it: half a second on a link or processor of 2 MB/s
     window_messages: int = 32
-    snapshot_part_bytes: int = 256 * 1024  # small, so that a heartbeat gets in between
-    snapshot_parts_in_flight: int = 4  # together about as many bytes as the window has
+    snapshot_chunk_bytes: int = 256 * 1024  # small, so that a heartbeat gets in between
+    snapshot_chunks_in_flight: int = 4  # together about as many bytes as the window has
     uncommitted_bytes: int = 32_000_000  # of entries that a leader takes; one larger than that goes alone
-    kept_bytes: int = 4_000_000  # entries kept in memory behind a snapshot, for members that lag a little
-    kept_for_snapshots_bytes: int = 16_000_000  # the same while an older snapshot is sent, however slowly
+    retained_bytes: int = 4_000_000  # entries kept in memory behind a snapshot, for members that lag a little
+    retained_for_transfers_bytes: int = 16_000_000  # the same while an older snapshot is sent, however slowly
 
 
 @dataclass(frozen=True, slots=True)
@@ -82,9 +82,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Ready:
-    """What the core wants done now. `messages_first` claim nothing that is not on disk yet."""
+    """What the core wants done now. `messages_before_sync` claim nothing that is not on disk yet."""
 
-    messages_first: Sequence[ConsensusMessage]
+    messages_before_sync: Sequence[ConsensusMessage]
     save: Save | None
     committed: Sequence[Entry]  # to apply, in order; given once
     confirmed_reads: Sequence[ReadTicket]
--- a/pewterring/consensus/uncommitted_limit.py
+++ b/pewterring/consensus/uncommitted_limit.py
@@ -2,12 +2,12 @@
 
 from collections import deque
 
-from pewterring.consensus.errors import TooManyUncommitted
+from pewterring.consensus.errors import TooManyUncommittedError
 from pewterring.consensus.log import entry_size
 from pewterring.consensus.messages import Entry
 
 
-class Uncommitted:
+class UncommittedLimit:
     """Counts the bytes of the entries that a leader appended in its term, until they are committed.
 
     Symptom answered: while no majority can save, callers give up, but what they proposed stays in the memory
@@ -31,6 +31,6 @@
             self.size_bytes -= self._entries.popleft()[1]
 
     def check_room(self, size: int) -> None:
-        """Raises `TooManyUncommitted` where `size` bytes more are too many; alone any entry is taken."""
+        """Raises `TooManyUncommittedError` where `size` bytes more are too many; alone any entry is taken."""
         if self._entries and self.size_bytes + size > self._most_bytes:
-            raise TooManyUncommitted(self.size_bytes)
+            raise TooManyUncommittedError(self.size_bytes)
--- a/pewterring/consensus/unpersisted.py
+++ b/pewterring/consensus/unpersisted.py
@@ -6,12 +6,12 @@
 from pewterring.consensus.types import Save, Snapshot
 
 
-class Unsaved:
-    """Entries up to `saved_to` are on disk as they are in the log. One save at most is under way."""
+class UnpersistedState:
+    """Entries up to `persisted_index` are on disk as they are in the log. One save at most is under way."""
 
     def __init__(self, log: Log, hard_state: HardState) -> None:
         self._log = log
-        self.saved_to = log.last_index
+        self.persisted_index = log.last_index
         self._disk_last = log.last_index  # last entry on disk, which may have been overwritten in memory
         self._disk_hard_state = hard_state
         self._snapshot: Snapshot | None = None
@@ -25,25 +25,25 @@
         under_way = self._under_way is not None and self._under_way.snapshot is not None
         return under_way or self._snapshot is not None
 
-    def is_saved(self, hard_state: HardState) -> bool:
+    def is_persisted(self, hard_state: HardState) -> bool:
         """Whether this term and vote are on disk."""
         return hard_state == self._disk_hard_state
 
     def truncated(self, first_dropped: int) -> None:
         """The log forgot the entries from `first_dropped` on."""
-        self.saved_to = min(self.saved_to, first_dropped - 1)
+        self.persisted_index = min(self.persisted_index, first_dropped - 1)
         self._under_way_to = min(self._under_way_to, first_dropped - 1)
 
     def replaced(self, snapshot: Snapshot, commit: int) -> None:
         """The log was reset to start behind `snapshot`; before that, it was committed up to `commit`."""
         self._snapshot = snapshot
-        self.saved_to = min(self.saved_to, commit)
-        self._under_way_to = self.saved_to
+        self.persisted_index = min(self.persisted_index, commit)
+        self._under_way_to = self.persisted_index
 
     def compacted(self, index: int) -> None:
         """A snapshot of the own state machine at `index` is on disk."""
-        if index > self.saved_to:
-            self.saved_to = index
+        if index > self.persisted_index:
+            self.persisted_index = index
             self._disk_last = index
 
     def hold(self, message: ConsensusMessage) -> None:
@@ -54,9 +54,9 @@
         """Starts a save of all that is unsaved; None if there is nothing, or one is under way."""
         if self._under_way is not None:
             return None
-        new_hard_state = None if self.is_saved(hard_state) else hard_state
+        new_hard_state = None if self.is_persisted(hard_state) else hard_state
         last = self._log.last_index
-        first = max(self.saved_to, self._log.base_index) + 1
+        first = max(self.persisted_index, self._log.base_index) + 1
         disk_last = self._disk_last if self._snapshot is None else self._log.base_index
         stale = disk_last > first - 1
         if new_hard_state is None and self._snapshot is None and first > last and not stale:
@@ -88,4 +88,4 @@
         self._under_way = None
         if save.hard_state is not None:
             self._disk_hard_state = save.hard_state
-        self.saved_to = max(self.saved_to, self._under_way_to)
+        self.persisted_index = max(self.persisted_index, self._under_way_to)
--- a/pewterring/consensus/waiting.py
+++ b/pewterring/consensus/waiting.py
@@ -3,7 +3,7 @@
 import asyncio
 from dataclasses import dataclass
 
-from pewterring.consensus.errors import NotLeader, OutcomeUnknown
+from pewterring.consensus.errors import NotLeaderError, OutcomeUnknownError
 
 
 def settle(future: asyncio.Future[object], result: object) -> None:
@@ -65,12 +65,12 @@
                 del self._proposals[index]
                 fail(
                     proposal.future,
-                    OutcomeUnknown(f"leadership was lost; the leader is {leader or 'unknown'}"),
+                    OutcomeUnknownError(f"leadership was lost; the leader is {leader or 'unknown'}"),
                 )
         for key, future in list(self._reads.items()):
             if key[0] != led_term:
                 del self._reads[key]
-                fail(future, NotLeader(leader))
+                fail(future, NotLeaderError(leader))
 
     def fail_all(self, error: Exception) -> None:
         """Ends all calls with `error`."""
--- a/pewterring/control/leadership.py
+++ b/pewterring/control/leadership.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from typing import Protocol, cast
 
-from pewterring.consensus.errors import ConsensusError, NotLeader, TooManyUncommitted
+from pewterring.consensus.errors import ConsensusError, NotLeaderError, TooManyUncommittedError
 from pewterring.consensus.group import ReplicatedGroup
 from pewterring.control.commands import Command, Result
 from pewterring.control.errors import CallTooOld, NotLeading, OutcomeUnsure
@@ -62,7 +62,7 @@
             raise NotLeading
         try:
             result = await self._group.propose(encode_command(command))
-        except (NotLeader, TooManyUncommitted) as error:
+        except (NotLeaderError, TooManyUncommittedError) as error:
             raise NotLeading from error
         except ConsensusError as error:
             raise OutcomeUnsure from error
--- a/pewterring/storage/errors.py
+++ b/pewterring/storage/errors.py
@@ -1,8 +1,15 @@
 """Errors of the storage package. All are the consensus package's `StorageError`."""
 
-from pewterring.consensus.errors import StorageError, StorageFull
-
-__all__ = ["CorruptLog", "CorruptSnapshot", "StorageError", "StorageFailed", "StorageFull", "UnknownFormat"]
+from pewterring.consensus.errors import StorageError, StorageFullError
+
+__all__ = [
+    "CorruptLog",
+    "CorruptSnapshot",
+    "StorageError",
+    "StorageFailed",
+    "StorageFullError",
+    "UnknownFormat",
+]
 
 
 class StorageFailed(StorageError):
--- a/pewterring/storage/group.py
+++ b/pewterring/storage/group.py
@@ -9,7 +9,7 @@
 from pewterring.consensus.messages import Entry, Membership
 from pewterring.consensus.persistent import HardState, LoadedGroup, PersistentState
 from pewterring.storage.disk import Disk
-from pewterring.storage.errors import CorruptLog, StorageError, StorageFull
+from pewterring.storage.errors import CorruptLog, StorageError, StorageFullError
 from pewterring.storage.formats import FORMAT, check_format
 from pewterring.storage.log import Position, SegmentedLog
 from pewterring.storage.snapshots import SnapshotHeader, SnapshotStore
@@ -48,7 +48,7 @@
     """Implements `GroupStorage` on a disk. Files' names start with the name of the group.
 
     All calls block and must come from one thread at a time; `load` comes first. A call that raises
-    `StorageFull` may be repeated; after any other error the storage must be loaded again.
+    `StorageFullError` may be repeated; after any other error the storage must be loaded again.
     """
 
     def __init__(self, disk: Disk, group: str, segment_bytes: int = SEGMENT_BYTES) -> None:
@@ -229,10 +229,10 @@
 
     @contextmanager
     def _failing_unless_full(self) -> Iterator[None]:
-        """After an error of the disk, what is in the files is not known; after `StorageFull` it is."""
+        """After an error of the disk, what is in the files is not known; after `StorageFullError` it is."""
         try:
             yield
-        except StorageFull:
+        except StorageFullError:
             raise
         except StorageError:
             self._failed = True
--- a/pewterring/storage/log.py
+++ b/pewterring/storage/log.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 from pewterring.storage.disk import Disk, DiskFile
-from pewterring.storage.errors import CorruptLog, StorageError, StorageFailed, StorageFull
+from pewterring.storage.errors import CorruptLog, StorageError, StorageFailed, StorageFullError
 from pewterring.storage.records import Record, encode_batch, has_later_batch, read_record
 
 FIRST_SEGMENT = 1
@@ -41,7 +41,7 @@
 class SegmentedLog:
     """The log of payloads whose files' names start with `prefix`.
 
-    It must be read once by `open` before it is written. When a call raises `StorageFull`, nothing of it
+    It must be read once by `open` before it is written. When a call raises `StorageFullError`, nothing of it
     counts and the log is still usable; after another error it refuses all further writes.
     """
 
@@ -171,7 +171,7 @@
             file = self._disk.create(name)
             self._write(file, data)
             self._disk.sync_folder()
-        except StorageFull:
+        except StorageFullError:
             self._forget_file(name)
             raise
         except StorageError:
@@ -207,7 +207,7 @@
         try:
             file.write(data)
             file.sync()
-        except StorageFull:
+        except StorageFullError:
             raise
         except StorageError:
             self._failed = True
--- a/pewterring/storage/snapshots.py
+++ b/pewterring/storage/snapshots.py
@@ -11,7 +11,7 @@
 
 from pewterring.consensus.messages import Membership
 from pewterring.storage.disk import Disk
-from pewterring.storage.errors import CorruptSnapshot, StorageFull
+from pewterring.storage.errors import CorruptSnapshot, StorageFullError
 from pewterring.storage.formats import FORMAT, check_format
 from pewterring.storage.records import encode_record, read_record
 
@@ -69,7 +69,7 @@
         record = encode_record(msgspec.json.encode(header) + b"\n")
         try:
             self._write_temporary(record, data)
-        except StorageFull:
+        except StorageFullError:
             self._remove_temporary()
             raise
         self._disk.rename(self._temporary, self._name(header.index))
--- a/tests/batch/test_service.py
+++ b/tests/batch/test_service.py
@@ -32,7 +32,12 @@
 from pewterring.batch.scheduler import Failure
 from pewterring.batch.service import BatchService
 from pewterring.batch.state import BatchState
-from pewterring.consensus.errors import GroupFailed, NotLeader, OutcomeUnknown, TooManyUncommitted
+from pewterring.consensus.errors import (
+    GroupFailedError,
+    NotLeaderError,
+    OutcomeUnknownError,
+    TooManyUncommittedError,
+)
 from pewterring.consensus.group import ReplicatedGroup
 from pewterring.distribution.tables import Tables
 from pewterring.routing.chooser import WorkerChooser
@@ -270,10 +275,10 @@
     group = Group()
     log = GroupLog(cast(ReplicatedGroup, group))
     for error, expected in (
-        (NotLeader("b"), LeadershipLost),
-        (TooManyUncommitted(1), NotTaken),
-        (OutcomeUnknown("lost"), OutcomeUnsure),
-        (GroupFailed("disk"), OutcomeUnsure),
+        (NotLeaderError("b"), LeadershipLost),
+        (TooManyUncommittedError(1), NotTaken),
+        (OutcomeUnknownError("lost"), OutcomeUnsure),
+        (GroupFailedError("disk"), OutcomeUnsure),
     ):
         group.error = error
         with pytest.raises(expected):
--- a/tests/cli/test_start.py
+++ b/tests/cli/test_start.py
@@ -5,7 +5,7 @@
 import pytest
 
 from pewterring.cli.tier import STOP_S, _make_with_room, _started
-from pewterring.consensus.errors import StorageFull
+from pewterring.consensus.errors import StorageFullError
 from tests.consensus.virtual_time import run
 
 SIGNAL_S = 5.0
@@ -66,7 +66,7 @@
     def make(*arguments: object) -> SlowProgram:
         tries.append(asyncio.get_running_loop().time())
         if len(tries) < 4:
-            raise StorageFull("no room")
+            raise StorageFullError("no room")
         return program
 
     async def scenario() -> object:
--- a/tests/consensus/planned_group.py
+++ b/tests/consensus/planned_group.py
@@ -41,7 +41,7 @@
     def match(self, member: str) -> int:
         return 0 if member in self.behind or member not in self.alive else self.commit_index
 
-    def silent_s(self, member: str, now: float) -> float:
+    def seconds_since_contact(self, member: str, now: float) -> float:
         return 0.0 if member in self.alive else now - self._heard.get(member, 0.0)
 
     def is_leaving(self, member: str) -> bool:
--- a/tests/consensus/planned_simulation.py
+++ b/tests/consensus/planned_simulation.py
@@ -11,7 +11,7 @@
 from pewterring.consensus.errors import ConsensusError
 from pewterring.consensus.farewell import LEAVE_PART
 from pewterring.consensus.membership import address_of
-from pewterring.consensus.messages import ConsensusMessage, Leave
+from pewterring.consensus.messages import ConsensusMessage, DepartureNotice
 from pewterring.consensus.planner import Candidates, MembershipPlanner, voters_needed
 from pewterring.consensus.raft import Raft
 from pewterring.control.program import TICK_S
@@ -66,7 +66,7 @@
     def _plan_members(self) -> None:
         for member in tuple(self.members.values()):
             raft = member.raft
-            if raft is None or member.frozen or not raft.leads_committed:
+            if raft is None or member.frozen or not raft.is_ready_leader:
                 continue
             if raft.has_lease(self._clock(member)):
                 self._plan(member, raft)
@@ -116,7 +116,7 @@
 
     def _deliver(self, message: ConsensusMessage) -> None:
         super()._deliver(message)
-        if isinstance(message, Leave):
+        if isinstance(message, DepartureNotice):
             self._plan_members()  # as both programs do
 
     def leave(self, name: str) -> Callable[[], bool]:
--- a/tests/consensus/raft_breakages.py
+++ b/tests/consensus/raft_breakages.py
@@ -4,13 +4,13 @@
 
 import msgspec
 
-from pewterring.consensus.follower import Following
-from pewterring.consensus.leader import Leading
+from pewterring.consensus.follower import FollowerRole
+from pewterring.consensus.leader import LeaderRole
 from pewterring.consensus.messages import (
     AppendReply,
     ConsensusMessage,
-    Leave,
-    SnapshotPart,
+    DepartureNotice,
+    SnapshotChunk,
     SnapshotReply,
     VoteReply,
     VoteRequest,
@@ -37,14 +37,15 @@
         early = [message for message in waiting if isinstance(message, self.early)]
         late = [message for message in waiting if not isinstance(message, self.early)]
         save = dataclasses.replace(ready.save, messages_after_sync=late)
-        return dataclasses.replace(ready, messages_first=[*ready.messages_first, *early], save=save)
+        at_once = [*ready.messages_before_sync, *early]
+        return dataclasses.replace(ready, messages_before_sync=at_once, save=save)
 
     def persisted(self, now: float, save: Save) -> None:
         assert self._real_save is not None
         super().persisted(now, self._real_save)
 
 
-class _IgnoresFarewells(Leading):
+class _IgnoresFarewells(LeaderRole):
     def is_leaving(self, member: str) -> bool:
         return False
 
@@ -52,19 +53,19 @@
 class IgnoresFarewells(Raft):
     """Leads as if no voter had said its farewell."""
 
-    def _begin_leading(self, now: float) -> Leading:
+    def _begin_leading(self, now: float) -> LeaderRole:
         return _IgnoresFarewells(self._state, now)
 
 
-class _TakesLateFarewells(Leading):
-    def on_leave(self, message: Leave) -> None:
+class _TakesLateFarewells(LeaderRole):
+    def on_leave(self, message: DepartureNotice) -> None:
         self._farewells.on_leave(message.sender, self._rounds.number)
 
 
 class TakesLateFarewells(Raft):
     """Takes a farewell of an earlier life of the member for one of the life that runs now."""
 
-    def _begin_leading(self, now: float) -> Leading:
+    def _begin_leading(self, now: float) -> LeaderRole:
         return _TakesLateFarewells(self._state, now)
 
 
@@ -80,7 +81,7 @@
     early = AppendReply
 
 
-class _CountsUnsaved(Leading):
+class _CountsUnsaved(LeaderRole):
     def match(self, member: str) -> int:
         if member == self._state.member:
             return self._state.log.last_index
@@ -90,11 +91,11 @@
 class CountsOwnUnsaved(Raft):
     """Counts its own entries towards a majority before they are on disk."""
 
-    def _begin_leading(self, now: float) -> Leading:
+    def _begin_leading(self, now: float) -> LeaderRole:
         return _CountsUnsaved(self._state, now)
 
 
-class _CommitsOldTerm(Leading):
+class _CommitsOldTerm(LeaderRole):
     def may_commit(self, index: int) -> bool:
         return True
 
@@ -102,7 +103,7 @@
 class CommitsOldTerm(Raft):
     """Commits entries of earlier terms because a majority has them."""
 
-    def _begin_leading(self, now: float) -> Leading:
+    def _begin_leading(self, now: float) -> LeaderRole:
         return _CommitsOldTerm(self._state, now)
 
 
@@ -117,10 +118,10 @@
     """Reads before an entry of its own term is committed, when it does not know yet what is."""
 
     @property
-    def leads_committed(self) -> bool:
+    def is_ready_leader(self) -> bool:
         return self.is_leader
 
-    def _begin_leading(self, now: float) -> Leading:
+    def _begin_leading(self, now: float) -> LeaderRole:
         leading = super()._begin_leading(now)
         leading._first_index = 0
         return leading
@@ -156,7 +157,7 @@
         return super().request_read(self._checked_at)
 
 
-class _CountsFromArrival(Leading):
+class _CountsFromArrival(LeaderRole):
     def on_reply(self, now: float, reply: AppendReply | SnapshotReply) -> None:
         super().on_reply(now, reply)
         self._rounds._answered_at[reply.sender] = now
@@ -165,11 +166,11 @@
 class CountsFromArrival(Raft):
     """Counts its lease from when an answer came, not from when it asked."""
 
-    def _begin_leading(self, now: float) -> Leading:
+    def _begin_leading(self, now: float) -> LeaderRole:
         return _CountsFromArrival(self._state, now)
 
 
-class _ReadsByEarlierRound(Leading):
+class _ReadsByEarlierRound(LeaderRole):
     def new_ticket(self, at_once: bool) -> ReadTicket:
         ticket = super().new_ticket(at_once)
         if not at_once:
@@ -180,7 +181,7 @@
 class ReadsByEarlierRound(Raft):
     """Confirms a read by the answers to what it sent before the read."""
 
-    def _begin_leading(self, now: float) -> Leading:
+    def _begin_leading(self, now: float) -> LeaderRole:
         return _ReadsByEarlierRound(self._state, now)
 
 
@@ -198,20 +199,20 @@
         super().__init__(group, member.partition("#")[0], *arguments)  # type: ignore[arg-type]
 
 
-class _StepsDownAtOnce(Leading):
-    def give_way(self, now: float) -> bool:
+class _StepsDownAtOnce(LeaderRole):
+    def yield_to_later_term(self, now: float) -> bool:
         return False
 
 
 class StepsDownAtOnce(Raft):
     """Gives up a leadership that a majority follows because of one member in a later term."""
 
-    def _begin_leading(self, now: float) -> Leading:
+    def _begin_leading(self, now: float) -> LeaderRole:
         return _StepsDownAtOnce(self._state, now)
 
 
-class _TakesOlderSnapshots(Following):
-    def _take_part(self, part: SnapshotPart) -> int:
+class _TakesOlderSnapshots(FollowerRole):
+    def _take_part(self, part: SnapshotChunk) -> int:
         received = self._assembly.add(part)
         if received < part.total:
             return received
@@ -230,11 +231,11 @@
 
 
 class _MixesParts(SnapshotAssembly):
-    def add(self, part: SnapshotPart) -> int:
+    def add(self, part: SnapshotChunk) -> int:
         part = msgspec.structs.replace(part, total=0, checksum=0)
         return super().add(part)
 
-    def take_whole(self, part: SnapshotPart) -> Snapshot:
+    def take_whole(self, part: SnapshotChunk) -> Snapshot:
         data, self._data = bytes(self._data), bytearray()
         self._id = None
         return Snapshot(part.last_index, part.last_term, part.membership, data)
@@ -249,7 +250,7 @@
 
 
 class _IgnoresGaps(SnapshotAssembly):
-    def add(self, part: SnapshotPart) -> int:
+    def add(self, part: SnapshotChunk) -> int:
         following = msgspec.structs.replace(part, offset=len(self._data) if part.offset else 0)
         return super().add(following)
 
@@ -267,7 +268,7 @@
         pass
 
 
-class _GoesOnBehindLosses(Leading):
+class _GoesOnBehindLosses(LeaderRole):
     def __init__(self, state: MemberState, now: float) -> None:
         super().__init__(state, now)
         self._replication.__class__ = _NeverGoesBack
@@ -276,7 +277,7 @@
 class GoesOnBehindLosses(Raft):
     """Takes each part of a snapshot that was sent to a member that lives for one that will arrive."""
 
-    def _begin_leading(self, now: float) -> Leading:
+    def _begin_leading(self, now: float) -> LeaderRole:
         return _GoesOnBehindLosses(self._state, now)
 
 
@@ -285,7 +286,7 @@
 
     def compact(self, snapshot: Snapshot) -> None:
         super().compact(snapshot)
-        self._state.unsaved.saved_to = self._state.log.last_index
+        self._state.unpersisted.persisted_index = self._state.log.last_index
 
 
 BREAKAGES: tuple[type[Raft], ...] = (
--- a/tests/consensus/scenarios.py
+++ b/tests/consensus/scenarios.py
@@ -1,6 +1,6 @@
 """Courses of events in which one broken rule does harm."""
 
-from pewterring.consensus.messages import AppendRequest, ConsensusMessage, SnapshotPart
+from pewterring.consensus.messages import AppendRequest, ConsensusMessage, SnapshotChunk
 from pewterring.consensus.raft import Raft
 from tests.consensus.simulated_members import Violation, Weather
 from tests.consensus.simulation import Simulation
@@ -15,7 +15,7 @@
 def _settled(seed: int, voters: int, raft_class: type[Raft]) -> tuple[Simulation, str, list[str]]:
     """A group with a leader that has committed; the leader, and the others."""
     simulation = Simulation(seed, voters, raft_class)
-    simulation.run_until(lambda: simulation.leader() is not None and simulation.leader_raft().leads_committed)
+    simulation.run_until(lambda: simulation.leader() is not None and simulation.leader_raft().is_ready_leader)
     simulation.run(1.0)
     leader = simulation.leader()
     assert leader is not None
@@ -156,7 +156,7 @@
 
 
 def _leads_anew(simulation: Simulation, old: str) -> bool:
-    return simulation.leader() != old and simulation.leader_raft().leads_committed
+    return simulation.leader() != old and simulation.leader_raft().is_ready_leader
 
 
 def wiped_voter_and_rival(seed: int, raft_class: type[Raft]) -> None:
@@ -214,7 +214,7 @@
 def late_snapshot(seed: int, raft_class: type[Raft]) -> None:
     """The parts of a snapshot come once more after its member has gone on."""
     simulation, _, _, away = _needs_snapshot(seed, raft_class)
-    parts: list[SnapshotPart] = []
+    parts: list[SnapshotChunk] = []
     simulation.drops = lambda message: _record(message, parts)
     simulation.start(away)
     simulation.run(1.0)
@@ -226,8 +226,8 @@
     simulation.check_converges()
 
 
-def _record(message: ConsensusMessage, parts: list[SnapshotPart]) -> bool:
-    if isinstance(message, SnapshotPart):
+def _record(message: ConsensusMessage, parts: list[SnapshotChunk]) -> bool:
+    if isinstance(message, SnapshotChunk):
         parts.append(message)
     return False
 
@@ -235,8 +235,8 @@
 def leader_lost_amid_snapshot(seed: int, raft_class: type[Raft]) -> None:
     """The leader goes when a member has the first parts of its snapshot; the next sends one of that index."""
     simulation, leader, _, away = _needs_snapshot(seed, raft_class)
-    parts: list[SnapshotPart] = []
-    simulation.drops = lambda message: isinstance(message, SnapshotPart) and message.offset > 1000
+    parts: list[SnapshotChunk] = []
+    simulation.drops = lambda message: isinstance(message, SnapshotChunk) and message.offset > 1000
     simulation.start(away)
     simulation.run(0.3)
     simulation.drops = lambda message: _is_entry(message) or _record(message, parts)
@@ -252,9 +252,9 @@
     """One part of a snapshot is lost, while others are on the way behind it; each in its turn."""
     for lost in range(SNAPSHOT_PARTS):
         simulation, _, _, away = _needs_snapshot(seed, raft_class)
-        parts: list[SnapshotPart] = []
+        parts: list[SnapshotChunk] = []
         simulation.drops = lambda message, parts=parts, lost=lost: (  # type: ignore[misc]
-            _record(message, parts) or (isinstance(message, SnapshotPart) and len(parts) == lost + 1)
+            _record(message, parts) or (isinstance(message, SnapshotChunk) and len(parts) == lost + 1)
         )
         simulation.start(away)
         disk = simulation.members[away].disk
--- a/tests/consensus/simulated_members.py
+++ b/tests/consensus/simulated_members.py
@@ -12,9 +12,9 @@
     message_bytes=300,
     window_bytes=900,
     window_messages=4,
-    snapshot_part_bytes=200,
-    kept_bytes=500,
-    kept_for_snapshots_bytes=10_000,
+    snapshot_chunk_bytes=200,
+    retained_bytes=500,
+    retained_for_transfers_bytes=10_000,
 )
 SNAPSHOT_AFTER = 20  # entries
 
--- a/tests/consensus/simulation.py
+++ b/tests/consensus/simulation.py
@@ -5,7 +5,7 @@
 import random
 from collections.abc import Callable
 
-from pewterring.consensus.errors import ConsensusError, NotLeader
+from pewterring.consensus.errors import ConsensusError, NotLeaderError
 from pewterring.consensus.messages import ConsensusMessage, Entry, Membership
 from pewterring.consensus.raft import Raft
 from pewterring.consensus.types import Ready, Save, Snapshot
@@ -181,7 +181,7 @@
         self._at(time, self._in_life(member, tick))
 
     def _do(self, member: Member, raft: Raft, ready: Ready) -> None:
-        for message in ready.messages_first:
+        for message in ready.messages_before_sync:
             self._send(message)
         for entry in ready.committed:
             self._apply(member, entry)
@@ -346,7 +346,7 @@
             member.sync_s = None
             if member.frozen:
                 self.thaw(name)
-        self.run_until(lambda: self.leader() is not None and self.leader_raft().leads_committed)
+        self.run_until(lambda: self.leader() is not None and self.leader_raft().is_ready_leader)
         text = f"last {self.now}"
         while text not in self.acknowledged:
             self.propose(text)
@@ -382,7 +382,7 @@
             return False
         try:
             key = member.raft.propose(self._clock(member), json.dumps(text).encode())
-        except NotLeader:
+        except NotLeaderError:
             return False
         member.proposals[key] = text
         self._pump(member)
@@ -395,7 +395,7 @@
             return False
         try:
             ticket = member.raft.request_read(self._clock(member))
-        except NotLeader:
+        except NotLeaderError:
             return False
         if ticket.index is not None:
             self._check_read(member.raft, ticket.index, self.seen_index)
@@ -433,5 +433,5 @@
             voters = tuple(voter for voter in now.voters if voter != old)
             self.change(Membership(voters=voters, learners=now.learners))
         else:
-            return raft.commit_index >= raft.applied_index and raft.leads_committed
+            return raft.commit_index >= raft.applied_index and raft.is_ready_leader
         return False
--- a/tests/consensus/test_bad_state.py
+++ b/tests/consensus/test_bad_state.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from pewterring.consensus.errors import GroupFailed
+from pewterring.consensus.errors import GroupFailedError
 from pewterring.consensus.group import ReplicatedGroup
 from pewterring.consensus.messages import Membership
 from pewterring.storage.group import DiskGroupStorage
@@ -32,7 +32,7 @@
             clock=asyncio.get_running_loop().time,
             executor=InlineExecutor(),
         )
-        with pytest.raises(GroupFailed) as refused:
+        with pytest.raises(GroupFailedError) as refused:
             await group.start()
         assert "g.00000000000000000005.snapshot" in str(refused.value)
         assert "\n" not in str(refused.value)
--- a/tests/consensus/test_farewells.py
+++ b/tests/consensus/test_farewells.py
@@ -9,9 +9,15 @@
 
 import pytest
 
-from pewterring.consensus.errors import GroupFailed
+from pewterring.consensus.errors import GroupFailedError
 from pewterring.consensus.group import ReplicatedGroup
-from pewterring.consensus.messages import AppendReply, ConsensusMessage, Leave, Left, Membership
+from pewterring.consensus.messages import (
+    AppendReply,
+    ConsensusMessage,
+    DepartureAck,
+    DepartureNotice,
+    Membership,
+)
 from pewterring.consensus.raft import Raft
 from tests.consensus.memory_storage import MemoryStorage
 from tests.consensus.planned_group import PlannedGroupStandIn
@@ -163,7 +169,8 @@
     lost: list[ConsensusMessage] = []
 
     def drops(message: ConsensusMessage) -> bool:
-        is_farewell = isinstance(message, Leave) or (isinstance(message, AppendReply) and message.leaving)
+        is_departing = isinstance(message, AppendReply) and message.departing
+        is_farewell = isinstance(message, DepartureNotice) or is_departing
         if is_farewell and len(lost) < 10:
             lost.append(message)
             return True
@@ -178,7 +185,7 @@
 @kinds
 def test_a_farewell_counts_also_where_it_only_stands_in_answers(spares_kept: bool) -> None:
     simulation = started(2, 1, spares_kept, spares=1)
-    simulation.drops = lambda message: isinstance(message, Leave)
+    simulation.drops = lambda message: isinstance(message, DepartureNotice)
     assert simulation.leave_for_good(follower(simulation)) < SWAPPED_S
     assert simulation.is_whole()
 
@@ -189,7 +196,7 @@
     lost: list[ConsensusMessage] = []
 
     def drops(message: ConsensusMessage) -> bool:
-        if isinstance(message, Left) and len(lost) < 3:
+        if isinstance(message, DepartureAck) and len(lost) < 3:
             lost.append(message)
             return True
         return False
@@ -213,7 +220,7 @@
     kept: list[ConsensusMessage] = []
 
     def drops(message: ConsensusMessage) -> bool:
-        if isinstance(message, Leave):
+        if isinstance(message, DepartureNotice):
             kept.append(message)
         return False
 
@@ -252,7 +259,7 @@
     kept: list[ConsensusMessage] = []
 
     def drops(message: ConsensusMessage) -> bool:
-        if isinstance(message, Left):
+        if isinstance(message, DepartureAck):
             kept.append(message)
         return False
 
@@ -268,7 +275,9 @@
     simulation.cut_off(old)
     may_end = simulation.leave(old)
     simulation.cuts.clear()
-    simulation.drops = lambda message: isinstance(message, Leave | AppendReply) and message.sender == old
+    simulation.drops = lambda message: (
+        isinstance(message, DepartureNotice | AppendReply) and message.sender == old
+    )
     assert kept
     for message in kept:
         simulation.deliver_again(message)
@@ -509,7 +518,7 @@
         told = asyncio.ensure_future(leaving.leave(1.0))
         await asyncio.sleep(0.1)
         await leaving.stop()
-        with pytest.raises(GroupFailed):
+        with pytest.raises(GroupFailedError):
             await told
         await network.stop()
 
--- a/tests/consensus/test_full_disk.py
+++ b/tests/consensus/test_full_disk.py
@@ -3,7 +3,7 @@
 import asyncio
 from collections.abc import Sequence
 
-from pewterring.consensus.errors import StorageFull
+from pewterring.consensus.errors import StorageFullError
 from pewterring.consensus.group import ReplicatedGroup
 from pewterring.consensus.messages import Entry, Membership
 from pewterring.consensus.persistent import HardState, LoadedGroup
@@ -36,7 +36,7 @@
     def _check_room(self, is_full: bool) -> None:
         if is_full:
             self.refused += 1
-            raise StorageFull("no room")
+            raise StorageFullError("no room")
 
 
 def limited_network(voters: tuple[str, ...] = NAMES) -> tuple[Network, dict[str, LimitedStorage]]:
--- a/tests/consensus/test_group.py
+++ b/tests/consensus/test_group.py
@@ -8,9 +8,14 @@
 
 import pytest
 
-from pewterring.consensus.errors import GroupFailed, MembershipRefused, NotLeader, OutcomeUnknown
+from pewterring.consensus.errors import (
+    GroupFailedError,
+    MembershipRejectedError,
+    NotLeaderError,
+    OutcomeUnknownError,
+)
 from pewterring.consensus.group import ReplicatedGroup
-from pewterring.consensus.messages import ConsensusMessage, Membership, SnapshotPart
+from pewterring.consensus.messages import ConsensusMessage, Membership, SnapshotChunk
 from pewterring.consensus.types import RaftLimits
 from tests.consensus.memory_storage import MemoryStorage
 from tests.consensus.virtual_time import InlineExecutor, run
@@ -46,7 +51,7 @@
         self.machines: dict[str, Machine] = {}
         self.storages: dict[str, MemoryStorage] = {}
         self.told: list[tuple[str, bool]] = []
-        self.failures: list[GroupFailed] = []
+        self.failures: list[GroupFailedError] = []
         self.parts_sent = 0  # of snapshots
         self.leadership = asyncio.Event()
         for name in voters:
@@ -63,7 +68,7 @@
             self._send,
             rng=random.Random(name),
             clock=asyncio.get_running_loop().time,
-            limits=RaftLimits(kept_bytes=1000),  # else no member ever needs a snapshot of states so small
+            limits=RaftLimits(retained_bytes=1000),  # else no member ever needs a snapshot of states so small
             snapshot_after_bytes=2000,
             on_leadership=lambda leads: self._tell(name, leads),
             on_failure=self.failures.append,
@@ -76,7 +81,7 @@
         self.leadership.set()
 
     def _send(self, message: ConsensusMessage) -> None:
-        self.parts_sent += isinstance(message, SnapshotPart)
+        self.parts_sent += isinstance(message, SnapshotChunk)
         if not self.cut & {message.sender, message.target} and message.target in self.groups:
             asyncio.get_running_loop().call_soon(self.groups[message.target].receive, message)
 
@@ -141,10 +146,10 @@
         leader = await network.start()
         await leader.propose(command("x"))
         follower = next(group for group in network.groups.values() if group is not leader)
-        with pytest.raises(NotLeader) as refused:
+        with pytest.raises(NotLeaderError) as refused:
             await follower.propose(command("y"))
         assert refused.value.leader == leader.member
-        with pytest.raises(NotLeader):
+        with pytest.raises(NotLeaderError):
             await follower.read_barrier()
         await network.stop()
 
@@ -163,9 +168,9 @@
         lost = asyncio.ensure_future(old.propose(command("lost")))
         new = await network.new_leader(old)
         assert not old.has_lease(clock())
-        with pytest.raises(NotLeader):
+        with pytest.raises(NotLeaderError):
             await old.read_barrier()
-        with pytest.raises(OutcomeUnknown):
+        with pytest.raises(OutcomeUnknownError):
             await lost
         assert (old.member, False) in network.told
         assert await new.propose(command("after")) == 2
@@ -209,7 +214,7 @@
         await leader.change_membership(Membership(voters=(*NAMES, "d")))
         await wait_until(lambda: network.machines["d"].commands == network.machines["a"].commands)
         assert joiner.membership.voters == (*NAMES, "d")
-        with pytest.raises(MembershipRefused):
+        with pytest.raises(MembershipRejectedError):
             await leader.change_membership(Membership(voters=("a", "b")))
         await network.stop()
 
@@ -221,11 +226,11 @@
         network = Network()
         old = await network.start()
         network.storages[old.member].failing = True
-        with pytest.raises(GroupFailed):
+        with pytest.raises(GroupFailedError):
             await old.propose(command("x"))
         assert len(network.failures) == 1
         assert "disk is gone" in str(network.failures[0])
-        with pytest.raises(GroupFailed):
+        with pytest.raises(GroupFailedError):
             await old.read_barrier()
         new = await network.new_leader(old)
         assert await new.propose(command("y")) in (1, 2)
@@ -238,7 +243,7 @@
     async def scenario() -> None:
         network = Network(("a",))
         network.storages["a"].failing = True
-        with pytest.raises(GroupFailed):
+        with pytest.raises(GroupFailedError):
             await network.groups["a"].start()
 
     run(scenario())
--- a/tests/consensus/test_handover.py
+++ b/tests/consensus/test_handover.py
@@ -5,8 +5,8 @@
 
 import pytest
 
-from pewterring.consensus.errors import NotLeader
-from pewterring.consensus.leader import Leading
+from pewterring.consensus.errors import NotLeaderError
+from pewterring.consensus.leader import LeaderRole
 from pewterring.consensus.messages import ConsensusMessage, TimeoutNow, VoteRequest
 from pewterring.consensus.raft import Raft
 from tests.consensus.simulated_members import Violation
@@ -22,7 +22,7 @@
 
     def settle(self) -> str:
         """Waits for a leader and returns its name."""
-        self.run_until(lambda: self.leader() is not None and self.leader_raft().leads_committed)
+        self.run_until(lambda: self.leader() is not None and self.leader_raft().is_ready_leader)
         self.run(0.5)
         return self.leader() or ""
 
@@ -120,7 +120,7 @@
     assert simulation.leader_raft().term == term
 
 
-class _KeepsLease(Leading):
+class _KeepsLease(LeaderRole):
     def has_lease(self, now: float) -> bool:
         return self._rounds.has_lease(self._state.voters, now)
 
@@ -128,7 +128,7 @@
 class KeepsLease(Raft):
     """Answers reads by its lease although it has told a successor to stand."""
 
-    def _begin_leading(self, now: float) -> Leading:
+    def _begin_leading(self, now: float) -> LeaderRole:
         return _KeepsLease(self._state, now)
 
 
@@ -139,7 +139,7 @@
     simulation.drops = lambda message: message.target == old
     simulation.hand_over()
     simulation.run_until(lambda: simulation.leader() not in (old, None))
-    simulation.run_until(lambda: simulation.leader_raft().leads_committed)
+    simulation.run_until(lambda: simulation.leader_raft().is_ready_leader)
     simulation.propose("after")
     simulation.run_until(lambda: "after" in simulation.acknowledged, limit=0.1)
     assert simulation.read(old)
@@ -186,7 +186,7 @@
         await old.propose(command("before"))
         handing = asyncio.ensure_future(old.hand_over_leadership())
         await asyncio.sleep(0)
-        with pytest.raises(NotLeader):
+        with pytest.raises(NotLeaderError):
             await old.propose(command("refused"))
         began = asyncio.get_running_loop().time()
         await handing
--- a/tests/consensus/test_leases.py
+++ b/tests/consensus/test_leases.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from pewterring.consensus.leader import Leading
+from pewterring.consensus.leader import LeaderRole
 from pewterring.consensus.membership import MEMBERS, encode_membership
 from pewterring.consensus.messages import Membership
 from pewterring.consensus.raft import Raft
@@ -23,7 +23,7 @@
 def rival_at_other_rates(seed: int, drift: float) -> None:
     """The leader's clock goes slow and the others' fast; it is cut off, and they elect another."""
     simulation = Simulation(seed, 3)
-    simulation.run_until(lambda: simulation.leader() is not None and simulation.leader_raft().leads_committed)
+    simulation.run_until(lambda: simulation.leader() is not None and simulation.leader_raft().is_ready_leader)
     simulation.run(1.0)
     leader = simulation.leader() or ""
     for name in simulation.members:
@@ -45,7 +45,7 @@
             rival_at_other_rates(seed, 4 * DRIFT)
 
 
-class _ChangesFreely(Leading):
+class _ChangesFreely(LeaderRole):
     """Changes members while the change before, or the own term's first entry, is not committed."""
 
     def append_membership(self, membership: Membership) -> int:
@@ -57,7 +57,7 @@
 class ChangesFreely(Raft):
     """Has majorities that do not overlap, so that a lease of the one lets the other elect."""
 
-    def _begin_leading(self, now: float) -> Leading:
+    def _begin_leading(self, now: float) -> LeaderRole:
         return _ChangesFreely(self._state, now)
 
 
--- a/tests/consensus/test_planner_breakages.py
+++ b/tests/consensus/test_planner_breakages.py
@@ -18,8 +18,8 @@
     def match(self, member: str) -> int:
         return self.commit_index
 
-    def silent_s(self, member: str, now: float) -> float:
-        return self._group.silent_s(member, now)
+    def seconds_since_contact(self, member: str, now: float) -> float:
+        return self._group.seconds_since_contact(member, now)
 
     def is_leaving(self, member: str) -> bool:
         return self._group.is_leaving(member)
@@ -51,7 +51,9 @@
     def plan(self, now: float, group: PlannedGroup, candidates: Candidates) -> Membership | None:
         change = super().plan(now, group, candidates)
         membership = group.membership
-        silent = [voter for voter in membership.voters if group.silent_s(voter, now) >= self._lost_s]
+        silent = [
+            voter for voter in membership.voters if group.seconds_since_contact(voter, now) >= self._lost_s
+        ]
         if change is None and silent:
             return Membership(
                 tuple(voter for voter in membership.voters if voter != silent[0]), membership.learners
@@ -65,7 +67,9 @@
     def plan(self, now: float, group: PlannedGroup, candidates: Candidates) -> Membership | None:
         change = super().plan(now, group, candidates)
         membership = group.membership
-        silent = [voter for voter in membership.voters if group.silent_s(voter, now) >= self._lost_s]
+        silent = [
+            voter for voter in membership.voters if group.seconds_since_contact(voter, now) >= self._lost_s
+        ]
         if change is not None and silent and len(change.voters) > len(membership.voters):
             return Membership(
                 tuple(voter for voter in membership.voters if voter != silent[0]), membership.learners
--- a/tests/consensus/test_schedules.py
+++ b/tests/consensus/test_schedules.py
@@ -49,7 +49,7 @@
 
 def test_removed_leader_steps_down() -> None:
     simulation = Simulation(1)
-    simulation.run_until(lambda: simulation.leader() is not None and simulation.leader_raft().leads_committed)
+    simulation.run_until(lambda: simulation.leader() is not None and simulation.leader_raft().is_ready_leader)
     old = simulation.leader() or ""
     membership = simulation.leader_raft().membership
     rest = tuple(voter for voter in membership.voters if voter != old)
--- a/tests/consensus/test_snapshot_transfer.py
+++ b/tests/consensus/test_snapshot_transfer.py
@@ -18,7 +18,7 @@
     ConsensusMessage,
     Entry,
     Membership,
-    SnapshotPart,
+    SnapshotChunk,
     SnapshotReply,
 )
 from pewterring.consensus.replication import Flow, Replication
@@ -29,13 +29,13 @@
 
 MEMBERS = Membership(voters=("a", "b", "c"))
 PART_BYTES = 10
-WINDOW = RaftLimits().snapshot_parts_in_flight
+WINDOW = RaftLimits().snapshot_chunks_in_flight
 PATIENCE_S = 0.4
 
 
-def part(data: bytes, offset: int, index: int = 7, sent_in: int = 3) -> SnapshotPart:
+def part(data: bytes, offset: int, index: int = 7, sent_in: int = 3) -> SnapshotChunk:
     """The part of `data` from `offset` on."""
-    return SnapshotPart(
+    return SnapshotChunk(
         group="g",
         sender="a",
         target="b",
@@ -119,7 +119,7 @@
     @classmethod
     def begin(cls, parts_in_flight: int = 1) -> "Sending":
         log = Log(100, 1)
-        limits = RaftLimits(snapshot_part_bytes=PART_BYTES, snapshot_parts_in_flight=parts_in_flight)
+        limits = RaftLimits(snapshot_chunk_bytes=PART_BYTES, snapshot_chunks_in_flight=parts_in_flight)
         replication = Replication("g", "a", 1, log, limits)
         replication.set_members(("a", "b"))
         sending = cls(replication, log, NEW * 3)
@@ -147,10 +147,10 @@
         """Offsets of the parts that are sent now."""
         return [message.offset for message in self.messages()]
 
-    def messages(self) -> list[SnapshotPart]:
+    def messages(self) -> list[SnapshotChunk]:
         """The parts that are sent now."""
         outgoing = self.replication.flush(self.now, 1, 100)
-        return [message for message in outgoing if isinstance(message, SnapshotPart)]
+        return [message for message in outgoing if isinstance(message, SnapshotChunk)]
 
     @property
     def is_over(self) -> bool:
@@ -208,7 +208,7 @@
     return [number * PART_BYTES for number in parts]
 
 
-def _with_a_window() -> tuple[Sending, SnapshotAssembly, list[SnapshotPart]]:
+def _with_a_window() -> tuple[Sending, SnapshotAssembly, list[SnapshotChunk]]:
     """A member that has the first part, and the window of parts that is on the way to it."""
     sending = Sending.begin(WINDOW)
     assembly = SnapshotAssembly()
@@ -357,7 +357,7 @@
 
     sending: Sending
     assembly: SnapshotAssembly = dataclasses.field(default_factory=SnapshotAssembly)
-    parts: list[SnapshotPart] = dataclasses.field(default_factory=list)
+    parts: list[SnapshotChunk] = dataclasses.field(default_factory=list)
     answers: list[int] = dataclasses.field(default_factory=list)
     snapshot: Snapshot | None = None
     round_number: int = 1
@@ -375,7 +375,7 @@
             self.parts.remove(message)
         self.answers.append(message.total if self.snapshot is not None else self._take(message))
 
-    def _take(self, message: SnapshotPart) -> int:
+    def _take(self, message: SnapshotChunk) -> int:
         received = self.assembly.add(message)
         if received < message.total:
             return received
@@ -452,7 +452,7 @@
 
 def _leader_and_away(simulation: Simulation, changes: int) -> tuple[str, str]:
     """A leader, and a member that was away during so many changes."""
-    simulation.run_until(lambda: simulation.leader() is not None and simulation.leader_raft().leads_committed)
+    simulation.run_until(lambda: simulation.leader() is not None and simulation.leader_raft().is_ready_leader)
     leader = simulation.leader() or ""
     away = next(name for name in simulation.members if name != leader)
     simulation.crash(away)
@@ -487,9 +487,9 @@
     sent: set[int] = set()
 
     def loses(message: ConsensusMessage) -> bool:
-        if isinstance(message, SnapshotPart) and not simulation.members[away].disk.snapshot_index:
+        if isinstance(message, SnapshotChunk) and not simulation.members[away].disk.snapshot_index:
             sent.add(message.last_index)
-        return isinstance(message, SnapshotPart) and fate.random() < 0.5
+        return isinstance(message, SnapshotChunk) and fate.random() < 0.5
 
     simulation.drops = loses
     before = simulation.members[leader].disk.snapshot_index
@@ -509,7 +509,7 @@
     """The member answers heartbeats, and no part of a snapshot reaches it."""
     simulation = Simulation(seed)
     leader, away = _leader_and_away(simulation, 40)
-    simulation.drops = lambda message: isinstance(message, SnapshotPart)
+    simulation.drops = lambda message: isinstance(message, SnapshotChunk)
     simulation.start(away)
     longest = 0
     for number in range(600):
@@ -518,7 +518,7 @@
         raft = simulation.members[leader].raft
         assert raft is not None
         longest = max(longest, raft._state.log.size_bytes)
-    bound = LIMITS.kept_for_snapshots_bytes + 40 * 150  # and what comes until the next snapshot
+    bound = LIMITS.retained_for_transfers_bytes + 40 * 150  # and what comes until the next snapshot
     assert longest < bound
     simulation.check_converges()
 
@@ -528,10 +528,10 @@
     """With so many parts sent; those of the old leader come as late as those of the next."""
     simulation = Simulation(count)
     leader, away = _leader_and_away(simulation, 60)
-    parts: list[SnapshotPart] = []
+    parts: list[SnapshotChunk] = []
 
     def is_kept_back(message: ConsensusMessage) -> bool:
-        if isinstance(message, SnapshotPart) and message.sender == leader:
+        if isinstance(message, SnapshotChunk) and message.sender == leader:
             parts.append(message)
         return False
 
@@ -556,7 +556,7 @@
     parts: list[int] = []
 
     def is_lost(message: ConsensusMessage) -> bool:
-        if isinstance(message, SnapshotPart):
+        if isinstance(message, SnapshotChunk):
             parts.append(message.offset)
         return False
 
--- a/tests/consensus/test_uncommitted_limit.py
+++ b/tests/consensus/test_uncommitted_limit.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from pewterring.consensus.errors import TooManyUncommitted
+from pewterring.consensus.errors import TooManyUncommittedError
 from pewterring.consensus.group import ReplicatedGroup
 from pewterring.consensus.log import ENTRY_OVERHEAD_BYTES
 from pewterring.consensus.types import RaftLimits
@@ -22,7 +22,7 @@
     """A group whose leader takes `MOST_BYTES`."""
     network, disks = limited_network()
     for group in network.groups.values():
-        group._limits = RaftLimits(kept_bytes=KEPT_BYTES, uncommitted_bytes=MOST_BYTES)
+        group._limits = RaftLimits(retained_bytes=KEPT_BYTES, uncommitted_bytes=MOST_BYTES)
     leader = await network.start()
     await leader.propose(command("first"))
     await asyncio.sleep(1.0)
@@ -44,7 +44,7 @@
         async with asyncio.timeout(0.5):
             try:
                 await leader.propose(command(text))
-            except TooManyUncommitted:
+            except TooManyUncommittedError:
                 refused.append(text)
 
 
@@ -93,7 +93,7 @@
         set_full(disks, True)
         held = asyncio.ensure_future(leader.propose(command(large)))
         await asyncio.sleep(0.1)
-        with pytest.raises(TooManyUncommitted):
+        with pytest.raises(TooManyUncommittedError):
             await asyncio.wait_for(leader.propose(command("z")), 1.0)
         set_full(disks, False)
         assert await held == 3
--- a/tests/control/test_bad_input.py
+++ b/tests/control/test_bad_input.py
@@ -7,7 +7,7 @@
 import msgspec
 import pytest
 
-from pewterring.consensus.errors import GroupFailed
+from pewterring.consensus.errors import GroupFailedError
 from pewterring.consensus.group import ReplicatedGroup
 from pewterring.consensus.messages import Entry
 from pewterring.consensus.persistent import HardState
@@ -104,7 +104,7 @@
     assert state.snapshot() == before
 
 
-def member(storage: MemoryStorage, state: ControlState, failures: list[GroupFailed]) -> ReplicatedGroup:
+def member(storage: MemoryStorage, state: ControlState, failures: list[GroupFailedError]) -> ReplicatedGroup:
     return ReplicatedGroup(
         "control",
         "10.0.0.1#seed",
@@ -127,7 +127,7 @@
     storage.entries = [
         Entry(index, 1, "command", msgspec.Raw(data)) for index, data in enumerate((known, later, after), 1)
     ]
-    state, failures = ControlState(), list[GroupFailed]()
+    state, failures = ControlState(), list[GroupFailedError]()
 
     async def scenario() -> None:
         group = member(storage, state, failures)
@@ -151,6 +151,6 @@
         await member(storage, ControlState(), []).start()
 
     expected = "cannot start: the snapshot cannot be read: the snapshot is none that this version knows"
-    with pytest.raises(GroupFailed, match=expected) as caught:
+    with pytest.raises(GroupFailedError, match=expected) as caught:
         run(scenario())
     assert "\n" not in str(caught.value)
--- a/tests/control/test_held_up.py
+++ b/tests/control/test_held_up.py
@@ -154,7 +154,7 @@
         refused = count_too_old(leader)
         follower = follower_of(cluster, leader)
         await asyncio.sleep(CUT_S)
-        follower.group._running()._state.heard_round = 1
+        follower.group._running()._state.last_leader_round = 1
         assert (await follower.router.answer(GONE)).status == 200
         assert [call.round for call in refused] == [1]
         assert "i-9" in leader.state.workers
--- a/tests/control/test_leadership.py
+++ b/tests/control/test_leadership.py
@@ -6,11 +6,11 @@
 import pytest
 
 from pewterring.consensus.errors import (
-    GroupFailed,
-    MembershipRefused,
-    NotLeader,
-    OutcomeUnknown,
-    TooManyUncommitted,
+    GroupFailedError,
+    MembershipRejectedError,
+    NotLeaderError,
+    OutcomeUnknownError,
+    TooManyUncommittedError,
 )
 from pewterring.consensus.group import ReplicatedGroup
 from pewterring.consensus.messages import Membership
@@ -122,10 +122,10 @@
 @pytest.mark.parametrize(
     ("error", "expected"),
     [
-        (NotLeader("b"), NotLeading),  # nothing was done
-        (TooManyUncommitted(1), NotLeading),  # nothing either
-        (OutcomeUnknown("lost"), OutcomeUnsure),  # may come into force yet
-        (GroupFailed("disk"), OutcomeUnsure),
+        (NotLeaderError("b"), NotLeading),  # nothing was done
+        (TooManyUncommittedError(1), NotLeading),  # nothing either
+        (OutcomeUnknownError("lost"), OutcomeUnsure),  # may come into force yet
+        (GroupFailedError("disk"), OutcomeUnsure),
     ],
 )
 def test_errors_of_the_group_say_whether_the_command_may_come_into_force(
@@ -158,7 +158,7 @@
 
 
 @pytest.mark.parametrize(
-    "error", [NotLeader(None), OutcomeUnknown("lost"), MembershipRefused("one at a time")]
+    "error", [NotLeaderError(None), OutcomeUnknownError("lost"), MembershipRejectedError("one at a time")]
 )
 def test_a_duty_that_failed_is_found_due_again(error: Exception) -> None:
     group, leadership = made()
--- a/tests/golden/member_messages.py
+++ b/tests/golden/member_messages.py
@@ -10,11 +10,11 @@
     CONSENSUS_MESSAGES,
     AppendReply,
     AppendRequest,
+    DepartureAck,
+    DepartureNotice,
     Entry,
-    Leave,
-    Left,
     Membership,
-    SnapshotPart,
+    SnapshotChunk,
     SnapshotReply,
     TimeoutNow,
     VoteReply,
@@ -38,7 +38,7 @@
 _MESSAGES: tuple[tuple[str, msgspec.Struct], ...] = (
     (
         "VoteRequest-full",
-        VoteRequest(**_HEAD, last_index=42, last_term=4, prevote=True, handed_over=True),
+        VoteRequest(**_HEAD, last_index=42, last_term=4, prevote=True, leadership_transferred=True),
     ),
     ("VoteRequest-defaults", VoteRequest(**_HEAD, last_index=42, last_term=4, prevote=False)),
     ("VoteReply-full", VoteReply(**_HEAD, granted=True, prevote=True)),
@@ -58,11 +58,11 @@
         "AppendRequest-defaults",
         AppendRequest(**_HEAD, previous_index=39, previous_term=4, commit=38, round=17),
     ),
-    ("AppendReply-full", AppendReply(**_HEAD, accepted=True, match=42, round=17, leaving=True)),
+    ("AppendReply-full", AppendReply(**_HEAD, accepted=True, match=42, round=17, departing=True)),
     ("AppendReply-defaults", AppendReply(**_HEAD, accepted=False, match=12, round=17)),
     (
         "SnapshotPart-full",
-        SnapshotPart(
+        SnapshotChunk(
             **_HEAD,
             last_index=30,
             last_term=4,
@@ -76,7 +76,7 @@
     ),
     (
         "SnapshotPart-first",
-        SnapshotPart(
+        SnapshotChunk(
             **_HEAD,
             last_index=30,
             last_term=4,
@@ -90,8 +90,8 @@
     ),
     ("SnapshotReply-full", SnapshotReply(**_HEAD, last_index=30, received=65536, round=17)),
     ("TimeoutNow-full", TimeoutNow(**_HEAD)),
-    ("Leave-full", Leave(**_HEAD, round=17)),
-    ("Left-full", Left(**_HEAD, round=17)),
+    ("Leave-full", DepartureNotice(**_HEAD, round=17)),
+    ("Left-full", DepartureAck(**_HEAD, round=17)),
 )
 
 
--- a/tests/simulation/breakages.py
+++ b/tests/simulation/breakages.py
@@ -13,10 +13,10 @@
 from pewterring.batch.messages import JobAccepted, SubmitJob
 from pewterring.batch.service import BatchService, SubmitReply
 from pewterring.configuration.digest import digest_of
-from pewterring.consensus.follower import Following
+from pewterring.consensus.follower import FollowerRole
 from pewterring.consensus.group import ReplicatedGroup
-from pewterring.consensus.leader import Leading
-from pewterring.consensus.messages import SnapshotPart
+from pewterring.consensus.leader import LeaderRole
+from pewterring.consensus.messages import SnapshotChunk
 from pewterring.consensus.planner import Candidates, MembershipPlanner
 from pewterring.consensus.state import MemberState
 from pewterring.consensus.types import Snapshot
@@ -79,7 +79,7 @@
 def learner_counted() -> Any:
     """What a learner has on disk counts as if it were a voter's."""
 
-    def advance_commit(self: Leading, now: float) -> None:
+    def advance_commit(self: LeaderRole, now: float) -> None:
         state = self._state
         members = (*state.members.current.voters, *state.members.current.learners)
         matches = sorted((self.match(member) for member in members), reverse=True)
@@ -87,12 +87,12 @@
         if index > state.commit_index and self.may_commit(index):
             state.commit_index = index
 
-    return mock.patch.object(Leading, "advance_commit", advance_commit)
+    return mock.patch.object(LeaderRole, "advance_commit", advance_commit)
 
 
 def farewell_ignored() -> Any:
     """A leader goes on as if no voter had told it that its process is about to end."""
-    return mock.patch.object(Leading, "is_leaving", lambda self, member: False)
+    return mock.patch.object(LeaderRole, "is_leaving", lambda self, member: False)
 
 
 def ends_without_farewell() -> Any:
@@ -107,13 +107,13 @@
 def commit_before_majority() -> Any:
     """An entry counts as committed once one other member has it on disk, or the leader alone."""
 
-    def advance_commit(self: Leading, now: float) -> None:
+    def advance_commit(self: LeaderRole, now: float) -> None:
         state = self._state
         index = max(self.match(voter) for voter in state.voters)
         if index > state.commit_index and self.may_commit(index):
             state.commit_index = index
 
-    return mock.patch.object(Leading, "advance_commit", advance_commit)
+    return mock.patch.object(LeaderRole, "advance_commit", advance_commit)
 
 
 def digest_forgotten() -> Any:
@@ -150,7 +150,7 @@
 def snapshot_over_newer() -> Any:
     """A snapshot is installed though the member has committed more than it covers."""
 
-    def on_snapshot_part(self: Following, now: float, part: SnapshotPart) -> None:
+    def on_snapshot_part(self: FollowerRole, now: float, part: SnapshotChunk) -> None:
         self._hear_leader(now, part)
         received = self._assembly.add(part)
         whole = self._assembly.take_whole(part) if received >= part.total else None
@@ -158,14 +158,14 @@
             install(self, whole)
         self._reply_snapshot(part, received, part.round)
 
-    def install(self: Following, snapshot: Snapshot) -> None:
+    def install(self: FollowerRole, snapshot: Snapshot) -> None:
         state = self._state
         state.log.reset(snapshot.index, snapshot.term)
         state.members.reset(snapshot.membership)
-        state.unsaved.replaced(snapshot, state.commit_index)
+        state.unpersisted.replaced(snapshot, state.commit_index)
         state.commit_index = snapshot.index
 
-    return mock.patch.object(Following, "on_snapshot_part", on_snapshot_part)
+    return mock.patch.object(FollowerRole, "on_snapshot_part", on_snapshot_part)
 
 
 def vote_not_synced() -> Any:
@@ -181,10 +181,10 @@
 def told_before_saved() -> Any:
     """Answers leave before what they claim is on disk."""
 
-    def send_when_saved(self: MemberState, message: Any, index: int = 0) -> None:
+    def send_when_persisted(self: MemberState, message: Any, index: int = 0) -> None:
         self.outbox.append(message)
 
-    return mock.patch.object(MemberState, "send_when_saved", send_when_saved)
+    return mock.patch.object(MemberState, "send_when_persisted", send_when_persisted)
 
 
 def retirement_ended_early() -> Any:
--- a/tests/simulation/patches.py
+++ b/tests/simulation/patches.py
@@ -107,8 +107,8 @@
             message_bytes=4000,
             window_bytes=16_000,
             window_messages=8,
-            snapshot_part_bytes=world.snapshot_part_bytes,
-            kept_bytes=3000,
+            snapshot_chunk_bytes=world.snapshot_chunk_bytes,
+            retained_bytes=3000,
         )
         super().__init__(*arguments, **named, limits=limits, snapshot_after_bytes=SNAPSHOT_AFTER_BYTES)
         self.world = world
--- a/tests/simulation/watch.py
+++ b/tests/simulation/watch.py
@@ -7,7 +7,7 @@
 from unittest import mock
 
 from pewterring.consensus.group import ReplicatedGroup
-from pewterring.consensus.leader import Leading
+from pewterring.consensus.leader import LeaderRole
 from pewterring.consensus.membership import address_of, encode_membership
 from pewterring.consensus.messages import Entry, Membership
 from pewterring.control.program import GROUP
@@ -155,7 +155,7 @@
         """Replacements of methods that tell this object."""
         watch = self
 
-        def begin(self: Leading, state: Any, now: float, real: Any = Leading.__init__) -> None:
+        def begin(self: LeaderRole, state: Any, now: float, real: Any = LeaderRole.__init__) -> None:
             watch.elected(state.group, state.member, state.term)
             real(self, state, now)
 
@@ -174,7 +174,7 @@
                 watch._confirmed(message.versions.configuration, workers, sent_at)
             return confirmed
 
-        yield mock.patch.object(Leading, "__init__", begin)
+        yield mock.patch.object(LeaderRole, "__init__", begin)
         yield mock.patch.object(WorkerRegistry, "observe", observe)
         yield mock.patch.object(TableFollower, "whole", whole)
         yield mock.patch.object(TableFollower, "renewed", renewed)
--- a/tests/simulation/world.py
+++ b/tests/simulation/world.py
@@ -104,7 +104,7 @@
         self.nodes: dict[str, Gateway] = {}
         self.items = Items(self)
         self.save_s = self.rng.choice(SAVE_S)
-        self.snapshot_part_bytes = self.rng.choice(SNAPSHOT_PART_BYTES)
+        self.snapshot_chunk_bytes = self.rng.choice(SNAPSHOT_PART_BYTES)
         self.hooks: list[Any] = []  # called with the name of each point and the machine that reached it
         self._last_ip = 0
         self._last_store_ip = 0
--- a/tests/storage/simulated_disk.py
+++ b/tests/storage/simulated_disk.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from pewterring.storage.disk import DiskFile, Operation
-from pewterring.storage.errors import StorageFailed, StorageFull
+from pewterring.storage.errors import StorageFailed, StorageFullError
 
 
 class PowerLoss(Exception):
@@ -65,7 +65,7 @@
         self._disk.bytes_written += len(data)
         self._reach(Operation.WRITE)
         if room < len(data):
-            raise StorageFull(f"no room for {self._name}")
+            raise StorageFullError(f"no room for {self._name}")
 
     def truncate(self, size: int) -> None:
         self._content.change(size, None)
--- a/tests/storage/test_group.py
+++ b/tests/storage/test_group.py
@@ -13,7 +13,7 @@
 from pewterring.consensus.messages import Membership
 from pewterring.consensus.persistent import GroupStorage, HardState
 from pewterring.storage.disk import Disk, FolderDisk
-from pewterring.storage.errors import CorruptLog, CorruptSnapshot, StorageError, StorageFull
+from pewterring.storage.errors import CorruptLog, CorruptSnapshot, StorageError, StorageFullError
 from pewterring.storage.group import DiskGroupStorage
 from pewterring.storage.log import SegmentedLog
 from tests.storage.model import MEMBERS, Call, Model, after, entry, plain, random_call
@@ -138,7 +138,7 @@
         disk.capacity = sum(disk.size(name) for name in disk.names()) + rng.randrange(80)
         try:
             call(storage)
-        except StorageFull:
+        except StorageFullError:
             disk.capacity = None
             call(storage)
         disk.capacity = None
@@ -157,7 +157,7 @@
         try:
             storage.load()
             storage.initialize(voters)
-        except StorageFull:
+        except StorageFullError:
             disk.capacity = None
             storage.load()
             storage.initialize(voters)
@@ -331,7 +331,7 @@
         try:
             call(self.storage)
             self.model = after(self.model, call)
-        except StorageFull:
+        except StorageFullError:
             pass
         self.disk.capacity = None
 
--- a/tests/storage/test_identity.py
+++ b/tests/storage/test_identity.py
@@ -7,7 +7,7 @@
 import pytest
 
 from pewterring.storage.disk import FolderDisk, Operation
-from pewterring.storage.errors import StorageError, StorageFailed, StorageFull
+from pewterring.storage.errors import StorageError, StorageFailed, StorageFullError
 from pewterring.storage.identity import member_name
 from pewterring.storage.records import encode_record
 from tests.storage.simulated_disk import PowerLoss, SimulatedDisk
@@ -49,7 +49,7 @@
 def test_a_name_that_found_no_room_is_drawn_once_there_is_some() -> None:
     for room in range(60):
         disk = SimulatedDisk(capacity=room)
-        with contextlib.suppress(StorageFull):
+        with contextlib.suppress(StorageFullError):
             member_name(FOLDER, IP, disk)
         disk.capacity = None
         told = member_name(FOLDER, IP, disk)
--- a/tests/storage/test_log.py
+++ b/tests/storage/test_log.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from pewterring.storage.errors import CorruptLog, StorageFull
+from pewterring.storage.errors import CorruptLog, StorageFullError
 from pewterring.storage.log import SegmentedLog
 from pewterring.storage.records import HEADER_BYTES, encode_batch, encode_record, read_record
 from tests.storage.simulated_disk import PowerLoss, SimulatedDisk
@@ -150,7 +150,7 @@
         log = SegmentedLog(disk, "log")
         before = read_all(log)
         disk.capacity = sum(disk.size(name) for name in disk.names()) + room
-        with pytest.raises(StorageFull):
+        with pytest.raises(StorageFullError):
             log.append([b"x" * 40, b"y" * 40])
         disk.capacity = None
         log.append([b"fits"])
@@ -164,7 +164,7 @@
         log = SegmentedLog(disk, "log")
         before = read_all(log)
         disk.capacity = sum(disk.size(name) for name in disk.names()) + 5
-        with pytest.raises(StorageFull):
+        with pytest.raises(StorageFullError):
             log.roll([b"x" * 40])
         disk.capacity = None
         log.append([b"fits"])
