--- a/pewterring/cli/inspect.py
+++ b/pewterring/cli/inspect.py
@@ -11,8 +11,8 @@
 from pewterring.cli import inspect_requests
 from pewterring.cli.errors import CommandError, UsageError
 from pewterring.cli.parser import add_subcommands
-from pewterring.consensus.membership import MEMBERS, MembershipHistory
-from pewterring.consensus.messages import Entry, Membership
+from pewterring.consensus.membership import MembershipHistory
+from pewterring.consensus.messages import ENTRY_MEMBERS, Entry, Membership
 from pewterring.consensus.persistent import LoadedGroup
 from pewterring.storage.errors import StorageError
 from pewterring.storage.group import DiskGroupStorage
@@ -137,7 +137,9 @@
 def _show_members(group: StoredGroup, given: argparse.Namespace) -> None:
     state, history = group.loaded.state, group.membership
     changes = [(state.snapshot_index, state.snapshot_membership)]
-    changes += [(entry.index, history.at(entry.index)) for entry in state.entries if entry.kind == MEMBERS]
+    changes += [
+        (entry.index, history.at(entry.index)) for entry in state.entries if entry.kind == ENTRY_MEMBERS
+    ]
     if given.json:
         _print_json(
             {
--- a/pewterring/consensus/election.py
+++ b/pewterring/consensus/election.py
@@ -1,4 +1,10 @@
-"""Elections: standing for one after a poll that changes nothing (a pre-vote), and voting."""
+"""Owns elections: standing for one after a poll that changes nothing (a pre-vote), and voting.
+
+Raft paper, sections 5.2 and 5.4; pre-votes as in section 9.6 of the dissertation. What may go wrong: a vote
+told before it is on disk can be given twice in one term, and a vote given while a leader counts on this
+member's silence breaks that leader's lease. So votes go out by `send_when_persisted`, and
+`_must_withhold_vote` guards both.
+"""
 
 from collections.abc import Iterable
 
@@ -10,7 +16,7 @@
 
 
 class Poll:
-    """Who granted their vote at one term."""
+    """Which members granted their vote in one term."""
 
     def __init__(self, term: int) -> None:
         self.term = term
@@ -33,36 +39,36 @@
         self._poll = Poll(0)
 
     @property
-    def may_stand(self) -> bool:
+    def may_campaign(self) -> bool:
         """Whether the member is a voter by the membership that it knows."""
         return self._state.member in self._state.voters
 
     def start(self, now: float) -> None:
-        """Asks whether the others would vote for this member."""
+        """Starts a poll: would the others vote for this member?"""
         state = self._state
         state.role = Role.PRECANDIDATE
         state.leader = None
-        state.election_at = state.retry_time(now)
+        state.election_due_at = state.next_poll_time(now)
         self._poll = Poll(state.term + 1)
         state.outbox += self._requests(prevote=True)
-        self._count(now, state.member)
+        self._count_vote(now, state.member)
 
     def on_timeout_now(self, now: float, message: TimeoutNow) -> None:
-        """Stands without a poll, since the leader of the own term wishes it; later ones change nothing."""
+        """Stands without a poll, as the leader of this term requests; a late message changes nothing."""
         state = self._state
-        if message.term == state.term and state.role is Role.FOLLOWER and self.may_stand:
-            self._stand(now, leadership_transferred=True)
+        if message.term == state.term and state.role is Role.FOLLOWER and self.may_campaign:
+            self._campaign(now, leadership_transferred=True)
 
-    def _stand(self, now: float, leadership_transferred: bool = False) -> None:
+    def _campaign(self, now: float, leadership_transferred: bool = False) -> None:
         state = self._state
         state.role = Role.CANDIDATE
         state.leader = None
         state.hard_state = HardState(state.term + 1, state.member)
         state.last_leader_round = 0
-        state.election_at = state.retry_time(now)
+        state.election_due_at = state.next_poll_time(now)
         self._poll = Poll(state.term)
         for request in self._requests(prevote=False, leadership_transferred=leadership_transferred):
-            state.unpersisted.hold(request)
+            state.unpersisted.defer(request)
 
     def _requests(self, prevote: bool, leadership_transferred: bool = False) -> list[VoteRequest]:
         state = self._state
@@ -81,47 +87,49 @@
             if voter != state.member
         ]
 
-    def _count(self, now: float, voter: str) -> bool:
+    def _count_vote(self, now: float, voter: str) -> bool:
         self._poll.grant(voter)
         if not self._poll.is_won(self._state.voters):
             return False
         if self._state.role is Role.PRECANDIDATE:
-            self._stand(now)
+            self._campaign(now)
             return False
         return True
 
     def on_persisted(self, now: float) -> bool:
-        """Counts the own vote once it is on disk; True if that makes this member the leader."""
+        """Counts the member's own vote once it is on disk; True if that makes this member the leader."""
         state = self._state
         if state.role is not Role.CANDIDATE or not state.unpersisted.is_persisted(state.hard_state):
             return False
-        return self._count(now, state.member)
+        return self._count_vote(now, state.member)
 
     def on_reply(self, now: float, reply: VoteReply) -> bool:
         """Takes an answer; True if it makes this member the leader."""
         state = self._state
         if not reply.granted:
-            if reply.term > state.term and state.role is not Role.LEADER:  # it learns that by its heartbeats
+            if (
+                reply.term > state.term and state.role is not Role.LEADER
+            ):  # a leader learns that by its heartbeats
                 state.become_follower(now, reply.term, None)
             return False
-        asked = Role.PRECANDIDATE if reply.prevote else Role.CANDIDATE
-        if state.role is not asked or reply.term != self._poll.term:
+        polled_as = Role.PRECANDIDATE if reply.prevote else Role.CANDIDATE
+        if state.role is not polled_as or reply.term != self._poll.term:
             return False
-        return self._count(now, reply.sender)
+        return self._count_vote(now, reply.sender)
 
-    def _is_bound(self, now: float, request: VoteRequest) -> bool:
-        """Whether a leader may count on this member's not voting for another.
+    def _must_withhold_vote(self, now: float, request: VoteRequest) -> bool:
+        """Whether a leader's lease may rest on this member's voting for nobody else.
 
-        A request that was handed over follows a lease given up; one that comes late, in a later term,
-        gets no vote by its term.
+        A leader that transfers its leadership has given up its lease before; such a request that comes late,
+        when its term is over, gets no vote by its term.
         """
         if request.leadership_transferred:
             return False
-        return self._state.role is Role.LEADER or now < self._state.vote_free_at
+        return self._state.role is Role.LEADER or now < self._state.votes_withheld_until
 
     def on_request(self, now: float, request: VoteRequest) -> None:
-        """Votes, or leaves the request unanswered while a leader was heard not long ago."""
-        if self._is_bound(now, request):
+        """Votes, or leaves the request unanswered while a leader was in contact not long ago."""
+        if self._must_withhold_vote(now, request):
             return
         if request.prevote:
             self._answer_prevote(request)
@@ -137,15 +145,15 @@
         state = self._state
         if request.term > state.term:
             state.become_follower(now, request.term, None)
-        free = state.hard_state.vote in (None, request.sender)
-        granted = request.term == state.term and free and self._is_up_to_date(request)
+        is_free = state.hard_state.vote in (None, request.sender)
+        granted = request.term == state.term and is_free and self._is_up_to_date(request)
         if granted:
             state.hard_state = HardState(state.term, request.sender)
-            state.election_at = state.election_time(now)
+            state.election_due_at = state.next_election_time(now)
         self._reply(request, granted, state.term)
 
     def _is_up_to_date(self, request: VoteRequest) -> bool:
-        return self._state.log.is_behind(request.last_index, request.last_term)
+        return self._state.log.is_no_newer_than(request.last_index, request.last_term)
 
     def _reply(self, request: VoteRequest, granted: bool, term: int) -> None:
         state = self._state
--- a/pewterring/consensus/errors.py
+++ b/pewterring/consensus/errors.py
@@ -1,4 +1,15 @@
-"""Errors of the consensus layer."""
+"""The errors of the consensus layer.
+
+ConsensusError
+├── NotLeaderError             nothing was done: ask the leader
+├── TooManyUncommittedError    nothing was done: try again later
+├── MembershipRejectedError    nothing was done: the text says what stands against it
+├── OutcomeUnknownError        may be carried out later, or never: read before trying again
+├── InvariantError             a rule of the protocol is broken: the member stops
+├── GroupFailedError           the member has stopped: restart the process once the cause is mended
+└── StorageError               the disk failed: the member stops
+    └── StorageFullError       nothing was saved: try again when there is free space
+"""
 
 
 class ConsensusError(Exception):
@@ -6,7 +17,11 @@
 
 
 class NotLeaderError(ConsensusError):
-    """The call needs the leader and did nothing here. `leader` is the leader's member name, if known."""
+    """The call needs the leader and did nothing here.
+
+    Attributes:
+        leader: the leader's member name, which the caller may ask instead; None if unknown.
+    """
 
     def __init__(self, leader: str | None) -> None:
         super().__init__(f"not the leader; the leader is {leader or 'unknown'}")
@@ -14,7 +29,7 @@
 
 
 class TooManyUncommittedError(ConsensusError):
-    """The leader waits for so many bytes of entries to be committed that it takes no more; it did nothing."""
+    """The leader's uncommitted entries have reached their limit; it did nothing, and may be asked later."""
 
     def __init__(self, size_bytes: int) -> None:
         super().__init__(f"not taken: {size_bytes} bytes before it are not committed yet")
@@ -25,11 +40,14 @@
 
 
 class MembershipRejectedError(ConsensusError):
-    """The change of membership is not allowed now; the text says why."""
+    """The change of membership is not allowed now and nothing was done; the text says why."""
 
 
 class InvariantError(ConsensusError):
-    """A rule of the protocol was broken, such as a committed entry that would be overwritten."""
+    """A rule of the protocol was broken, such as a committed entry that would be overwritten.
+
+    No caller can go on from it: the member that raises it must stop, so as not to spread the damage.
+    """
 
 
 class GroupFailedError(ConsensusError):
@@ -41,4 +59,4 @@
 
 
 class StorageFullError(StorageError):
-    """There is no room. Nothing of the call counts as saved; the same call may succeed later."""
+    """There is no free disk space. Nothing of the call counts as saved; the same call may succeed later."""
--- a/pewterring/consensus/follower.py
+++ b/pewterring/consensus/follower.py
@@ -1,4 +1,8 @@
-"""The follower's side of replication: what a leader's entries and snapshots do to the log."""
+"""Owns the follower's side of replication: what a leader's entries and snapshots do to the log.
+
+What may go wrong: a committed entry that the leader would overwrite, or two leaders in one term, break Raft's
+safety (Raft paper, figure 3); each is an `InvariantError`, and the member stops.
+"""
 
 from dataclasses import dataclass
 
@@ -11,16 +15,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Placement:
-    """Where entries go: those from `truncate_from` on are dropped, then `fresh` ones are appended."""
+class LogMerge:
+    """How entries go into the log: drop those from `truncate_from` on, then append `new_entries`."""
 
-    agreed: int  # the log agrees with the leader's up to here, `fresh` included
+    agreed_index: int  # the log agrees with the leader's up to here, `new_entries` included
     truncate_from: int | None
-    fresh: tuple[Entry, ...]
+    new_entries: tuple[Entry, ...]
 
 
 def rejection_hint(log: Log, request: AppendRequest) -> int | None:
-    """Where the leader should try next; None if the log holds the entry before the request's."""
+    """The index that the leader should try next; None if the log has the entry before the request's."""
     previous = request.previous_index
     if previous <= log.base_index:
         return None  # what a snapshot covers is committed, so the leader has the same
@@ -31,26 +35,30 @@
     return log.term_start(previous) - 1
 
 
-def place_entries(log: Log, request: AppendRequest, commit: int) -> Placement:
-    """Compares the request's entries with the log's; the entry before them must agree."""
-    agreed = max(request.previous_index, log.base_index)
+def plan_merge(log: Log, request: AppendRequest, commit_index: int) -> LogMerge:
+    """Compares the request's entries with the log's; the entry before them must agree.
+
+    Raises:
+        InvariantError: a committed entry would be overwritten.
+    """
+    agreed_index = max(request.previous_index, log.base_index)
     for position, entry in enumerate(request.entries):
         if entry.index <= log.base_index:
             continue
         term = log.term_at(entry.index)
         if term != entry.term:
-            return _place_rest(request.entries[position:], term, commit)
-        agreed = entry.index
-    return Placement(agreed, None, ())
+            return _merge_from_conflict(request.entries[position:], term, commit_index)
+        agreed_index = entry.index
+    return LogMerge(agreed_index, None, ())
 
 
-def _place_rest(fresh: tuple[Entry, ...], term: int | None, commit: int) -> Placement:
-    first = fresh[0].index
-    if term is None:
-        return Placement(fresh[-1].index, None, fresh)
-    if first <= commit:
-        raise InvariantError(f"entry {first} is committed with term {term}, and the leader has another")
-    return Placement(fresh[-1].index, first, fresh)
+def _merge_from_conflict(new_entries: tuple[Entry, ...], own_term: int | None, commit_index: int) -> LogMerge:
+    first = new_entries[0].index
+    if own_term is None:
+        return LogMerge(new_entries[-1].index, None, new_entries)
+    if first <= commit_index:
+        raise InvariantError(f"entry {first} is committed with term {own_term}, and the leader has another")
+    return LogMerge(new_entries[-1].index, first, new_entries)
 
 
 class FollowerRole:
@@ -60,39 +68,43 @@
         self._state = state
         self._assembly = SnapshotAssembly()
 
-    def _hear_leader(self, now: float, request: AppendRequest | SnapshotChunk) -> None:
+    def _on_leader_contact(self, now: float, request: AppendRequest | SnapshotChunk) -> None:
         state = self._state
         if state.role is Role.LEADER and request.term == state.term:
             raise InvariantError(f"{request.sender} leads in term {request.term}, in which this member leads")
         state.become_follower(now, request.term, request.sender)
         state.last_leader_round = max(state.last_leader_round, request.round)
-        state.vote_free_at = now + state.timing.election_min_s
-        state.election_at = state.election_time(now)
+        state.votes_withheld_until = now + state.timing.election_min_s
+        state.election_due_at = state.next_election_time(now)
 
     def on_append(self, now: float, request: AppendRequest) -> None:
-        """Takes entries, or a heartbeat."""
+        """Takes entries, or a heartbeat.
+
+        Raises:
+            InvariantError: the sender's log or leadership contradicts this member's.
+        """
         state = self._state
         if request.term < state.term:
             # Round 0: another term's rounds must not be taken for this one's, should the sender lead in it.
             self._reply_append(request, False, 0, round_number=0)
             return
-        self._hear_leader(now, request)
+        self._on_leader_contact(now, request)
         hint = rejection_hint(state.log, request)
         if hint is not None:
             self._reply_append(request, False, hint, request.round)
             return
-        agreed = self._accept(request)
-        state.commit_index = max(state.commit_index, min(request.commit, agreed))
-        # A heartbeat's answer does not wait for the disk: it tells only what is there already.
-        match = agreed if request.entries else min(agreed, state.unpersisted.persisted_index)
+        agreed_index = self._merge(request)
+        state.commit_index = max(state.commit_index, min(request.commit, agreed_index))
+        # A heartbeat's answer does not wait for the disk: it claims only what is there already.
+        match = agreed_index if request.entries else min(agreed_index, state.unpersisted.persisted_index)
         self._reply_append(request, True, match, request.round)
 
-    def _accept(self, request: AppendRequest) -> int:
-        placement = place_entries(self._state.log, request, self._state.commit_index)
-        if placement.truncate_from is not None:
-            self._state.truncate(placement.truncate_from)
-        self._state.append(placement.fresh)
-        return placement.agreed
+    def _merge(self, request: AppendRequest) -> int:
+        merge = plan_merge(self._state.log, request, self._state.commit_index)
+        if merge.truncate_from is not None:
+            self._state.truncate(merge.truncate_from)
+        self._state.append(merge.new_entries)
+        return merge.agreed_index
 
     def _reply_append(self, request: AppendRequest, accepted: bool, match: int, round_number: int) -> None:
         state = self._state
@@ -108,44 +120,48 @@
         )
         state.send_when_persisted(reply, match if accepted else 0)
 
-    def on_snapshot_part(self, now: float, part: SnapshotChunk) -> None:
-        """Takes a part of a snapshot, and the snapshot once it is whole."""
-        if part.term < self._state.term:
-            self._reply_snapshot(part, 0, round_number=0)
+    def on_snapshot_chunk(self, now: float, chunk: SnapshotChunk) -> None:
+        """Takes a chunk of a snapshot, and installs the snapshot once it is complete.
+
+        Raises:
+            InvariantError: the sender leads in the term in which this member leads.
+        """
+        if chunk.term < self._state.term:
+            self._reply_snapshot(chunk, 0, round_number=0)
             return
-        self._hear_leader(now, part)
-        self._reply_snapshot(part, self._take_part(part), part.round)
-
-    def _take_part(self, part: SnapshotChunk) -> int:
-        """How many bytes of the part's snapshot are there; all where it is needed no more."""
-        if part.last_index <= self._state.commit_index:
-            return part.total
-        received = self._assembly.add(part)
-        if received < part.total:
-            return received
-        snapshot = self._assembly.take_whole(part)
+        self._on_leader_contact(now, chunk)
+        self._reply_snapshot(chunk, self._take_chunk(chunk), chunk.round)
+
+    def _take_chunk(self, chunk: SnapshotChunk) -> int:
+        """How many bytes of the chunk's snapshot are there; all if it is not needed any more."""
+        if chunk.last_index <= self._state.commit_index:
+            return chunk.total
+        received_bytes = self._assembly.add(chunk)
+        if received_bytes < chunk.total:
+            return received_bytes
+        snapshot = self._assembly.take_complete(chunk)
         if snapshot is None:
             return 0
         self._install(snapshot)
-        return part.total
+        return chunk.total
 
     def _install(self, snapshot: Snapshot) -> None:
         state = self._state
         if state.log.term_at(snapshot.index) != snapshot.term:
             state.log.reset(snapshot.index, snapshot.term)
             state.members.reset(snapshot.membership)
-            state.unpersisted.replaced(snapshot, state.commit_index)
+            state.unpersisted.on_snapshot_received(snapshot, state.commit_index)
         state.commit_index = snapshot.index
 
-    def _reply_snapshot(self, part: SnapshotChunk, received: int, round_number: int) -> None:
+    def _reply_snapshot(self, chunk: SnapshotChunk, received_bytes: int, round_number: int) -> None:
         state = self._state
         reply = SnapshotReply(
             group=state.group,
             sender=state.member,
-            target=part.sender,
+            target=chunk.sender,
             term=state.term,
-            last_index=part.last_index,
-            received=received,
+            last_index=chunk.last_index,
+            received=received_bytes,
             round=round_number,
         )
-        state.send_when_persisted(reply, part.last_index if received >= part.total else 0)
+        state.send_when_persisted(reply, chunk.last_index if received_bytes >= chunk.total else 0)
--- a/pewterring/consensus/group.py
+++ b/pewterring/consensus/group.py
@@ -16,11 +16,18 @@
 
 from pewterring.consensus.errors import GroupFailedError, OutcomeUnknownError, StorageError
 from pewterring.consensus.log import entry_size
-from pewterring.consensus.messages import ConsensusMessage, DepartureAck, DepartureNotice, Entry, Membership
+from pewterring.consensus.messages import (
+    ENTRY_COMMAND,
+    ConsensusMessage,
+    DepartureAck,
+    DepartureNotice,
+    Entry,
+    Membership,
+)
 from pewterring.consensus.persistent import GroupStorage, LoadedGroup
 from pewterring.consensus.raft import Raft
 from pewterring.consensus.storage_jobs import StorageJobs
-from pewterring.consensus.types import RaftLimits, RaftTiming, Ready, Save, Snapshot
+from pewterring.consensus.types import RaftConfig, RaftLimits, RaftTiming, Ready, Save, Snapshot
 from pewterring.consensus.waiting import WaitingCalls, settle
 
 SNAPSHOT_AFTER_BYTES = 4_000_000  # of entries applied since the last snapshot
@@ -76,7 +83,7 @@
         self._timing = timing or RaftTiming()
         self._rng = rng or random.Random()
         self._clock = clock
-        self._limits = limits
+        self._limits = limits or RaftLimits()
         self._snapshot_after_bytes = snapshot_after_bytes
         self._on_leadership = on_leadership
         self._on_farewell = on_farewell
@@ -106,9 +113,8 @@
             self._restore_loaded(loaded)
         except Exception as error:
             raise GroupFailedError(f"group {self.group} cannot start: {error}") from error
-        self._raft = Raft(
-            self.group, self.member, self._timing, self._rng, loaded.state, self._clock(), self._limits
-        )
+        config = RaftConfig(self.group, self.member, self._timing, self._limits)
+        self._raft = Raft(config, self._rng, loaded.state, self._clock())
         self._process()
 
     def _restore_loaded(self, loaded: LoadedGroup) -> None:
@@ -238,13 +244,13 @@
         Raises `NotLeaderError` or `TooManyUncommittedError` if nothing was done, `OutcomeUnknownError` if
         leadership was lost meanwhile.
         """
-        index, term = self._running().propose(self._clock(), command)
+        index, term = self._running().propose(command)
         self._schedule()
         return await self._waiting.proposal(index, term)
 
     async def change_membership(self, membership: Membership) -> None:
         """Replicates a change of membership; also raises `MembershipRejectedError`."""
-        index, term = self._running().propose_membership(self._clock(), membership)
+        index, term = self._running().propose_membership(membership)
         self._schedule()
         await self._waiting.proposal(index, term)
 
@@ -340,7 +346,7 @@
 
     def _apply(self, entry: Entry) -> None:
         result: object = None
-        if entry.kind == "command":
+        if entry.kind == ENTRY_COMMAND:
             result = self._machine.apply(entry.index, bytes(entry.data))
         self._bytes_since_snapshot += entry_size(entry)
         self._waiting.applied(entry.index, entry.term, result)
@@ -437,7 +443,7 @@
 
     def _compact_if_due(self, raft: Raft) -> None:
         due = self._bytes_since_snapshot >= self._next_snapshot_bytes
-        if not due or self._jobs.busy or raft.installing:
+        if not due or self._jobs.busy or raft.is_installing_snapshot:
             return
         snapshot = raft.make_snapshot(self._machine.snapshot())
         self._start_count(len(snapshot.data))
--- a/pewterring/consensus/heartbeat_rounds.py
+++ b/pewterring/consensus/heartbeat_rounds.py
@@ -1,14 +1,28 @@
-"""The leader's heartbeat rounds: which members answered which, the lease and the reads that follow."""
+"""Owns a leader's heartbeat rounds: which members answered which, and the lease and reads that rest on that.
+
+A round is one heartbeat to every member. What may go wrong: a lease counted from when an answer came, in
+place of when its round was sent, outlasts the time for which voters withhold their votes; and a read
+confirmed by a round that began before it may miss what a later leader committed (Raft dissertation, section
+6.4).
+"""
 
 from collections.abc import Iterable
 from math import inf
+from typing import NamedTuple
 
 from pewterring.consensus.membership import majority_value
 from pewterring.consensus.types import RaftTiming, ReadTicket
 
 
+class _PendingRead(NamedTuple):
+    """A read, confirmed once a majority has answered `round_number` or a later round."""
+
+    round_number: int
+    ticket: ReadTicket
+
+
 class HeartbeatRounds:
-    """Rounds are numbered from 1 within one term of leadership. Times are when a round was sent."""
+    """The rounds of one leadership, numbered from 1. All times are when a round was sent, in seconds."""
 
     def __init__(self, member: str, timing: RaftTiming, now: float) -> None:
         self._member = member
@@ -17,9 +31,9 @@
         self.number = 0
         self.due_at = now
         self._sent_at: dict[int, float] = {}
-        self._answered: dict[str, int] = {}  # member -> last round it answered
-        self._answered_at: dict[str, float] = {}  # member -> when that round was sent
-        self._reads: list[tuple[int, ReadTicket]] = []  # with the round that must be answered
+        self._answered_round: dict[str, int] = {}  # by member: the last round that it answered
+        self._answered_sent_at: dict[str, float] = {}  # by member: when that round was sent
+        self._pending_reads: list[_PendingRead] = []
         self._next_ticket = 1
 
     def begin(self, now: float) -> int:
@@ -37,13 +51,13 @@
                 return
             del self._sent_at[first]
 
-    def answered(self, member: str, number: int) -> bool:
+    def record_answer(self, member: str, number: int) -> bool:
         """Takes note that `member` answered a round; False if that is nothing new."""
         sent_at = self._sent_at.get(number)
-        if sent_at is None or number <= self._answered.get(member, 0):
+        if sent_at is None or number <= self._answered_round.get(member, 0):
             return False
-        self._answered[member] = number
-        self._answered_at[member] = sent_at
+        self._answered_round[member] = number
+        self._answered_sent_at[member] = sent_at
         return True
 
     def is_recent(self, number: int, now: float) -> bool:
@@ -54,7 +68,7 @@
     def confirmed_at(self, voters: Iterable[str]) -> float:
         """When the last round that a majority answered was sent; minus infinity if there is none."""
         return majority_value(
-            [inf if voter == self._member else self._answered_at.get(voter, -inf) for voter in voters]
+            [inf if voter == self._member else self.last_answered_at(voter) for voter in voters]
         )
 
     def has_lease(self, voters: Iterable[str], now: float) -> bool:
@@ -62,12 +76,12 @@
         return now < self.confirmed_at(voters) + self._timing.lease_s
 
     def has_lost_majority(self, voters: Iterable[str], now: float) -> bool:
-        """Whether a majority has been silent for so long that the leader must step down."""
+        """Whether a majority has not answered for so long that the leader must step down."""
         return now > max(self.confirmed_at(voters), self._elected_at) + self._timing.election_max_s
 
     def last_answered_at(self, member: str) -> float:
-        """When the last round that `member` answered was sent."""
-        return self._answered_at.get(member, -inf)
+        """When the last round that `member` answered was sent; minus infinity if it answered none."""
+        return self._answered_sent_at.get(member, -inf)
 
     def seconds_since_contact(self, member: str, now: float) -> float:
         """For how long `member` has answered no round; at most the time of this leadership."""
@@ -78,21 +92,30 @@
         ticket = ReadTicket(self._next_ticket, index)
         self._next_ticket += 1
         if index is None:
-            self._reads.append((self.number + 1, ticket))
+            self._pending_reads.append(_PendingRead(self._confirming_round, ticket))
         return ticket
 
     @property
-    def wanted(self) -> bool:
+    def _confirming_round(self) -> int:
+        """The first round whose answers confirm a read that is requested now."""
+        return self.number + 1
+
+    @property
+    def is_next_requested(self) -> bool:
         """Whether reads wait for a round that has not begun."""
-        return bool(self._reads) and self._reads[-1][0] > self.number
+        return bool(self._pending_reads) and self._pending_reads[-1].round_number > self.number
 
-    def take_confirmed(self, voters: Iterable[str], commit: int) -> list[ReadTicket]:
-        """The waiting reads whose round a majority answered, confirmed at index `commit`."""
-        if not self._reads:
+    def take_confirmed_reads(self, voters: Iterable[str], commit_index: int) -> list[ReadTicket]:
+        """The pending reads whose round a majority answered, confirmed at `commit_index`."""
+        if not self._pending_reads:
             return []
-        confirmed = majority_value(
-            [self.number if voter == self._member else self._answered.get(voter, 0) for voter in voters]
+        confirmed_round = majority_value(
+            [self.number if voter == self._member else self._answered_round.get(voter, 0) for voter in voters]
         )
-        done = [ReadTicket(ticket.number, commit) for number, ticket in self._reads if number <= confirmed]
-        self._reads = [read for read in self._reads if read[0] > confirmed]
-        return done
+        pending = self._pending_reads
+        self._pending_reads = [read for read in pending if read.round_number > confirmed_round]
+        return [
+            ReadTicket(read.ticket.number, commit_index)
+            for read in pending
+            if read.round_number <= confirmed_round
+        ]
--- a/pewterring/consensus/leader.py
+++ b/pewterring/consensus/leader.py
@@ -1,4 +1,9 @@
-"""The part of a member that exists only while it leads, in one term."""
+"""Owns what a member has only while it leads, in one term: heartbeats, replication, commitment, reads.
+
+What may go wrong: an entry of an earlier term that is committed by counting can still be overwritten (Raft
+paper, figure 8; `may_commit`), a membership changed before the last change is committed allows majorities
+that do not overlap (`append_membership`), and a leader that nobody hears must step down (`tick`).
+"""
 
 from collections.abc import Sequence
 from math import inf
@@ -9,8 +14,11 @@
 from pewterring.consensus.farewell import Farewells
 from pewterring.consensus.handover import Handover
 from pewterring.consensus.heartbeat_rounds import HeartbeatRounds
-from pewterring.consensus.membership import MEMBERS, check_change, encode_membership, majority_value
+from pewterring.consensus.membership import check_change, encode_membership, majority_value
 from pewterring.consensus.messages import (
+    ENTRY_COMMAND,
+    ENTRY_EMPTY,
+    ENTRY_MEMBERS,
     AppendReply,
     DepartureAck,
     DepartureNotice,
@@ -26,7 +34,7 @@
 
 
 class LeaderRole:
-    """Heartbeats, replication, commitment and reads of a leader."""
+    """A member's leadership of one term; it begins with an empty entry and a heartbeat round."""
 
     def __init__(self, state: MemberState, now: float) -> None:
         state.role = Role.LEADER
@@ -36,10 +44,10 @@
         self._handover = Handover(state.timing)
         self._farewells = Farewells()
         self._replication = Replication(state.group, state.member, state.term, state.log, state.limits)
-        # When an answer of a member came, be it to a round of long ago: one that reads slowly is not silent.
-        self._heard_at: dict[str, float] = {}
-        self._uncommitted = UncommittedLimit(state.limits.uncommitted_bytes)
-        self._first_index = self.append("empty", b"null")
+        # When an answer of a member came, even to a round of long ago: one that reads slowly is responsive.
+        self._last_reply_at: dict[str, float] = {}
+        self._uncommitted_limit = UncommittedLimit(state.limits.uncommitted_bytes)
+        self._first_index = self.append(ENTRY_EMPTY, b"null")
         self._set_members(state.members.current)
         self._begin_round(now)
 
@@ -53,7 +61,7 @@
 
     @property
     def round_number(self) -> int:
-        """The number of the newest round."""
+        """The number of the newest heartbeat round."""
         return self._rounds.number
 
     def is_recent_round(self, number: int, now: float) -> bool:
@@ -62,7 +70,7 @@
 
     @property
     def has_committed(self) -> bool:
-        """Whether an entry of the own term is committed."""
+        """Whether an entry of this leader's own term is committed."""
         return self._state.commit_index >= self._first_index
 
     def has_lease(self, now: float) -> bool:
@@ -77,15 +85,15 @@
         return peer.match if peer else 0
 
     def seconds_since_contact(self, member: str, now: float) -> float:
-        """For how long `member` has answered no heartbeat of this leadership; never the leader itself."""
+        """For how long `member` has answered no heartbeat of this leadership; 0 for the leader itself."""
         return 0.0 if member == self._state.member else self._rounds.seconds_since_contact(member, now)
 
     def is_leaving(self, member: str) -> bool:
-        """Whether the process of `member` said that it is about to end, and no later one answered."""
+        """Whether the process of `member` announced its end, and no later incarnation answered."""
         return self._farewells.is_leaving(member)
 
     def on_leave(self, message: DepartureNotice) -> None:
-        """Takes a farewell, and answers that of a member which is no voter any more."""
+        """Takes a departure notice, and answers that of a member which is no voter any more."""
         state = self._state
         if message.sender in state.voters:
             if message.term == state.term:
@@ -100,38 +108,49 @@
         )
 
     def _answer_farewells(self) -> None:
-        """A change was committed: who waits for it need not say its farewell again."""
+        """A change was committed: who waits for it need not announce its departure again."""
         for member, number in self._farewells.leaving().items():
             if member not in self._state.voters:
                 self._answer_farewell(member, number)
 
     def append(self, kind: str, data: bytes) -> int:
-        """Appends an entry of the own term and returns its index."""
+        """Appends an entry of this leader's term and returns its index."""
         entry = Entry(self._state.log.last_index + 1, self._state.term, kind, msgspec.Raw(data))
         self._state.append((entry,))
-        self._uncommitted.appended(entry)
+        self._uncommitted_limit.on_appended(entry)
         return entry.index
 
     def append_command(self, data: bytes) -> int:
-        """Appends a command and returns its index; raises `TooManyUncommittedError`."""
-        self._uncommitted.committed(self._state.commit_index)
-        self._uncommitted.check_room(len(data))
-        return self.append("command", data)
+        """Appends a command and returns its index.
+
+        Raises:
+            TooManyUncommittedError: the limit of uncommitted bytes is reached; nothing was appended.
+        """
+        self._uncommitted_limit.on_committed(self._state.commit_index)
+        self._uncommitted_limit.check(len(data))
+        return self.append(ENTRY_COMMAND, data)
 
     def append_membership(self, membership: Membership) -> int:
-        """Appends a change of membership and returns its index."""
+        """Appends a change of membership and returns its index.
+
+        The first check closes the gap of single-server changes (Ongaro, raft-dev, 10 July 2015).
+
+        Raises:
+            MembershipRejectedError: majorities before and after the change need not overlap; nothing was
+            appended.
+        """
         state = self._state
         if not self.has_committed:
             raise MembershipRejectedError("no entry of the leader's term is committed yet")
         if state.members.last_change > state.commit_index:
             raise MembershipRejectedError("the change before is not committed yet")
         check_change(state.members.current, membership)
-        index = self.append(MEMBERS, encode_membership(membership))
+        index = self.append(ENTRY_MEMBERS, encode_membership(membership))
         self._set_members(membership)
         return index
 
     def tick(self, now: float) -> None:
-        """Steps down where a majority is silent; otherwise begins a round when one is due."""
+        """Steps down if a majority is unresponsive; otherwise begins a round when one is due."""
         state = self._state
         if now < self.due_at:
             return
@@ -139,31 +158,34 @@
             state.become_follower(now, state.term, None)
             return
         self._handover.tell_again()
-        oldest = now - state.timing.election_max_s
-        for name in self._replication.peers:
-            if self._heard_at.get(name, -inf) < oldest:
-                self._replication.give_up(name)
-        self._replication.retry_lost(now, state.timing.election_min_s)
+        self._mark_unresponsive(now)
+        self._replication.retransmit_overdue(now, state.timing.election_min_s)
         self._begin_round(now)
 
+    def _mark_unresponsive(self, now: float) -> None:
+        oldest = now - self._state.timing.election_max_s
+        for name in self._replication.peers:
+            if self._last_reply_at.get(name, -inf) < oldest:
+                self._replication.mark_unresponsive(name)
+
     def _begin_round(self, now: float) -> None:
         number = self._rounds.begin(now)
         self._state.outbox += self._replication.heartbeats(number, self._state.commit_index)
 
     @property
     def hands_over(self) -> bool:
-        """Whether the leadership is being handed over, so that no more is appended."""
+        """Whether the leadership is being transferred, so that no more is appended."""
         return self._handover.under_way
 
     def hand_over(self, now: float) -> bool:
-        """Begins to hand the leadership over; False without another voter."""
+        """Begins to transfer the leadership; False without another voter."""
         if all(voter == self._state.member for voter in self._state.voters):
             return False
         self._handover.begin(now)
         return True
 
     def yield_to_later_term(self, now: float) -> bool:
-        """Hands over because of a member in a later term; False where the leader must step down for it.
+        """Transfers the leadership because of a member in a later term; False if the leader must step down.
 
         The member cannot follow this leader, and while a majority does, nobody leads in the later term. The
         successor's term takes the member in. Symptom answered: a member that stood for election just before
@@ -173,37 +195,42 @@
 
     def _tell_successor(self, now: float) -> None:
         state = self._state
-        last = state.log.last_index
-        if not self.hands_over or state.commit_index < last:
+        if not self.hands_over or state.commit_index < state.log.last_index:
             return
+        successor = self._handover.choose(self._possible_successors(now))
+        if successor is not None:
+            state.outbox.append(
+                TimeoutNow(group=state.group, sender=state.member, target=successor, term=state.term)
+            )
+
+    def _possible_successors(self, now: float) -> list[str]:
+        """Responsive voters with the complete log: staying ones first, then by last answer."""
+        state = self._state
         oldest = now - state.timing.election_min_s
         complete = [
             voter
             for voter in state.voters
             if voter != state.member
-            and self.match(voter) == last
+            and self.match(voter) == state.log.last_index
             and self._rounds.last_answered_at(voter) > oldest
         ]
-        complete.sort(
-            key=lambda voter: (not self.is_leaving(voter), self._rounds.last_answered_at(voter)), reverse=True
+        return sorted(
+            complete,
+            key=lambda voter: (not self.is_leaving(voter), self._rounds.last_answered_at(voter)),
+            reverse=True,
         )
-        successor = self._handover.choose(complete)
-        if successor is not None:
-            state.outbox.append(
-                TimeoutNow(group=state.group, sender=state.member, target=successor, term=state.term)
-            )
 
     def flush(self, now: float) -> None:
         """Sends what may be sent now."""
         self._tell_successor(now)
-        if self._rounds.wanted:
+        if self._rounds.is_next_requested:
             self._begin_round(now)
         self._state.outbox += self._replication.flush(now, self._rounds.number, self._state.commit_index)
 
     def on_reply(self, now: float, reply: AppendReply | SnapshotReply) -> None:
-        """Takes a member's answer of the own term."""
-        self._heard_at[reply.sender] = now
-        self._rounds.answered(reply.sender, reply.round)
+        """Takes a member's answer in this leader's term."""
+        self._last_reply_at[reply.sender] = now
+        self._rounds.record_answer(reply.sender, reply.round)
         if isinstance(reply, AppendReply):
             self._farewells.on_reply(reply.sender, reply.round, reply.departing)
             advanced = self._replication.on_append_reply(reply)
@@ -213,21 +240,21 @@
             self.advance_commit(now)
 
     def advance_commit(self, now: float) -> None:
-        """Commits what a majority has on disk; steps down when that was the own removal."""
+        """Commits what a majority has on disk; steps down if that was the leader's own removal."""
         state = self._state
         index = majority_value([self.match(voter) for voter in state.voters])
         if index <= state.commit_index or not self.may_commit(index):
             return
-        changed = state.commit_index < state.members.last_change <= index
+        has_changed_members = state.commit_index < state.members.last_change <= index
         state.commit_index = index
-        if changed:
+        if has_changed_members:
             self._answer_farewells()
         if state.member not in state.voters and state.members.last_change <= index:
-            self._begin_round(now)  # tells the others what is committed
+            self._begin_round(now)  # so that the others learn what is committed
             state.become_follower(now, state.term, None)
 
     def may_commit(self, index: int) -> bool:
-        """Only entries of the own term are committed by counting; those before go with them."""
+        """Whether entries up to `index` may be committed by counting: only those of this leader's term."""
         return self._state.log.term_at(index) == self._state.term
 
     def new_ticket(self, at_once: bool) -> ReadTicket:
@@ -238,7 +265,7 @@
         """Tickets whose round a majority has answered."""
         if not self.has_committed:
             return ()
-        return self._rounds.take_confirmed(self._state.voters, self._state.commit_index)
+        return self._rounds.take_confirmed_reads(self._state.voters, self._state.commit_index)
 
     @property
     def snapshot_wanted(self) -> bool:
@@ -249,10 +276,10 @@
         """Sends `snapshot` to the members that wait for one."""
         self._replication.offer_snapshot(snapshot)
 
-    def oldest_snapshot(self) -> int | None:
+    def oldest_snapshot_index(self) -> int | None:
         """The index of the oldest snapshot being sent."""
-        return self._replication.oldest_snapshot()
+        return self._replication.oldest_snapshot_index()
 
-    def compacted(self) -> None:
-        """The log forgot entries that a snapshot covers."""
-        self._replication.compacted()
+    def on_log_compacted(self) -> None:
+        """The log dropped entries that a snapshot covers."""
+        self._replication.on_log_compacted()
--- a/pewterring/consensus/log.py
+++ b/pewterring/consensus/log.py
@@ -1,15 +1,19 @@
-"""The log of one member in memory: the entries after a base, whose index and term are kept."""
+"""Owns the log of one member in memory: the entries after a base, whose own index and term are remembered.
+
+What may go wrong: a gap, a term that falls, or a change to what a snapshot covers would make members apply
+different commands; each is an `InvariantError`, and the member stops.
+"""
 
 from collections.abc import Iterable, Sequence
 
 from pewterring.consensus.errors import InvariantError
 from pewterring.consensus.messages import Entry
 
-ENTRY_OVERHEAD_BYTES = 64  # of one entry in a message besides its data, about
+ENTRY_OVERHEAD_BYTES = 64  # of one entry in a message besides its data, roughly
 
 
 def entry_size(entry: Entry) -> int:
-    """Size of one entry in a message, in bytes, about."""
+    """Size of one entry in a message, in bytes, roughly."""
     return len(entry.data) + ENTRY_OVERHEAD_BYTES
 
 
@@ -34,16 +38,16 @@
 
     @property
     def size_bytes(self) -> int:
-        """Bytes of the entries, about."""
+        """Bytes of the entries, roughly."""
         return self.bytes_after(self.base_index)
 
     def bytes_after(self, index: int) -> int:
-        """Bytes of the entries after `index`, about."""
+        """Bytes of the entries after `index`, roughly."""
         start = max(0, index - self.base_index)
         return sum(entry_size(entry) for entry in self._entries[start:])
 
     def term_at(self, index: int) -> int | None:
-        """The term of the entry at `index`; None where it is not kept or not there yet."""
+        """The term of the entry at `index`; None if it is compacted or not there yet."""
         offset = index - self.base_index
         if offset == 0:
             return self.base_term
@@ -51,22 +55,31 @@
             return None
         return self._entries[offset - 1].term
 
-    def is_behind(self, last_index: int, last_term: int) -> bool:
-        """Whether a log that ends with the given entry is at least as up to date as this one."""
+    def is_no_newer_than(self, last_index: int, last_term: int) -> bool:
+        """Whether a log that ends so is at least as up to date as this one (Raft paper, section 5.4.1)."""
         return (last_term, last_index) >= (self.last_term, self.last_index)
 
     def between(self, first: int, last: int) -> Sequence[Entry]:
-        """The entries from `first` to `last`, both included."""
-        start = first - self.base_index - 1
-        if start < 0:
-            raise InvariantError(f"entry {first} is no longer kept; the log starts at {self.base_index + 1}")
-        return self._entries[start : last - self.base_index]
+        """The entries from `first` to `last`, both included.
+
+        Raises:
+            InvariantError: entry `first` has been compacted.
+        """
+        return self._entries[self._offset(first) : last - self.base_index]
+
+    def _offset(self, index: int) -> int:
+        offset = index - self.base_index - 1
+        if offset < 0:
+            raise InvariantError(f"entry {index} is no longer kept; the log starts at {self.base_index + 1}")
+        return offset
 
     def batch(self, first: int, limit_bytes: int) -> tuple[tuple[Entry, ...], int]:
-        """Entries from `first` on up to about `limit_bytes`, one at least, and their size in bytes."""
-        start = first - self.base_index - 1
-        if start < 0:
-            raise InvariantError(f"entry {first} is no longer kept; the log starts at {self.base_index + 1}")
+        """Entries from `first` on up to about `limit_bytes`, at least one, and their size in bytes.
+
+        Raises:
+            InvariantError: entry `first` has been compacted.
+        """
+        start = self._offset(first)
         end = start
         size = 0
         while end < len(self._entries):
@@ -78,7 +91,11 @@
         return tuple(self._entries[start:end]), size
 
     def append(self, entries: Iterable[Entry]) -> None:
-        """Adds entries at the end."""
+        """Adds entries at the end.
+
+        Raises:
+            InvariantError: an entry leaves a gap, or its term is lower than that of the one before.
+        """
         for entry in entries:
             if entry.index != self.last_index + 1 or entry.term < self.last_term:
                 raise InvariantError(
@@ -88,24 +105,28 @@
             self._entries.append(entry)
 
     def truncate(self, first_dropped: int) -> None:
-        """Forgets the entries from `first_dropped` on."""
+        """Drops the entries from `first_dropped` on.
+
+        Raises:
+            InvariantError: a snapshot covers the entry.
+        """
         if first_dropped <= self.base_index:
             raise InvariantError(f"entry {first_dropped} is covered by a snapshot and cannot be dropped")
         del self._entries[first_dropped - self.base_index - 1 :]
 
     def reset(self, index: int, term: int) -> None:
-        """Starts again behind a snapshot that ends with the given entry."""
+        """Starts again after a snapshot that ends with the given entry."""
         self._entries = []
         self.base_index = index
         self.base_term = term
 
     def compact(self, index: int, retained_bytes: int) -> None:
-        """Forgets entries up to `index`, but for the last of those, up to `retained_bytes` of them."""
+        """Drops entries up to `index`, except the last of them, of which `retained_bytes` stay."""
         drop = min(index - self.base_index, len(self._entries))
-        kept = 0
+        retained = 0
         while drop > 0:
-            kept += entry_size(self._entries[drop - 1])
-            if kept > retained_bytes:
+            retained += entry_size(self._entries[drop - 1])
+            if retained > retained_bytes:
                 break
             drop -= 1
         if drop > 0:
@@ -114,7 +135,7 @@
             del self._entries[:drop]
 
     def term_start(self, index: int) -> int:
-        """The first index kept that has the same term as `index`, the base not counted."""
+        """The first index in memory that has the same term as `index`, the base not counted."""
         term = self.term_at(index)
         while index - 1 > self.base_index and self.term_at(index - 1) == term:
             index -= 1
--- a/pewterring/consensus/membership.py
+++ b/pewterring/consensus/membership.py
@@ -6,9 +6,7 @@
 import msgspec
 
 from pewterring.consensus.errors import MembershipRejectedError
-from pewterring.consensus.messages import Entry, Membership
-
-MEMBERS = "members"  # the kind of entries that change the membership
+from pewterring.consensus.messages import ENTRY_MEMBERS, Entry, Membership
 
 _decoder = msgspec.json.Decoder(Membership)
 _Value = TypeVar("_Value", int, float)
@@ -20,7 +18,7 @@
 
 
 def encode_membership(membership: Membership) -> msgspec.Raw:
-    """The data of an entry of kind "members"."""
+    """The data of an entry of kind `ENTRY_MEMBERS`."""
     return msgspec.Raw(msgspec.json.encode(membership))
 
 
@@ -60,7 +58,7 @@
     def append(self, entries: Iterable[Entry]) -> None:
         """Takes note of entries that were appended to the log."""
         for entry in entries:
-            if entry.kind == MEMBERS:
+            if entry.kind == ENTRY_MEMBERS:
                 self.current = _decoder.decode(entry.data)
                 self._changes.append((entry.index, self.current))
 
--- a/pewterring/consensus/messages.py
+++ b/pewterring/consensus/messages.py
@@ -1,4 +1,7 @@
-"""Messages between members of a replicated group, as JSON lines (msgspec structs tagged by class name).
+"""Owns the messages between members of a replicated group, as JSON lines (msgspec structs with a tag).
+
+What may go wrong: members of an older and a newer version talk to each other, and logs outlive versions. A
+type that is renamed here keeps its tag, a field its name, by `tag=` and `msgspec.field(name=)`.
 
 Members are named by strings: `IP#tag`. The address is the part before `#`; the tag is drawn when a data
 folder is made, so a member whose disk was lost comes back under another name.
@@ -6,13 +9,20 @@
 
 import msgspec
 
+# The kinds of entries, as they stand on the wire and on disk.
+ENTRY_EMPTY = (
+    "empty"  # the first of each leader, which commits what earlier terms left (Raft paper, section 8)
+)
+ENTRY_COMMAND = "command"
+ENTRY_MEMBERS = "members"
+
 
 class Entry(msgspec.Struct, frozen=True):
-    """One entry of the log. `data` is JSON: a command (`kind` "command"), or `Membership` ("members")."""
+    """One entry of the log. `data` is JSON: a command, a `Membership`, or null, by its `kind`."""
 
     index: int
     term: int
-    kind: str  # "empty", "command" or "members"
+    kind: str  # one of the kinds above
     data: msgspec.Raw = msgspec.Raw(b"null")
 
 
@@ -45,7 +55,7 @@
 
 
 class VoteReply(Message, frozen=True, tag=True, kw_only=True):
-    """Answers `VoteRequest`. `term` is the voter's own, or the asked one where a pre-vote is granted."""
+    """Answers `VoteRequest`. `term` is the voter's own, or the requested one if a pre-vote is granted."""
 
     granted: bool
     prevote: bool
@@ -65,7 +75,7 @@
 
 
 class AppendReply(Message, frozen=True, tag=True, kw_only=True, omit_defaults=True):
-    """Answers `AppendRequest`. `match` is the last index known to agree, or a hint where to try next.
+    """Answers `AppendRequest`. `match` is the last index known to agree, or a hint which to try next.
 
     `departing` says that the member's process is about to end.
     """
@@ -107,8 +117,8 @@
 class DepartureNotice(Message, frozen=True, tag="Leave", kw_only=True):  # the wire's name
     """A voter's process is about to end, and a learner that is ready may take its place.
 
-    `round` is the last one of the leader of `term` that this life of the member has heard: what a later life
-    answers outweighs it.
+    `round` is the last one of the leader of `term` that this incarnation of the member has received: what a
+    later incarnation answers outweighs it.
     """
 
     round: int
--- a/pewterring/consensus/persistent.py
+++ b/pewterring/consensus/persistent.py
@@ -1,4 +1,9 @@
-"""What a member of a group keeps on disk, and what its storage must do."""
+"""What a member of a group keeps on disk, and the interface of the storage that keeps it.
+
+Raft's safety rests on `GroupStorage.save`: a vote or an entry that was acknowledged and is gone after a loss
+of power can elect two leaders in one term, or lose a committed entry (Raft paper, figure 2, "persistent
+state").
+"""
 
 from collections.abc import Sequence
 from dataclasses import dataclass, field
@@ -20,7 +25,7 @@
 
 @dataclass(slots=True)
 class PersistentState:
-    """What a member finds on its disk at its start, the bytes of the snapshot apart.
+    """What a member finds on its disk when it starts, except the bytes of the snapshot.
 
     `entries` follow the snapshot without a gap. A new group's first voters start with the same
     `snapshot_membership` at index 0; a member that joins later starts with an empty one.
@@ -40,12 +45,14 @@
 
     state: PersistentState
     snapshot: bytes | None = None
-    snapshot_file: str = ""  # to be named where the content cannot be read
+    snapshot_file: str = ""  # named in the error if the content cannot be read
 
 
 class GroupStorage(Protocol):
-    """Storage of one member of one group. All calls block, come from one thread at a time, and raise
-    `StorageError` when they fail; no call follows one that failed.
+    """Storage of one member of one group.
+
+    All calls block, come from one thread at a time, and raise `StorageError` when they fail. No call follows
+    one that failed, but for a repeat of one that raised `StorageFullError`.
     """
 
     def load(self) -> LoadedGroup:
--- a/pewterring/consensus/replication.py
+++ b/pewterring/consensus/replication.py
@@ -1,25 +1,38 @@
-"""The leader's side of replication: what each other member has, and what to send it next."""
+"""Owns the leader's side of replication: what each other member has, and what to send it next.
+
+Entries go in one of three modes (as `Progress` of etcd's raft). What may go wrong: a member that does not
+answer must cost nothing but heartbeats, or its messages fill the links and the memory; and what a slow one
+has already been sent must not be sent again.
+"""
 
 from collections import deque
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 from enum import Enum
+from typing import NamedTuple
 
 from pewterring.consensus.errors import InvariantError
 from pewterring.consensus.log import Log
 from pewterring.consensus.messages import AppendReply, AppendRequest, Entry, SnapshotChunk, SnapshotReply
-from pewterring.consensus.snapshot_transfer import SnapshotTransfer
+from pewterring.consensus.snapshot_transfer import ChunkRange, SnapshotTransfer
 from pewterring.consensus.types import RaftLimits, Snapshot
 
 
-class Flow(Enum):
+class ReplicationMode(Enum):
     """How entries go to a member."""
 
     PROBE = "probe"  # one message at a time, until one is accepted
-    STREAM = "stream"  # as many as the window allows
+    PIPELINE = "pipeline"  # as many messages as the window allows
     SNAPSHOT = "snapshot"  # needs a snapshot first
 
 
+class InFlightAppend(NamedTuple):
+    """A message with entries that was not answered yet."""
+
+    last_index: int
+    size_bytes: int
+
+
 @dataclass(slots=True)
 class Peer:
     """The leader's view of one other member."""
@@ -27,50 +40,55 @@
     name: str
     next_index: int
     match: int = 0  # entries up to here are on its disk
-    flow: Flow = Flow.PROBE
-    waiting: bool = False  # a probe was sent and not answered
-    in_flight: deque[tuple[int, int]] = field(default_factory=deque)  # last index and size of messages
+    mode: ReplicationMode = ReplicationMode.PROBE
+    is_probe_in_flight: bool = False
+    in_flight: deque[InFlightAppend] = field(default_factory=deque)
     in_flight_bytes: int = 0
     transfer: SnapshotTransfer | None = None
-    silent: bool = True  # nothing but heartbeats is sent to it until it answers one
+    is_unresponsive: bool = True  # nothing but heartbeats is sent to it until it answers one
 
     def probe(self, next_index: int) -> None:
         """Goes back to one message at a time."""
-        self.flow = Flow.PROBE
+        self.mode = ReplicationMode.PROBE
         self.next_index = max(next_index, self.match + 1)
-        self.waiting = False
+        self.is_probe_in_flight = False
         self.in_flight.clear()
         self.in_flight_bytes = 0
         self.transfer = None
 
-    def matched(self, index: int) -> bool:
-        """Takes note that entries up to `index` are on the member's disk; False if that is nothing new."""
-        while self.in_flight and self.in_flight[0][0] <= index:
-            self.in_flight_bytes -= self.in_flight.popleft()[1]
+    def on_matched(self, index: int) -> bool:
+        """Entries up to `index` are on the member's disk; False if that is nothing new."""
+        while self.in_flight and self.in_flight[0].last_index <= index:
+            self.in_flight_bytes -= self.in_flight.popleft().size_bytes
         self.next_index = max(self.next_index, index + 1)
         if index <= self.match:
             return False
         self.match = index
         return True
 
-    def sent(self, last_index: int, size: int) -> None:
-        """Takes note of a message with entries up to `last_index`."""
+    def on_sent(self, last_index: int, size_bytes: int) -> None:
+        """A message with entries up to `last_index` was sent."""
         self.next_index = last_index + 1
-        self.in_flight.append((last_index, size))
-        self.in_flight_bytes += size
+        self.in_flight.append(InFlightAppend(last_index, size_bytes))
+        self.in_flight_bytes += size_bytes
 
-    def window_open(self, limits: RaftLimits) -> bool:
+    def has_window(self, limits: RaftLimits) -> bool:
         """Whether another message with entries may be sent now."""
-        if self.flow is Flow.PROBE:
-            return not self.waiting
+        if self.mode is ReplicationMode.PROBE:
+            return not self.is_probe_in_flight
         return len(self.in_flight) < limits.window_messages and self.in_flight_bytes < limits.window_bytes
 
+    @property
+    def needs_snapshot(self) -> bool:
+        """Whether the member answers, and waits for a snapshot that was not made yet."""
+        return self.mode is ReplicationMode.SNAPSHOT and self.transfer is None and not self.is_unresponsive
+
 
 Outgoing = list[AppendRequest | SnapshotChunk]
 
 
 class Replication:
-    """Makes the leader's messages to the other members and takes their answers."""
+    """Makes the leader's messages to the other members and takes their answers, in one term."""
 
     def __init__(self, group: str, member: str, term: int, log: Log, limits: RaftLimits) -> None:
         self._group = group
@@ -81,24 +99,24 @@
         self.peers: dict[str, Peer] = {}
 
     def set_members(self, members: Iterable[str]) -> None:
-        """Keeps a `Peer` for each of `members` but the own one."""
+        """Keeps a `Peer` for each of `members` except the leader itself."""
         others = [member for member in members if member != self._member]
         self.peers = {
             other: self.peers.get(other) or Peer(other, self._log.last_index + 1) for other in others
         }
 
-    def heartbeats(self, round_number: int, commit: int) -> Outgoing:
+    def heartbeats(self, round_number: int, commit_index: int) -> Outgoing:
         """A message without entries for each member."""
-        return [self._heartbeat(peer, round_number, commit) for peer in self.peers.values()]
+        return [self._heartbeat(peer, round_number, commit_index) for peer in self.peers.values()]
 
-    def _heartbeat(self, peer: Peer, round_number: int, commit: int) -> AppendRequest:
+    def _heartbeat(self, peer: Peer, round_number: int, commit_index: int) -> AppendRequest:
         previous = peer.next_index - 1
-        if peer.flow is Flow.SNAPSHOT or self._log.term_at(previous) is None:
-            previous = 0  # agrees with any log, and tells nothing of this one
-        return self._append_request(peer, previous, commit, round_number, ())
+        if peer.mode is ReplicationMode.SNAPSHOT or self._log.term_at(previous) is None:
+            previous = 0  # agrees with any log, and claims nothing about this one
+        return self._append_request(peer, previous, commit_index, round_number, ())
 
     def _append_request(
-        self, peer: Peer, previous: int, commit: int, round_number: int, entries: tuple[Entry, ...]
+        self, peer: Peer, previous: int, commit_index: int, round_number: int, entries: tuple[Entry, ...]
     ) -> AppendRequest:
         return AppendRequest(
             group=self._group,
@@ -107,44 +125,43 @@
             term=self._term,
             previous_index=previous,
             previous_term=(self._log.term_at(previous) or 0) if previous else 0,
-            commit=commit,
+            commit=commit_index,
             round=round_number,
             entries=entries,
         )
 
-    def flush(self, now: float, round_number: int, commit: int) -> Outgoing:
-        """Whatever entries and parts of snapshots may be sent now."""
+    def flush(self, now: float, round_number: int, commit_index: int) -> Outgoing:
+        """Whatever entries and snapshot chunks may be sent now."""
         outgoing: Outgoing = []
         for peer in self.peers.values():
-            if peer.silent:
+            if peer.is_unresponsive:
                 continue
-            if peer.flow is not Flow.SNAPSHOT and peer.next_index <= self._log.base_index:
-                peer.flow = Flow.SNAPSHOT
-            if peer.flow is Flow.SNAPSHOT:
+            if peer.mode is not ReplicationMode.SNAPSHOT and peer.next_index <= self._log.base_index:
+                peer.mode = ReplicationMode.SNAPSHOT
+            if peer.mode is ReplicationMode.SNAPSHOT:
                 self._flush_snapshot(peer, now, round_number, outgoing)
             else:
-                self._flush_entries(peer, round_number, commit, outgoing)
+                self._flush_entries(peer, round_number, commit_index, outgoing)
         return outgoing
 
-    def _flush_entries(self, peer: Peer, round_number: int, commit: int, outgoing: Outgoing) -> None:
-        while peer.next_index <= self._log.last_index and peer.window_open(self._limits):
+    def _flush_entries(self, peer: Peer, round_number: int, commit_index: int, outgoing: Outgoing) -> None:
+        while peer.next_index <= self._log.last_index and peer.has_window(self._limits):
             previous = peer.next_index - 1
-            entries, size = self._log.batch(peer.next_index, self._limits.message_bytes)
-            outgoing.append(self._append_request(peer, previous, commit, round_number, entries))
-            if peer.flow is Flow.PROBE:
-                peer.waiting = True
+            entries, size_bytes = self._log.batch(peer.next_index, self._limits.message_bytes)
+            outgoing.append(self._append_request(peer, previous, commit_index, round_number, entries))
+            if peer.mode is ReplicationMode.PROBE:
+                peer.is_probe_in_flight = True
             else:
-                peer.sent(entries[-1].index, size)
+                peer.on_sent(entries[-1].index, size_bytes)
 
     def _flush_snapshot(self, peer: Peer, now: float, round_number: int, outgoing: Outgoing) -> None:
         transfer = peer.transfer
-        while transfer is not None and (part := transfer.next_part(self._limits)) is not None:
-            offset, data = part
-            outgoing.append(self._part(peer, transfer, offset, data, round_number))
-            transfer.sent_part(len(data), now, round_number)
+        while transfer is not None and (chunk := transfer.next_chunk(self._limits)) is not None:
+            outgoing.append(self._chunk_message(peer, transfer, chunk, round_number))
+            transfer.on_chunk_sent(len(chunk.data), now, round_number)
 
-    def _part(
-        self, peer: Peer, transfer: SnapshotTransfer, offset: int, data: bytes, round_number: int
+    def _chunk_message(
+        self, peer: Peer, transfer: SnapshotTransfer, chunk: ChunkRange, round_number: int
     ) -> SnapshotChunk:
         snapshot = transfer.snapshot
         return SnapshotChunk(
@@ -155,32 +172,39 @@
             last_index=snapshot.index,
             last_term=snapshot.term,
             membership=snapshot.membership,
-            offset=offset,
+            offset=chunk.offset,
             total=len(snapshot.data),
             checksum=transfer.checksum,
-            data=data,
+            data=chunk.data,
             round=round_number,
         )
 
     def on_append_reply(self, reply: AppendReply) -> bool:
-        """Takes an answer; True if more entries are known to be on the member's disk."""
+        """Takes an answer; True if more entries are known to be on the member's disk.
+
+        Raises:
+            InvariantError: the member claims entries that the leader does not have.
+        """
         peer = self.peers.get(reply.sender)
         if peer is None:
             return False
-        peer.silent = False
+        peer.is_unresponsive = False
         if peer.transfer is not None:
-            peer.transfer.heard(reply.round)
+            peer.transfer.on_heartbeat_answered(reply.round)
         if not reply.accepted:
-            if peer.flow is not Flow.SNAPSHOT:
+            if peer.mode is not ReplicationMode.SNAPSHOT:
                 peer.probe(min(reply.match + 1, peer.next_index))
             return False
         if reply.match > self._log.last_index:
             raise InvariantError(f"{peer.name} claims entry {reply.match}, which the leader does not have")
-        advanced = peer.matched(reply.match)
-        if peer.flow is Flow.PROBE:
-            peer.flow = Flow.STREAM
-            peer.waiting = False
-        elif peer.flow is Flow.SNAPSHOT and peer.match >= self._log.base_index:
+        return self._on_accepted(peer, reply.match)
+
+    def _on_accepted(self, peer: Peer, match: int) -> bool:
+        advanced = peer.on_matched(match)
+        if peer.mode is ReplicationMode.PROBE:
+            peer.mode = ReplicationMode.PIPELINE
+            peer.is_probe_in_flight = False
+        elif peer.mode is ReplicationMode.SNAPSHOT and peer.match >= self._log.base_index:
             peer.probe(peer.match + 1)
         return advanced
 
@@ -189,63 +213,59 @@
         peer = self.peers.get(reply.sender)
         if peer is None or peer.transfer is None or peer.transfer.snapshot.index != reply.last_index:
             return False
-        peer.silent = False
+        peer.is_unresponsive = False
         if not peer.transfer.acknowledge(reply.received):
             return False
-        advanced = peer.matched(reply.last_index)
+        advanced = peer.on_matched(reply.last_index)
         peer.probe(peer.match + 1)
         return advanced
 
     @property
     def snapshot_wanted(self) -> bool:
         """Whether a member waits for a snapshot to be made."""
-        return any(
-            peer.flow is Flow.SNAPSHOT and peer.transfer is None and not peer.silent
-            for peer in self.peers.values()
-        )
+        return any(peer.needs_snapshot for peer in self.peers.values())
 
     def offer_snapshot(self, snapshot: Snapshot) -> None:
         """Starts to send `snapshot` to the members that wait for one."""
         for peer in self.peers.values():
-            if peer.flow is Flow.SNAPSHOT and peer.transfer is None and not peer.silent:
+            if peer.needs_snapshot:
                 peer.transfer = SnapshotTransfer.begin(snapshot)
 
-    def retry_lost(self, now: float, patience_s: float) -> None:
-        """Sends parts of snapshots again that were not answered in `patience_s`."""
+    def retransmit_overdue(self, now: float, patience_s: float) -> None:
+        """Sends snapshot chunks again that were not answered in `patience_s`."""
         for peer in self.peers.values():
             if peer.transfer is not None:
-                peer.transfer.retry_after(now, patience_s, self._limits)
+                peer.transfer.retransmit_if_overdue(now, patience_s, self._limits)
 
-    def give_up(self, name: str) -> None:
-        """The member is silent: what is on the way to it counts as lost.
+    def mark_unresponsive(self, name: str) -> None:
+        """The member does not answer: what is in flight to it counts as lost.
 
-        What it has of a snapshot is remembered. A member that stands still now and then, longer than a
-        leader waits, would else begin each time from the first byte and never have one whole.
+        What it has of a snapshot is remembered. A member that is paused now and then, longer than a leader
+        waits, would otherwise begin each time at the first byte and never have a complete one.
         """
         peer = self.peers[name]
-        if peer.silent:
+        if peer.is_unresponsive:
             return
-        peer.silent = True
+        peer.is_unresponsive = True
         if peer.transfer is not None:
-            peer.transfer.go_back()
+            peer.transfer.rewind()
         else:
-            peer.probe(peer.match + 1 if peer.flow is not Flow.PROBE else peer.next_index)
+            is_probing = peer.mode is ReplicationMode.PROBE
+            peer.probe(peer.next_index if is_probing else peer.match + 1)
 
-    def oldest_snapshot(self) -> int | None:
+    def oldest_snapshot_index(self) -> int | None:
         """The index of the oldest snapshot being sent; the entries after it will be needed."""
         indexes = [
             peer.transfer.snapshot.index
             for peer in self.peers.values()
-            if peer.transfer is not None and not peer.silent
+            if peer.transfer is not None and not peer.is_unresponsive
         ]
         return min(indexes, default=None)
 
-    def compacted(self) -> None:
-        """The log forgot entries: snapshots to silent members that cannot go on from them are dropped."""
+    def on_log_compacted(self) -> None:
+        """Drops snapshots to unresponsive members that could not go on from them with the entries left."""
         for peer in self.peers.values():
-            if (
-                peer.silent
-                and peer.transfer is not None
-                and peer.transfer.snapshot.index < self._log.base_index
-            ):
+            if peer.transfer is None or not peer.is_unresponsive:
+                continue
+            if peer.transfer.snapshot.index < self._log.base_index:
                 peer.transfer = None
--- a/pewterring/consensus/state.py
+++ b/pewterring/consensus/state.py
@@ -1,4 +1,9 @@
-"""The state of one member that its parts share: what it votes, follows and leads with."""
+"""Owns the state of one member that election, follower and leader share.
+
+The fields are those of figure 2 of the Raft paper, and the deadlines of elections. What may go wrong: a
+message put into `outbox` claims what is on disk already; one that depends on unsaved state must go through
+`send_when_persisted`.
+"""
 
 import random
 from collections.abc import Sequence
@@ -7,7 +12,7 @@
 from pewterring.consensus.membership import MembershipHistory
 from pewterring.consensus.messages import ConsensusMessage, Entry
 from pewterring.consensus.persistent import HardState, PersistentState
-from pewterring.consensus.types import RaftLimits, RaftTiming, Role
+from pewterring.consensus.types import RaftConfig, Role
 from pewterring.consensus.unpersisted import UnpersistedState
 
 # Of the shortest election time-out: how soon a poll that was not won is repeated.
@@ -15,22 +20,15 @@
 
 
 class MemberState:
-    """Term, vote, role, log, and the messages that are ready to be sent."""
+    """Term, vote, role, log, and messages that may be sent. Times are of the steady clock, in seconds."""
 
     def __init__(
-        self,
-        group: str,
-        member: str,
-        timing: RaftTiming,
-        limits: RaftLimits,
-        rng: random.Random,
-        persisted: PersistentState,
-        now: float,
+        self, config: RaftConfig, rng: random.Random, persisted: PersistentState, now: float
     ) -> None:
-        self.group = group
-        self.member = member
-        self.timing = timing
-        self.limits = limits
+        self.group = config.group
+        self.member = config.member
+        self.timing = config.timing
+        self.limits = config.limits
         self._rng = rng
         self.hard_state = HardState(persisted.term, persisted.vote)
         self.role = Role.FOLLOWER
@@ -41,11 +39,11 @@
         self.members = MembershipHistory(persisted.snapshot_membership, persisted.entries)
         self.unpersisted = UnpersistedState(self.log, self.hard_state)
         self.outbox: list[ConsensusMessage] = []
-        self.last_leader_round = 0  # the newest one of this term's leader
+        self.last_leader_round = 0  # the newest heartbeat round that came from this term's leader
         self.departing = False  # the process is about to end
-        is_new = persisted.term == 0  # it cannot have answered a leader in an earlier life
-        self.vote_free_at = now if is_new else now + timing.election_min_s
-        self.election_at = self.retry_time(now) if is_new else self.election_time(now)
+        is_new = persisted.term == 0  # it cannot have answered a leader before this start
+        self.votes_withheld_until = now if is_new else now + config.timing.election_min_s
+        self.election_due_at = self.next_poll_time(now) if is_new else self.next_election_time(now)
 
     @property
     def term(self) -> int:
@@ -57,22 +55,22 @@
         """The voters of the membership in force."""
         return self.members.current.voters
 
-    def election_time(self, now: float) -> float:
-        """When to stand for election if no leader is heard from `now` on."""
+    def next_election_time(self, now: float) -> float:
+        """When to stand for election if no leader is heard from after `now`."""
         return now + self._rng.uniform(self.timing.election_min_s, self.timing.election_max_s)
 
-    def retry_time(self, now: float) -> float:
+    def next_poll_time(self, now: float) -> float:
         """When to repeat a poll that begins now, should it not be won."""
         shortest, longest = POLL_RETRY_FRACTIONS
         return now + self._rng.uniform(shortest, longest) * self.timing.election_min_s
 
     def become_follower(self, now: float, term: int, leader: str | None) -> None:
-        """Gives up what it was and follows `leader`, or nobody yet."""
+        """Gives up its role and follows `leader`, or nobody yet; in a later `term` without a vote."""
         if term > self.term:
             self.hard_state = HardState(term)
             self.last_leader_round = 0
         if self.role is not Role.FOLLOWER:
-            self.election_at = self.election_time(now)
+            self.election_due_at = self.next_election_time(now)
         self.role = Role.FOLLOWER
         self.leader = leader
 
@@ -85,11 +83,11 @@
         """Drops entries from the log, and the changes of membership among them."""
         self.log.truncate(first_dropped)
         self.members.truncate(first_dropped)
-        self.unpersisted.truncated(first_dropped)
+        self.unpersisted.on_truncated(first_dropped)
 
     def send_when_persisted(self, message: ConsensusMessage, index: int = 0) -> None:
         """Sends `message` once the term, the vote and the log up to `index` are on disk."""
         if self.unpersisted.is_persisted(self.hard_state) and index <= self.unpersisted.persisted_index:
             self.outbox.append(message)
         else:
-            self.unpersisted.hold(message)
+            self.unpersisted.defer(message)
--- a/pewterring/consensus/types.py
+++ b/pewterring/consensus/types.py
@@ -1,13 +1,16 @@
-"""Values that go into and come out of the consensus core."""
+"""The values that go into and come out of the consensus core: timing, limits, tickets, what is to be done.
+
+`Ready` and `Save` state the core's contract with its caller (as in etcd's raft): persist before you send.
+"""
 
 from collections.abc import Sequence
-from dataclasses import dataclass
+from dataclasses import dataclass, field
 from enum import Enum
 
 from pewterring.consensus.messages import ConsensusMessage, Entry, Membership
 from pewterring.consensus.persistent import HardState
 
-LEASE_FRACTION = 0.75  # of the shortest election time-out; the rest is for clocks that run at other rates
+LEASE_FRACTION = 0.75  # of the shortest election time-out; the rest allows for clocks of other rates
 
 
 class Role(Enum):
@@ -35,16 +38,30 @@
 
 @dataclass(frozen=True, slots=True)
 class RaftLimits:
-    """Bounds in bytes, and in messages to one member that were not answered yet."""
+    """Bounds on memory and on what is in flight to one member, in bytes and in messages."""
 
     message_bytes: int = 250_000  # entries in one message
     window_bytes: int = 1_000_000  # heartbeats wait behind it: half a second on a link or processor of 2 MB/s
     window_messages: int = 32
-    snapshot_chunk_bytes: int = 256 * 1024  # small, so that a heartbeat gets in between
+    snapshot_chunk_bytes: int = 256 * 1024  # small, so that a heartbeat gets in between two
     snapshot_chunks_in_flight: int = 4  # together about as many bytes as the window has
-    uncommitted_bytes: int = 32_000_000  # of entries that a leader takes; one larger than that goes alone
-    retained_bytes: int = 4_000_000  # entries kept in memory behind a snapshot, for members that lag a little
-    retained_for_transfers_bytes: int = 16_000_000  # the same while an older snapshot is sent, however slowly
+    uncommitted_bytes: int = 32_000_000  # a larger command is accepted while no other is uncommitted
+    retained_bytes: int = (
+        4_000_000  # entries kept in memory after a snapshot covers them, for members that lag a little
+    )
+    retained_for_transfers_bytes: int = (
+        16_000_000  # the same while an older snapshot is being sent, however slowly
+    )
+
+
+@dataclass(frozen=True, slots=True)
+class RaftConfig:
+    """Who a member is, and the figures that it goes by."""
+
+    group: str
+    member: str
+    timing: RaftTiming = field(default_factory=RaftTiming)
+    limits: RaftLimits = field(default_factory=RaftLimits)
 
 
 @dataclass(frozen=True, slots=True)
@@ -61,8 +78,8 @@
 class Save:
     """What must be on disk before `messages_after_sync` may be sent.
 
-    Parts are saved in the order of the fields. The messages go out, and `Raft.persisted` is called, only
-    when all has been synced. There is at most one such save under way.
+    Saved in the order of the fields. The messages go out, and `Raft.persisted` is called, only when all has
+    been synced. At most one save is in progress.
     """
 
     hard_state: HardState | None
@@ -82,7 +99,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ready:
-    """What the core wants done now. `messages_before_sync` claim nothing that is not on disk yet."""
+    """What the core needs done now. `messages_before_sync` claim nothing that is not on disk yet."""
 
     messages_before_sync: Sequence[ConsensusMessage]
     save: Save | None
--- a/tests/cli/test_inspect.py
+++ b/tests/cli/test_inspect.py
@@ -8,8 +8,8 @@
 import pytest
 
 from pewterring.__main__ import main
-from pewterring.consensus.membership import MEMBERS, encode_membership
-from pewterring.consensus.messages import Entry, Membership
+from pewterring.consensus.membership import encode_membership
+from pewterring.consensus.messages import ENTRY_MEMBERS, Entry, Membership
 from pewterring.consensus.persistent import HardState
 from pewterring.storage.disk import FolderDisk
 from pewterring.storage.group import DiskGroupStorage
@@ -31,7 +31,7 @@
         Entry(n, 3, "command", msgspec.Raw(b'{"type":"AcceptJob","job":"j%d"}' % n)) for n in range(1, 5)
     ]
     storage.save(
-        HardState(3, "10.0.0.1#a"), None, [*entries, Entry(5, 3, MEMBERS, encode_membership(SECOND))]
+        HardState(3, "10.0.0.1#a"), None, [*entries, Entry(5, 3, ENTRY_MEMBERS, encode_membership(SECOND))]
     )
     storage.save_snapshot(2, 3, FIRST, b'{"jobs":[1,2]}')
     storage.close()
--- a/tests/consensus/planned_simulation.py
+++ b/tests/consensus/planned_simulation.py
@@ -83,7 +83,7 @@
         if change is None:
             return
         with contextlib.suppress(ConsensusError):
-            raft.propose_membership(now, change)
+            raft.propose_membership(change)
             self._pump(member)
         self._at(self.now + 0.02, self._plan_members)  # it is committed then, and the next one follows
 
--- a/tests/consensus/raft_breakages.py
+++ b/tests/consensus/raft_breakages.py
@@ -1,10 +1,12 @@
 """Cores that break one rule each: the checks of the simulation must catch every one of them."""
 
 import dataclasses
+from random import Random
 
 import msgspec
 
 from pewterring.consensus.follower import FollowerRole
+from pewterring.consensus.heartbeat_rounds import HeartbeatRounds
 from pewterring.consensus.leader import LeaderRole
 from pewterring.consensus.messages import (
     AppendReply,
@@ -15,11 +17,12 @@
     VoteReply,
     VoteRequest,
 )
+from pewterring.consensus.persistent import PersistentState
 from pewterring.consensus.raft import Raft
 from pewterring.consensus.replication import Replication
 from pewterring.consensus.snapshot_transfer import SnapshotAssembly
 from pewterring.consensus.state import MemberState
-from pewterring.consensus.types import ReadTicket, Ready, Save, Snapshot
+from pewterring.consensus.types import RaftConfig, ReadTicket, Ready, Save, Snapshot
 
 
 class _SendsEarly(Raft):
@@ -114,6 +117,12 @@
         return self.is_leader
 
 
+class _CountsEarlierCommits(LeaderRole):
+    @property
+    def has_committed(self) -> bool:
+        return True
+
+
 class ReadsBeforeOwnEntry(Raft):
     """Reads before an entry of its own term is committed, when it does not know yet what is."""
 
@@ -122,17 +131,15 @@
         return self.is_leader
 
     def _begin_leading(self, now: float) -> LeaderRole:
-        leading = super()._begin_leading(now)
-        leading._first_index = 0
-        return leading
+        return _CountsEarlierCommits(self._state, now)
 
 
 class VotesAgainAtOnce(Raft):
     """Votes at once after a start, though a leader may still count on its silence."""
 
-    def __init__(self, *arguments: object) -> None:
-        super().__init__(*arguments)  # type: ignore[arg-type]
-        self._state.vote_free_at = 0.0
+    def __init__(self, config: RaftConfig, rng: Random, persisted: PersistentState, now: float) -> None:
+        super().__init__(config, rng, persisted, now)
+        self._state.votes_withheld_until = 0.0
 
 
 class VotesWhileLed(Raft):
@@ -140,7 +147,7 @@
 
     def step(self, now: float, message: ConsensusMessage) -> None:
         if isinstance(message, VoteRequest):
-            self._state.vote_free_at = 0.0
+            self._state.votes_withheld_until = 0.0
         super().step(now, message)
 
 
@@ -157,10 +164,17 @@
         return super().request_read(self._checked_at)
 
 
+class _RoundsByArrival(HeartbeatRounds):
+    def count_from(self, member: str, now: float) -> None:
+        self._answered_sent_at[member] = now
+
+
 class _CountsFromArrival(LeaderRole):
     def on_reply(self, now: float, reply: AppendReply | SnapshotReply) -> None:
         super().on_reply(now, reply)
-        self._rounds._answered_at[reply.sender] = now
+        self._rounds.__class__ = _RoundsByArrival
+        assert isinstance(self._rounds, _RoundsByArrival)
+        self._rounds.count_from(reply.sender, now)
 
 
 class CountsFromArrival(Raft):
@@ -170,12 +184,16 @@
         return _CountsFromArrival(self._state, now)
 
 
+class _RoundsConfirmEarlier(HeartbeatRounds):
+    @property
+    def _confirming_round(self) -> int:
+        return self.number
+
+
 class _ReadsByEarlierRound(LeaderRole):
-    def new_ticket(self, at_once: bool) -> ReadTicket:
-        ticket = super().new_ticket(at_once)
-        if not at_once:
-            self._rounds._reads[-1] = (self._rounds.number, ticket)
-        return ticket
+    def __init__(self, state: MemberState, now: float) -> None:
+        super().__init__(state, now)
+        self._rounds.__class__ = _RoundsConfirmEarlier
 
 
 class ReadsByEarlierRound(Raft):
@@ -195,8 +213,9 @@
 class KeepsItsName(Raft):
     """Comes back with an empty disk under the name that it had, and votes."""
 
-    def __init__(self, group: str, member: str, *arguments: object) -> None:
-        super().__init__(group, member.partition("#")[0], *arguments)  # type: ignore[arg-type]
+    def __init__(self, config: RaftConfig, rng: Random, persisted: PersistentState, now: float) -> None:
+        old_name = dataclasses.replace(config, member=config.member.partition("#")[0])
+        super().__init__(old_name, rng, persisted, now)
 
 
 class _StepsDownAtOnce(LeaderRole):
@@ -212,59 +231,70 @@
 
 
 class _TakesOlderSnapshots(FollowerRole):
-    def _take_part(self, part: SnapshotChunk) -> int:
-        received = self._assembly.add(part)
-        if received < part.total:
+    def _take_chunk(self, chunk: SnapshotChunk) -> int:
+        received = self._assembly.add(chunk)
+        if received < chunk.total:
             return received
-        snapshot = self._assembly.take_whole(part)
+        snapshot = self._assembly.take_complete(chunk)
         if snapshot is not None:
             self._install(snapshot)
-        return part.total
+        return chunk.total
 
 
 class SnapshotOverNewer(Raft):
     """Takes a snapshot in place of a state that is newer."""
 
-    def __init__(self, *arguments: object) -> None:
-        super().__init__(*arguments)  # type: ignore[arg-type]
-        self._following = _TakesOlderSnapshots(self._state)
+    def __init__(self, config: RaftConfig, rng: Random, persisted: PersistentState, now: float) -> None:
+        super().__init__(config, rng, persisted, now)
+        self._follower_role = _TakesOlderSnapshots(self._state)
 
 
-class _MixesParts(SnapshotAssembly):
-    def add(self, part: SnapshotChunk) -> int:
-        part = msgspec.structs.replace(part, total=0, checksum=0)
-        return super().add(part)
+class _MixesChunks(SnapshotAssembly):
+    def add(self, chunk: SnapshotChunk) -> int:
+        return super().add(msgspec.structs.replace(chunk, total=0, checksum=0))
 
-    def take_whole(self, part: SnapshotChunk) -> Snapshot:
+    def take_complete(self, chunk: SnapshotChunk) -> Snapshot:
         data, self._data = bytes(self._data), bytearray()
         self._id = None
-        return Snapshot(part.last_index, part.last_term, part.membership, data)
+        return Snapshot(chunk.last_index, chunk.last_term, chunk.membership, data)
+
 
+class _MixesSnapshots(FollowerRole):
+    def __init__(self, state: MemberState) -> None:
+        super().__init__(state)
+        self._assembly = _MixesChunks()
 
-class PartsOfTwoSnapshots(Raft):
-    """Goes by index and term alone as it puts the parts of a snapshot together."""
 
-    def __init__(self, *arguments: object) -> None:
-        super().__init__(*arguments)  # type: ignore[arg-type]
-        self._following._assembly = _MixesParts()
+class ChunksOfTwoSnapshots(Raft):
+    """Goes by index and term alone as it puts the chunks of a snapshot together."""
+
+    def __init__(self, config: RaftConfig, rng: Random, persisted: PersistentState, now: float) -> None:
+        super().__init__(config, rng, persisted, now)
+        self._follower_role = _MixesSnapshots(self._state)
 
 
 class _IgnoresGaps(SnapshotAssembly):
-    def add(self, part: SnapshotChunk) -> int:
-        following = msgspec.structs.replace(part, offset=len(self._data) if part.offset else 0)
+    def add(self, chunk: SnapshotChunk) -> int:
+        following = msgspec.structs.replace(chunk, offset=len(self._data) if chunk.offset else 0)
         return super().add(following)
 
 
-class PartsWithGaps(Raft):
-    """Appends each part of a snapshot to those before, whether or not one between them was lost."""
+class _IgnoresLostChunks(FollowerRole):
+    def __init__(self, state: MemberState) -> None:
+        super().__init__(state)
+        self._assembly = _IgnoresGaps()
+
+
+class ChunksWithGaps(Raft):
+    """Appends each chunk of a snapshot to those before, whether or not one between them was lost."""
 
-    def __init__(self, *arguments: object) -> None:
-        super().__init__(*arguments)  # type: ignore[arg-type]
-        self._following._assembly = _IgnoresGaps()
+    def __init__(self, config: RaftConfig, rng: Random, persisted: PersistentState, now: float) -> None:
+        super().__init__(config, rng, persisted, now)
+        self._follower_role = _IgnoresLostChunks(self._state)
 
 
 class _NeverGoesBack(Replication):
-    def retry_lost(self, now: float, patience_s: float) -> None:
+    def retransmit_overdue(self, now: float, patience_s: float) -> None:
         pass
 
 
@@ -275,7 +305,7 @@
 
 
 class GoesOnBehindLosses(Raft):
-    """Takes each part of a snapshot that was sent to a member that lives for one that will arrive."""
+    """Takes each chunk of a snapshot that was sent to a member that runs for one that will arrive."""
 
     def _begin_leading(self, now: float) -> LeaderRole:
         return _GoesOnBehindLosses(self._state, now)
@@ -305,8 +335,8 @@
     KeepsItsName,
     StepsDownAtOnce,
     SnapshotOverNewer,
-    PartsOfTwoSnapshots,
-    PartsWithGaps,
+    ChunksOfTwoSnapshots,
+    ChunksWithGaps,
     GoesOnBehindLosses,
     CompactedIsSaved,
 )
--- a/tests/consensus/scenarios.py
+++ b/tests/consensus/scenarios.py
@@ -7,8 +7,8 @@
 
 NEVER_S = 1000.0
 CUT_S = 20.0
-WHOLE_S = 5.0  # for a snapshot of which one part is lost
-SNAPSHOT_PARTS = 8  # at least, of those that members need here
+WHOLE_S = 5.0  # for a snapshot of which one chunk is lost
+SNAPSHOT_CHUNKS = 8  # at least, of those that members need here
 AT_ONCE_S = 0.15  # far below the shortest election time-out
 
 
@@ -212,54 +212,54 @@
 
 
 def late_snapshot(seed: int, raft_class: type[Raft]) -> None:
-    """The parts of a snapshot come once more after its member has gone on."""
+    """The chunks of a snapshot come once more after its member has gone on."""
     simulation, _, _, away = _needs_snapshot(seed, raft_class)
-    parts: list[SnapshotChunk] = []
-    simulation.drops = lambda message: _record(message, parts)
+    chunks: list[SnapshotChunk] = []
+    simulation.drops = lambda message: _record(message, chunks)
     simulation.start(away)
     simulation.run(1.0)
     simulation.drops = lambda message: False
     _propose_many(simulation, "after ")
-    for part in parts:
-        simulation.deliver_again(part)
+    for chunk in chunks:
+        simulation.deliver_again(chunk)
         simulation.run(0.01)
     simulation.check_converges()
 
 
-def _record(message: ConsensusMessage, parts: list[SnapshotChunk]) -> bool:
+def _record(message: ConsensusMessage, chunks: list[SnapshotChunk]) -> bool:
     if isinstance(message, SnapshotChunk):
-        parts.append(message)
+        chunks.append(message)
     return False
 
 
 def leader_lost_amid_snapshot(seed: int, raft_class: type[Raft]) -> None:
-    """The leader goes when a member has the first parts of its snapshot; the next sends one of that index."""
+    """The leader ends when a member has the first chunks of a snapshot; the next sends one of that index."""
     simulation, leader, _, away = _needs_snapshot(seed, raft_class)
-    parts: list[SnapshotChunk] = []
+    chunks: list[SnapshotChunk] = []
     simulation.drops = lambda message: isinstance(message, SnapshotChunk) and message.offset > 1000
     simulation.start(away)
     simulation.run(0.3)
-    simulation.drops = lambda message: _is_entry(message) or _record(message, parts)
+    simulation.drops = lambda message: _is_entry(message) or _record(message, chunks)
     simulation.crash(leader)
-    simulation.run_while(lambda: not parts, 5.0)
+    simulation.run_while(lambda: not chunks, 5.0)
     simulation.run(0.5)
     simulation.drops = lambda message: False
     simulation.run(2.0)
     simulation.check_converges()
 
 
-def part_lost_amid_window(seed: int, raft_class: type[Raft]) -> None:
-    """One part of a snapshot is lost, while others are on the way behind it; each in its turn."""
-    for lost in range(SNAPSHOT_PARTS):
+def chunk_lost_amid_window(seed: int, raft_class: type[Raft]) -> None:
+    """One chunk of a snapshot is lost, while others are on the way behind it; each in its turn."""
+    for lost in range(SNAPSHOT_CHUNKS):
         simulation, _, _, away = _needs_snapshot(seed, raft_class)
-        parts: list[SnapshotChunk] = []
-        simulation.drops = lambda message, parts=parts, lost=lost: (  # type: ignore[misc]
-            _record(message, parts) or (isinstance(message, SnapshotChunk) and len(parts) == lost + 1)
+        chunks: list[SnapshotChunk] = []
+        simulation.drops = lambda message, chunks=chunks, lost=lost: (  # type: ignore[misc]
+            _record(message, chunks) or (isinstance(message, SnapshotChunk) and len(chunks) == lost + 1)
         )
         simulation.start(away)
         disk = simulation.members[away].disk
         if not simulation.run_while(lambda disk=disk: disk.snapshot_index == 0, WHOLE_S):  # type: ignore[misc]
-            raise Violation(f"{away} has no snapshot {WHOLE_S} s after one part was lost")
+            raise Violation(f"{away} has no snapshot {WHOLE_S} s after one chunk was lost")
         simulation.check_converges()
 
 
--- a/tests/consensus/simulation.py
+++ b/tests/consensus/simulation.py
@@ -6,9 +6,9 @@
 from collections.abc import Callable
 
 from pewterring.consensus.errors import ConsensusError, NotLeaderError
-from pewterring.consensus.messages import ConsensusMessage, Entry, Membership
+from pewterring.consensus.messages import ENTRY_COMMAND, ConsensusMessage, Entry, Membership
 from pewterring.consensus.raft import Raft
-from pewterring.consensus.types import Ready, Save, Snapshot
+from pewterring.consensus.types import RaftConfig, Ready, Save, Snapshot
 from tests.consensus.memory_storage import MemoryStorage
 from tests.consensus.simulated_members import LIMITS, SNAPSHOT_AFTER, TIMING, Member, Violation, Weather
 
@@ -60,7 +60,10 @@
         member.applied_to = loaded.state.snapshot_index
         member.applied = json.loads(loaded.snapshot)["applied"] if loaded.snapshot else []
         member.raft = self.raft_class(
-            "g", name, TIMING, random.Random(self.rng.random()), loaded.state, self._clock(member), LIMITS
+            RaftConfig("g", name, TIMING, LIMITS),
+            random.Random(self.rng.random()),
+            loaded.state,
+            self._clock(member),
         )
         self._pump(member)
 
@@ -234,7 +237,7 @@
         self._begin_job(member, write, done)
 
     def _compact_if_due(self, member: Member, raft: Raft) -> None:
-        if member.since_snapshot < SNAPSHOT_AFTER or member.job is not None or raft.installing:
+        if member.since_snapshot < SNAPSHOT_AFTER or member.job is not None or raft.is_installing_snapshot:
             return
         member.since_snapshot = 0
         snapshot = raft.make_snapshot(_encoded(member))
@@ -252,7 +255,7 @@
             raise Violation(f"{member.name} applied {entry.index} after {member.applied_to}")
         member.applied_to = entry.index
         member.since_snapshot += 1
-        if entry.kind == "command":
+        if entry.kind == ENTRY_COMMAND:
             text = json.loads(bytes(entry.data))
             member.applied.append([entry.index, entry.term, text])
             if member.proposals.pop((entry.index, entry.term), None) is not None:
@@ -294,7 +297,8 @@
         """The member stands for election now, as if the others had wished it."""
         member = self.members[name]
         assert member.raft is not None
-        member.raft._election._stand(self._clock(member))
+        # No message makes a member stand without a poll, but for a transfer, which voters treat otherwise.
+        member.raft._election._campaign(self._clock(member))
         self._pump(member)
 
     def has_leader(self) -> bool:
@@ -318,7 +322,7 @@
     def _check_leader(self, member: Member, raft: Raft) -> None:
         if raft.is_leader and self.leaders.setdefault(raft.term, member.name) != member.name:
             raise Violation(f"{member.name} and {self.leaders[raft.term]} lead in term {raft.term}")
-        if raft.is_leader and raft.installing:
+        if raft.is_leader and raft.is_installing_snapshot:
             raise Violation(f"{member.name} leads while it takes over a snapshot")
 
     def _check_read(self, raft: Raft, index: int, least: int) -> None:
@@ -381,7 +385,7 @@
         if member is None or member.raft is None or member.frozen:
             return False
         try:
-            key = member.raft.propose(self._clock(member), json.dumps(text).encode())
+            key = member.raft.propose(json.dumps(text).encode())
         except NotLeaderError:
             return False
         member.proposals[key] = text
@@ -410,7 +414,7 @@
         if member is None or member.raft is None or member.frozen:
             return False
         try:
-            member.raft.propose_membership(self._clock(member), membership)
+            member.raft.propose_membership(membership)
         except ConsensusError:
             return False
         self._pump(member)
--- a/tests/consensus/test_catch_up.py
+++ b/tests/consensus/test_catch_up.py
@@ -11,6 +11,7 @@
 from pewterring.control.commands import PutConfiguration, PutWorker, RemoveWorkers
 from pewterring.control.state import ControlState, encode_command
 from pewterring.distribution.messages import WorkerRecord
+from tests.consensus.raft_internals import log_of
 from tests.consensus.slow_members import SlowGroup
 from tests.consensus.virtual_time import run
 
@@ -114,8 +115,7 @@
         await group.end(away)
         target = await order(group, commands, 60)
         leader = await group.leader()
-        assert leader._raft is not None
-        missed = leader._raft._state.log.bytes_after(held)
+        missed = log_of(leader).bytes_after(held)
         sent_before = group.sent_bytes[away]
         late = await group.start(away, SLOW_SYNC_S, SLOW_DISK_BYTES_PER_S, processor=2e6)
         await until_caught_up(group, late, target)
@@ -163,8 +163,7 @@
         snapshot_bytes = longest = 0
         for _ in range(100):
             await order(group, commands, 100)
-            assert leader._raft is not None
-            longest = max(longest, leader._raft._state.log.size_bytes)
+            longest = max(longest, log_of(leader).size_bytes)
             snapshot_bytes = max(snapshot_bytes, len(group.machines[leader.member].snapshot()))
         assert leader.applied_index >= 10_000
         assert snapshot_bytes < SNAPSHOT_AFTER_BYTES
--- a/tests/consensus/test_leases.py
+++ b/tests/consensus/test_leases.py
@@ -5,8 +5,8 @@
 import pytest
 
 from pewterring.consensus.leader import LeaderRole
-from pewterring.consensus.membership import MEMBERS, encode_membership
-from pewterring.consensus.messages import Membership
+from pewterring.consensus.membership import encode_membership
+from pewterring.consensus.messages import ENTRY_MEMBERS, Membership
 from pewterring.consensus.raft import Raft
 from tests.consensus.scenarios import _read_and_write
 from tests.consensus.simulated_members import TIMING, Violation
@@ -49,7 +49,7 @@
     """Changes members while the change before, or the own term's first entry, is not committed."""
 
     def append_membership(self, membership: Membership) -> int:
-        index = self.append(MEMBERS, bytes(encode_membership(membership)))
+        index = self.append(ENTRY_MEMBERS, bytes(encode_membership(membership)))
         self._set_members(membership)
         return index
 
--- a/tests/consensus/test_raft_breakages.py
+++ b/tests/consensus/test_raft_breakages.py
@@ -27,9 +27,9 @@
     (scenarios.wiped_voter_and_rival, raft_breakages.KeepsItsName),
     (scenarios.back_in_a_later_term, raft_breakages.StepsDownAtOnce),
     (scenarios.late_snapshot, raft_breakages.SnapshotOverNewer),
-    (scenarios.leader_lost_amid_snapshot, raft_breakages.PartsOfTwoSnapshots),
-    (scenarios.part_lost_amid_window, raft_breakages.PartsWithGaps),
-    (scenarios.part_lost_amid_window, raft_breakages.GoesOnBehindLosses),
+    (scenarios.leader_lost_amid_snapshot, raft_breakages.ChunksOfTwoSnapshots),
+    (scenarios.chunk_lost_amid_window, raft_breakages.ChunksWithGaps),
+    (scenarios.chunk_lost_amid_window, raft_breakages.GoesOnBehindLosses),
     (scenarios.power_lost_after_snapshot, raft_breakages.CompactedIsSaved),
 ]
 
--- a/tests/consensus/test_snapshot_transfer.py
+++ b/tests/consensus/test_snapshot_transfer.py
@@ -1,4 +1,4 @@
-"""Snapshots on their way: parts do not mix, and neither silence nor compaction sends one for ever."""
+"""Snapshots on their way: chunks do not mix, and neither silence nor compaction sends one for ever."""
 
 import dataclasses
 import itertools
@@ -21,20 +21,21 @@
     SnapshotChunk,
     SnapshotReply,
 )
-from pewterring.consensus.replication import Flow, Replication
-from pewterring.consensus.snapshot_transfer import MOST_AHEAD_BYTES, SnapshotAssembly
+from pewterring.consensus.replication import Replication, ReplicationMode
+from pewterring.consensus.snapshot_transfer import MAX_REORDERED_BYTES, SnapshotAssembly
 from pewterring.consensus.types import RaftLimits, Snapshot
+from tests.consensus.raft_internals import log_of
 from tests.consensus.simulated_members import LIMITS, Weather
 from tests.consensus.simulation import Simulation
 
 MEMBERS = Membership(voters=("a", "b", "c"))
-PART_BYTES = 10
+CHUNK_BYTES = 10
 WINDOW = RaftLimits().snapshot_chunks_in_flight
 PATIENCE_S = 0.4
 
 
-def part(data: bytes, offset: int, index: int = 7, sent_in: int = 3) -> SnapshotChunk:
-    """The part of `data` from `offset` on."""
+def chunk(data: bytes, offset: int, index: int = 7, sent_in: int = 3) -> SnapshotChunk:
+    """The chunk of `data` from `offset` on."""
     return SnapshotChunk(
         group="g",
         sender="a",
@@ -46,7 +47,7 @@
         offset=offset,
         total=len(data),
         checksum=zlib.crc32(data),
-        data=data[offset : offset + PART_BYTES],
+        data=data[offset : offset + CHUNK_BYTES],
         round=1,
     )
 
@@ -55,61 +56,61 @@
 NEW = b"new state, as the others have.."
 
 
-def test_parts_in_order_make_the_snapshot() -> None:
+def test_chunks_in_order_make_the_snapshot() -> None:
     assembly = SnapshotAssembly()
     received = 0
     while received < len(NEW):
-        last = part(NEW, received)
+        last = chunk(NEW, received)
         received = assembly.add(last)
-    assert assembly.take_whole(last) == Snapshot(7, 2, MEMBERS, NEW)
+    assert assembly.take_complete(last) == Snapshot(7, 2, MEMBERS, NEW)
 
 
-def test_parts_of_two_snapshots_of_one_index_do_not_mix() -> None:
+def test_chunks_of_two_snapshots_of_one_index_do_not_mix() -> None:
     """A second leader encodes the same state in other bytes, of the same length."""
     assert len(OLD) == len(NEW)
     assembly = SnapshotAssembly()
-    assembly.add(part(OLD, 0, sent_in=3))
-    assert assembly.add(part(NEW, PART_BYTES, sent_in=4)) == 0
-    assert assembly.add(part(NEW, 0, sent_in=4)) == PART_BYTES
-    assert assembly.add(part(OLD, PART_BYTES, sent_in=4)) == 0
-    assert assembly.add(part(NEW, PART_BYTES, sent_in=4)) == 2 * PART_BYTES
+    assembly.add(chunk(OLD, 0, sent_in=3))
+    assert assembly.add(chunk(NEW, CHUNK_BYTES, sent_in=4)) == 0
+    assert assembly.add(chunk(NEW, 0, sent_in=4)) == CHUNK_BYTES
+    assert assembly.add(chunk(OLD, CHUNK_BYTES, sent_in=4)) == 0
+    assert assembly.add(chunk(NEW, CHUNK_BYTES, sent_in=4)) == 2 * CHUNK_BYTES
 
 
-def test_a_late_part_of_an_older_snapshot_undoes_nothing() -> None:
+def test_a_late_chunk_of_an_older_snapshot_undoes_nothing() -> None:
     assembly = SnapshotAssembly()
-    assembly.add(part(NEW, 0, index=9))
-    assert assembly.add(part(OLD, 0, index=7)) == 0
-    assert assembly.add(part(NEW, PART_BYTES, index=9)) == 2 * PART_BYTES
+    assembly.add(chunk(NEW, 0, index=9))
+    assert assembly.add(chunk(OLD, 0, index=7)) == 0
+    assert assembly.add(chunk(NEW, CHUNK_BYTES, index=9)) == 2 * CHUNK_BYTES
 
 
 def test_a_new_leader_may_send_an_older_snapshot() -> None:
     assembly = SnapshotAssembly()
-    assembly.add(part(NEW, 0, index=9, sent_in=3))
-    assert assembly.add(part(OLD, 0, index=7, sent_in=4)) == PART_BYTES
+    assembly.add(chunk(NEW, 0, index=9, sent_in=3))
+    assert assembly.add(chunk(OLD, 0, index=7, sent_in=4)) == CHUNK_BYTES
 
 
-def test_a_part_that_comes_twice_undoes_nothing() -> None:
+def test_a_chunk_that_comes_twice_undoes_nothing() -> None:
     assembly = SnapshotAssembly()
-    assembly.add(part(NEW, 0))
-    assembly.add(part(NEW, PART_BYTES))
-    assert assembly.add(part(NEW, 0)) == 2 * PART_BYTES
-    assert assembly.add(part(NEW, PART_BYTES)) == 2 * PART_BYTES
-    assert assembly.add(part(NEW, 2 * PART_BYTES)) == 3 * PART_BYTES
+    assembly.add(chunk(NEW, 0))
+    assembly.add(chunk(NEW, CHUNK_BYTES))
+    assert assembly.add(chunk(NEW, 0)) == 2 * CHUNK_BYTES
+    assert assembly.add(chunk(NEW, CHUNK_BYTES)) == 2 * CHUNK_BYTES
+    assert assembly.add(chunk(NEW, 2 * CHUNK_BYTES)) == 3 * CHUNK_BYTES
 
 
 def test_bytes_that_are_not_as_sent_are_no_snapshot() -> None:
     assembly = SnapshotAssembly()
-    short = part(NEW[:PART_BYTES], 0)
-    damaged = msgspec.structs.replace(short, data=b"x" * PART_BYTES)
+    short = chunk(NEW[:CHUNK_BYTES], 0)
+    damaged = msgspec.structs.replace(short, data=b"x" * CHUNK_BYTES)
     assert assembly.add(damaged) == damaged.total
-    assert assembly.take_whole(damaged) is None
-    assert assembly.add(short) == PART_BYTES
-    assert assembly.take_whole(short) is not None
+    assert assembly.take_complete(damaged) is None
+    assert assembly.add(short) == CHUNK_BYTES
+    assert assembly.take_complete(short) is not None
 
 
 @dataclass
 class Sending:
-    """A leader's replication to one member that needs a snapshot of some parts."""
+    """A leader's replication to one member that needs a snapshot of some chunks."""
 
     replication: Replication
     log: Log
@@ -117,14 +118,14 @@
     now: float = 0.0
 
     @classmethod
-    def begin(cls, parts_in_flight: int = 1) -> "Sending":
+    def begin(cls, chunks_in_flight: int = 1) -> "Sending":
         log = Log(100, 1)
-        limits = RaftLimits(snapshot_chunk_bytes=PART_BYTES, snapshot_chunks_in_flight=parts_in_flight)
+        limits = RaftLimits(snapshot_chunk_bytes=CHUNK_BYTES, snapshot_chunks_in_flight=chunks_in_flight)
         replication = Replication("g", "a", 1, log, limits)
         replication.set_members(("a", "b"))
         sending = cls(replication, log, NEW * 3)
         sending.hear(accepted=False)
-        sending.parts()
+        sending.chunks()
         replication.offer_snapshot(Snapshot(100, 1, MEMBERS, sending.data))
         return sending
 
@@ -143,12 +144,12 @@
             )
         )
 
-    def parts(self) -> list[int]:
-        """Offsets of the parts that are sent now."""
+    def chunks(self) -> list[int]:
+        """Offsets of the chunks that are sent now."""
         return [message.offset for message in self.messages()]
 
     def messages(self) -> list[SnapshotChunk]:
-        """The parts that are sent now."""
+        """The chunks that are sent now."""
         outgoing = self.replication.flush(self.now, 1, 100)
         return [message for message in outgoing if isinstance(message, SnapshotChunk)]
 
@@ -158,74 +159,74 @@
         return self.replication.peers["b"].match == 100
 
 
-def test_an_answer_that_comes_twice_sends_one_part() -> None:
+def test_an_answer_that_comes_twice_sends_one_chunk() -> None:
     sending = Sending.begin()
-    assert sending.parts() == [0]
-    sending.answer(PART_BYTES)
-    assert sending.parts() == [PART_BYTES]
-    sending.answer(PART_BYTES)
-    assert sending.parts() == []
+    assert sending.chunks() == [0]
+    sending.answer(CHUNK_BYTES)
+    assert sending.chunks() == [CHUNK_BYTES]
+    sending.answer(CHUNK_BYTES)
+    assert sending.chunks() == []
     sending.now = 1.0
-    sending.replication.retry_lost(sending.now, 0.4)
-    assert sending.parts() == [PART_BYTES]
+    sending.replication.retransmit_overdue(sending.now, 0.4)
+    assert sending.chunks() == [CHUNK_BYTES]
 
 
-def test_a_member_that_lost_the_parts_gets_them_again() -> None:
+def test_a_member_that_lost_the_chunks_gets_them_again() -> None:
     sending = Sending.begin()
-    sending.parts()
-    sending.answer(PART_BYTES)
-    sending.parts()
+    sending.chunks()
+    sending.answer(CHUNK_BYTES)
+    sending.chunks()
     sending.answer(0)
-    assert sending.parts() == [0]
+    assert sending.chunks() == [0]
 
 
 def test_silence_keeps_what_the_member_has() -> None:
     sending = Sending.begin()
-    sending.parts()
-    sending.answer(PART_BYTES)
-    sending.parts()
-    sending.replication.give_up("b")
-    assert sending.parts() == []
+    sending.chunks()
+    sending.answer(CHUNK_BYTES)
+    sending.chunks()
+    sending.replication.mark_unresponsive("b")
+    assert sending.chunks() == []
     assert not sending.replication.snapshot_wanted
     sending.hear()
     assert not sending.replication.snapshot_wanted
-    assert sending.parts() == [PART_BYTES]
+    assert sending.chunks() == [CHUNK_BYTES]
 
 
 def test_a_snapshot_to_a_silent_member_is_dropped_when_the_log_left_it_behind() -> None:
     sending = Sending.begin()
     sending.log.append(Entry(index, 1, "empty") for index in range(101, 121))
-    sending.replication.give_up("b")
-    assert sending.replication.oldest_snapshot() is None
+    sending.replication.mark_unresponsive("b")
+    assert sending.replication.oldest_snapshot_index() is None
     sending.log.compact(110, 0)
-    sending.replication.compacted()
+    sending.replication.on_log_compacted()
     sending.hear()
     assert sending.replication.snapshot_wanted
-    assert sending.replication.peers["b"].flow is Flow.SNAPSHOT
+    assert sending.replication.peers["b"].mode is ReplicationMode.SNAPSHOT
 
 
-def offsets(*parts: int) -> list[int]:
-    return [number * PART_BYTES for number in parts]
+def offsets(*chunks: int) -> list[int]:
+    return [number * CHUNK_BYTES for number in chunks]
 
 
 def _with_a_window() -> tuple[Sending, SnapshotAssembly, list[SnapshotChunk]]:
-    """A member that has the first part, and the window of parts that is on the way to it."""
+    """A member that has the first chunk, and the window of chunks that is on the way to it."""
     sending = Sending.begin(WINDOW)
     assembly = SnapshotAssembly()
     (first,) = sending.messages()
     sending.answer(assembly.add(first))
     window = sending.messages()
-    assert [part.offset for part in window] == offsets(1, 2, 3, 4)
+    assert [chunk.offset for chunk in window] == offsets(1, 2, 3, 4)
     return sending, assembly, window
 
 
 def _finish(sending: Sending, assembly: SnapshotAssembly) -> None:
-    """All further parts come in order, and their answers."""
+    """All further chunks come in order, and their answers."""
     for _ in range(100):
         for message in sending.messages():
             received = assembly.add(message)
             if received == message.total:
-                snapshot = assembly.take_whole(message)
+                snapshot = assembly.take_complete(message)
                 assert snapshot is not None
                 assert snapshot.data == sending.data
             sending.answer(received)
@@ -234,50 +235,50 @@
     raise AssertionError("the snapshot never came")
 
 
-def test_a_window_of_parts_is_on_the_way() -> None:
+def test_a_window_of_chunks_is_on_the_way() -> None:
     sending, assembly, window = _with_a_window()
-    assert sending.parts() == []
+    assert sending.chunks() == []
     for number, message in enumerate(window):
         sending.answer(assembly.add(message))
-        assert sending.parts() == offsets(5 + number)
+        assert sending.chunks() == offsets(5 + number)
 
 
 def test_a_member_that_is_only_slow_is_sent_nothing_twice() -> None:
-    """Each part takes longer than a leader waits for one, and heartbeats wait behind the parts."""
+    """Each chunk takes longer than a leader waits for one, and heartbeats wait behind the chunks."""
     sending, _, _ = _with_a_window()
     sent = offsets(0, 1, 2, 3, 4)
-    for received in range(2, len(sending.data) // PART_BYTES + 1):
+    for received in range(2, len(sending.data) // CHUNK_BYTES + 1):
         sending.now += 3 * PATIENCE_S
-        sending.replication.retry_lost(sending.now, PATIENCE_S)
+        sending.replication.retransmit_overdue(sending.now, PATIENCE_S)
         sending.hear(round_number=1)
-        sending.answer(received * PART_BYTES)
-        sent += sending.parts()
-    assert sent == offsets(*range(-(-len(sending.data) // PART_BYTES)))
+        sending.answer(received * CHUNK_BYTES)
+        sent += sending.chunks()
+    assert sent == offsets(*range(-(-len(sending.data) // CHUNK_BYTES)))
 
 
-def test_parts_that_a_later_heartbeat_overtook_are_lost() -> None:
+def test_chunks_that_a_later_heartbeat_overtook_are_lost() -> None:
     sending, _, window = _with_a_window()
     sending.hear(round_number=2)
-    sending.replication.retry_lost(sending.now, PATIENCE_S)
-    assert sending.parts() == []
+    sending.replication.retransmit_overdue(sending.now, PATIENCE_S)
+    assert sending.chunks() == []
     sending.now += 1.1 * PATIENCE_S
-    sending.replication.retry_lost(sending.now, PATIENCE_S)
-    assert sending.parts() == [part.offset for part in window]
+    sending.replication.retransmit_overdue(sending.now, PATIENCE_S)
+    assert sending.chunks() == [chunk.offset for chunk in window]
 
 
-def test_parts_of_which_nothing_is_heard_are_lost_after_the_time_of_all() -> None:
+def test_chunks_of_which_nothing_is_heard_are_lost_after_the_time_of_all() -> None:
     sending, _, window = _with_a_window()
     sending.now += 0.9 * WINDOW * PATIENCE_S
-    sending.replication.retry_lost(sending.now, PATIENCE_S)
-    assert sending.parts() == []
+    sending.replication.retransmit_overdue(sending.now, PATIENCE_S)
+    assert sending.chunks() == []
     sending.now += 0.2 * WINDOW * PATIENCE_S
-    sending.replication.retry_lost(sending.now, PATIENCE_S)
-    assert sending.parts() == [part.offset for part in window]
+    sending.replication.retransmit_overdue(sending.now, PATIENCE_S)
+    assert sending.chunks() == [chunk.offset for chunk in window]
 
 
 @pytest.mark.parametrize("lost", range(WINDOW))
-def test_a_part_that_is_lost_comes_again(lost: int) -> None:
-    """The parts behind it are kept, so the next answer tells all of the window."""
+def test_a_chunk_that_is_lost_comes_again(lost: int) -> None:
+    """The chunks behind it are kept, so the next answer tells all of the window."""
     sending, assembly, window = _with_a_window()
     for number, message in enumerate(window):
         if number != lost:
@@ -286,39 +287,39 @@
     assert len(following) == lost
     sending.hear(round_number=2)
     sending.now += 1.1 * PATIENCE_S
-    sending.replication.retry_lost(sending.now, PATIENCE_S)
+    sending.replication.retransmit_overdue(sending.now, PATIENCE_S)
     again = sending.messages()
     assert again[0].offset == window[lost].offset
-    assert assembly.add(again[0]) == window[-1].offset + PART_BYTES
+    assert assembly.add(again[0]) == window[-1].offset + CHUNK_BYTES
     for message in (*again, *following):
         sending.answer(assembly.add(message))
     _finish(sending, assembly)
 
 
 @pytest.mark.parametrize("order", list(itertools.permutations(range(WINDOW))))
-def test_parts_and_answers_in_any_order_send_nothing_twice(order: tuple[int, ...]) -> None:
+def test_chunks_and_answers_in_any_order_send_nothing_twice(order: tuple[int, ...]) -> None:
     sending, assembly, window = _with_a_window()
     answers = [assembly.add(window[number]) for number in order]
-    sent = [part.offset for part in window]
+    sent = [chunk.offset for chunk in window]
     for number in order:
         sending.answer(answers[number])
         sending.answer(answers[number])
-        sent += sending.parts()
+        sent += sending.chunks()
     assert sent == offsets(*range(1, 9))
 
 
-def test_a_member_that_begins_anew_amid_the_window_is_sent_the_first_part_once() -> None:
-    """All parts that are on the way are answered with nothing."""
+def test_a_member_that_begins_anew_amid_the_window_is_sent_the_first_chunk_once() -> None:
+    """All chunks that are on the way are answered with nothing."""
     sending, _, window = _with_a_window()
     anew = SnapshotAssembly()
     sent = []
     for message in window:
         sending.answer(anew.add(message))
-        sent += sending.parts()
+        sent += sending.chunks()
     assert sent == [0]
     sending.now += 2 * PATIENCE_S
     sending.hear(round_number=2)
-    sending.replication.retry_lost(sending.now, PATIENCE_S)
+    sending.replication.retransmit_overdue(sending.now, PATIENCE_S)
     _finish(sending, anew)
 
 
@@ -337,27 +338,33 @@
             sending.answer(anew.add(message))
         sending.now += 2 * PATIENCE_S
         sending.hear(round_number=round_number)
-        sending.replication.retry_lost(sending.now, PATIENCE_S)
+        sending.replication.retransmit_overdue(sending.now, PATIENCE_S)
     _finish(sending, anew)
 
 
-def test_parts_far_ahead_are_not_kept() -> None:
-    assembly = SnapshotAssembly()
-    data = bytes(MOST_AHEAD_BYTES + 10 * PART_BYTES)
-    assembly.add(part(data, 0))
-    for offset in range(2 * PART_BYTES, len(data), PART_BYTES * 1000):
-        assembly.add(part(data, offset))
-    assembly.add(part(data, MOST_AHEAD_BYTES + 2 * PART_BYTES))
-    assert max(assembly._ahead) <= MOST_AHEAD_BYTES + PART_BYTES
+class _ObservedAssembly(SnapshotAssembly):
+    @property
+    def reordered_offsets(self) -> list[int]:
+        return list(self._reordered)
+
+
+def test_chunks_far_ahead_are_not_kept() -> None:
+    assembly = _ObservedAssembly()
+    data = bytes(MAX_REORDERED_BYTES + 10 * CHUNK_BYTES)
+    assembly.add(chunk(data, 0))
+    for offset in range(2 * CHUNK_BYTES, len(data), CHUNK_BYTES * 1000):
+        assembly.add(chunk(data, offset))
+    assembly.add(chunk(data, MAX_REORDERED_BYTES + 2 * CHUNK_BYTES))
+    assert max(assembly.reordered_offsets) <= MAX_REORDERED_BYTES + CHUNK_BYTES
 
 
 @dataclass
 class Lossy:
-    """A leader and a member; parts and answers on the way are lost, doubled and come in any order."""
+    """A leader and a member; chunks and answers on the way are lost, doubled and come in any order."""
 
     sending: Sending
     assembly: SnapshotAssembly = dataclasses.field(default_factory=SnapshotAssembly)
-    parts: list[SnapshotChunk] = dataclasses.field(default_factory=list)
+    chunks: list[SnapshotChunk] = dataclasses.field(default_factory=list)
     answers: list[int] = dataclasses.field(default_factory=list)
     snapshot: Snapshot | None = None
     round_number: int = 1
@@ -365,21 +372,21 @@
     def send(self) -> None:
         sent = self.sending.messages()
         assert len(sent) <= WINDOW
-        self.parts += sent
+        self.chunks += sent
 
-    def part_comes(self, position: int, is_doubled: bool) -> None:
-        if not self.parts:
+    def chunk_comes(self, position: int, is_doubled: bool) -> None:
+        if not self.chunks:
             return
-        message = self.parts[position % len(self.parts)]
+        message = self.chunks[position % len(self.chunks)]
         if not is_doubled:
-            self.parts.remove(message)
+            self.chunks.remove(message)
         self.answers.append(message.total if self.snapshot is not None else self._take(message))
 
     def _take(self, message: SnapshotChunk) -> int:
         received = self.assembly.add(message)
         if received < message.total:
             return received
-        self.snapshot = self.assembly.take_whole(message)
+        self.snapshot = self.assembly.take_complete(message)
         return message.total if self.snapshot is not None else 0
 
     def answer_comes(self, position: int, is_doubled: bool) -> None:
@@ -390,9 +397,9 @@
             self.answers.remove(answer)
         self.sending.answer(answer)
 
-    def part_is_lost(self, position: int, _: bool) -> None:
-        if self.parts:
-            del self.parts[position % len(self.parts)]
+    def chunk_is_lost(self, position: int, _: bool) -> None:
+        if self.chunks:
+            del self.chunks[position % len(self.chunks)]
 
     def answer_is_lost(self, position: int, _: bool) -> None:
         if self.answers:
@@ -403,10 +410,10 @@
         self.round_number += 1
         if is_heard:
             self.sending.hear(round_number=self.round_number)
-        self.sending.replication.retry_lost(self.sending.now, PATIENCE_S)
+        self.sending.replication.retransmit_overdue(self.sending.now, PATIENCE_S)
 
     def falls_silent(self, _: int, is_heard: bool) -> None:
-        self.sending.replication.give_up("b")
+        self.sending.replication.mark_unresponsive("b")
         if is_heard:
             self.sending.hear(round_number=self.round_number)
 
@@ -416,11 +423,11 @@
 
 
 EVENTS = (
-    Lossy.part_comes,
-    Lossy.part_comes,
+    Lossy.chunk_comes,
+    Lossy.chunk_comes,
     Lossy.answer_comes,
     Lossy.answer_comes,
-    Lossy.part_is_lost,
+    Lossy.chunk_is_lost,
     Lossy.answer_is_lost,
     Lossy.time_passes,
     Lossy.falls_silent,
@@ -430,7 +437,7 @@
 
 @settings(derandomize=True, deadline=None)
 @given(st.lists(st.tuples(st.sampled_from(EVENTS), st.integers(0, 8), st.booleans()), max_size=60))
-def test_a_snapshot_comes_whole_whatever_became_of_parts_and_answers(
+def test_a_snapshot_comes_whole_whatever_became_of_chunks_and_answers(
     events: list[tuple[Callable[[Lossy, int, bool], None], int, bool]],
 ) -> None:
     lossy = Lossy(Sending.begin(WINDOW))
@@ -440,8 +447,8 @@
         assert not lossy.sending.is_over or lossy.snapshot is not None
     for _ in range(30):
         lossy.send()
-        while lossy.parts or lossy.answers:
-            lossy.part_comes(0, False)
+        while lossy.chunks or lossy.answers:
+            lossy.chunk_comes(0, False)
             lossy.answer_comes(0, False)
             lossy.send()
         lossy.time_passes(8, True)
@@ -480,7 +487,7 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_newer_snapshots_do_not_begin_one_anew(seed: int) -> None:
-    """Half of the parts are lost; the leader makes several snapshots before the one on its way is there."""
+    """Half of the chunks are lost; the leader makes several snapshots before the one on its way is there."""
     simulation = Simulation(seed)
     leader, away = _leader_and_away(simulation, 60)
     fate = random.Random(seed)
@@ -506,7 +513,7 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_a_snapshot_that_is_never_taken_up_does_not_keep_the_log(seed: int) -> None:
-    """The member answers heartbeats, and no part of a snapshot reaches it."""
+    """The member answers heartbeats, and no chunk of a snapshot reaches it."""
     simulation = Simulation(seed)
     leader, away = _leader_and_away(simulation, 40)
     simulation.drops = lambda message: isinstance(message, SnapshotChunk)
@@ -517,7 +524,7 @@
         simulation.run(0.02)
         raft = simulation.members[leader].raft
         assert raft is not None
-        longest = max(longest, raft._state.log.size_bytes)
+        longest = max(longest, log_of(raft).size_bytes)
     bound = LIMITS.retained_for_transfers_bytes + 40 * 150  # and what comes until the next snapshot
     assert longest < bound
     simulation.check_converges()
@@ -525,22 +532,22 @@
 
 @pytest.mark.parametrize("count", range(1, 10))
 def test_a_leader_that_goes_amid_the_window_mixes_nothing(count: int) -> None:
-    """With so many parts sent; those of the old leader come as late as those of the next."""
+    """With so many chunks sent; those of the old leader come as late as those of the next."""
     simulation = Simulation(count)
     leader, away = _leader_and_away(simulation, 60)
-    parts: list[SnapshotChunk] = []
+    chunks: list[SnapshotChunk] = []
 
     def is_kept_back(message: ConsensusMessage) -> bool:
         if isinstance(message, SnapshotChunk) and message.sender == leader:
-            parts.append(message)
+            chunks.append(message)
         return False
 
     simulation.drops = is_kept_back
     simulation.start(away)
-    simulation.run_until(lambda: len(parts) >= count)
+    simulation.run_until(lambda: len(chunks) >= count)
     simulation.crash(leader)
     simulation.run_until(lambda: simulation.leader() not in (None, leader))
-    for late in parts:
+    for late in chunks:
         simulation.deliver_again(late)
         simulation.run(0.002)
     simulation.run(2.0)
@@ -548,20 +555,20 @@
     simulation.check_converges()
 
 
-def test_a_snapshot_takes_fewer_journeys_than_it_has_parts() -> None:
+def test_a_snapshot_takes_fewer_journeys_than_it_has_chunks() -> None:
     simulation = Simulation(1)
     _, away = _leader_and_away(simulation, 300)
     journey_s = 0.2
     simulation.weather = Weather(delay_s=(journey_s / 2, journey_s / 2))
-    parts: list[int] = []
+    chunks: list[int] = []
 
     def is_lost(message: ConsensusMessage) -> bool:
         if isinstance(message, SnapshotChunk):
-            parts.append(message.offset)
+            chunks.append(message.offset)
         return False
 
     simulation.drops = is_lost
     simulation.start(away)
     began = simulation.now
     simulation.run_until(lambda: simulation.members[away].disk.snapshot_index > 0)
-    assert simulation.now - began < len(parts) * journey_s / 2
+    assert simulation.now - began < len(chunks) * journey_s / 2
--- a/tests/consensus/test_uncommitted_limit.py
+++ b/tests/consensus/test_uncommitted_limit.py
@@ -9,6 +9,7 @@
 from pewterring.consensus.group import ReplicatedGroup
 from pewterring.consensus.log import ENTRY_OVERHEAD_BYTES
 from pewterring.consensus.types import RaftLimits
+from tests.consensus.raft_internals import log_of, raft_of
 from tests.consensus.test_full_disk import LimitedStorage, limited_network
 from tests.consensus.test_group import NAMES, Network, command, wait_until
 from tests.consensus.virtual_time import run
@@ -34,11 +35,6 @@
         disks[name].full = is_full
 
 
-def log_bytes(group: ReplicatedGroup) -> int:
-    assert group._raft is not None
-    return group._raft._state.log.size_bytes
-
-
 async def propose_with_patience(leader: ReplicatedGroup, text: str, refused: list[str]) -> None:
     with contextlib.suppress(TimeoutError):
         async with asyncio.timeout(0.5):
@@ -59,7 +55,7 @@
         for text in texts:
             calls.append(asyncio.create_task(propose_with_patience(leader, text, refused)))
             await asyncio.sleep(0.01)
-            most = max(most, *(log_bytes(group) for group in network.groups.values()))
+            most = max(most, *(log_of(group).size_bytes for group in network.groups.values()))
         await asyncio.gather(*calls)
         assert leader.is_leader
         assert 400 < len(refused) < 500
@@ -111,9 +107,8 @@
         set_full(disks, True)
         held = asyncio.ensure_future(leader.propose(command("y" * (MOST_BYTES + ENTRY_OVERHEAD_BYTES))))
         await asyncio.sleep(0.1)
-        assert leader._raft is not None
         membership = type(leader.membership)(leader.membership.voters, ("d",))
-        leader._raft.propose_membership(asyncio.get_running_loop().time(), membership)
+        raft_of(leader).propose_membership(membership)
         assert leader.membership == membership
         held.cancel()
         await network.stop()
--- a/tests/consensus/test_unpersisted.py
+++ b/tests/consensus/test_unpersisted.py
@@ -3,6 +3,7 @@
 import msgspec
 import pytest
 
+from pewterring.consensus.errors import InvariantError
 from pewterring.consensus.log import Log
 from pewterring.consensus.messages import Entry, Membership, SnapshotReply
 from pewterring.consensus.persistent import HardState
@@ -18,7 +19,7 @@
 
 
 def take(unpersisted: UnpersistedState) -> Save:
-    save = unpersisted.take(HARD)
+    save = unpersisted.begin_save(HARD)
     assert save is not None
     return save
 
@@ -35,17 +36,17 @@
 
     def truncate(self, first: int) -> None:
         self.log.truncate(first)
-        self.unpersisted.truncated(first)
+        self.unpersisted.on_truncated(first)
 
     def install(self, snapshot: Snapshot, commit: int) -> None:
         self.log.reset(snapshot.index, snapshot.term)
-        self.unpersisted.replaced(snapshot, commit)
+        self.unpersisted.on_snapshot_received(snapshot, commit)
 
 
 def test_a_snapshot_of_unsaved_entries_saves_just_those() -> None:
     parts = Parts()
     parts.append(15)
-    parts.unpersisted.compacted(12)
+    parts.unpersisted.on_compacted(12)
     assert parts.unpersisted.persisted_index == 12
     save = take(parts.unpersisted)
     assert [entry.index for entry in save.entries] == [13, 14, 15]
@@ -54,9 +55,9 @@
 
 def test_an_older_own_snapshot_takes_nothing_back() -> None:
     parts = Parts()
-    parts.unpersisted.compacted(5)
+    parts.unpersisted.on_compacted(5)
     assert parts.unpersisted.persisted_index == 10
-    assert parts.unpersisted.take(HARD) is None
+    assert parts.unpersisted.begin_save(HARD) is None
 
 
 def test_entries_under_way_when_a_snapshot_comes_do_not_count_for_it() -> None:
@@ -64,16 +65,16 @@
     parts.append(15)
     save = take(parts.unpersisted)
     parts.install(SNAPSHOT, commit=9)
-    parts.unpersisted.done(save)
+    parts.unpersisted.on_saved(save)
     assert parts.unpersisted.persisted_index == 9
-    assert parts.unpersisted.installing
+    assert parts.unpersisted.is_installing_snapshot
     second = take(parts.unpersisted)
     assert second.snapshot is SNAPSHOT
     assert second.truncate_from is None
     assert parts.unpersisted.persisted_index == 9
-    parts.unpersisted.done(second)
+    parts.unpersisted.on_saved(second)
     assert parts.unpersisted.persisted_index == 20
-    assert not parts.unpersisted.installing
+    assert not parts.unpersisted.is_installing_snapshot
 
 
 def test_a_newer_snapshot_waits_for_the_one_that_is_being_saved() -> None:
@@ -82,20 +83,20 @@
     first = take(parts.unpersisted)
     newer = Snapshot(30, 2, SNAPSHOT.membership, b"newer")
     parts.install(newer, commit=20)
-    assert parts.unpersisted.take(HARD) is None
-    parts.unpersisted.done(first)
+    assert parts.unpersisted.begin_save(HARD) is None
+    parts.unpersisted.on_saved(first)
     assert parts.unpersisted.persisted_index <= 20
-    assert parts.unpersisted.installing
+    assert parts.unpersisted.is_installing_snapshot
     second = take(parts.unpersisted)
     assert second.snapshot is newer
-    parts.unpersisted.done(second)
+    parts.unpersisted.on_saved(second)
     assert parts.unpersisted.persisted_index == 30
 
 
 def test_an_own_snapshot_that_ends_after_a_received_one_claims_nothing_of_it() -> None:
     parts = Parts()
     parts.install(SNAPSHOT, commit=9)
-    parts.unpersisted.compacted(9)  # was under way when the other came
+    parts.unpersisted.on_compacted(9)  # was under way when the other came
     parts.log.compact(9, 0)
     assert parts.unpersisted.persisted_index == 9
     assert parts.log.base_index == 20
@@ -109,7 +110,7 @@
     save = take(parts.unpersisted)
     parts.truncate(12)
     parts.append(13, term=3)
-    parts.unpersisted.done(save)
+    parts.unpersisted.on_saved(save)
     assert parts.unpersisted.persisted_index == 11
     again = take(parts.unpersisted)
     assert again.truncate_from == 12
@@ -124,9 +125,9 @@
     reply = SnapshotReply(
         group="g", sender="b", target="a", term=2, last_index=SNAPSHOT.index, received=5, round=1
     )
-    parts.unpersisted.hold(reply)
-    assert parts.unpersisted.take_released() == []
-    parts.unpersisted.done(first)
+    parts.unpersisted.defer(reply)
+    assert parts.unpersisted.take_deferred_messages() == []
+    parts.unpersisted.on_saved(first)
     second = take(parts.unpersisted)
     assert second.snapshot is SNAPSHOT
     assert list(second.messages_after_sync) == [reply]
@@ -137,6 +138,6 @@
     parts = Parts()
     parts.append(12)
     save = take(parts.unpersisted)
-    parts.unpersisted.done(save)
-    with pytest.raises(ValueError, match="under way"):
-        parts.unpersisted.done(save)
+    parts.unpersisted.on_saved(save)
+    with pytest.raises(InvariantError, match="under way"):
+        parts.unpersisted.on_saved(save)
--- a/tests/golden/member_messages.py
+++ b/tests/golden/member_messages.py
@@ -4,10 +4,10 @@
 
 import msgspec
 
-from pewterring.consensus.membership import MEMBERS as MEMBERSHIP_KIND
 from pewterring.consensus.membership import encode_membership
 from pewterring.consensus.messages import (
     CONSENSUS_MESSAGES,
+    ENTRY_MEMBERS,
     AppendReply,
     AppendRequest,
     DepartureAck,
@@ -31,7 +31,7 @@
 PLAIN_MEMBERSHIP = Membership(voters=MEMBERS)
 EMPTY_ENTRY = Entry(index=40, term=5, kind="empty")
 COMMAND_ENTRY = Entry(index=41, term=5, kind="command", data=raw(b'{"type":"DropJobs","jobs":["job-1"]}'))
-MEMBERSHIP_ENTRY = Entry(index=42, term=5, kind=MEMBERSHIP_KIND, data=encode_membership(MEMBERSHIP))
+MEMBERSHIP_ENTRY = Entry(index=42, term=5, kind=ENTRY_MEMBERS, data=encode_membership(MEMBERSHIP))
 
 _HEAD: dict[str, Any] = {"group": "control", "sender": MEMBERS[0], "target": MEMBERS[1], "term": 5}
 
--- a/tests/golden/stored_data.py
+++ b/tests/golden/stored_data.py
@@ -14,9 +14,8 @@
 
 from pewterring.batch.commands import encode_command as encode_batch_command
 from pewterring.batch.state import BatchState
-from pewterring.consensus.membership import MEMBERS as MEMBERSHIP_KIND
 from pewterring.consensus.membership import encode_membership
-from pewterring.consensus.messages import Entry, Membership
+from pewterring.consensus.messages import ENTRY_MEMBERS, Entry, Membership
 from pewterring.consensus.persistent import HardState
 from pewterring.control.program import GROUP, open_storage
 from pewterring.control.state import ControlState, encode_command
@@ -61,7 +60,7 @@
 def _log(membership: Membership, commands: list[bytes]) -> list[Entry]:
     entries = [
         Entry(index=1, term=1, kind="empty"),
-        Entry(index=2, term=2, kind=MEMBERSHIP_KIND, data=encode_membership(membership)),
+        Entry(index=2, term=2, kind=ENTRY_MEMBERS, data=encode_membership(membership)),
     ]
     for index, data in enumerate(commands, start=3):
         entries.append(Entry(index=index, term=2, kind="command", data=msgspec.Raw(data)))
--- a/tests/simulation/breakages.py
+++ b/tests/simulation/breakages.py
@@ -150,22 +150,22 @@
 def snapshot_over_newer() -> Any:
     """A snapshot is installed though the member has committed more than it covers."""
 
-    def on_snapshot_part(self: FollowerRole, now: float, part: SnapshotChunk) -> None:
-        self._hear_leader(now, part)
-        received = self._assembly.add(part)
-        whole = self._assembly.take_whole(part) if received >= part.total else None
-        if whole is not None:
-            install(self, whole)
-        self._reply_snapshot(part, received, part.round)
+    def on_snapshot_chunk(self: FollowerRole, now: float, chunk: SnapshotChunk) -> None:
+        self._on_leader_contact(now, chunk)
+        received = self._assembly.add(chunk)
+        snapshot = self._assembly.take_complete(chunk) if received >= chunk.total else None
+        if snapshot is not None:
+            install(self, snapshot)
+        self._reply_snapshot(chunk, received, chunk.round)
 
     def install(self: FollowerRole, snapshot: Snapshot) -> None:
         state = self._state
         state.log.reset(snapshot.index, snapshot.term)
         state.members.reset(snapshot.membership)
-        state.unpersisted.replaced(snapshot, state.commit_index)
+        state.unpersisted.on_snapshot_received(snapshot, state.commit_index)
         state.commit_index = snapshot.index
 
-    return mock.patch.object(FollowerRole, "on_snapshot_part", on_snapshot_part)
+    return mock.patch.object(FollowerRole, "on_snapshot_chunk", on_snapshot_chunk)
 
 
 def vote_not_synced() -> Any:
