--- a/benchmarks/redundancy.py
+++ b/benchmarks/redundancy.py
@@ -38,13 +38,18 @@
 from pewterring.batch.messages import ItemSpec
 from pewterring.batch.program import MEMBERS_PERIOD_S
 from pewterring.batch.state import BatchState
+from pewterring.consensus.departure import LEAVE_PART
 from pewterring.consensus.errors import ConsensusError
-from pewterring.consensus.farewell import LEAVE_PART
 from pewterring.consensus.group import ReplicatedGroup, StateMachine
 from pewterring.consensus.membership import address_of
+from pewterring.consensus.membership_planner import (
+    CHANGES_A_CHECK,
+    Candidates,
+    MembershipPlanner,
+    voters_needed,
+)
 from pewterring.consensus.messages import CONSENSUS_MESSAGES, ConsensusMessage, Membership, SnapshotChunk
 from pewterring.consensus.persistent import HardState
-from pewterring.consensus.planner import CHANGES_A_CHECK, Candidates, MembershipPlanner, voters_needed
 from pewterring.consensus.types import RaftLimits
 from pewterring.control.commands import PutConfiguration, PutWorker, RemoveWorkers
 from pewterring.control.program import TICK_S
--- a/pewterring/batch/members.py
+++ b/pewterring/batch/members.py
@@ -2,8 +2,8 @@
 
 from collections.abc import Iterable
 
+from pewterring.consensus.membership_planner import Candidates
 from pewterring.consensus.messages import Membership
-from pewterring.consensus.planner import Candidates
 from pewterring.distribution.messages import STORE, NodeRecord
 
 
--- a/pewterring/batch/partition.py
+++ b/pewterring/batch/partition.py
@@ -17,12 +17,12 @@
 from pewterring.batch.results import ResultCommitter
 from pewterring.batch.service import BatchService
 from pewterring.batch.state import BatchState, Clock
+from pewterring.consensus.backpressure import retry_while_full
+from pewterring.consensus.departure import LEAVE_PART
 from pewterring.consensus.errors import ConsensusError
-from pewterring.consensus.farewell import LEAVE_PART
 from pewterring.consensus.group import ReplicatedGroup
+from pewterring.consensus.membership_planner import CHANGES_A_CHECK, MembershipPlanner
 from pewterring.consensus.messages import ConsensusMessage, Membership
-from pewterring.consensus.planner import CHANGES_A_CHECK, MembershipPlanner
-from pewterring.consensus.room import retry_while_full
 from pewterring.consensus.types import RaftTiming
 from pewterring.distribution.messages import GroupStatus
 from pewterring.distribution.tables import Tables
--- a/pewterring/batch/program.py
+++ b/pewterring/batch/program.py
@@ -21,9 +21,9 @@
 from pewterring.batch.runner import HttpItemRunner
 from pewterring.batch.service import batch_call
 from pewterring.batch.state import Clock
+from pewterring.consensus.backpressure import retry_while_full
 from pewterring.consensus.membership import address_of
 from pewterring.consensus.messages import CONSENSUS_MESSAGES, ConsensusMessage, Membership
-from pewterring.consensus.room import retry_while_full
 from pewterring.distribution.messages import FEED_MESSAGES, STORE, GroupStatus, NodeRecord
 from pewterring.distribution.subscriber import FeedSubscriber
 from pewterring.distribution.tables import Tables
--- a/pewterring/cli/tier.py
+++ b/pewterring/cli/tier.py
@@ -89,7 +89,7 @@
 
 
 async def _make_with_room(name: str, settings: NodeSettings, failed: asyncio.Event) -> Program:
-    from pewterring.consensus.room import retry_while_full
+    from pewterring.consensus.backpressure import retry_while_full
 
     async def make() -> Program:
         return _make(name, settings, failed)
--- a/pewterring/consensus/group.py
+++ b/pewterring/consensus/group.py
@@ -24,11 +24,11 @@
     Entry,
     Membership,
 )
+from pewterring.consensus.pending import WaitingCalls, settle
 from pewterring.consensus.persistent import GroupStorage, LoadedGroup
 from pewterring.consensus.raft import Raft
 from pewterring.consensus.storage_jobs import StorageJobs
 from pewterring.consensus.types import RaftConfig, RaftLimits, RaftTiming, Ready, Save, Snapshot
-from pewterring.consensus.waiting import WaitingCalls, settle
 
 SNAPSHOT_AFTER_BYTES = 4_000_000  # of entries applied since the last snapshot
 SNAPSHOT_AFTER_MOST_BYTES = 16_000_000  # the same for large states: bounds the disk, and replay at a start
--- a/pewterring/consensus/leader.py
+++ b/pewterring/consensus/leader.py
@@ -10,10 +10,10 @@
 
 import msgspec
 
+from pewterring.consensus.departure import Farewells
 from pewterring.consensus.errors import MembershipRejectedError
-from pewterring.consensus.farewell import Farewells
-from pewterring.consensus.handover import Handover
 from pewterring.consensus.heartbeat_rounds import HeartbeatRounds
+from pewterring.consensus.leadership_transfer import Handover
 from pewterring.consensus.membership import check_change, encode_membership, majority_value
 from pewterring.consensus.messages import (
     ENTRY_COMMAND,
--- a/pewterring/consensus/raft.py
+++ b/pewterring/consensus/raft.py
@@ -12,9 +12,9 @@
 import random
 from collections.abc import Sequence
 
+from pewterring.consensus.departure import Farewell
 from pewterring.consensus.election import Election
 from pewterring.consensus.errors import NotLeaderError
-from pewterring.consensus.farewell import Farewell
 from pewterring.consensus.follower import FollowerRole
 from pewterring.consensus.leader import LeaderRole
 from pewterring.consensus.messages import (
--- a/pewterring/consensus/storage_jobs.py
+++ b/pewterring/consensus/storage_jobs.py
@@ -7,8 +7,8 @@
 
 from loguru import logger
 
+from pewterring.consensus.backpressure import FULL_RETRY_S, retry_while_full
 from pewterring.consensus.errors import StorageFullError
-from pewterring.consensus.room import FULL_RETRY_S, retry_while_full
 
 _Result = TypeVar("_Result")
 
--- a/pewterring/control/duties.py
+++ b/pewterring/control/duties.py
@@ -7,8 +7,8 @@
 from pewterring.consensus.errors import ConsensusError
 from pewterring.consensus.group import ReplicatedGroup
 from pewterring.consensus.membership import address_of
+from pewterring.consensus.membership_planner import CHANGES_A_CHECK, MembershipPlanner
 from pewterring.consensus.messages import Membership
-from pewterring.consensus.planner import CHANGES_A_CHECK, MembershipPlanner
 from pewterring.control.commands import Command, CreateGroup, EndRetirement, RemoveWorkers, SilenceWorkers
 from pewterring.control.errors import ControlError
 from pewterring.control.leadership import GroupLeadership
--- a/pewterring/control/program.py
+++ b/pewterring/control/program.py
@@ -10,12 +10,12 @@
 import msgspec
 from loguru import logger
 
+from pewterring.consensus.departure import LEAVE_PART
 from pewterring.consensus.errors import ConsensusError
-from pewterring.consensus.farewell import LEAVE_PART
 from pewterring.consensus.group import ReplicatedGroup
 from pewterring.consensus.membership import address_of
+from pewterring.consensus.membership_planner import MembershipPlanner, voters_needed
 from pewterring.consensus.messages import CONSENSUS_MESSAGES, ConsensusMessage, Membership
-from pewterring.consensus.planner import MembershipPlanner, voters_needed
 from pewterring.consensus.types import RaftTiming
 from pewterring.control.api import ControlApi
 from pewterring.control.duties import DutyRunner, LeaderDuties, controls_of
--- a/tests/consensus/planned_group.py
+++ b/tests/consensus/planned_group.py
@@ -3,8 +3,8 @@
 from collections.abc import Iterable
 
 from pewterring.consensus.membership import address_of, check_change
+from pewterring.consensus.membership_planner import Candidates, MembershipPlanner
 from pewterring.consensus.messages import Membership
-from pewterring.consensus.planner import Candidates, MembershipPlanner
 
 CATCH_UP_S = 4.8
 STEP_S = 0.25
--- a/tests/consensus/planned_simulation.py
+++ b/tests/consensus/planned_simulation.py
@@ -8,11 +8,11 @@
 from collections.abc import Callable
 
 from pewterring.batch.program import MEMBERS_PERIOD_S
+from pewterring.consensus.departure import LEAVE_PART
 from pewterring.consensus.errors import ConsensusError
-from pewterring.consensus.farewell import LEAVE_PART
 from pewterring.consensus.membership import address_of
+from pewterring.consensus.membership_planner import Candidates, MembershipPlanner, voters_needed
 from pewterring.consensus.messages import ConsensusMessage, DepartureNotice
-from pewterring.consensus.planner import Candidates, MembershipPlanner, voters_needed
 from pewterring.consensus.raft import Raft
 from pewterring.control.program import TICK_S
 from tests.consensus.simulated_members import TIMING, Member
--- a/tests/consensus/test_farewells.py
+++ b/tests/consensus/test_departure.py
@@ -26,7 +26,7 @@
 from tests.consensus.simulated_members import Violation
 from tests.consensus.test_group import NAMES, Network, wait_until
 from tests.consensus.test_losses import HALF_S, kinds, tolerated_losses
-from tests.consensus.test_planner import breaks_a_rule, every_group
+from tests.consensus.test_membership_planner import breaks_a_rule, every_group
 from tests.consensus.virtual_time import run
 
 ROUNDS = 3
--- a/tests/consensus/test_planner.py
+++ b/tests/consensus/test_membership_planner.py
@@ -4,8 +4,8 @@
 
 import pytest
 
+from pewterring.consensus.membership_planner import LOST_PART, MembershipPlanner
 from pewterring.consensus.messages import Membership
-from pewterring.consensus.planner import LOST_PART, MembershipPlanner
 from tests.consensus.planned_group import CATCH_UP_S, STEP_S, PlannedGroupStandIn, majority
 
 A, B, C, D, E = (f"10.0.0.{number}#seed" for number in range(1, 6))
--- a/tests/consensus/test_planner_breakages.py
+++ b/tests/consensus/test_membership_planner_breakages.py
@@ -2,9 +2,9 @@
 
 import pytest
 
+from pewterring.consensus.membership_planner import Candidates, MembershipPlanner, PlannedGroup
 from pewterring.consensus.messages import Membership
-from pewterring.consensus.planner import Candidates, MembershipPlanner, PlannedGroup
-from tests.consensus.test_planner import breaks_a_rule, every_group
+from tests.consensus.test_membership_planner import breaks_a_rule, every_group
 
 
 class _Flattering:
--- a/tests/simulation/breakages.py
+++ b/tests/simulation/breakages.py
@@ -16,8 +16,8 @@
 from pewterring.consensus.follower import FollowerRole
 from pewterring.consensus.group import ReplicatedGroup
 from pewterring.consensus.leader import LeaderRole
+from pewterring.consensus.membership_planner import Candidates, MembershipPlanner
 from pewterring.consensus.messages import SnapshotChunk
-from pewterring.consensus.planner import Candidates, MembershipPlanner
 from pewterring.consensus.state import MemberState
 from pewterring.consensus.types import Snapshot
 from pewterring.control import duties
