--- a/benchmarks/redundancy.py
+++ b/benchmarks/redundancy.py
@@ -38,12 +38,12 @@
 from pewterring.batch.messages import ItemSpec
 from pewterring.batch.program import MEMBERS_PERIOD_S
 from pewterring.batch.state import BatchState
-from pewterring.consensus.departure import LEAVE_PART
+from pewterring.consensus.departure import DEPARTURE_TIMEOUT_FRACTION
 from pewterring.consensus.errors import ConsensusError
 from pewterring.consensus.group import ReplicatedGroup, StateMachine
 from pewterring.consensus.membership import address_of
 from pewterring.consensus.membership_planner import (
-    CHANGES_A_CHECK,
+    MAX_CHANGES_PER_CHECK,
     Candidates,
     MembershipPlanner,
     voters_needed,
@@ -117,7 +117,7 @@
 
     machine: Callable[[], StateMachine]
     commands: Callable[[], Iterator[bytes]]
-    keeps_spares: bool
+    keeps_spare_learners: bool
     interval_s: float
     known_after_s: float  # until the leader knows of a machine that started
 
@@ -235,7 +235,7 @@
         self.group: ReplicatedGroup | None = None
         self.planner: MembershipPlanner | None = None
         self.looks: asyncio.Task[None] | None = None
-        self.farewell_look: asyncio.Task[None] | None = None
+        self.departure_check: asyncio.Task[None] | None = None
         self.known_at = 0.0
 
 
@@ -262,7 +262,9 @@
         if with_state:
             self._prepare(node)
         machine = MeteredMachine(self._kind.machine(), node.processor, self._speeds)
-        node.planner = MembershipPlanner(name, self._tolerated, self._catch_up_s, self._kind.keeps_spares)
+        node.planner = MembershipPlanner(
+            name, self._tolerated, self._catch_up_s, self._kind.keeps_spare_learners
+        )
         group = ReplicatedGroup(
             GROUP,
             name,
@@ -273,7 +275,7 @@
             clock=asyncio.get_running_loop().time,
             limits=RaftLimits(),
             on_leadership=lambda leads: self._on_leadership(node, leads),
-            on_farewell=lambda: self._on_farewell(node),
+            on_departure=lambda: self._on_departure(node),
             executor=DiskTimer(node.disk, self._speeds.sync_s, self._speeds.disk_bytes),
         )
         node.group = group
@@ -334,9 +336,9 @@
         if leads and node.planner is not None and node.group is not None:
             node.planner.start(now(), node.group)
 
-    def _on_farewell(self, node: Node) -> None:
-        if node.farewell_look is None or node.farewell_look.done():
-            node.farewell_look = asyncio.create_task(self._look_once(node))
+    def _on_departure(self, node: Node) -> None:
+        if node.departure_check is None or node.departure_check.done():
+            node.departure_check = asyncio.create_task(self._look_once(node))
 
     async def _look_once(self, node: Node) -> None:
         with contextlib.suppress(ConsensusError):
@@ -350,7 +352,7 @@
     async def _plan_members(self, node: Node) -> None:
         group, planner = node.group, node.planner
         assert group is not None and planner is not None
-        for _ in range(CHANGES_A_CHECK):
+        for _ in range(MAX_CHANGES_PER_CHECK):
             if not group.has_lease(now()):
                 return
             change = planner.plan(now(), group, self._candidates())
@@ -420,8 +422,8 @@
     for name in cluster.first:
         await cluster.start(name, with_state=True)
     is_wiped = case.startswith("wiped")
-    is_leaving = case.startswith("leaving")
-    spares = 0 if is_wiped else 1 if is_leaving else tolerated
+    is_departing = case.startswith("leaving")
+    spares = 0 if is_wiped else 1 if is_departing else tolerated
     for number in range(spares):
         await cluster.start(f"10.0.1.{number}#spare")
     writes = asyncio.create_task(cluster.write_forever())
@@ -433,10 +435,10 @@
     lost = lost[:tolerated]
     began = now()
     cluster.joined_at = None
-    if is_leaving:
+    if is_departing:
         leaving = cluster.nodes[lost[0]].group
         assert leaving is not None
-        await leaving.leave(LEAVE_PART * GRACE_S)
+        await leaving.depart(DEPARTURE_TIMEOUT_FRACTION * GRACE_S)
     else:
         for name in lost:
             await cluster.lose(name)
@@ -445,13 +447,13 @@
         for name in lost:
             await cluster.start(f"{address_of(name)}#new")
         began = now()
-    whole = None if is_leaving else await cluster.until_whole()
+    whole = None if is_departing else await cluster.until_whole()
     ended = now()
     writes.cancel()
     for name in list(cluster.nodes):
         await cluster.lose(name)
     joined_at = ended if cluster.joined_at is None else cluster.joined_at
-    came = is_leaving or whole is not None
+    came = is_departing or whole is not None
     return Times(joined_at - began, ended - began if came else float("inf"))
 
 
--- a/pewterring/batch/capacity.py
+++ b/pewterring/batch/capacity.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from pewterring.consensus.group import SNAPSHOT_AFTER_MOST_BYTES, SNAPSHOT_SPREAD
+from pewterring.consensus.group import SNAPSHOT_AFTER_MAX_BYTES, SNAPSHOT_JITTER_FRACTION
 from pewterring.storage.group import SEGMENT_BYTES
 
 BYTES_A_MEGABYTE = 1_000_000
@@ -10,7 +10,7 @@
 SNAPSHOTS_ON_DISK = 2  # the one in force and the one that is being written
 MEMORY_PART = 0.3  # the state; a snapshot of it being encoded or sent takes as much again
 # The log between two snapshots, with the segment that is being written.
-LOG_BYTES = int(SNAPSHOT_AFTER_MOST_BYTES * (1 + SNAPSHOT_SPREAD)) + SEGMENT_BYTES
+LOG_BYTES = int(SNAPSHOT_AFTER_MAX_BYTES * (1 + SNAPSHOT_JITTER_FRACTION)) + SEGMENT_BYTES
 # Of the bound on catching up: a new member is to hold the state after half of it, and an eighth goes by until
 # tables tell of the new member and its copy begins, and from the last byte to its vote.
 COPY_PART = 0.375
--- a/pewterring/batch/members.py
+++ b/pewterring/batch/members.py
@@ -16,6 +16,6 @@
     staying.sort(key=lambda store: (store.zone in zones, store.member))
     return Candidates(
         joining=tuple(store.member for store in staying),
-        newest={store.ip: store.member for store in stores.values()},
-        retiring=frozenset(name for name, store in stores.items() if store.retiring),
+        current_names={store.ip: store.member for store in stores.values()},
+        decommissioning=frozenset(name for name, store in stores.items() if store.retiring),
     )
--- a/pewterring/batch/partition.py
+++ b/pewterring/batch/partition.py
@@ -18,10 +18,10 @@
 from pewterring.batch.service import BatchService
 from pewterring.batch.state import BatchState, Clock
 from pewterring.consensus.backpressure import retry_while_full
-from pewterring.consensus.departure import LEAVE_PART
+from pewterring.consensus.departure import DEPARTURE_TIMEOUT_FRACTION
 from pewterring.consensus.errors import ConsensusError
 from pewterring.consensus.group import ReplicatedGroup
-from pewterring.consensus.membership_planner import CHANGES_A_CHECK, MembershipPlanner
+from pewterring.consensus.membership_planner import MAX_CHANGES_PER_CHECK, MembershipPlanner
 from pewterring.consensus.messages import ConsensusMessage, Membership
 from pewterring.consensus.types import RaftTiming
 from pewterring.distribution.messages import GroupStatus
@@ -32,7 +32,7 @@
 
 FRESH_PART = 0.75  # of the shorter of the bounds on configuration and draining: older tables start no items
 RESULT_BUDGET_PART = 0.15  # of the process's memory, for finished jobs that their clients did not end
-HAND_OVER_S = 1.0  # a process that stops waits so long for its successor
+LEADERSHIP_TRANSFER_TIMEOUT_S = 1.0  # a process that stops waits so long for its successor
 
 
 @dataclass(frozen=True, slots=True)
@@ -63,10 +63,10 @@
             parts.member,
             parts.settings.tolerated_machines,
             parts.settings.bounds.catch_up_s,
-            keeps_spares=False,
+            keeps_spare_learners=False,
         )
         self._changing = False
-        self._changes_of_farewell: asyncio.Task[None] | None = None
+        self._departure_changes: asyncio.Task[None] | None = None
         self.group = ReplicatedGroup(
             name,
             parts.member,
@@ -77,7 +77,7 @@
             parts.rng,
             parts.clock,
             on_leadership=self._leadership_changed,
-            on_farewell=self._farewell_heard,
+            on_departure=self._on_departure,
             on_failure=parts.on_failure,
         )
         log = GroupLog(self.group)
@@ -123,14 +123,14 @@
         if not group.membership.learners and not set(candidates.joining) - members:
             return
         with contextlib.suppress(ConsensusError):
-            await group.leave(LEAVE_PART * self._parts.settings.bounds.grace_s)
+            await group.depart(DEPARTURE_TIMEOUT_FRACTION * self._parts.settings.bounds.grace_s)
 
     async def stop(self) -> None:
         """Stops items, calls and the group. Where this store leads, another takes over first."""
         self.service.close()
         with contextlib.suppress(ConsensusError, TimeoutError):
-            async with asyncio.timeout(HAND_OVER_S):
-                await self.group.hand_over_leadership()
+            async with asyncio.timeout(LEADERSHIP_TRANSFER_TIMEOUT_S):
+                await self.group.transfer_leadership()
         await self.group.stop()
         self._storage.close()
 
@@ -148,14 +148,14 @@
         finally:
             self._changing = False
 
-    def _farewell_heard(self) -> None:
+    def _on_departure(self) -> None:
         """A voter leaves: its place is filled now, not at the next check."""
         if not self._changing:
-            self._changes_of_farewell = asyncio.create_task(self.manage_members())
+            self._departure_changes = asyncio.create_task(self.manage_members())
 
     async def _change_members(self) -> None:
         with contextlib.suppress(ConsensusError):  # refused or lost: planned again at the next check
-            for _ in range(CHANGES_A_CHECK):
+            for _ in range(MAX_CHANGES_PER_CHECK):
                 change = self._due_change()
                 if change is None:
                     return
--- a/pewterring/consensus/backpressure.py
+++ b/pewterring/consensus/backpressure.py
@@ -8,7 +8,7 @@
 
 from pewterring.consensus.errors import StorageFullError
 
-FULL_RETRY_S = 0.2  # before what found no room on the disk is tried again
+DISK_FULL_RETRY_S = 0.2  # before what found no room on the disk is tried again
 
 _Result = TypeVar("_Result")
 
@@ -27,4 +27,4 @@
             if not has_warned:
                 logger.warning("{} waits for room on the disk", what)
             has_warned = True
-            await asyncio.sleep(FULL_RETRY_S)
+            await asyncio.sleep(DISK_FULL_RETRY_S)
--- a/pewterring/consensus/departure.py
+++ b/pewterring/consensus/departure.py
@@ -12,10 +12,12 @@
 from pewterring.consensus.messages import DepartureAck, DepartureNotice
 from pewterring.consensus.state import MemberState
 
-LEAVE_PART = 0.5  # of the grace after SIGTERM: a process waits so long for another to take its vote, at most
+DEPARTURE_TIMEOUT_FRACTION = (
+    0.5  # of the grace after SIGTERM: a process waits so long for another to take its vote, at most
+)
 
 
-class Farewell:
+class Departure:
     """The member's side."""
 
     def __init__(self, state: MemberState) -> None:
@@ -23,7 +25,7 @@
         self._since: tuple[int, int] | None = None  # term and round in which it was first said
         self.is_answered = False
 
-    def say(self) -> None:
+    def announce(self) -> None:
         """Tells all voters, since any of them may lead by now; to be said again until it is answered."""
         state = self._state
         state.departing = True
@@ -49,26 +51,26 @@
             self.is_answered = True
 
 
-class Farewells:
+class DepartingMembers:
     """What the leader of a term has heard of farewells. Rounds of a member rise over all its lives."""
 
     def __init__(self) -> None:
         self._heard: dict[str, tuple[int, bool]] = {}  # member -> round, and whether it was leaving then
 
-    def on_reply(self, member: str, number: int, leaving: bool) -> None:
+    def on_reply(self, member: str, number: int, departing: bool) -> None:
         """Takes what an answer to round `number` says."""
         if number > self._heard.get(member, (-1, False))[0]:
-            self._heard[member] = (number, leaving)
+            self._heard[member] = (number, departing)
 
     def on_leave(self, member: str, number: int) -> None:
         """Takes a farewell; one that came late, after answers of a later life, changes nothing."""
         if number >= self._heard.get(member, (-1, False))[0]:
             self._heard[member] = (number, True)
 
-    def is_leaving(self, member: str) -> bool:
+    def is_departing(self, member: str) -> bool:
         """Whether the last that was heard of `member` is its farewell."""
         return self._heard.get(member, (-1, False))[1]
 
-    def leaving(self) -> dict[str, int]:
+    def departing(self) -> dict[str, int]:
         """Members whose last word was a farewell, with its round."""
-        return {member: number for member, (number, leaving) in self._heard.items() if leaving}
+        return {member: number for member, (number, departing) in self._heard.items() if departing}
--- a/pewterring/consensus/group.py
+++ b/pewterring/consensus/group.py
@@ -24,18 +24,20 @@
     Entry,
     Membership,
 )
-from pewterring.consensus.pending import WaitingCalls, settle
+from pewterring.consensus.pending import PendingCalls, resolve
 from pewterring.consensus.persistent import GroupStorage, LoadedGroup
 from pewterring.consensus.raft import Raft
 from pewterring.consensus.storage_jobs import StorageJobs
 from pewterring.consensus.types import RaftConfig, RaftLimits, RaftTiming, Ready, Save, Snapshot
 
 SNAPSHOT_AFTER_BYTES = 4_000_000  # of entries applied since the last snapshot
-SNAPSHOT_AFTER_MOST_BYTES = 16_000_000  # the same for large states: bounds the disk, and replay at a start
+SNAPSHOT_AFTER_MAX_BYTES = 16_000_000  # the same for large states: bounds the disk, and replay at a start
 # A leader whose disk stands still or is full keeps all entries in memory while the others commit them. With
 # so many that its disk does not hold, it lets another lead, who sends it no more than a window.
-MOST_UNSAVED_BYTES = 16_000_000
-SNAPSHOT_SPREAD = 0.25  # members take theirs at different times, so that not all disks are busy at once
+MAX_UNPERSISTED_BYTES = 16_000_000
+SNAPSHOT_JITTER_FRACTION = (
+    0.25  # members take theirs at different times, so that not all disks are busy at once
+)
 
 
 class StateMachine(Protocol):
@@ -71,7 +73,7 @@
         limits: RaftLimits | None = None,
         snapshot_after_bytes: int = SNAPSHOT_AFTER_BYTES,
         on_leadership: Callable[[bool], None] | None = None,
-        on_farewell: Callable[[], None] | None = None,
+        on_departure: Callable[[], None] | None = None,
         on_failure: Callable[[GroupFailedError], None] | None = None,
         executor: Executor | None = None,
     ) -> None:
@@ -86,13 +88,13 @@
         self._limits = limits or RaftLimits()
         self._snapshot_after_bytes = snapshot_after_bytes
         self._on_leadership = on_leadership
-        self._on_farewell = on_farewell
+        self._on_departure = on_departure
         self._on_failure = on_failure
         self._jobs = StorageJobs(group, executor, after=self._process, fail=self._fail)
         self._raft: Raft | None = None
         self._failure: GroupFailedError | None = None
         self._stopped = False
-        self._waiting = WaitingCalls()
+        self._waiting = PendingCalls()
         self._told_term: int | None = (
             None  # the term for which `on_leadership` was told that this member leads
         )
@@ -100,7 +102,7 @@
         self._timer: asyncio.TimerHandle | None = None
         self._timer_at = 0.0
         self._stepped_down: asyncio.Future[object] | None = None  # while the leadership is handed over
-        self._farewell_answered = asyncio.Event()
+        self._departure_acknowledged = asyncio.Event()
         self._bytes_since_snapshot = 0
         self._next_snapshot_bytes = self._snapshot_size(0)
 
@@ -139,7 +141,7 @@
             self._timer.cancel()
             self._timer = None
         self._waiting.fail_all(error)
-        self._end_handover()
+        self._end_leadership_transfer()
         self._tell_leadership(None)
 
     def _fail(self, cause: BaseException) -> None:
@@ -204,9 +206,9 @@
         """For how long `member` has answered no heartbeat of this leadership; 0 elsewhere."""
         return self._raft.seconds_since_contact(member, now) if self._raft is not None else 0.0
 
-    def is_leaving(self, member: str) -> bool:
+    def is_departing(self, member: str) -> bool:
         """Whether `member` has told this leader that its process is about to end; False elsewhere."""
-        return self._raft is not None and self._raft.is_leaving(member)
+        return self._raft is not None and self._raft.is_departing(member)
 
     def has_lease(self, now: float) -> bool:
         """Whether this member leads, has applied what was committed before, and no other leads at `now`."""
@@ -234,9 +236,9 @@
         else:
             self._schedule()
             if isinstance(message, DepartureAck):
-                self._farewell_answered.set()
-            if isinstance(message, DepartureNotice) and self.is_leader and self._on_farewell is not None:
-                self._on_farewell()
+                self._departure_acknowledged.set()
+            if isinstance(message, DepartureNotice) and self.is_leader and self._on_departure is not None:
+                self._on_departure()
 
     async def propose(self, command: bytes) -> object:
         """Replicates a command, JSON on one line, and returns what applying it here returned.
@@ -254,44 +256,44 @@
         self._schedule()
         await self._waiting.proposal(index, term)
 
-    async def hand_over_leadership(self) -> None:
+    async def transfer_leadership(self) -> None:
         """Has another voter elected; returns when this member leads no longer, at once where it doesn't.
 
         Commands are refused from then on. It takes some messages, or the shortest election time-out where
         no successor can be had. The only voter goes on leading.
         """
-        if not self._running().hand_over(self._clock()):
+        if not self._running().transfer_leadership(self._clock()):
             return
         if self._stepped_down is None:
             self._stepped_down = asyncio.get_running_loop().create_future()
         self._schedule()
         await self._stepped_down
 
-    async def leave(self, patience_s: float) -> None:
+    async def depart(self, patience_s: float) -> None:
         """Ends the membership of a process that is about to end, as far as another can take its place.
 
         Hands the leadership over, and says its farewell until the leader has taken the vote away, for
         `patience_s` at most. The member answers and counts like any other meanwhile.
         """
         ends_at = self._clock() + patience_s
-        while not self._running().has_left and (left_s := ends_at - self._clock()) > 0.0:
-            await self.hand_over_leadership()
+        while not self._running().has_departed and (left_s := ends_at - self._clock()) > 0.0:
+            await self.transfer_leadership()
             if self.is_leader:
                 return  # nobody else votes
-            self._running().say_farewell()
+            self._running().announce_departure()
             self._schedule()
             await self._wait_for_answer(min(self._timing.heartbeat_s, left_s))
 
     async def _wait_for_answer(self, patience_s: float) -> None:
-        self._farewell_answered.clear()
+        self._departure_acknowledged.clear()
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(patience_s):
-                await self._farewell_answered.wait()
+                await self._departure_acknowledged.wait()
 
-    def _end_handover(self) -> None:
+    def _end_leadership_transfer(self) -> None:
         stepped_down, self._stepped_down = self._stepped_down, None
         if stepped_down is not None:
-            settle(stepped_down, None)
+            resolve(stepped_down, None)
 
     async def read_barrier(self) -> None:
         """Returns when the state machine has applied all that was committed before the call.
@@ -357,7 +359,7 @@
         self._waiting.keep_term(raft.term if raft.is_leader else None, raft.leader)
         self._tell_leadership(raft.term if raft.is_ready_leader else None)
         if not raft.is_leader:
-            self._end_handover()
+            self._end_leadership_transfer()
 
     def _tell_leadership(self, term: int | None) -> None:
         if term == self._told_term:
@@ -388,15 +390,15 @@
             return
         try:
             raft.tick(self._clock())
-            self._hand_over_if_disk_lags(raft)
+            self._transfer_leadership_if_disk_lags(raft)
         except Exception as error:
             self._fail(error)
         else:
             self._process()
 
-    def _hand_over_if_disk_lags(self, raft: Raft) -> None:
-        if raft.is_leader and self._jobs.busy and raft.unpersisted_bytes > MOST_UNSAVED_BYTES:
-            raft.hand_over(self._clock())
+    def _transfer_leadership_if_disk_lags(self, raft: Raft) -> None:
+        if raft.is_leader and self._jobs.busy and raft.unpersisted_bytes > MAX_UNPERSISTED_BYTES:
+            raft.transfer_leadership(self._clock())
 
     # Storage.
 
@@ -432,9 +434,9 @@
 
     def _snapshot_size(self, last_bytes: int) -> int:
         """Bytes of entries after which the next snapshot is worth its while."""
-        most = max(self._snapshot_after_bytes, SNAPSHOT_AFTER_MOST_BYTES)
+        most = max(self._snapshot_after_bytes, SNAPSHOT_AFTER_MAX_BYTES)
         wanted = min(max(self._snapshot_after_bytes, last_bytes), most)
-        return int(wanted * self._rng.uniform(1 - SNAPSHOT_SPREAD, 1 + SNAPSHOT_SPREAD))
+        return int(wanted * self._rng.uniform(1 - SNAPSHOT_JITTER_FRACTION, 1 + SNAPSHOT_JITTER_FRACTION))
 
     def _start_count(self, snapshot_bytes: int) -> None:
         logger.info("group {} has a snapshot of {} bytes", self.group, snapshot_bytes)
--- a/pewterring/consensus/leader.py
+++ b/pewterring/consensus/leader.py
@@ -10,10 +10,10 @@
 
 import msgspec
 
-from pewterring.consensus.departure import Farewells
+from pewterring.consensus.departure import DepartingMembers
 from pewterring.consensus.errors import MembershipRejectedError
 from pewterring.consensus.heartbeat_rounds import HeartbeatRounds
-from pewterring.consensus.leadership_transfer import Handover
+from pewterring.consensus.leadership_transfer import LeadershipTransfer
 from pewterring.consensus.membership import check_change, encode_membership, majority_value
 from pewterring.consensus.messages import (
     ENTRY_COMMAND,
@@ -41,8 +41,8 @@
         state.leader = state.member
         self._state = state
         self._rounds = HeartbeatRounds(state.member, state.timing, now)
-        self._handover = Handover(state.timing)
-        self._farewells = Farewells()
+        self._leadership_transfer = LeadershipTransfer(state.timing)
+        self._departing_members = DepartingMembers()
         self._replication = Replication(state.group, state.member, state.term, state.log, state.limits)
         # When an answer of a member came, even to a round of long ago: one that reads slowly is responsive.
         self._last_reply_at: dict[str, float] = {}
@@ -75,7 +75,7 @@
 
     def has_lease(self, now: float) -> bool:
         """Whether no other member can have been elected by `now`."""
-        return not self._handover.has_told and self._rounds.has_lease(self._state.voters, now)
+        return not self._leadership_transfer.has_notified and self._rounds.has_lease(self._state.voters, now)
 
     def match(self, member: str) -> int:
         """Up to which index `member` is known to have the log on disk."""
@@ -88,30 +88,30 @@
         """For how long `member` has answered no heartbeat of this leadership; 0 for the leader itself."""
         return 0.0 if member == self._state.member else self._rounds.seconds_since_contact(member, now)
 
-    def is_leaving(self, member: str) -> bool:
+    def is_departing(self, member: str) -> bool:
         """Whether the process of `member` announced its end, and no later incarnation answered."""
-        return self._farewells.is_leaving(member)
+        return self._departing_members.is_departing(member)
 
     def on_leave(self, message: DepartureNotice) -> None:
         """Takes a departure notice, and answers that of a member which is no voter any more."""
         state = self._state
         if message.sender in state.voters:
             if message.term == state.term:
-                self._farewells.on_leave(message.sender, message.round)
+                self._departing_members.on_leave(message.sender, message.round)
         elif state.members.last_change <= state.commit_index:
-            self._answer_farewell(message.sender, message.round)
+            self._acknowledge_departure(message.sender, message.round)
 
-    def _answer_farewell(self, member: str, number: int) -> None:
+    def _acknowledge_departure(self, member: str, number: int) -> None:
         state = self._state
         state.outbox.append(
             DepartureAck(group=state.group, sender=state.member, target=member, term=state.term, round=number)
         )
 
-    def _answer_farewells(self) -> None:
+    def _acknowledge_departures(self) -> None:
         """A change was committed: who waits for it need not announce its departure again."""
-        for member, number in self._farewells.leaving().items():
+        for member, number in self._departing_members.departing().items():
             if member not in self._state.voters:
-                self._answer_farewell(member, number)
+                self._acknowledge_departure(member, number)
 
     def append(self, kind: str, data: bytes) -> int:
         """Appends an entry of this leader's term and returns its index."""
@@ -154,10 +154,10 @@
         state = self._state
         if now < self.due_at:
             return
-        if self._rounds.has_lost_majority(state.voters, now) or self._handover.is_over(now):
+        if self._rounds.has_lost_majority(state.voters, now) or self._leadership_transfer.is_over(now):
             state.become_follower(now, state.term, None)
             return
-        self._handover.tell_again()
+        self._leadership_transfer.notify_again()
         self._mark_unresponsive(now)
         self._replication.retransmit_overdue(now, state.timing.election_min_s)
         self._begin_round(now)
@@ -173,15 +173,15 @@
         self._state.outbox += self._replication.heartbeats(number, self._state.commit_index)
 
     @property
-    def hands_over(self) -> bool:
+    def is_transferring_leadership(self) -> bool:
         """Whether the leadership is being transferred, so that no more is appended."""
-        return self._handover.under_way
+        return self._leadership_transfer.is_active
 
-    def hand_over(self, now: float) -> bool:
+    def transfer_leadership(self, now: float) -> bool:
         """Begins to transfer the leadership; False without another voter."""
         if all(voter == self._state.member for voter in self._state.voters):
             return False
-        self._handover.begin(now)
+        self._leadership_transfer.begin(now)
         return True
 
     def yield_to_later_term(self, now: float) -> bool:
@@ -191,13 +191,13 @@
         successor's term takes the member in. Symptom answered: a member that stood for election just before
         it was cut off comes back, and for an election time-out nobody leads.
         """
-        return self._rounds.has_lease(self._state.voters, now) and self.hand_over(now)
+        return self._rounds.has_lease(self._state.voters, now) and self.transfer_leadership(now)
 
-    def _tell_successor(self, now: float) -> None:
+    def _notify_successor(self, now: float) -> None:
         state = self._state
-        if not self.hands_over or state.commit_index < state.log.last_index:
+        if not self.is_transferring_leadership or state.commit_index < state.log.last_index:
             return
-        successor = self._handover.choose(self._possible_successors(now))
+        successor = self._leadership_transfer.choose(self._possible_successors(now))
         if successor is not None:
             state.outbox.append(
                 TimeoutNow(group=state.group, sender=state.member, target=successor, term=state.term)
@@ -216,13 +216,13 @@
         ]
         return sorted(
             complete,
-            key=lambda voter: (not self.is_leaving(voter), self._rounds.last_answered_at(voter)),
+            key=lambda voter: (not self.is_departing(voter), self._rounds.last_answered_at(voter)),
             reverse=True,
         )
 
     def flush(self, now: float) -> None:
         """Sends what may be sent now."""
-        self._tell_successor(now)
+        self._notify_successor(now)
         if self._rounds.is_next_requested:
             self._begin_round(now)
         self._state.outbox += self._replication.flush(now, self._rounds.number, self._state.commit_index)
@@ -232,7 +232,7 @@
         self._last_reply_at[reply.sender] = now
         self._rounds.record_answer(reply.sender, reply.round)
         if isinstance(reply, AppendReply):
-            self._farewells.on_reply(reply.sender, reply.round, reply.departing)
+            self._departing_members.on_reply(reply.sender, reply.round, reply.departing)
             advanced = self._replication.on_append_reply(reply)
         else:
             advanced = self._replication.on_snapshot_reply(reply)
@@ -248,7 +248,7 @@
         has_changed_members = state.commit_index < state.members.last_change <= index
         state.commit_index = index
         if has_changed_members:
-            self._answer_farewells()
+            self._acknowledge_departures()
         if state.member not in state.voters and state.members.last_change <= index:
             self._begin_round(now)  # so that the others learn what is committed
             state.become_follower(now, state.term, None)
--- a/pewterring/consensus/leadership_transfer.py
+++ b/pewterring/consensus/leadership_transfer.py
@@ -11,23 +11,23 @@
 from pewterring.consensus.types import RaftTiming
 
 
-class Handover:
+class LeadershipTransfer:
     """Whether a leader hands over, and to whom it has said so. It belongs to one term of leadership."""
 
     def __init__(self, timing: RaftTiming) -> None:
         self._timing = timing
         self._ends_at = inf
         self._told: str | None = None
-        self.has_told = False  # in this term, whoever it was
+        self.has_notified = False  # in this term, whoever it was
 
     @property
-    def under_way(self) -> bool:
+    def is_active(self) -> bool:
         """Whether the leader is handing over."""
         return self._ends_at < inf
 
     def begin(self, now: float) -> None:
         """Begins, or goes on."""
-        if not self.under_way:
+        if not self.is_active:
             self._ends_at = now + self._timing.election_min_s
 
     def is_over(self, now: float) -> bool:
@@ -36,14 +36,14 @@
 
     def choose(self, complete: Iterable[str]) -> str | None:
         """The next of the voters that hold everything to be told; None while one was told and may stand."""
-        if not self.under_way or self._told is not None:
+        if not self.is_active or self._told is not None:
             return None
         successor = next(iter(complete), None)
         if successor is not None:
             self._told = successor
-            self.has_told = True
+            self.has_notified = True
         return successor
 
-    def tell_again(self) -> None:
+    def notify_again(self) -> None:
         """Lets the successor be told once more: what was sent may be lost."""
         self._told = None
--- a/pewterring/consensus/membership_planner.py
+++ b/pewterring/consensus/membership_planner.py
@@ -25,11 +25,17 @@
 from pewterring.consensus.messages import Membership
 from pewterring.durations import LATE_CHECK_S
 
-LOST_PART = 0.25  # of the bound on catching up: a quarter to notice a loss, a quarter to copy the state
-ANSWERS_S = 0.3  # a voter that answered so lately lives, whatever tables say of its address
-LEARNER_PART = 0.5  # of the same bound; a learner that takes over a large snapshot may not answer for a while
-CHANGES_A_CHECK = 4  # made one after the other before the next check: a removal, a promotion, and some more
-RETRY_LEARNER_S = 10.0  # a learner that was dropped for its silence is the last choice for so long
+LOST_VOTER_FRACTION = (
+    0.25  # of the bound on catching up: a quarter to notice a loss, a quarter to copy the state
+)
+RECENT_CONTACT_S = 0.3  # a voter that answered so lately lives, whatever tables say of its address
+LOST_LEARNER_FRACTION = (
+    0.5  # of the same bound; a learner that takes over a large snapshot may not answer for a while
+)
+MAX_CHANGES_PER_CHECK = (
+    4  # made one after the other before the next check: a removal, a promotion, and some more
+)
+LEARNER_RETRY_DELAY_S = 10.0  # a learner that was dropped for its silence is the last choice for so long
 
 
 class PlannedGroup(Protocol):
@@ -53,7 +59,7 @@
         """For how long the member has answered no heartbeat of this leadership."""
         ...
 
-    def is_leaving(self, member: str) -> bool:
+    def is_departing(self, member: str) -> bool:
         """Whether the member's process has said that it is about to end."""
         ...
 
@@ -63,22 +69,22 @@
     """Who may be a member, as the group's surroundings have it."""
 
     joining: Sequence[str] = ()  # members that may join, best first
-    newest: Mapping[str, str] = field(default_factory=dict)  # address -> the name in use there now
-    retiring: Set[str] = frozenset()  # members that are to leave
+    current_names: Mapping[str, str] = field(default_factory=dict)  # address -> the name in use there now
+    decommissioning: Set[str] = frozenset()  # members that are to leave
 
 
 class MembershipPlanner:
     """Finds the next change of members, if one is due. `start` it with each leadership."""
 
     def __init__(
-        self, own_member: str, tolerated_machines: int, catch_up_s: float, keeps_spares: bool
+        self, own_member: str, tolerated_machines: int, catch_up_s: float, keeps_spare_learners: bool
     ) -> None:
         """With `keeps_spares` whoever may join is a learner, needed or not: for groups with little state."""
         self._own_member = own_member
         self._wanted_voters = voters_needed(tolerated_machines)
-        self._lost_s = LOST_PART * catch_up_s
-        self._learner_lost_s = LEARNER_PART * catch_up_s
-        self._keeps_spares = keeps_spares
+        self._lost_s = LOST_VOTER_FRACTION * catch_up_s
+        self._learner_lost_s = LOST_LEARNER_FRACTION * catch_up_s
+        self._keeps_spares = keeps_spare_learners
         self._started_at = 0.0
         self._planned_at = 0.0
         self._committed_before = 0
@@ -116,21 +122,23 @@
         renamed = {
             member for member in members if self._is_renamed(member, since_contact_s[member], candidates)
         }
-        leaving = {member for member in members if group.is_leaving(member)}
-        ended = {member for member in leaving if since_contact_s[member] >= ANSWERS_S}
+        departing = {member for member in members if group.is_departing(member)}
+        ended = {member for member in departing if since_contact_s[member] >= RECENT_CONTACT_S}
         lost = renamed | ended | {member for member in members if since_contact_s[member] >= self._lost_s}
         gone = renamed | {member for member in members if since_contact_s[member] >= self._learner_lost_s}
         holders = {member for member in members if group.match(member) >= self._committed_before}
-        all_answer = now - self._started_at >= ANSWERS_S and all(
-            since_contact_s[voter] < ANSWERS_S for voter in group.membership.voters
+        all_answer = now - self._started_at >= RECENT_CONTACT_S and all(
+            since_contact_s[voter] < RECENT_CONTACT_S for voter in group.membership.voters
+        )
+        decommissioning = candidates.decommissioning
+        return _View(
+            group.membership, since_contact_s, lost, gone, holders, decommissioning, departing, all_answer
         )
-        retiring = candidates.retiring
-        return _View(group.membership, since_contact_s, lost, gone, holders, retiring, leaving, all_answer)
 
     def _is_renamed(self, member: str, since_contact_s: float, candidates: Candidates) -> bool:
         """Whether the member's address is in use under another name: its disk was lost."""
-        newest = candidates.newest.get(address_of(member), member)
-        return newest != member and member != self._own_member and since_contact_s >= ANSWERS_S
+        current_name = candidates.current_names.get(address_of(member), member)
+        return current_name != member and member != self._own_member and since_contact_s >= RECENT_CONTACT_S
 
     def _next_change(self, now: float, view: "_View", candidates: Candidates) -> Membership | None:
         useless = view.useless_learners
@@ -149,9 +157,9 @@
         surplus = len(membership.voters) - self._wanted_voters
         if view.lost_voters and (surplus > 0 or (surplus == 0 and ready)):
             return _without(membership, view.lost_voters[0])
-        leaving = view.replaced_voters(self._wanted_voters)
-        if leaving:
-            return _without(membership, leaving[0])
+        departing = view.replaced_voters(self._wanted_voters)
+        if departing:
+            return _without(membership, departing[0])
         if ready:
             return _promoted(membership, ready[0])
         return None
@@ -162,11 +170,13 @@
         if view.lost_voters:
             return _without(membership, view.lost_voters[0])
         good = view.good_voters
-        retiring = [voter for voter in membership.voters if voter in view.retiring | view.leaving]
-        if retiring:
+        decommissioning = [
+            voter for voter in membership.voters if voter in view.decommissioning | view.departing
+        ]
+        if decommissioning:
             enough = len([voter for voter in good if voter in view.holders]) >= self._wanted_voters
-            retiring.sort(key=lambda voter: voter == self._own_member)
-            return _without(membership, retiring[0]) if enough else None
+            decommissioning.sort(key=lambda voter: voter == self._own_member)
+            return _without(membership, decommissioning[0]) if enough else None
         if membership.learners and view.all_answer and not self._keeps_spares:
             return _without(membership, membership.learners[-1])
         if len(good) > self._wanted_voters:
@@ -184,7 +194,7 @@
         membership = view.membership
         if not self._keeps_spares and len(view.live_learners) >= missing:
             return None
-        away = {*_members(membership), *candidates.retiring}
+        away = {*_members(membership), *candidates.decommissioning}
         joining = [member for member in candidates.joining if member not in away]
         if not joining:
             return None
@@ -194,7 +204,7 @@
     def _was_silent(self, member: str, now: float) -> bool:
         """Whether the member was a learner not long ago, and did not answer."""
         dropped_at = self._dropped_at.get(member)
-        return dropped_at is not None and now - dropped_at < RETRY_LEARNER_S
+        return dropped_at is not None and now - dropped_at < LEARNER_RETRY_DELAY_S
 
 
 @dataclass(frozen=True, slots=True)
@@ -206,8 +216,8 @@
     lost: Set[str]
     gone: Set[str]  # so long that a learner is given up
     holders: Set[str]  # hold all that was committed at the check before
-    retiring: Set[str]
-    leaving: Set[str]  # said their farewell
+    decommissioning: Set[str]
+    departing: Set[str]  # said their farewell
     all_answer: bool  # every voter was heard just now, in this leadership
 
     @property
@@ -219,7 +229,7 @@
     @property
     def good_voters(self) -> list[str]:
         """Voters that are there and may stay."""
-        away = self.lost | self.retiring | self.leaving
+        away = self.lost | self.decommissioning | self.departing
         return [voter for voter in self.membership.voters if voter not in away]
 
     def replaced_voters(self, wanted: int) -> list[str]:
@@ -232,13 +242,13 @@
         return [
             voter
             for voter in self.membership.voters
-            if voter in self.leaving and len([other for other in holders if other != voter]) >= wanted
+            if voter in self.departing and len([other for other in holders if other != voter]) >= wanted
         ]
 
     @property
     def live_learners(self) -> list[str]:
         """Learners that answer, and do not leave themselves."""
-        away = self.lost | self.leaving
+        away = self.lost | self.departing
         return [learner for learner in self.membership.learners if learner not in away]
 
     @property
@@ -249,7 +259,7 @@
     @property
     def useless_learners(self) -> list[str]:
         """Learners that are given up or are to leave."""
-        away = self.gone | self.retiring
+        away = self.gone | self.decommissioning
         return [learner for learner in self.membership.learners if learner in away]
 
 
--- a/pewterring/consensus/pending.py
+++ b/pewterring/consensus/pending.py
@@ -6,7 +6,7 @@
 from pewterring.consensus.errors import NotLeaderError, OutcomeUnknownError
 
 
-def settle(future: asyncio.Future[object], result: object) -> None:
+def resolve(future: asyncio.Future[object], result: object) -> None:
     """Gives the result to a caller that still waits."""
     if not future.done():
         future.set_result(result)
@@ -24,7 +24,7 @@
     future: asyncio.Future[object]
 
 
-class WaitingCalls:
+class PendingCalls:
     """Proposals by index and reads by ticket, each with the term in which this member led."""
 
     def __init__(self) -> None:
@@ -48,13 +48,13 @@
         proposal = self._proposals.get(index)
         if proposal is not None and proposal.term == term:
             del self._proposals[index]
-            settle(proposal.future, result)
+            resolve(proposal.future, result)
 
     def confirmed(self, term: int, ticket: int) -> None:
         """A read is confirmed, and what it must see is applied."""
         future = self._reads.pop((term, ticket), None)
         if future is not None:
-            settle(future, None)
+            resolve(future, None)
 
     def keep_term(self, led_term: int | None, leader: str | None) -> None:
         """Ends the calls of all terms but `led_term`, in which this member leads now."""
--- a/pewterring/consensus/raft.py
+++ b/pewterring/consensus/raft.py
@@ -12,7 +12,7 @@
 import random
 from collections.abc import Sequence
 
-from pewterring.consensus.departure import Farewell
+from pewterring.consensus.departure import Departure
 from pewterring.consensus.election import Election
 from pewterring.consensus.errors import NotLeaderError
 from pewterring.consensus.follower import FollowerRole
@@ -47,7 +47,7 @@
         self._state = MemberState(config, rng, persisted, now)
         self._election = Election(self._state)
         self._follower_role = FollowerRole(self._state)
-        self._farewell = Farewell(self._state)
+        self._departure = Departure(self._state)
         self._last_leader_role: LeaderRole | None = None  # of the term in which it led last
 
     @property
@@ -118,7 +118,7 @@
     def _require_accepting_leader_role(self) -> LeaderRole:
         """The leader's role where it takes commands; while it transfers its leadership it takes none."""
         role = self._require_leader_role()
-        if role.hands_over:
+        if role.is_transferring_leadership:
             raise NotLeaderError(None)
         return role
 
@@ -130,19 +130,19 @@
         """For how long `member` has answered no heartbeat of this leadership; 0 elsewhere."""
         return self._leader_role.seconds_since_contact(member, now) if self._leader_role is not None else 0.0
 
-    def is_leaving(self, member: str) -> bool:
+    def is_departing(self, member: str) -> bool:
         """Whether `member` has said its farewell to this leader; False elsewhere."""
-        return self._leader_role is not None and self._leader_role.is_leaving(member)
+        return self._leader_role is not None and self._leader_role.is_departing(member)
 
-    def say_farewell(self) -> None:
+    def announce_departure(self) -> None:
         """Tells the others that this process is about to end; again and again, until `has_left`."""
-        self._farewell.say()
+        self._departure.announce()
 
     @property
-    def has_left(self) -> bool:
+    def has_departed(self) -> bool:
         """Whether this member said its farewell and has no vote any more, or never had one."""
         is_voter = self.member in self.membership.voters or not self.membership_is_committed
-        return self._farewell.is_answered or not is_voter
+        return self._departure.is_answered or not is_voter
 
     def has_lease(self, now: float) -> bool:
         """Whether this member leads and no other can have been elected by `now`."""
@@ -194,7 +194,7 @@
                 if self._leader_role is not None:
                     self._leader_role.on_leave(message)
             case DepartureAck():
-                self._farewell.on_left(message)
+                self._departure.on_left(message)
 
     def _step_election(self, now: float, message: VoteRequest | VoteReply | TimeoutNow) -> None:
         match message:
@@ -237,13 +237,13 @@
         """
         return self._require_accepting_leader_role().append_membership(membership), self.term
 
-    def hand_over(self, now: float) -> bool:
+    def transfer_leadership(self, now: float) -> bool:
         """Begins to transfer the leadership; False if this member does not lead, or is the only voter.
 
         No commands are taken from then on. The leader steps down after the shortest election time-out
         even if no successor was elected.
         """
-        return self._leader_role is not None and self._leader_role.hand_over(now)
+        return self._leader_role is not None and self._leader_role.transfer_leadership(now)
 
     def request_read(self, now: float) -> ReadTicket:
         """Requests a read of what was committed before; the ticket is confirmed now or in a later `Ready`.
--- a/pewterring/consensus/storage_jobs.py
+++ b/pewterring/consensus/storage_jobs.py
@@ -7,7 +7,7 @@
 
 from loguru import logger
 
-from pewterring.consensus.backpressure import FULL_RETRY_S, retry_while_full
+from pewterring.consensus.backpressure import DISK_FULL_RETRY_S, retry_while_full
 from pewterring.consensus.errors import StorageFullError
 
 _Result = TypeVar("_Result")
@@ -100,7 +100,7 @@
         if not self._waits_for_room:
             self._waits_for_room = True
             logger.warning("group {} waits for room on the disk", self._group)
-        asyncio.get_running_loop().call_later(FULL_RETRY_S, self._begin_again, work, done)
+        asyncio.get_running_loop().call_later(DISK_FULL_RETRY_S, self._begin_again, work, done)
 
     def _begin_again(self, work: Callable[[], None], done: Callable[[], None]) -> None:
         if not self._stopped:
--- a/pewterring/control/duties.py
+++ b/pewterring/control/duties.py
@@ -7,7 +7,7 @@
 from pewterring.consensus.errors import ConsensusError
 from pewterring.consensus.group import ReplicatedGroup
 from pewterring.consensus.membership import address_of
-from pewterring.consensus.membership_planner import CHANGES_A_CHECK, MembershipPlanner
+from pewterring.consensus.membership_planner import MAX_CHANGES_PER_CHECK, MembershipPlanner
 from pewterring.consensus.messages import Membership
 from pewterring.control.commands import Command, CreateGroup, EndRetirement, RemoveWorkers, SilenceWorkers
 from pewterring.control.errors import ControlError
@@ -147,7 +147,7 @@
     async def change_members(self, now: float) -> None:
         """Makes one change after the other until none is due, so that few checks make the group whole."""
         try:
-            for _ in range(CHANGES_A_CHECK):
+            for _ in range(MAX_CHANGES_PER_CHECK):
                 change = self._planner.plan(now, self._group, self._joins.candidates(now))
                 if change is None:
                     return
--- a/pewterring/control/membership.py
+++ b/pewterring/control/membership.py
@@ -26,5 +26,5 @@
         """Who may join now."""
         self._asked = {member: asked for member, asked in self._asked.items() if now - asked < ASKED_S}
         return Candidates(
-            joining=tuple(self._asked), newest={address_of(member): member for member in self._asked}
+            joining=tuple(self._asked), current_names={address_of(member): member for member in self._asked}
         )
--- a/pewterring/control/program.py
+++ b/pewterring/control/program.py
@@ -10,7 +10,7 @@
 import msgspec
 from loguru import logger
 
-from pewterring.consensus.departure import LEAVE_PART
+from pewterring.consensus.departure import DEPARTURE_TIMEOUT_FRACTION
 from pewterring.consensus.errors import ConsensusError
 from pewterring.consensus.group import ReplicatedGroup
 from pewterring.consensus.membership import address_of
@@ -79,7 +79,7 @@
             rng=random.Random(),
             clock=self._clock,
             on_leadership=self._on_leadership,
-            on_farewell=self._on_farewell,
+            on_departure=self._on_departure,
             on_failure=self._on_group_failure,
         )
         self._leadership = GroupLeadership(self._group, self._clock)
@@ -88,7 +88,7 @@
         registry = WorkerRegistry(self._state.workers, self._state.departed, settings.heartbeat_s)
         desk = RetirementDesk(self._state, nodes, self._leadership, needed)
         planner = MembershipPlanner(
-            self._member, settings.tolerated_machines, settings.bounds.catch_up_s, keeps_spares=True
+            self._member, settings.tolerated_machines, settings.bounds.catch_up_s, keeps_spare_learners=True
         )
         self._joins = JoinRequests()
         bounds = settings.bounds
@@ -138,9 +138,9 @@
         if self._group.is_leader:
             logger.info("hands the leadership of control over in term {}", self._group.term)
         with contextlib.suppress(ConsensusError):
-            await self._group.hand_over_leadership()
+            await self._group.transfer_leadership()
             if self._group.membership.learners:
-                await self._group.leave(LEAVE_PART * self._settings.bounds.grace_s)
+                await self._group.depart(DEPARTURE_TIMEOUT_FRACTION * self._settings.bounds.grace_s)
 
     async def stop(self) -> None:
         """Ends calls that are open, then all parts."""
@@ -206,7 +206,7 @@
         self._runner.start(self._clock())
         logger.info("leads control in term {}", self._group.term)
 
-    def _on_farewell(self) -> None:
+    def _on_departure(self) -> None:
         """A voter leaves: its place is filled now, not at the next tick."""
         if self._leadership.has_lease and (self._duty is None or self._duty.done()):
             self._duty = asyncio.create_task(self._runner.change_members(self._clock()))
--- a/tests/batch/test_members.py
+++ b/tests/batch/test_members.py
@@ -34,13 +34,13 @@
     nodes = (other, successor, store(OWN), store(SECOND), store(THIRD, retiring=True))
     candidates = store_candidates(nodes, USUAL)
     assert candidates.joining[0] == successor.member
-    assert candidates.retiring == {THIRD}
+    assert candidates.decommissioning == {THIRD}
     assert THIRD not in candidates.joining
 
 
 def test_the_name_in_use_at_an_address_is_known() -> None:
     candidates = store_candidates((store(OWN), store(THIRD_EMPTY)), USUAL)
-    assert candidates.newest["10.0.0.3"] == THIRD_EMPTY
+    assert candidates.current_names["10.0.0.3"] == THIRD_EMPTY
 
 
 def test_a_spare_store_in_another_zone_takes_the_place_of_a_lost_one() -> None:
--- a/tests/consensus/planned_group.py
+++ b/tests/consensus/planned_group.py
@@ -18,7 +18,7 @@
         voters: Iterable[str],
         alive: Iterable[str] = (),
         tolerated: int = 1,
-        keeps_spares: bool = False,
+        keeps_spare_learners: bool = False,
         learners: Iterable[str] = (),
         planner_class: type[MembershipPlanner] = MembershipPlanner,
     ) -> None:
@@ -28,12 +28,12 @@
         self.alive = {self.own, *alive}
         self.behind: set[str] = set()
         self.joining: list[str] = []
-        self.retiring: set[str] = set()
-        self.leaving: set[str] = set()
+        self.decommissioning: set[str] = set()
+        self.departing: set[str] = set()
         self.commit_index = 100
         self.changes: list[Membership] = []
         self._heard: dict[str, float] = {}
-        self.planner = planner_class(self.own, tolerated, CATCH_UP_S, keeps_spares)
+        self.planner = planner_class(self.own, tolerated, CATCH_UP_S, keeps_spare_learners)
         self.planner.start(self.now, self)
 
     # What the planner asks
@@ -44,13 +44,13 @@
     def seconds_since_contact(self, member: str, now: float) -> float:
         return 0.0 if member in self.alive else now - self._heard.get(member, 0.0)
 
-    def is_leaving(self, member: str) -> bool:
-        return member in self.leaving
+    def is_departing(self, member: str) -> bool:
+        return member in self.departing
 
     def candidates(self) -> Candidates:
         joining = tuple(member for member in self.joining if member in self.alive)
-        newest = {address_of(member): member for member in joining}
-        return Candidates(joining, newest, frozenset(self.retiring))
+        current_names = {address_of(member): member for member in joining}
+        return Candidates(joining, current_names, frozenset(self.decommissioning))
 
     # Time
 
--- a/tests/consensus/planned_simulation.py
+++ b/tests/consensus/planned_simulation.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 
 from pewterring.batch.program import MEMBERS_PERIOD_S
-from pewterring.consensus.departure import LEAVE_PART
+from pewterring.consensus.departure import DEPARTURE_TIMEOUT_FRACTION
 from pewterring.consensus.errors import ConsensusError
 from pewterring.consensus.membership import address_of
 from pewterring.consensus.membership_planner import Candidates, MembershipPlanner, voters_needed
@@ -21,7 +21,7 @@
 CATCH_UP_S = 4.8
 STEP_S = 0.002  # between looks whether a process may end
 DOWN_S = 0.5  # until a machine that lost its disk is back
-PATIENCE_S = LEAVE_PART * 8.0  # of a process that leaves; `grace_s` is 8
+PATIENCE_S = DEPARTURE_TIMEOUT_FRACTION * 8.0  # of a process that leaves; `grace_s` is 8
 
 
 class PlannedSimulation(Simulation):
@@ -34,17 +34,17 @@
         self,
         seed: int,
         tolerated: int,
-        keeps_spares: bool,
+        keeps_spare_learners: bool,
         spares: int = 0,
         planner_class: type[MembershipPlanner] = MembershipPlanner,
         raft_class: type[Raft] = Raft,
     ) -> None:
         super().__init__(seed, voters_needed(tolerated), raft_class)
         self.tolerated = tolerated
-        self.retiring: set[str] = set()
+        self.decommissioning: set[str] = set()
         self.written = 0
-        self._keeps_spares = keeps_spares
-        self._interval_s = TICK_S if keeps_spares else MEMBERS_PERIOD_S
+        self._keeps_spares = keeps_spare_learners
+        self._interval_s = TICK_S if keeps_spare_learners else MEMBERS_PERIOD_S
         self._planner_class = planner_class
         self._planners: dict[tuple[str, int, int], MembershipPlanner] = {}
         self._wipes = 0
@@ -89,8 +89,8 @@
 
     def _candidates(self) -> Candidates:
         alive = [name for name, member in self.members.items() if member.raft is not None]
-        newest = {address_of(name): name for name in alive}
-        return Candidates(tuple(newest.values()), newest, frozenset(self.retiring))
+        current_names = {address_of(name): name for name in alive}
+        return Candidates(tuple(current_names.values()), current_names, frozenset(self.decommissioning))
 
     # Losses
 
@@ -107,7 +107,7 @@
         """A planned end: a leader hands over first, as both programs do on SIGTERM."""
         member = self.members[name]
         if member.raft is not None and member.raft.is_leader:
-            member.raft.hand_over(self._clock(member))
+            member.raft.transfer_leadership(self._clock(member))
             self._pump(member)
             self.run(0.1)
         self.lose_for_good(name)
@@ -119,23 +119,23 @@
         if isinstance(message, DepartureNotice):
             self._plan_members()  # as both programs do
 
-    def leave(self, name: str) -> Callable[[], bool]:
+    def depart(self, name: str) -> Callable[[], bool]:
         """SIGTERM comes: says its farewell as `ReplicatedGroup.leave` does. Says whether it may end."""
         member = self.members[name]
         life = member.life
         ends_at = self.now + PATIENCE_S
 
         def may_end() -> bool:
-            return self.now >= ends_at or member.raft is None or member.raft.has_left
+            return self.now >= ends_at or member.raft is None or member.raft.has_departed
 
         def say() -> None:
             if member.raft is None or member.life != life or may_end():
                 return
             if member.raft.is_leader:
-                member.raft.hand_over(self._clock(member))
+                member.raft.transfer_leadership(self._clock(member))
                 self._at(self.now + STEP_S, say)
             else:
-                member.raft.say_farewell()
+                member.raft.announce_departure()
                 self._at(self.now + TIMING.heartbeat_s, say)
             self._pump(member)
 
@@ -145,7 +145,7 @@
     def leave_for_good(self, name: str) -> float:
         """SIGTERM comes, the process ends once it may, and its disk is gone; how long that took."""
         began = self.now
-        may_end = self.leave(name)
+        may_end = self.depart(name)
         while not may_end():
             self.run(STEP_S)
         self.lose_for_good(name)
@@ -182,7 +182,7 @@
             return False
         raft = self.leader_raft()
         voters = raft.membership.voters
-        if len(voters) != voters_needed(self.tolerated) or self.retiring & set(voters):
+        if len(voters) != voters_needed(self.tolerated) or self.decommissioning & set(voters):
             return False
         return raft.membership_is_committed and all(
             voter in self.members and raft.match(voter) >= raft.commit_index for voter in voters
--- a/tests/consensus/raft_breakages.py
+++ b/tests/consensus/raft_breakages.py
@@ -48,28 +48,28 @@
         super().persisted(now, self._real_save)
 
 
-class _IgnoresFarewells(LeaderRole):
-    def is_leaving(self, member: str) -> bool:
+class _IgnoresDepartures(LeaderRole):
+    def is_departing(self, member: str) -> bool:
         return False
 
 
-class IgnoresFarewells(Raft):
-    """Leads as if no voter had said its farewell."""
+class IgnoresDepartures(Raft):
+    """Leads as if no voter had said its departure."""
 
     def _begin_leading(self, now: float) -> LeaderRole:
-        return _IgnoresFarewells(self._state, now)
+        return _IgnoresDepartures(self._state, now)
 
 
-class _TakesLateFarewells(LeaderRole):
+class _AcceptsLateDepartures(LeaderRole):
     def on_leave(self, message: DepartureNotice) -> None:
-        self._farewells.on_leave(message.sender, self._rounds.number)
+        self._departing_members.on_leave(message.sender, self._rounds.number)
 
 
-class TakesLateFarewells(Raft):
-    """Takes a farewell of an earlier life of the member for one of the life that runs now."""
+class AcceptsLateDepartures(Raft):
+    """Takes a departure of an earlier life of the member for one of the life that runs now."""
 
     def _begin_leading(self, now: float) -> LeaderRole:
-        return _TakesLateFarewells(self._state, now)
+        return _AcceptsLateDepartures(self._state, now)
 
 
 class VoteBeforeSync(_SendsEarly):
--- a/tests/consensus/test_departure.py
+++ b/tests/consensus/test_departure.py
@@ -22,7 +22,7 @@
 from tests.consensus.memory_storage import MemoryStorage
 from tests.consensus.planned_group import PlannedGroupStandIn
 from tests.consensus.planned_simulation import CATCH_UP_S, PATIENCE_S, PlannedSimulation
-from tests.consensus.raft_breakages import IgnoresFarewells, TakesLateFarewells
+from tests.consensus.raft_breakages import AcceptsLateDepartures, IgnoresDepartures
 from tests.consensus.simulated_members import Violation
 from tests.consensus.test_group import NAMES, Network, wait_until
 from tests.consensus.test_losses import HALF_S, kinds, tolerated_losses
@@ -91,9 +91,9 @@
 
 @kinds
 @tolerated_losses
-def test_a_farewell_that_is_ignored_is_caught(tolerated: int, spares_kept: bool) -> None:
+def test_a_departure_that_is_ignored_is_caught(tolerated: int, spares_kept: bool) -> None:
     with pytest.raises((Violation, AssertionError)):
-        planned_replacement(0, tolerated, spares_kept, 0.0, IgnoresFarewells)
+        planned_replacement(0, tolerated, spares_kept, 0.0, IgnoresDepartures)
 
 
 @kinds
@@ -108,7 +108,7 @@
         simulation.join("new")
         simulation.run(CATCH_UP_S)
         old, *others = simulation.oldest(tolerated + 1)
-        may_end = simulation.leave(old)
+        may_end = simulation.depart(old)
         simulation.run(rng.uniform(0.0, 0.06))
         simulation.wipe(*others)
         while not may_end():
@@ -146,11 +146,11 @@
 
 @kinds
 def test_a_leader_is_lost_amid_a_swap(spares_kept: bool) -> None:
-    """The next leader hears of the farewell with the first answer, and goes on."""
+    """The next leader hears of the departure with the first answer, and goes on."""
     for point in range(10):
         simulation = started(point, 2, spares_kept, spares=2)
         old = follower(simulation)
-        may_end = simulation.leave(old)
+        may_end = simulation.depart(old)
         simulation.run(0.003 * point)
         simulation.crash(simulation.leader() or "")
         while not may_end():
@@ -164,14 +164,14 @@
 
 
 @kinds
-def test_a_lost_farewell_is_said_again(spares_kept: bool) -> None:
+def test_a_lost_departure_is_said_again(spares_kept: bool) -> None:
     simulation = started(1, 1, spares_kept, spares=1)
     lost: list[ConsensusMessage] = []
 
     def drops(message: ConsensusMessage) -> bool:
         is_departing = isinstance(message, AppendReply) and message.departing
-        is_farewell = isinstance(message, DepartureNotice) or is_departing
-        if is_farewell and len(lost) < 10:
+        is_notice = isinstance(message, DepartureNotice) or is_departing
+        if is_notice and len(lost) < 10:
             lost.append(message)
             return True
         return False
@@ -183,7 +183,7 @@
 
 
 @kinds
-def test_a_farewell_counts_also_where_it_only_stands_in_answers(spares_kept: bool) -> None:
+def test_a_departure_counts_also_where_it_only_stands_in_answers(spares_kept: bool) -> None:
     simulation = started(2, 1, spares_kept, spares=1)
     simulation.drops = lambda message: isinstance(message, DepartureNotice)
     assert simulation.leave_for_good(follower(simulation)) < SWAPPED_S
@@ -214,7 +214,7 @@
     assert PATIENCE_S <= simulation.leave_for_good(old) < PATIENCE_S + 0.1
 
 
-def restart_and_late_farewells(spares_kept: bool, raft_class: type[Raft] = Raft) -> None:
+def restart_and_late_departures(spares_kept: bool, raft_class: type[Raft] = Raft) -> None:
     """Farewells of an earlier life come, twice each, when the member runs again and a learner is there."""
     simulation = started(5, 1, spares_kept, raft_class=raft_class)
     kept: list[ConsensusMessage] = []
@@ -227,7 +227,7 @@
     simulation.drops = drops
     old = follower(simulation)
     usual = voters(simulation)
-    simulation.leave(old)
+    simulation.depart(old)
     simulation.run(0.3)
     simulation.crash(old)
     simulation.run(0.2)
@@ -240,21 +240,21 @@
     for message in kept * 2:
         simulation.deliver_again(message)
     simulation.write(3.0)
-    assert voters(simulation) == usual, "the life that runs now has said no farewell"
+    assert voters(simulation) == usual, "the life that runs now has said no departure"
     simulation.check_converges()
 
 
 @kinds
-def test_a_late_farewell_does_not_touch_a_later_life(spares_kept: bool) -> None:
-    restart_and_late_farewells(spares_kept)
+def test_a_late_departure_does_not_touch_a_later_life(spares_kept: bool) -> None:
+    restart_and_late_departures(spares_kept)
 
 
-def test_a_leader_that_takes_late_farewells_is_caught() -> None:
+def test_a_leader_that_takes_late_departures_is_caught() -> None:
     with pytest.raises(AssertionError):
-        restart_and_late_farewells(True, TakesLateFarewells)
+        restart_and_late_departures(True, AcceptsLateDepartures)
 
 
-def test_a_late_answer_does_not_end_a_later_farewell() -> None:
+def test_a_late_answer_does_not_end_a_later_departure() -> None:
     simulation = started(6, 1, True, spares=1)
     kept: list[ConsensusMessage] = []
 
@@ -265,7 +265,7 @@
 
     simulation.drops = drops
     old = follower(simulation)
-    simulation.run_until(simulation.leave(old))
+    simulation.run_until(simulation.depart(old))
     simulation.crash(old)
     simulation.start(old)
     simulation.join("other")
@@ -273,7 +273,7 @@
     simulation.run_until(lambda: old in voters(simulation))
     simulation.write(1.0)
     simulation.cut_off(old)
-    may_end = simulation.leave(old)
+    may_end = simulation.depart(old)
     simulation.cuts.clear()
     simulation.drops = lambda message: (
         isinstance(message, DepartureNotice | AppendReply) and message.sender == old
@@ -295,7 +295,7 @@
         simulation = started(seed, tolerated, spares_kept)
         usual = simulation.leader_raft().membership
         for name in usual.voters:
-            simulation.leave(name)
+            simulation.depart(name)
             simulation.run(0.2)
             simulation.crash(name)
             simulation.run(0.4)
@@ -314,7 +314,7 @@
         simulation = started(seed, tolerated, spares_kept, spares=1)
         everybody = sorted(simulation.members)
         for name in everybody:
-            simulation.run_until(simulation.leave(name))
+            simulation.run_until(simulation.depart(name))
             simulation.crash(name)
             assert simulation.until_whole() < SWAPPED_S
             simulation.write(1.0)
@@ -330,7 +330,7 @@
 def test_a_member_that_was_swapped_out_may_be_promoted_again(spares_kept: bool) -> None:
     simulation = started(7, 1, spares_kept, spares=1)
     old = follower(simulation)
-    simulation.run_until(simulation.leave(old))
+    simulation.run_until(simulation.depart(old))
     simulation.crash(old)
     simulation.run(0.5)
     simulation.start(old)
@@ -348,10 +348,10 @@
 def test_two_leave_and_two_learners_take_their_places(spares_kept: bool) -> None:
     for seed in range(4):
         simulation = started(seed, 2, spares_kept, spares=2)
-        leaving = [follower(simulation, number) for number in range(2)]
-        ends = [simulation.leave(name) for name in leaving]
+        departing = [follower(simulation, number) for number in range(2)]
+        ends = [simulation.depart(name) for name in departing]
         simulation.run_until(lambda ends=ends: all(may_end() for may_end in ends))  # type: ignore[misc]
-        for name in leaving:
+        for name in departing:
             simulation.lose_for_good(name)
         simulation.wipe(*simulation.oldest(2))
         assert simulation.until_whole() < HALF_S
@@ -364,13 +364,13 @@
     """The other one keeps its vote, and the group has no voter too many."""
     for seed in range(4):
         simulation = started(seed, tolerated, spares_kept, spares=1)
-        leaving = [follower(simulation, number) for number in range(2)]
-        ends = [simulation.leave(name) for name in leaving]
+        departing = [follower(simulation, number) for number in range(2)]
+        ends = [simulation.depart(name) for name in departing]
         simulation.run_until(lambda ends=ends: any(may_end() for may_end in ends))  # type: ignore[misc]
         simulation.write(0.5)
         assert len(voters(simulation)) == 2 * tolerated + 1
         assert [may_end() for may_end in ends].count(True) == 1
-        assert len(set(leaving) & set(voters(simulation))) == 1
+        assert len(set(departing) & set(voters(simulation))) == 1
         assert simulation.is_whole()
 
 
@@ -383,46 +383,48 @@
 
 @pytest.mark.parametrize("spares_kept", [False, True])
 def test_a_learner_that_is_ready_takes_the_place_first(spares_kept: bool) -> None:
-    group = PlannedGroupStandIn(USUAL.voters, (A, B, C, D), learners=(D,), keeps_spares=spares_kept)
-    group.leaving = {C}
+    group = PlannedGroupStandIn(USUAL.voters, (A, B, C, D), learners=(D,), keeps_spare_learners=spares_kept)
+    group.departing = {C}
     assert group.run(1.0, joining=(D,)) == [Membership((A, B, C, D)), Membership((A, B, D))]
 
 
 @pytest.mark.parametrize("spares_kept", [False, True])
 def test_a_learner_that_lags_takes_no_place(spares_kept: bool) -> None:
-    group = PlannedGroupStandIn(USUAL.voters, (A, B, C, D), learners=(D,), keeps_spares=spares_kept)
-    group.leaving = {C}
+    group = PlannedGroupStandIn(USUAL.voters, (A, B, C, D), learners=(D,), keeps_spare_learners=spares_kept)
+    group.departing = {C}
     group.behind = {D}
     assert group.run(5.0, joining=(D,)) == []
 
 
 @pytest.mark.parametrize(("tolerated", "states"), [(1, ("good", "lost", "retiring")), (2, ("good", "lost"))])
-def test_no_farewell_lowers_how_many_losses_are_borne(tolerated: int, states: tuple[str, ...]) -> None:
+def test_no_departure_lowers_how_many_losses_are_borne(tolerated: int, states: tuple[str, ...]) -> None:
     """Any number of voters leave; those that were not swapped out go on afterwards."""
     groups = every_group(tolerated, kinds=(*states, "leaving"))
     assert len(groups) > 60
     for group in groups:
-        leaving = set(group.leaving)
+        departing = set(group.departing)
         assert breaks_a_rule(group, tolerated) == ""
         ready = [spare for spare in (F, G)[:tolerated] if group.match(spare)]
-        taken = leaving - set(group.membership.voters)
+        taken = departing - set(group.membership.voters)
         assert len(taken) <= len(ready), "nobody goes without a learner that takes the place"
-        group.leaving = set()
+        group.departing = set()
         assert breaks_a_rule(group, tolerated) == ""
 
 
 @pytest.mark.parametrize("spares_kept", [False, True])
 def test_a_learner_that_leaves_itself_takes_no_place(spares_kept: bool) -> None:
-    group = PlannedGroupStandIn(USUAL.voters, (A, B, C, D, F), learners=(D,), keeps_spares=spares_kept)
-    group.leaving = {C, D}
+    group = PlannedGroupStandIn(
+        USUAL.voters, (A, B, C, D, F), learners=(D,), keeps_spare_learners=spares_kept
+    )
+    group.departing = {C, D}
     group.run(2.0, joining=(F,))
     assert set(group.membership.voters) == {A, B, F}
 
 
 def test_a_voter_that_left_without_a_swap_is_lost_at_once() -> None:
-    group = PlannedGroupStandIn(USUAL.voters, (A, B, C, D), learners=(D,), keeps_spares=True)
+    group = PlannedGroupStandIn(USUAL.voters, (A, B, C, D), learners=(D,), keeps_spare_learners=True)
     group.behind = {D}
-    group.leaving = {C}
+    group.departing = {C}
     group.run(0.5)
     group.alive.discard(C)
     group.behind = set()
@@ -431,8 +433,8 @@
 
 
 def test_a_lost_voter_is_replaced_before_one_that_leaves() -> None:
-    group = PlannedGroupStandIn(USUAL.voters, (A, C, D), learners=(D,), keeps_spares=True)
-    group.leaving = {C}
+    group = PlannedGroupStandIn(USUAL.voters, (A, C, D), learners=(D,), keeps_spare_learners=True)
+    group.departing = {C}
     group.run(5.0)
     assert set(group.membership.voters) == {A, C, D}
     assert all(set(change.voters) >= {A, C} for change in group.changes)
@@ -440,8 +442,8 @@
 
 def test_a_retiring_voter_stays_until_the_others_hold_all_without_one_that_leaves() -> None:
     group = PlannedGroupStandIn((A, B, C, D), (A, B, C, D))
-    group.retiring = {C}
-    group.leaving = {D}
+    group.decommissioning = {C}
+    group.departing = {D}
     group.run(5.0)
     assert len(group.membership.voters) == 3
 
@@ -461,24 +463,24 @@
         leader = await network.start()
         await network.add("d", MemoryStorage()).start()
         await leader.change_membership(Membership(NAMES, ("d",)))
-        leaving = next(group for group in network.groups.values() if group is not leader)
+        departing = next(group for group in network.groups.values() if group is not leader)
         heard = 0
 
-        def on_farewell() -> None:
+        def on_departure() -> None:
             nonlocal heard
             heard += 1
 
-        leader._on_farewell = on_farewell
-        told = asyncio.ensure_future(leaving.leave(5.0))
+        leader._on_departure = on_departure
+        told = asyncio.ensure_future(departing.depart(5.0))
         await wait_until(lambda: heard > 1)
-        assert leader.is_leaving(leaving.member)
+        assert leader.is_departing(departing.member)
         assert not told.done()
-        for change in swap(leader, leaving.member, "d"):
+        for change in swap(leader, departing.member, "d"):
             await leader.change_membership(change)
         began = asyncio.get_running_loop().time()
         await told
         assert asyncio.get_running_loop().time() - began < AT_ONCE_S
-        await leaving.leave(5.0)
+        await departing.depart(5.0)
         assert asyncio.get_running_loop().time() - began < AT_ONCE_S, "it has no vote to give"
         await network.stop()
 
@@ -490,10 +492,10 @@
         network = Network()
         old = await network.start()
         began = asyncio.get_running_loop().time()
-        await old.leave(1.0)
+        await old.depart(1.0)
         assert 1.0 <= asyncio.get_running_loop().time() - began < 1.0 + AT_ONCE_S
         assert not old.is_leader
-        assert (await network.new_leader(old)).is_leaving(old.member)
+        assert (await network.new_leader(old)).is_departing(old.member)
         await network.stop()
 
     run(scenario())
@@ -503,7 +505,7 @@
     async def scenario() -> None:
         network = Network(("a",))
         only = await network.start()
-        await only.leave(1.0)
+        await only.depart(1.0)
         assert only.is_leader
         await network.stop()
 
@@ -514,10 +516,10 @@
     async def scenario() -> None:
         network = Network()
         leader = await network.start()
-        leaving = next(group for group in network.groups.values() if group is not leader)
-        told = asyncio.ensure_future(leaving.leave(1.0))
+        departing = next(group for group in network.groups.values() if group is not leader)
+        told = asyncio.ensure_future(departing.depart(1.0))
         await asyncio.sleep(0.1)
-        await leaving.stop()
+        await departing.stop()
         with pytest.raises(GroupFailedError):
             await told
         await network.stop()
--- a/tests/consensus/test_leadership_transfer.py
+++ b/tests/consensus/test_leadership_transfer.py
@@ -26,12 +26,12 @@
         self.run(0.5)
         return self.leader() or ""
 
-    def hand_over(self) -> bool:
+    def transfer_leadership(self) -> bool:
         """Tells the leader; False where there is none that can."""
         member = self.members.get(self.leader() or "")
         if member is None or member.raft is None or member.frozen:
             return False
-        begun = member.raft.hand_over(self._clock(member))
+        begun = member.raft.transfer_leadership(self._clock(member))
         self._pump(member)
         return begun
 
@@ -46,7 +46,7 @@
         simulation = HandingSimulation(seed, voters)
         old = simulation.settle()
         simulation.propose("before")
-        assert simulation.hand_over()
+        assert simulation.transfer_leadership()
         assert simulation.run_while(lambda s=simulation, o=old: s.leader() in (o, None), AT_ONCE_S)  # type: ignore[misc]
         assert simulation.leader_raft().term == 2
         assert "before" in simulation.acknowledged
@@ -56,7 +56,7 @@
 def test_only_voter_keeps_the_leadership() -> None:
     simulation = HandingSimulation(1, voters=1)
     old = simulation.settle()
-    assert not simulation.hand_over()
+    assert not simulation.transfer_leadership()
     assert simulation.propose("still")
     assert simulation.leader() == old
 
@@ -73,7 +73,7 @@
         return False
 
     simulation.drops = drops
-    simulation.hand_over()
+    simulation.transfer_leadership()
     assert simulation.run_while(lambda: simulation.leader() in (old, None), 0.4)
     assert len(lost) == 1
 
@@ -82,7 +82,7 @@
     simulation = HandingSimulation(3)
     old = simulation.settle()
     simulation.drops = lambda message: isinstance(message, TimeoutNow)
-    simulation.hand_over()
+    simulation.transfer_leadership()
     raft = simulation.members[old].raft
     assert raft is not None
     assert simulation.run_while(lambda: raft.is_leader, 0.8)
@@ -94,7 +94,7 @@
     old = simulation.settle()
     assert simulation.has_lease(old)
     simulation.drops = lambda message: isinstance(message, VoteRequest)
-    simulation.hand_over()
+    simulation.transfer_leadership()
     assert not simulation.has_lease(old)
 
 
@@ -109,7 +109,7 @@
         return isinstance(message, TimeoutNow)
 
     simulation.drops = drops
-    simulation.hand_over()
+    simulation.transfer_leadership()
     simulation.run_until(lambda: not simulation.members[old].raft.is_leader)  # type: ignore[union-attr]
     simulation.drops = lambda message: False
     simulation.settle()
@@ -137,7 +137,7 @@
     simulation = HandingSimulation(6, raft_class=raft_class)
     old = simulation.settle()
     simulation.drops = lambda message: message.target == old
-    simulation.hand_over()
+    simulation.transfer_leadership()
     simulation.run_until(lambda: simulation.leader() not in (old, None))
     simulation.run_until(lambda: simulation.leader_raft().is_ready_leader)
     simulation.propose("after")
@@ -151,7 +151,7 @@
     read_at_a_leader_cut_off_while_it_hands_over(Raft)
 
 
-def test_schedules_with_handovers() -> None:
+def test_schedules_with_leadership_transfers() -> None:
     """Crashes, cuts and bad weather around hand-overs: nothing is lost and no read goes back."""
     for seed in range(25):
         rng = random.Random(f"handover {seed}")
@@ -166,7 +166,7 @@
                 for reader in simulation.members:
                     simulation.read(reader)
             elif action == "hand over":
-                simulation.hand_over()
+                simulation.transfer_leadership()
             elif action == "crash":
                 simulation.crash(name)
             elif action == "cut":
@@ -184,7 +184,7 @@
         network = Network()
         old = await network.start()
         await old.propose(command("before"))
-        handing = asyncio.ensure_future(old.hand_over_leadership())
+        handing = asyncio.ensure_future(old.transfer_leadership())
         await asyncio.sleep(0)
         with pytest.raises(NotLeaderError):
             await old.propose(command("refused"))
@@ -193,7 +193,7 @@
         new = await network.new_leader(old)
         assert asyncio.get_running_loop().time() - began < AT_ONCE_S
         assert await new.propose(command("after")) == 2
-        await old.hand_over_leadership()  # a follower has nothing to hand over
+        await old.transfer_leadership()  # a follower has nothing to hand over
         await network.stop()
 
     run(scenario())
@@ -204,7 +204,7 @@
         network = Network()
         old = await network.start()
         network.cut.add(old.member)
-        handing = asyncio.ensure_future(old.hand_over_leadership())
+        handing = asyncio.ensure_future(old.transfer_leadership())
         await asyncio.sleep(0)
         await old.stop()
         await handing
@@ -217,7 +217,7 @@
     async def scenario() -> None:
         network = Network(("a",))
         leader = await network.start()
-        await leader.hand_over_leadership()
+        await leader.transfer_leadership()
         assert leader.is_leader
         await network.stop()
 
--- a/tests/consensus/test_losses.py
+++ b/tests/consensus/test_losses.py
@@ -118,13 +118,13 @@
         simulation = started(seed, tolerated, spares_kept, spares=1)
         others = [name for name in simulation.oldest(5) if name != simulation.leader()]
         simulation.freeze(others[0])
-        simulation.retiring = {others[1]}
+        simulation.decommissioning = {others[1]}
         simulation.write(1.0)
         simulation.thaw(others[0])
         while not simulation.is_whole():
             simulation.write(0.02)
         simulation.lose_for_good(others[1])
-        simulation.retiring = set()
+        simulation.decommissioning = set()
         simulation.wipe(*simulation.oldest(tolerated))
         assert simulation.until_whole() < HALF_S
         simulation.check_converges()
--- a/tests/consensus/test_membership_planner.py
+++ b/tests/consensus/test_membership_planner.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from pewterring.consensus.membership_planner import LOST_PART, MembershipPlanner
+from pewterring.consensus.membership_planner import LOST_VOTER_FRACTION, MembershipPlanner
 from pewterring.consensus.messages import Membership
 from tests.consensus.planned_group import CATCH_UP_S, STEP_S, PlannedGroupStandIn, majority
 
@@ -12,32 +12,32 @@
 F, G = "10.0.0.6#x", "10.0.0.7#x"
 C_EMPTY = "10.0.0.3#new"
 USUAL = Membership((A, B, C))
-LOST_S = LOST_PART * CATCH_UP_S
+LOST_S = LOST_VOTER_FRACTION * CATCH_UP_S
 both = pytest.mark.parametrize("spares", [False, True], ids=["batch", "control"])
 
 
 @both
 def test_nothing_changes_while_all_voters_are_good(spares: bool) -> None:
-    group = PlannedGroupStandIn(USUAL.voters, (A, B, C), keeps_spares=spares)
+    group = PlannedGroupStandIn(USUAL.voters, (A, B, C), keeps_spare_learners=spares)
     assert group.run(20.0) == []
 
 
 def test_only_a_group_with_little_state_keeps_spares() -> None:
     batch = PlannedGroupStandIn(USUAL.voters, (A, B, C, D))
     assert batch.run(20.0, joining=(D,)) == []
-    control = PlannedGroupStandIn(USUAL.voters, (A, B, C, D), keeps_spares=True)
+    control = PlannedGroupStandIn(USUAL.voters, (A, B, C, D), keeps_spare_learners=True)
     assert control.run(20.0, joining=(D,)) == [Membership(USUAL.voters, (D,))]
 
 
 @both
 def test_a_silent_voter_stays_where_nobody_can_take_its_place(spares: bool) -> None:
-    group = PlannedGroupStandIn(USUAL.voters, (A, B), keeps_spares=spares)
+    group = PlannedGroupStandIn(USUAL.voters, (A, B), keeps_spare_learners=spares)
     assert group.run(20.0) == []
 
 
 @both
 def test_a_lost_disk_is_replaced_by_its_new_name_at_once(spares: bool) -> None:
-    group = PlannedGroupStandIn(USUAL.voters, (A, B, C_EMPTY), keeps_spares=spares)
+    group = PlannedGroupStandIn(USUAL.voters, (A, B, C_EMPTY), keeps_spare_learners=spares)
     group.behind.add(C_EMPTY)
     assert group.run(0.75, joining=(C_EMPTY,)) == [Membership(USUAL.voters, (C_EMPTY,))]
     group.behind.clear()
@@ -47,7 +47,9 @@
 
 @both
 def test_the_lost_voter_is_removed_before_the_learner_votes(spares: bool) -> None:
-    group = PlannedGroupStandIn(USUAL.voters, (A, B, C_EMPTY), learners=(C_EMPTY,), keeps_spares=spares)
+    group = PlannedGroupStandIn(
+        USUAL.voters, (A, B, C_EMPTY), learners=(C_EMPTY,), keeps_spare_learners=spares
+    )
     assert group.run(1.0, joining=(C_EMPTY,)) == [
         Membership((A, B), (C_EMPTY,)),
         Membership((A, B, C_EMPTY)),
@@ -62,7 +64,7 @@
 
 
 def test_a_new_machine_takes_the_place_of_a_silent_one_only() -> None:
-    group = PlannedGroupStandIn(USUAL.voters, (A, B, C, D), keeps_spares=True)
+    group = PlannedGroupStandIn(USUAL.voters, (A, B, C, D), keeps_spare_learners=True)
     group.run(5.0, joining=(D,))
     assert group.membership == Membership(USUAL.voters, (D,))
     group.alive.discard(C)
@@ -74,14 +76,14 @@
 
 def test_a_voter_that_answers_is_not_lost_whatever_is_told_of_its_address() -> None:
     """An old table, or a late wish to join."""
-    group = PlannedGroupStandIn(USUAL.voters, (A, B, C, C_EMPTY, D), learners=(D,), keeps_spares=True)
+    group = PlannedGroupStandIn(USUAL.voters, (A, B, C, C_EMPTY, D), learners=(D,), keeps_spare_learners=True)
     group.run(10.0, joining=(C_EMPTY, D))
     assert group.membership.voters == USUAL.voters
 
 
 @both
 def test_a_learner_that_lags_does_not_become_a_voter(spares: bool) -> None:
-    group = PlannedGroupStandIn(USUAL.voters, (A, B, D), keeps_spares=spares)
+    group = PlannedGroupStandIn(USUAL.voters, (A, B, D), keeps_spare_learners=spares)
     group.behind.add(D)
     group.run(5.0, joining=(D,))
     assert group.membership == Membership(USUAL.voters, (D,))
@@ -118,7 +120,7 @@
 
 
 def test_voters_are_added_up_to_the_wanted_number() -> None:
-    group = PlannedGroupStandIn(USUAL.voters, (A, B, C, D, F, G), tolerated=2, keeps_spares=True)
+    group = PlannedGroupStandIn(USUAL.voters, (A, B, C, D, F, G), tolerated=2, keeps_spare_learners=True)
     group.run(4.0, joining=(D, F, G))
     assert len(group.membership.voters) == 5
     assert len(group.membership.learners) == 1
@@ -126,7 +128,7 @@
 
 @both
 def test_a_learner_that_lost_its_disk_goes(spares: bool) -> None:
-    group = PlannedGroupStandIn((A, B), (A, B, C_EMPTY), learners=(C,), keeps_spares=spares)
+    group = PlannedGroupStandIn((A, B), (A, B, C_EMPTY), learners=(C,), keeps_spare_learners=spares)
     changes = group.run(3 * STEP_S, joining=(C_EMPTY,))
     if not spares:
         assert changes[0] == Membership((A, B))
@@ -134,7 +136,7 @@
 
 
 def test_a_spare_learner_that_lost_its_disk_is_replaced_and_a_silent_one_dropped() -> None:
-    group = PlannedGroupStandIn(USUAL.voters, (A, B, C, "10.0.0.4#x"), keeps_spares=True)
+    group = PlannedGroupStandIn(USUAL.voters, (A, B, C, "10.0.0.4#x"), keeps_spare_learners=True)
     group.run(0.5, joining=("10.0.0.4#x",))
     group.alive ^= {"10.0.0.4#x", "10.0.0.4#y"}
     group.run(1.0, joining=("10.0.0.4#y",))
@@ -157,7 +159,7 @@
 
 @both
 def test_a_leader_that_was_held_up_replaces_nobody(spares: bool) -> None:
-    group = PlannedGroupStandIn(USUAL.voters, (A, B, C, D), keeps_spares=spares)
+    group = PlannedGroupStandIn(USUAL.voters, (A, B, C, D), keeps_spare_learners=spares)
     group.run(2.0, joining=(D,))
     group.alive -= {B, C}
     group.now += 30.0
@@ -180,8 +182,8 @@
 
 @both
 def test_a_retiring_voter_leaves_after_its_successor_votes(spares: bool) -> None:
-    group = PlannedGroupStandIn(USUAL.voters, (A, B, C, D), keeps_spares=spares)
-    group.retiring = {C}
+    group = PlannedGroupStandIn(USUAL.voters, (A, B, C, D), keeps_spare_learners=spares)
+    group.decommissioning = {C}
     assert group.run(10.0, joining=(C, D)) == [
         Membership(USUAL.voters, (D,)),
         Membership((*USUAL.voters, D)),
@@ -191,14 +193,14 @@
 
 def test_a_retiring_voter_stays_while_nobody_can_take_its_place() -> None:
     group = PlannedGroupStandIn(USUAL.voters, (A, B, C))
-    group.retiring = {C}
+    group.decommissioning = {C}
     assert group.run(10.0, joining=(C,)) == []
 
 
 def test_a_retiring_voter_stays_until_the_others_hold_all() -> None:
     """It may be the only one that is up to date beside the leader."""
     group = PlannedGroupStandIn((A, B, C, D), (A, B, C, D))
-    group.retiring = {C}
+    group.decommissioning = {C}
     group.behind = {B}
     assert group.run(10.0) == []
     group.behind.clear()
@@ -207,7 +209,7 @@
 
 def test_a_retiring_leader_leaves_last() -> None:
     group = PlannedGroupStandIn((A, B, C, D, F), (A, B, C, D, F))
-    group.retiring = {A, C}
+    group.decommissioning = {A, C}
     assert group.run(1.0) == [Membership((A, B, D, F)), Membership((B, D, F))]
 
 
@@ -218,14 +220,14 @@
 
 def test_a_lost_voter_that_is_one_too_many_goes_without_a_successor() -> None:
     group = PlannedGroupStandIn((A, B, C, D), (A, B, C))
-    group.retiring = {C}
+    group.decommissioning = {C}
     assert group.run(10.0) == [Membership((A, B, C))]
 
 
 @both
 def test_two_lost_voters_of_five_are_replaced_one_after_the_other(spares: bool) -> None:
     group = PlannedGroupStandIn(
-        (A, B, C, D, E), (A, B, C, F, G), tolerated=2, learners=(F, G), keeps_spares=spares
+        (A, B, C, D, E), (A, B, C, F, G), tolerated=2, learners=(F, G), keeps_spare_learners=spares
     )
     changes = group.run(10.0, joining=(F, G))
     assert set(changes[-1].voters) == {A, B, C, F, G}
@@ -259,8 +261,8 @@
             pairs = list(zip([*voters, *spares], [*states, *learners], strict=True))
             group.alive = {member for member, state in pairs if state not in ("lost", "silent")}
             group.behind = {member for member, state in pairs if state == "lags"}
-            group.retiring = {member for member, state in pairs if state == "retiring"}
-            group.leaving = {member for member, state in pairs if state == "leaving"}
+            group.decommissioning = {member for member, state in pairs if state == "retiring"}
+            group.departing = {member for member, state in pairs if state == "leaving"}
             group.joining = spares
             groups.append(group)
     return groups
@@ -297,8 +299,8 @@
     for group in every_group(tolerated):
         group.joining = [member for member in group.joining if group.match(member)]
         group.run(15.0)
-        good = [voter for voter in group.membership.voters if voter in group.alive - group.retiring]
+        good = [voter for voter in group.membership.voters if voter in group.alive - group.decommissioning]
         possible = [A, B, C, D, E][: 2 * tolerated + 1]
         ready = [member for member in (*possible, *group.joining) if group.match(member)]
-        staying = [member for member in ready if member not in group.retiring]
+        staying = [member for member in ready if member not in group.decommissioning]
         assert len(good) == min(2 * tolerated + 1, len(staying))
--- a/tests/consensus/test_membership_planner_breakages.py
+++ b/tests/consensus/test_membership_planner_breakages.py
@@ -21,8 +21,8 @@
     def seconds_since_contact(self, member: str, now: float) -> float:
         return self._group.seconds_since_contact(member, now)
 
-    def is_leaving(self, member: str) -> bool:
-        return self._group.is_leaving(member)
+    def is_departing(self, member: str) -> bool:
+        return self._group.is_departing(member)
 
 
 class PromotesWithoutCatchUp(MembershipPlanner):
@@ -38,9 +38,14 @@
     def plan(self, now: float, group: PlannedGroup, candidates: Candidates) -> Membership | None:
         change = super().plan(now, group, candidates)
         membership = group.membership
-        retiring = [voter for voter in membership.voters if voter in candidates.retiring]
-        if change is None and membership.learners and retiring and retiring[0] != self._own_member:
-            staying = tuple(voter for voter in membership.voters if voter != retiring[0])
+        decommissioning = [voter for voter in membership.voters if voter in candidates.decommissioning]
+        if (
+            change is None
+            and membership.learners
+            and decommissioning
+            and decommissioning[0] != self._own_member
+        ):
+            staying = tuple(voter for voter in membership.voters if voter != decommissioning[0])
             return Membership(staying, membership.learners)
         return change
 
--- a/tests/control/test_faults.py
+++ b/tests/control/test_faults.py
@@ -119,10 +119,10 @@
         leader = await cluster.start()
         handing: list[asyncio.Task[object]] = []
 
-        def hand_over() -> None:
-            handing.append(cluster.in_background(leader.group.hand_over_leadership()))
+        def transfer_leadership() -> None:
+            handing.append(cluster.in_background(leader.group.transfer_leadership()))
 
-        cluster.at_point(point, hand_over)
+        cluster.at_point(point, transfer_leadership)
         answer = await cluster.machines[first].router.answer(put_call(0, encoded(version=1)))
         assert answer.status == 200
         if point < 4:
--- a/tests/control/test_held_up.py
+++ b/tests/control/test_held_up.py
@@ -137,7 +137,7 @@
                 assert (await follower.router.answer(read_call())).status == 200
                 await asyncio.sleep(rng.uniform(0.0, 2 * TIMING.heartbeat_s))
             assert refused == []
-            await leader.group.hand_over_leadership()
+            await leader.group.transfer_leadership()
             while not (leaders := [m for m in cluster.machines.values() if m.group.is_leader]):
                 await asyncio.sleep(0.001)
             leader = leaders[0]
--- a/tests/control/test_membership.py
+++ b/tests/control/test_membership.py
@@ -12,8 +12,8 @@
     joins.ask(0.5, D)
     candidates = joins.candidates(1.0)
     assert candidates.joining == (C_EMPTY, D)
-    assert candidates.newest == {"10.0.0.3": C_EMPTY, "10.0.0.4": D}
-    assert not candidates.retiring
+    assert candidates.current_names == {"10.0.0.3": C_EMPTY, "10.0.0.4": D}
+    assert not candidates.decommissioning
 
 
 def test_a_wish_that_is_not_repeated_is_forgotten() -> None:
--- a/tests/control/test_repeats.py
+++ b/tests/control/test_repeats.py
@@ -23,7 +23,7 @@
         leader = await cluster.leader()
         if leader is wanted:
             return
-        await leader.group.hand_over_leadership()
+        await leader.group.transfer_leadership()
     raise AssertionError("it was never elected")
 
 
--- a/tests/simulation/breakages.py
+++ b/tests/simulation/breakages.py
@@ -90,18 +90,18 @@
     return mock.patch.object(LeaderRole, "advance_commit", advance_commit)
 
 
-def farewell_ignored() -> Any:
+def departure_ignored() -> Any:
     """A leader goes on as if no voter had told it that its process is about to end."""
-    return mock.patch.object(LeaderRole, "is_leaving", lambda self, member: False)
+    return mock.patch.object(LeaderRole, "is_departing", lambda self, member: False)
 
 
-def ends_without_farewell() -> Any:
+def ends_without_departure() -> Any:
     """A process that is told to end hands the leadership over, and keeps its vote until it is gone."""
 
-    async def leave(self: ReplicatedGroup, patience_s: float) -> None:
-        await self.hand_over_leadership()
+    async def depart(self: ReplicatedGroup, patience_s: float) -> None:
+        await self.transfer_leadership()
 
-    return mock.patch.object(ReplicatedGroup, "leave", leave)
+    return mock.patch.object(ReplicatedGroup, "depart", depart)
 
 
 def commit_before_majority() -> Any:
--- a/tests/simulation/test_planned.py
+++ b/tests/simulation/test_planned.py
@@ -7,7 +7,7 @@
 from tests.simulation.schedule import Fault, Kind, On, Schedule, Target
 
 SEEDS = range(1, 4)
-HAND_OVER_S = 0.3
+LEADERSHIP_TRANSFER_TIMEOUT_S = 0.3
 
 
 @pytest.mark.parametrize("on", On)
@@ -33,7 +33,7 @@
     verdict = play(Schedule(1, 1, (Fault(6.0, Kind.STOP, target),)))
     assert not verdict.violations, verdict
     told, ended = stop_times(verdict)
-    assert ended - told < HAND_OVER_S
+    assert ended - told < LEADERSHIP_TRANSFER_TIMEOUT_S
 
 
 @pytest.mark.parametrize("target", [Target.LEADER, Target.FOLLOWER])
