--- a/benchmarks/batch.py
+++ b/benchmarks/batch.py
@@ -21,6 +21,7 @@
 from pewterring.batch.messages import ItemResult, ItemSpec
 from pewterring.batch.state import BatchState
 from pewterring.consensus.group import ReplicatedGroup
+from pewterring.consensus.group_environment import GroupEnvironment
 from pewterring.consensus.messages import ConsensusMessage, Membership
 from pewterring.storage.disk import FolderDisk
 from pewterring.storage.group import DiskGroupStorage
@@ -49,7 +50,9 @@
             self._storages.append(storage)
             state = BatchState(time.monotonic)
             self._groups[name] = ReplicatedGroup(
-                GROUP, name, storage, state, self._send, rng=random.Random(name)
+                GROUP,
+                name,
+                GroupEnvironment(storage=storage, machine=state, send=self._send, rng=random.Random(name)),
             )
         for group in self._groups.values():
             await group.start()
--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -28,6 +28,7 @@
 import orjson
 
 from pewterring.consensus.group import ReplicatedGroup
+from pewterring.consensus.group_environment import GroupCallbacks, GroupEnvironment
 from pewterring.consensus.messages import Entry, Membership
 from pewterring.consensus.persistent import HardState
 from pewterring.control.calls import HEARTBEAT_PATH, REPLACE_PATH
@@ -282,10 +283,12 @@
     group = ReplicatedGroup(
         "control",
         member,
-        DiskGroupStorage(FolderDisk(folder), "control"),
-        ControlState(),
-        lambda message: None,
-        on_leadership=lambda _: leads.set(),
+        GroupEnvironment(
+            storage=DiskGroupStorage(FolderDisk(folder), "control"),
+            machine=ControlState(),
+            send=lambda message: None,
+        ),
+        callbacks=GroupCallbacks(on_leadership=lambda _: leads.set()),
     )
     began = time.monotonic()
     await group.start()
--- a/benchmarks/history.py
+++ b/benchmarks/history.py
@@ -30,8 +30,10 @@
 from pewterring.batch.messages import ItemResult, ItemSpec
 from pewterring.batch.state import BatchState
 from pewterring.consensus.errors import ConsensusError
-from pewterring.consensus.group import ReplicatedGroup, StateMachine
+from pewterring.consensus.group import ReplicatedGroup
+from pewterring.consensus.group_environment import GroupEnvironment
 from pewterring.consensus.messages import CONSENSUS_MESSAGES, ConsensusMessage, Membership
+from pewterring.consensus.state_machine import StateMachine
 from pewterring.control import commands as control_commands
 from pewterring.control.state import ControlState
 from pewterring.distribution.messages import WorkerRecord
@@ -162,10 +164,12 @@
         group = ReplicatedGroup(
             "group",
             name,
-            DiskGroupStorage(disk, "group"),
-            self.machines[name],
-            self._send,
-            rng=random.Random(name),
+            GroupEnvironment(
+                storage=DiskGroupStorage(disk, "group"),
+                machine=self.machines[name],
+                send=self._send,
+                rng=random.Random(name),
+            ),
         )
         await group.start()
         self.groups[name] = group
--- a/benchmarks/redundancy.py
+++ b/benchmarks/redundancy.py
@@ -40,7 +40,8 @@
 from pewterring.batch.state import BatchState
 from pewterring.consensus.departure import DEPARTURE_TIMEOUT_FRACTION
 from pewterring.consensus.errors import ConsensusError
-from pewterring.consensus.group import ReplicatedGroup, StateMachine
+from pewterring.consensus.group import ReplicatedGroup
+from pewterring.consensus.group_environment import GroupCallbacks, GroupEnvironment
 from pewterring.consensus.membership import address_of
 from pewterring.consensus.membership_planner import (
     MAX_CHANGES_PER_CHECK,
@@ -50,6 +51,7 @@
 )
 from pewterring.consensus.messages import CONSENSUS_MESSAGES, ConsensusMessage, Membership, SnapshotChunk
 from pewterring.consensus.persistent import HardState
+from pewterring.consensus.state_machine import StateMachine
 from pewterring.consensus.types import RaftLimits
 from pewterring.control.commands import PutConfiguration, PutWorker, RemoveWorkers
 from pewterring.control.program import TICK_S
@@ -268,15 +270,18 @@
         group = ReplicatedGroup(
             GROUP,
             name,
-            DiskGroupStorage(node.disk, GROUP),
-            machine,
-            self._send,
-            rng=random.Random(self._rng.random()),
-            clock=asyncio.get_running_loop().time,
-            limits=RaftLimits(),
-            on_leadership=lambda leads: self._on_leadership(node, leads),
-            on_departure=lambda: self._on_departure(node),
-            executor=DiskTimer(node.disk, self._speeds.sync_s, self._speeds.disk_bytes),
+            GroupEnvironment(
+                storage=DiskGroupStorage(node.disk, GROUP),
+                machine=machine,
+                send=self._send,
+                clock=asyncio.get_running_loop().time,
+                rng=random.Random(self._rng.random()),
+                executor=DiskTimer(node.disk, self._speeds.sync_s, self._speeds.disk_bytes),
+            ),
+            callbacks=GroupCallbacks(
+                on_leadership=lambda leads: self._on_leadership(node, leads),
+                on_departure=lambda: self._on_departure(node),
+            ),
         )
         node.group = group
         node.known_at = now() + self._kind.known_after_s
--- a/pewterring/batch/capacity.py
+++ b/pewterring/batch/capacity.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from pewterring.consensus.group import SNAPSHOT_AFTER_MAX_BYTES, SNAPSHOT_JITTER_FRACTION
+from pewterring.consensus.snapshot_schedule import SNAPSHOT_AFTER_MAX_BYTES, SNAPSHOT_JITTER_FRACTION
 from pewterring.storage.group import SEGMENT_BYTES
 
 BYTES_A_MEGABYTE = 1_000_000
--- a/pewterring/batch/partition.py
+++ b/pewterring/batch/partition.py
@@ -21,9 +21,9 @@
 from pewterring.consensus.departure import DEPARTURE_TIMEOUT_FRACTION
 from pewterring.consensus.errors import ConsensusError
 from pewterring.consensus.group import ReplicatedGroup
+from pewterring.consensus.group_environment import GroupCallbacks, GroupEnvironment
 from pewterring.consensus.membership_planner import MAX_CHANGES_PER_CHECK, MembershipPlanner
 from pewterring.consensus.messages import ConsensusMessage, Membership
-from pewterring.consensus.types import RaftTiming
 from pewterring.distribution.messages import GroupStatus
 from pewterring.distribution.tables import Tables
 from pewterring.node.settings import NodeSettings
@@ -70,15 +70,14 @@
         self.group = ReplicatedGroup(
             name,
             parts.member,
-            self._storage,
-            self._state,
-            parts.send,
-            RaftTiming(),
-            parts.rng,
-            parts.clock,
-            on_leadership=self._leadership_changed,
-            on_departure=self._on_departure,
-            on_failure=parts.on_failure,
+            GroupEnvironment(
+                storage=self._storage, machine=self._state, send=parts.send, clock=parts.clock, rng=parts.rng
+            ),
+            callbacks=GroupCallbacks(
+                on_leadership=self._leadership_changed,
+                on_departure=self._on_departure,
+                on_failure=parts.on_failure,
+            ),
         )
         log = GroupLog(self.group)
         execution = ItemExecution(
--- a/pewterring/consensus/backpressure.py
+++ b/pewterring/consensus/backpressure.py
@@ -1,4 +1,4 @@
-"""Waits for room on a full disk where a start has to write before it can go on."""
+"""Waits for free disk space: what has to be written before work goes on is tried again until it fits."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -8,23 +8,40 @@
 
 from pewterring.consensus.errors import StorageFullError
 
-DISK_FULL_RETRY_S = 0.2  # before what found no room on the disk is tried again
+# Often enough that space which was freed is used at once; a try on a full disk costs one failed write.
+DISK_FULL_RETRY_S = 0.2
 
 _Result = TypeVar("_Result")
 
 
-async def retry_while_full(what: str, work: Callable[[], Awaitable[_Result]]) -> _Result:
-    """Does `work` until it finds room. What it writes must be repeatable after `StorageFullError`.
+class DiskFullWarning:
+    """Logs `disk_full_waiting` once for each wait, however often the write is tried again."""
 
-    Symptom answered: a member that came back with an empty disk, on which others' files had left no room for
-    the first bytes of its log, ended instead of waiting, and was missing when there was room again.
+    def __init__(self, writer: str) -> None:
+        self._writer = writer
+        self._is_active = False
+
+    def begin(self) -> None:
+        """Logs the beginning of a wait."""
+        if not self._is_active:
+            self._is_active = True
+            logger.bind(event="disk_full_waiting", writer=self._writer).warning("Waits for free disk space")
+
+    def end(self) -> None:
+        """Ends the wait: the next one is logged again."""
+        self._is_active = False
+
+
+async def retry_while_full(writer: str, work: Callable[[], Awaitable[_Result]]) -> _Result:
+    """Repeats `work` until it finds free disk space. What it writes must be idempotent.
+
+    Symptom answered: a member that came back with an empty disk, on which others' files had left no space for
+    the first bytes of its log, ended instead of waiting, and was missing when there was space again.
     """
-    has_warned = False
+    warning = DiskFullWarning(writer)
     while True:
         try:
             return await work()
         except StorageFullError:
-            if not has_warned:
-                logger.warning("{} waits for room on the disk", what)
-            has_warned = True
+            warning.begin()
             await asyncio.sleep(DISK_FULL_RETRY_S)
--- a/pewterring/consensus/pending.py
+++ b/pewterring/consensus/pending.py
@@ -1,4 +1,4 @@
-"""Calls that wait for an entry to be applied or a read to be confirmed."""
+"""Calls that wait for an entry to be applied, a read to be confirmed, or the leadership to end."""
 
 import asyncio
 from dataclasses import dataclass
@@ -6,13 +6,13 @@
 from pewterring.consensus.errors import NotLeaderError, OutcomeUnknownError
 
 
-def resolve(future: asyncio.Future[object], result: object) -> None:
+def _resolve(future: asyncio.Future[object], result: object) -> None:
     """Gives the result to a caller that still waits."""
     if not future.done():
         future.set_result(result)
 
 
-def fail(future: asyncio.Future[object], error: Exception) -> None:
+def _fail(future: asyncio.Future[object], error: Exception) -> None:
     """Raises `error` in a caller that still waits."""
     if not future.done():
         future.set_exception(error)
@@ -25,57 +25,74 @@
 
 
 class PendingCalls:
-    """Proposals by index and reads by ticket, each with the term in which this member led."""
+    """Proposals by index and reads by ticket, each with the term in which this member led.
+
+    It owns the futures until they end; a caller that gives up leaves its future behind, which ends unheard.
+    """
 
     def __init__(self) -> None:
         self._proposals: dict[int, _Proposal] = {}
         self._reads: dict[tuple[int, int], asyncio.Future[object]] = {}
+        self._transfers: list[asyncio.Future[object]] = []
 
     def proposal(self, index: int, term: int) -> asyncio.Future[object]:
-        """A future for the result of the entry at `index`."""
+        """Returns a future for the result of the entry at `index`."""
         future: asyncio.Future[object] = asyncio.get_running_loop().create_future()
         self._proposals[index] = _Proposal(term, future)
         return future
 
     def read(self, term: int, ticket: int) -> asyncio.Future[object]:
-        """A future for the confirmation of a read."""
+        """Returns a future for the confirmation of a read."""
         future: asyncio.Future[object] = asyncio.get_running_loop().create_future()
         self._reads[term, ticket] = future
         return future
 
+    def end_of_leadership(self) -> asyncio.Future[object]:
+        """Returns a future that ends when this member leads no longer, or stops."""
+        future: asyncio.Future[object] = asyncio.get_running_loop().create_future()
+        self._transfers.append(future)
+        return future
+
     def applied(self, index: int, term: int, result: object) -> None:
-        """The entry at `index` was applied; another's entry in its place tells nothing to the caller."""
+        """Resolves the proposal whose entry was applied, but not by an entry of another term in its place."""
         proposal = self._proposals.get(index)
         if proposal is not None and proposal.term == term:
             del self._proposals[index]
-            resolve(proposal.future, result)
+            _resolve(proposal.future, result)
 
     def confirmed(self, term: int, ticket: int) -> None:
-        """A read is confirmed, and what it must see is applied."""
+        """Resolves a read that is confirmed, and for which what it must see is applied."""
         future = self._reads.pop((term, ticket), None)
         if future is not None:
-            resolve(future, None)
+            _resolve(future, None)
+
+    def leadership_ended(self) -> None:
+        """Resolves what waits for the end of the leadership."""
+        if self._transfers:
+            transfers, self._transfers = self._transfers, []
+            for future in transfers:
+                _resolve(future, None)
 
     def keep_term(self, led_term: int | None, leader: str | None) -> None:
-        """Ends the calls of all terms but `led_term`, in which this member leads now."""
+        """Fails the calls of all terms but `led_term`, in which this member leads now."""
         if not self._proposals and not self._reads:
             return
         for index, proposal in list(self._proposals.items()):
             if proposal.term != led_term:
                 del self._proposals[index]
-                fail(
+                _fail(
                     proposal.future,
                     OutcomeUnknownError(f"leadership was lost; the leader is {leader or 'unknown'}"),
                 )
         for key, future in list(self._reads.items()):
             if key[0] != led_term:
                 del self._reads[key]
-                fail(future, NotLeaderError(leader))
+                _fail(future, NotLeaderError(leader))
 
     def fail_all(self, error: Exception) -> None:
-        """Ends all calls with `error`."""
+        """Fails all proposals and reads with `error`."""
         futures = [proposal.future for proposal in self._proposals.values()] + list(self._reads.values())
         self._proposals.clear()
         self._reads.clear()
         for future in futures:
-            fail(future, error)
+            _fail(future, error)
--- /dev/null
+++ b/pewterring/consensus/raft_driver.py
@@ -0,0 +1,227 @@
+"""Drives the consensus core of one member on asyncio: gives it time and messages, and does what it wants.
+
+It owns the core, its timer, the storage's jobs, the calls that wait, and all calls of the state machine.
+Whatever comes while the storage saves goes into the next save. Any fault of the storage, the state machine or
+the core ends this member, and this member alone: `GroupFailedError` goes to callers and to `on_failure`.
+"""
+
+import asyncio
+
+from loguru import logger
+
+from pewterring.consensus.deadline_timer import DeadlineTimer
+from pewterring.consensus.errors import GroupFailedError, OutcomeUnknownError, StorageError
+from pewterring.consensus.group_environment import GroupCallbacks, GroupEnvironment, GroupOptions
+from pewterring.consensus.leadership_notifier import LeadershipNotifier
+from pewterring.consensus.log import entry_size
+from pewterring.consensus.messages import ENTRY_COMMAND, ConsensusMessage, Entry
+from pewterring.consensus.pending import PendingCalls
+from pewterring.consensus.persistent import LoadedGroup
+from pewterring.consensus.raft import Raft
+from pewterring.consensus.snapshot_schedule import SnapshotSchedule
+from pewterring.consensus.storage_jobs import StorageJobs
+from pewterring.consensus.types import RaftConfig, Ready, Save, Snapshot
+
+# A leader whose disk stalls or is full keeps all entries in memory while the others commit them. With so many
+# that its disk does not hold, it lets another lead, who sends it no more than a window.
+MAX_UNPERSISTED_BYTES = 16_000_000
+
+
+class RaftDriver:
+    """Runs on the event loop, but for the storage's calls; `start` and `stop` are called once each."""
+
+    def __init__(
+        self,
+        group: str,
+        member: str,
+        environment: GroupEnvironment,
+        options: GroupOptions,
+        callbacks: GroupCallbacks,
+    ) -> None:
+        self.group = group
+        self.member = member
+        self.raft: Raft | None = None  # from the start on
+        self.is_stopped = False
+        self.pending = PendingCalls()
+        self.leadership = LeadershipNotifier(callbacks.on_leadership)
+        self._environment = environment
+        self._options = options
+        self._on_failure = callbacks.on_failure
+        self._machine = environment.machine
+        self._send = environment.send
+        self._clock = environment.clock
+        self._jobs = StorageJobs(
+            group, environment.storage, environment.executor, after=self.process, fail=self._fail
+        )
+        self._snapshots = SnapshotSchedule(options.snapshot_after_bytes, environment.rng)
+        self._timer = DeadlineTimer(environment.clock, self._on_deadline)
+        self._failure: GroupFailedError | None = None
+        self._is_scheduled = False
+
+    async def start(self) -> None:
+        """Reads the storage and takes part in the group.
+
+        Raises:
+            GroupFailedError: if the storage or the snapshot in it cannot be read.
+        """
+        try:
+            loaded = await self._jobs.load()
+            self._restore(loaded)
+        except Exception as error:
+            raise GroupFailedError(f"group {self.group} cannot start: {error}") from error
+        config = RaftConfig(self.group, self.member, self._options.timing, self._options.limits)
+        self.raft = Raft(config, self._environment.rng, loaded.state, self._clock())
+        self.process()
+
+    def _restore(self, loaded: LoadedGroup) -> None:
+        if loaded.snapshot is None:
+            return
+        try:
+            self._machine.restore(loaded.snapshot)
+        except Exception as error:
+            where = loaded.snapshot_file or "the snapshot"
+            raise StorageError(f"{where} cannot be read: {error}") from error
+        self._snapshots.loaded(len(loaded.snapshot))
+
+    async def stop(self) -> None:
+        """Takes part no longer. A save under way is finished; open calls end with `OutcomeUnknownError`."""
+        self._halt(OutcomeUnknownError(f"group {self.group} stops"))
+        await self._jobs.stop()
+
+    def _halt(self, error: Exception) -> None:
+        self.is_stopped = True
+        self._jobs.halt()
+        self._timer.cancel()
+        self.pending.fail_all(error)
+        self.pending.leadership_ended()
+        self.leadership.update(None)
+
+    def _fail(self, cause: BaseException) -> None:
+        if self.is_stopped:
+            return
+        self._failure = GroupFailedError(f"group {self.group} stopped: {type(cause).__name__}: {cause}")
+        self._failure.__cause__ = cause
+        self._halt(self._failure)
+        self._on_failure(self._failure)
+
+    def running(self) -> Raft:
+        """Returns the core.
+
+        Raises:
+            GroupFailedError: if the member does not run, or why it stopped.
+        """
+        if self._failure is not None:
+            raise self._failure
+        if self.raft is None or self.is_stopped:
+            raise GroupFailedError(f"group {self.group} does not run")
+        return self.raft
+
+    def receive(self, message: ConsensusMessage) -> bool:
+        """Gives a message to the core; False where the member does not run, or fails at it."""
+        if self.raft is None or self.is_stopped:
+            return False
+        try:
+            self.raft.step(self._clock(), message)
+        except Exception as error:
+            self._fail(error)
+            return False
+        self.schedule()
+        return True
+
+    def schedule(self) -> None:
+        """Has `process` called in the loop's next turn: what comes in this one is done together."""
+        if not self._is_scheduled:
+            self._is_scheduled = True
+            asyncio.get_running_loop().call_soon(self._run_scheduled)
+
+    def _run_scheduled(self) -> None:
+        self._is_scheduled = False
+        self.process()
+
+    def process(self) -> None:
+        """Does all that the core wants now."""
+        raft = self.raft
+        if raft is None or self.is_stopped:
+            return
+        try:
+            self._snapshot_if_due(raft)
+            while self._take_ready(raft):
+                pass
+            self._timer.arm(raft.next_deadline())
+        except Exception as error:
+            self._fail(error)
+
+    def _on_deadline(self) -> None:
+        raft = self.raft
+        if raft is None or self.is_stopped:
+            return
+        try:
+            raft.tick(self._clock())
+            self._transfer_leadership_if_disk_lags(raft)
+        except Exception as error:
+            self._fail(error)
+        else:
+            self.process()
+
+    def _transfer_leadership_if_disk_lags(self, raft: Raft) -> None:
+        if raft.is_leader and self._jobs.is_busy and raft.unpersisted_bytes > MAX_UNPERSISTED_BYTES:
+            raft.transfer_leadership(self._clock())
+
+    def _take_ready(self, raft: Raft) -> bool:
+        """Does what the core wants; True if it may want more at once."""
+        ready = raft.take_ready(self._clock(), can_save=not self._jobs.is_busy)
+        for message in ready.messages_before_sync:
+            self._send(message)
+        for entry in ready.committed:
+            self._apply(entry)
+        self._notify(raft, ready)
+        if ready.save is not None:
+            self._begin_save(ready.save)
+        if ready.snapshot_wanted:
+            raft.offer_snapshot(raft.make_snapshot(self._machine.snapshot()))
+        return ready.snapshot_wanted
+
+    def _apply(self, entry: Entry) -> None:
+        result: object = None
+        if entry.kind == ENTRY_COMMAND:
+            result = self._machine.apply(entry.index, bytes(entry.data))
+        self._snapshots.applied(entry_size(entry))
+        self.pending.applied(entry.index, entry.term, result)
+
+    def _notify(self, raft: Raft, ready: Ready) -> None:
+        """Tells calls and the owner what has changed, after all entries were applied."""
+        for ticket in ready.confirmed_reads:
+            self.pending.confirmed(raft.term, ticket.number)
+        self.pending.keep_term(raft.term if raft.is_leader else None, raft.leader)
+        self.leadership.update(raft.term if raft.is_ready_leader else None)
+        if not raft.is_leader:
+            self.pending.leadership_ended()
+
+    def _begin_save(self, save: Save) -> None:
+        if save.snapshot is not None:
+            # Before it is written: one that cannot be read must not be what the next start finds.
+            self._machine.restore(save.snapshot.data)
+        self._jobs.begin_save(save, lambda: self._saved(save))
+
+    def _saved(self, save: Save) -> None:
+        raft = self.running()
+        if save.snapshot is not None:
+            self._snapshots.restart(len(save.snapshot.data))
+            self._log_snapshot("snapshot_installed", "Installed the leader's snapshot", save.snapshot)
+        raft.persisted(self._clock(), save)
+        for message in save.messages_after_sync:
+            self._send(message)
+
+    def _snapshot_if_due(self, raft: Raft) -> None:
+        if not self._snapshots.is_due or self._jobs.is_busy or raft.is_installing_snapshot:
+            return
+        snapshot = raft.make_snapshot(self._machine.snapshot())
+        self._snapshots.restart(len(snapshot.data))
+        self._jobs.begin_snapshot(snapshot, lambda: self._snapshot_saved(raft, snapshot))
+
+    def _snapshot_saved(self, raft: Raft, snapshot: Snapshot) -> None:
+        self._log_snapshot("snapshot_saved", "Saved a snapshot of the own state", snapshot)
+        raft.compact(snapshot)
+
+    def _log_snapshot(self, event: str, text: str, snapshot: Snapshot) -> None:
+        logger.bind(event=event, group=self.group, index=snapshot.index, bytes=len(snapshot.data)).info(text)
--- a/pewterring/consensus/storage_jobs.py
+++ b/pewterring/consensus/storage_jobs.py
@@ -1,107 +1,132 @@
-"""Calls of a group's storage, one at a time, in a thread."""
+"""Calls of a group's storage: one at a time, in a thread, so that the event loop never waits for the disk."""
 
 import asyncio
 from collections.abc import Callable
 from concurrent.futures import Executor, ThreadPoolExecutor
-from typing import TypeVar
+from dataclasses import dataclass
 
 from loguru import logger
 
-from pewterring.consensus.backpressure import DISK_FULL_RETRY_S, retry_while_full
+from pewterring.consensus.backpressure import DISK_FULL_RETRY_S, DiskFullWarning, retry_while_full
 from pewterring.consensus.errors import StorageFullError
+from pewterring.consensus.persistent import GroupStorage, LoadedGroup
+from pewterring.consensus.types import Save, Snapshot
 
-_Result = TypeVar("_Result")
+
+@dataclass(frozen=True, slots=True)
+class _Job:
+    write: Callable[[], None]  # runs in the thread
+    on_written: Callable[[], None]
+    is_required: bool  # it is tried again until the disk has space; others are left out
 
 
 class StorageJobs:
-    """Runs one job at a time. `after` is called behind each, `fail` with what went wrong.
+    """Owns the storage's calls and the thread in which they run, one job at a time.
 
-    Where the disk is full, a job that must be done is tried again until there is room, and meanwhile claims
-    nothing: the other members go on, so this one neither fails nor gives up leading.
+    Where the disk is full, a save is tried again until there is space, and meanwhile claims nothing: the
+    other members go on, so this one neither fails nor gives up leading. Any other error is the end.
     """
 
     def __init__(
         self,
         group: str,
+        storage: GroupStorage,
         executor: Executor | None,
         after: Callable[[], None],
         fail: Callable[[BaseException], None],
     ) -> None:
+        """Calls `after` behind each job, and `fail` with what went wrong, both from the event loop."""
         self._group = group
+        self._storage = storage
         self._own_executor = ThreadPoolExecutor(1, f"storage-{group}") if executor is None else None
         self._executor = executor or self._own_executor
         self._after = after
         self._fail = fail
-        self._job: asyncio.Future[None] | None = None
-        self._waits_for_room = False
-        self._stopped = False
+        self._running: asyncio.Future[None] | None = None
+        self._disk_full = DiskFullWarning(f"group {group}")
+        self._is_halted = False
 
     @property
-    def busy(self) -> bool:
-        """Whether a job is under way, or waits for room."""
-        return self._job is not None
+    def is_busy(self) -> bool:
+        """Whether a job is under way, or waits for free disk space."""
+        return self._running is not None
+
+    async def load(self) -> LoadedGroup:
+        """Reads what is on disk, before the first job. On a full disk it waits for space.
 
-    async def call(self, work: Callable[[], _Result]) -> _Result:
-        """Does the work in the thread, beside the jobs. On a full disk it waits for room."""
-        return await retry_while_full(f"group {self._group}", lambda: self._run(work))
+        Raises:
+            StorageError: if it cannot be read.
+        """
+        return await retry_while_full(f"group {self._group}", self._load_once)
 
-    async def _run(self, work: Callable[[], _Result]) -> _Result:
-        return await asyncio.get_running_loop().run_in_executor(self._executor, work)
+    async def _load_once(self) -> LoadedGroup:
+        return await asyncio.get_running_loop().run_in_executor(self._executor, self._storage.load)
 
-    def begin(self, work: Callable[[], None], done: Callable[[], None], must_be_done: bool) -> None:
-        """Begins a job; `done` is called when it has succeeded."""
-        job = asyncio.get_running_loop().run_in_executor(self._executor, work)
-        self._job = job
-        job.add_done_callback(lambda finished: self._finish(finished, work, done, must_be_done))
+    def begin_save(self, save: Save, on_saved: Callable[[], None]) -> None:
+        """Begins a save that the core waits for; `on_saved` is called when all of it is on disk."""
+        self._begin(_Job(lambda: self._write_save(save), on_saved, is_required=True))
+
+    def begin_snapshot(self, snapshot: Snapshot, on_saved: Callable[[], None]) -> None:
+        """Begins to save a snapshot made here. Without disk space it is left out: the log says the same."""
+        self._begin(_Job(lambda: self._write_snapshot(snapshot), on_saved, is_required=False))
 
     def halt(self) -> None:
-        """What still ends is told to nobody."""
-        self._stopped = True
+        """Notifies nobody of what still ends, and tries nothing again."""
+        self._is_halted = True
 
     async def stop(self) -> None:
-        """Waits for the job under way."""
+        """Halts, and waits for the job under way."""
         self.halt()
-        if self._job is not None:
-            await asyncio.wait([self._job])
+        if self._running is not None:
+            await asyncio.wait([self._running])
         if self._own_executor is not None:
             self._own_executor.shutdown(wait=False)
 
-    def _finish(
-        self,
-        job: asyncio.Future[None],
-        work: Callable[[], None],
-        done: Callable[[], None],
-        must_be_done: bool,
-    ) -> None:
-        if job.cancelled() or self._stopped:
+    def _write_save(self, save: Save) -> None:
+        if save.snapshot is None:
+            self._storage.save(save.hard_state, save.truncate_from, save.entries)
+            return
+        if save.hard_state is not None:
+            self._storage.save(save.hard_state, None, ())
+        self._write_snapshot(save.snapshot)
+        if save.truncate_from is not None or save.entries:
+            self._storage.save(None, save.truncate_from, save.entries)
+
+    def _write_snapshot(self, snapshot: Snapshot) -> None:
+        self._storage.save_snapshot(snapshot.index, snapshot.term, snapshot.membership, snapshot.data)
+
+    def _begin(self, job: _Job) -> None:
+        running = asyncio.get_running_loop().run_in_executor(self._executor, job.write)
+        self._running = running
+        running.add_done_callback(lambda finished: self._finish(job, finished))
+
+    def _finish(self, job: _Job, finished: asyncio.Future[None]) -> None:
+        if finished.cancelled() or self._is_halted:
             return
-        error = job.exception()
-        if isinstance(error, StorageFullError) and must_be_done:
-            self._begin_later(work, done)
+        error = finished.exception()
+        if isinstance(error, StorageFullError) and job.is_required:
+            self._disk_full.begin()
+            asyncio.get_running_loop().call_later(DISK_FULL_RETRY_S, self._begin_again, job)
             return
-        self._job = None
+        self._running = None
         if error is None:
-            self._succeed(done)
+            self._succeed(job)
         elif isinstance(error, StorageFullError):
-            logger.info("group {} has no room for a snapshot; it is tried again later", self._group)
+            logger.bind(event="snapshot_postponed", group=self._group).info(
+                "No disk space for a snapshot; it is tried again later"
+            )
         else:
             self._fail(error)
             return
         self._after()
 
-    def _succeed(self, done: Callable[[], None]) -> None:
-        self._waits_for_room = False
+    def _succeed(self, job: _Job) -> None:
+        self._disk_full.end()
         try:
-            done()
-        except Exception as failure:
-            self._fail(failure)
-
-    def _begin_later(self, work: Callable[[], None], done: Callable[[], None]) -> None:
-        if not self._waits_for_room:
-            self._waits_for_room = True
-            logger.warning("group {} waits for room on the disk", self._group)
-        asyncio.get_running_loop().call_later(DISK_FULL_RETRY_S, self._begin_again, work, done)
-
-    def _begin_again(self, work: Callable[[], None], done: Callable[[], None]) -> None:
-        if not self._stopped:
-            self.begin(work, done, must_be_done=True)
+            job.on_written()
+        except Exception as error:
+            self._fail(error)
+
+    def _begin_again(self, job: _Job) -> None:
+        if not self._is_halted:
+            self._begin(job)
--- a/pewterring/control/program.py
+++ b/pewterring/control/program.py
@@ -13,10 +13,10 @@
 from pewterring.consensus.departure import DEPARTURE_TIMEOUT_FRACTION
 from pewterring.consensus.errors import ConsensusError
 from pewterring.consensus.group import ReplicatedGroup
+from pewterring.consensus.group_environment import GroupCallbacks, GroupEnvironment
 from pewterring.consensus.membership import address_of
 from pewterring.consensus.membership_planner import MembershipPlanner, voters_needed
 from pewterring.consensus.messages import CONSENSUS_MESSAGES, ConsensusMessage, Membership
-from pewterring.consensus.types import RaftTiming
 from pewterring.control.api import ControlApi
 from pewterring.control.duties import DutyRunner, LeaderDuties, controls_of
 from pewterring.control.feed import FeedServer
@@ -70,17 +70,20 @@
         self._lines = LineServer(codec, self._on_message)
         self._state = ControlState(on_change=self._on_change)
         self._group = ReplicatedGroup(
-            group=GROUP,
-            member=self._member,
-            storage=storage,
-            machine=self._state,
-            send=self._send,
-            timing=RaftTiming(),
-            rng=random.Random(),
-            clock=self._clock,
-            on_leadership=self._on_leadership,
-            on_departure=self._on_departure,
-            on_failure=self._on_group_failure,
+            GROUP,
+            self._member,
+            GroupEnvironment(
+                storage=storage,
+                machine=self._state,
+                send=self._send,
+                clock=self._clock,
+                rng=random.Random(),
+            ),
+            callbacks=GroupCallbacks(
+                on_leadership=self._on_leadership,
+                on_departure=self._on_departure,
+                on_failure=self._on_group_failure,
+            ),
         )
         self._leadership = GroupLeadership(self._group, self._clock)
         nodes = NodeTable()
--- a/tests/batch/virtual_cluster.py
+++ b/tests/batch/virtual_cluster.py
@@ -19,9 +19,9 @@
 from pewterring.batch.state import BatchState
 from pewterring.configuration.model import Route
 from pewterring.consensus.group import ReplicatedGroup
+from pewterring.consensus.group_environment import GroupCallbacks, GroupEnvironment
 from pewterring.consensus.messages import ConsensusMessage, Entry
 from pewterring.consensus.persistent import HardState
-from pewterring.consensus.types import RaftTiming
 from pewterring.distribution.messages import WorkerRecord
 from pewterring.routing.chooser import WorkerChooser
 from tests.batch.stand_ins import route, tables, worker
@@ -117,14 +117,15 @@
         self.group = ReplicatedGroup(
             "batch-0",
             name,
-            storage,
-            self.state,
-            lambda message: cluster.send(self, message),
-            RaftTiming(),
-            random.Random(name),
-            loop.time,
-            on_leadership=lambda leads: self.service.leadership_changed(leads),
-            executor=InlineExecutor(),
+            GroupEnvironment(
+                storage=storage,
+                machine=self.state,
+                send=lambda message: cluster.send(self, message),
+                clock=loop.time,
+                rng=random.Random(name),
+                executor=InlineExecutor(),
+            ),
+            callbacks=GroupCallbacks(on_leadership=lambda leads: self.service.leadership_changed(leads)),
         )
         known = tables(worker("w1", capacity=50), routes=(cluster.route,))
         chooser = WorkerChooser("z", random.Random(name))
--- a/tests/consensus/raft_internals.py
+++ b/tests/consensus/raft_internals.py
@@ -10,7 +10,7 @@
 
 def raft_of(group: ReplicatedGroup) -> Raft:
     """The core of a group that runs."""
-    raft = group._raft
+    raft = group._driver.raft
     assert raft is not None
     return raft
 
--- a/tests/consensus/slow_members.py
+++ b/tests/consensus/slow_members.py
@@ -6,8 +6,10 @@
 from concurrent.futures import Executor, Future
 from typing import Any
 
-from pewterring.consensus.group import ReplicatedGroup, StateMachine
+from pewterring.consensus.group import ReplicatedGroup
+from pewterring.consensus.group_environment import GroupCallbacks, GroupEnvironment
 from pewterring.consensus.messages import CONSENSUS_MESSAGES, ConsensusMessage, Membership
+from pewterring.consensus.state_machine import StateMachine
 from pewterring.storage.disk import Operation
 from pewterring.storage.group import DiskGroupStorage
 from pewterring.transport.line_codec import MessageCodec
@@ -91,13 +93,15 @@
         group = ReplicatedGroup(
             "g",
             name,
-            DiskGroupStorage(disk, "g"),
-            self.machines[name],
-            self._send,
-            rng=random.Random(self._rng.random()),
-            clock=asyncio.get_running_loop().time,
-            on_leadership=lambda leads: self._note(name, leads),
-            executor=self.timers[name],
+            GroupEnvironment(
+                storage=DiskGroupStorage(disk, "g"),
+                machine=self.machines[name],
+                send=self._send,
+                clock=asyncio.get_running_loop().time,
+                rng=random.Random(self._rng.random()),
+                executor=self.timers[name],
+            ),
+            callbacks=GroupCallbacks(on_leadership=lambda leads: self._note(name, leads)),
         )
         await group.start()
         self.lives[name] = group
--- a/tests/consensus/test_bad_state.py
+++ b/tests/consensus/test_bad_state.py
@@ -1,12 +1,15 @@
 """A state that cannot be read ends the member before anything of it is taken."""
 
 import asyncio
+from unittest import mock
 
 import pytest
 
 from pewterring.consensus.errors import GroupFailedError
 from pewterring.consensus.group import ReplicatedGroup
+from pewterring.consensus.group_environment import GroupEnvironment
 from pewterring.consensus.messages import Membership
+from pewterring.consensus.raft import Raft
 from pewterring.storage.group import DiskGroupStorage
 from tests.consensus.memory_storage import MemoryStorage
 from tests.consensus.test_group import NAMES, Machine, Network, command, wait_until
@@ -26,11 +29,13 @@
         group = ReplicatedGroup(
             "g",
             "a",
-            DiskGroupStorage(disk, "g"),
-            machine,
-            lambda message: None,
-            clock=asyncio.get_running_loop().time,
-            executor=InlineExecutor(),
+            GroupEnvironment(
+                storage=DiskGroupStorage(disk, "g"),
+                machine=machine,
+                send=lambda message: None,
+                clock=asyncio.get_running_loop().time,
+                executor=InlineExecutor(),
+            ),
         )
         with pytest.raises(GroupFailedError) as refused:
             await group.start()
@@ -41,20 +46,28 @@
     run(scenario())
 
 
-class OtherMachine(Machine):
-    """Of a version whose snapshots the others cannot read."""
+class UpgradedMachine(Machine):
+    """Once `is_upgraded`, of a version whose snapshots the others cannot read."""
+
+    is_upgraded = False
 
     def snapshot(self) -> bytes:
-        return b"{" + super().snapshot()
+        return b"{" + super().snapshot() if self.is_upgraded else super().snapshot()
+
+
+class UpgradedNetwork(Network):
+    machine_class = UpgradedMachine
 
 
 def test_a_snapshot_that_cannot_be_read_is_not_written() -> None:
     async def scenario() -> None:
-        network = Network()
+        network = UpgradedNetwork()
         leader = await network.start()
         for number in range(100):
             await leader.propose(command("x" * 50_000 if number == 0 else str(number)))
-        network.machines[leader.member] = leader._machine = OtherMachine()
+        machine = network.machines[leader.member]
+        assert isinstance(machine, UpgradedMachine)
+        machine.is_upgraded = True
         joiner = network.add("d", MemoryStorage())
         await joiner.start()
         await leader.change_membership(Membership(voters=NAMES, learners=("d",)))
@@ -73,13 +86,15 @@
     async def scenario() -> None:
         network = Network()
         leader = await network.start()
-        assert leader._raft is not None
+        tick = Raft.tick
 
-        def tick(now: float) -> None:
-            raise RuntimeError("broken")
+        def fail_at_the_leader(raft: Raft, now: float) -> None:
+            if raft.member == leader.member:
+                raise RuntimeError("broken")
+            tick(raft, now)
 
-        leader._raft.tick = tick  # type: ignore[method-assign]
-        await wait_until(lambda: bool(network.failures))
+        with mock.patch.object(Raft, "tick", fail_at_the_leader):
+            await wait_until(lambda: bool(network.failures))
         assert "broken" in str(network.failures[0])
         assert not leader.is_leader
         assert await network.new_leader(leader) is not leader
--- a/tests/consensus/test_catch_up.py
+++ b/tests/consensus/test_catch_up.py
@@ -7,7 +7,8 @@
 import msgspec
 import pytest
 
-from pewterring.consensus.group import SNAPSHOT_AFTER_BYTES, ReplicatedGroup
+from pewterring.consensus.group import ReplicatedGroup
+from pewterring.consensus.snapshot_schedule import SNAPSHOT_AFTER_BYTES
 from pewterring.control.commands import PutConfiguration, PutWorker, RemoveWorkers
 from pewterring.control.state import ControlState, encode_command
 from pewterring.distribution.messages import WorkerRecord
--- a/tests/consensus/test_departure.py
+++ b/tests/consensus/test_departure.py
@@ -466,11 +466,11 @@
         departing = next(group for group in network.groups.values() if group is not leader)
         heard = 0
 
-        def on_departure() -> None:
+        def on_departure(name: str) -> None:
             nonlocal heard
-            heard += 1
+            heard += name == leader.member
 
-        leader._on_departure = on_departure
+        network.on_departure = on_departure
         told = asyncio.ensure_future(departing.depart(5.0))
         await wait_until(lambda: heard > 1)
         assert leader.is_departing(departing.member)
--- a/tests/consensus/test_full_disk.py
+++ b/tests/consensus/test_full_disk.py
@@ -7,8 +7,9 @@
 from pewterring.consensus.group import ReplicatedGroup
 from pewterring.consensus.messages import Entry, Membership
 from pewterring.consensus.persistent import HardState, LoadedGroup
+from pewterring.consensus.types import RaftLimits
 from tests.consensus.memory_storage import MemoryStorage
-from tests.consensus.test_group import NAMES, Network, command, wait_until
+from tests.consensus.test_group import NAMES, SMALL_LIMITS, Network, command, wait_until
 from tests.consensus.virtual_time import run
 
 
@@ -39,8 +40,10 @@
             raise StorageFullError("no room")
 
 
-def limited_network(voters: tuple[str, ...] = NAMES) -> tuple[Network, dict[str, LimitedStorage]]:
-    network = Network(voters)
+def limited_network(
+    voters: tuple[str, ...] = NAMES, limits: RaftLimits = SMALL_LIMITS
+) -> tuple[Network, dict[str, LimitedStorage]]:
+    network = Network(voters, limits)
     disks = {name: LimitedStorage(voters) for name in voters}
     for name, disk in disks.items():
         network.add(name, disk)
--- a/tests/consensus/test_group.py
+++ b/tests/consensus/test_group.py
@@ -15,12 +15,14 @@
     OutcomeUnknownError,
 )
 from pewterring.consensus.group import ReplicatedGroup
+from pewterring.consensus.group_environment import GroupCallbacks, GroupEnvironment, GroupOptions
 from pewterring.consensus.messages import ConsensusMessage, Membership, SnapshotChunk
 from pewterring.consensus.types import RaftLimits
 from tests.consensus.memory_storage import MemoryStorage
 from tests.consensus.virtual_time import InlineExecutor, run
 
 NAMES = ("a", "b", "c")
+SMALL_LIMITS = RaftLimits(retained_bytes=1000)  # else no member ever needs a snapshot of states so small
 
 
 class Machine:
@@ -45,15 +47,17 @@
 
     machine_class = Machine
 
-    def __init__(self, voters: tuple[str, ...] = NAMES) -> None:
+    def __init__(self, voters: tuple[str, ...] = NAMES, limits: RaftLimits = SMALL_LIMITS) -> None:
+        self.limits = limits
         self.cut: set[str] = set()
         self.groups: dict[str, ReplicatedGroup] = {}
         self.machines: dict[str, Machine] = {}
         self.storages: dict[str, MemoryStorage] = {}
-        self.told: list[tuple[str, bool]] = []
+        self.notified: list[tuple[str, bool]] = []
         self.failures: list[GroupFailedError] = []
         self.parts_sent = 0  # of snapshots
         self.leadership = asyncio.Event()
+        self.on_departure: Callable[[str], None] = lambda name: None  # gets the leader's name
         for name in voters:
             self.add(name, MemoryStorage(voters))
 
@@ -63,21 +67,25 @@
         self.groups[name] = ReplicatedGroup(
             "g",
             name,
-            storage,
-            self.machines[name],
-            self._send,
-            rng=random.Random(name),
-            clock=asyncio.get_running_loop().time,
-            limits=RaftLimits(retained_bytes=1000),  # else no member ever needs a snapshot of states so small
-            snapshot_after_bytes=2000,
-            on_leadership=lambda leads: self._tell(name, leads),
-            on_failure=self.failures.append,
-            executor=executor or InlineExecutor(),
+            GroupEnvironment(
+                storage=storage,
+                machine=self.machines[name],
+                send=self._send,
+                clock=asyncio.get_running_loop().time,
+                rng=random.Random(name),
+                executor=executor or InlineExecutor(),
+            ),
+            GroupOptions(limits=self.limits, snapshot_after_bytes=2000),
+            GroupCallbacks(
+                on_leadership=lambda leads: self._notify(name, leads),
+                on_departure=lambda: self.on_departure(name),
+                on_failure=self.failures.append,
+            ),
         )
         return self.groups[name]
 
-    def _tell(self, name: str, leads: bool) -> None:
-        self.told.append((name, leads))
+    def _notify(self, name: str, leads: bool) -> None:
+        self.notified.append((name, leads))
         self.leadership.set()
 
     def _send(self, message: ConsensusMessage) -> None:
@@ -172,7 +180,7 @@
             await old.read_barrier()
         with pytest.raises(OutcomeUnknownError):
             await lost
-        assert (old.member, False) in network.told
+        assert (old.member, False) in network.notified
         assert await new.propose(command("after")) == 2
         network.cut.clear()
         await wait_until(lambda: network.machines[old.member].commands == ["before", "after"])
@@ -256,7 +264,10 @@
         storage = MemoryStorage(("a",))
         leads = asyncio.Event()
         group = ReplicatedGroup(
-            "g", "a", storage, Machine(), lambda message: None, on_leadership=lambda _: leads.set()
+            "g",
+            "a",
+            GroupEnvironment(storage=storage, machine=Machine(), send=lambda message: None),
+            callbacks=GroupCallbacks(on_leadership=lambda _: leads.set()),
         )
         await group.start()
         await asyncio.wait_for(leads.wait(), 10.0)
--- a/tests/consensus/test_stalled_disk.py
+++ b/tests/consensus/test_stalled_disk.py
@@ -7,8 +7,8 @@
 from typing import Any
 
 from pewterring.consensus.errors import ConsensusError
-from pewterring.consensus.group import ReplicatedGroup
 from tests.consensus.memory_storage import MemoryStorage
+from tests.consensus.raft_internals import log_of
 from tests.consensus.test_group import NAMES, Machine, Network, command, wait_until
 from tests.consensus.virtual_time import InlineExecutor, run
 
@@ -63,11 +63,6 @@
     return network, executors
 
 
-def log_bytes(group: ReplicatedGroup) -> int:
-    assert group._raft is not None
-    return group._raft._state.log.size_bytes
-
-
 async def propose(network: Network, count: int) -> int:
     """Has so many changes taken by whoever leads; returns the most that a member's log had in memory."""
     most = 0
@@ -80,7 +75,7 @@
             await leader.propose(CHANGE)
             count -= 1
         await asyncio.sleep(PAUSE_S)
-        most = max(most, *(log_bytes(group) for group in network.groups.values()))
+        most = max(most, *(log_of(group).size_bytes for group in network.groups.values()))
     return most
 
 
@@ -111,7 +106,7 @@
         assert old.match(old.member) < old.commit_index
         executors[old.member].go_on()
         await wait_until(lambda: old.match(old.member) == old.commit_index)
-        assert network.told == [(old.member, True)]
+        assert network.notified == [(old.member, True)]
         await network.stop()
 
     run(scenario())
--- a/tests/consensus/test_uncommitted_limit.py
+++ b/tests/consensus/test_uncommitted_limit.py
@@ -21,9 +21,8 @@
 
 async def started() -> tuple[Network, dict[str, LimitedStorage], ReplicatedGroup]:
     """A group whose leader takes `MOST_BYTES`."""
-    network, disks = limited_network()
-    for group in network.groups.values():
-        group._limits = RaftLimits(retained_bytes=KEPT_BYTES, uncommitted_bytes=MOST_BYTES)
+    limits = RaftLimits(retained_bytes=KEPT_BYTES, uncommitted_bytes=MOST_BYTES)
+    network, disks = limited_network(limits=limits)
     leader = await network.start()
     await leader.propose(command("first"))
     await asyncio.sleep(1.0)
--- a/tests/control/cluster.py
+++ b/tests/control/cluster.py
@@ -12,9 +12,11 @@
 
 import msgspec
 
-from pewterring.consensus.group import SNAPSHOT_AFTER_BYTES, ReplicatedGroup
+from pewterring.consensus.group import ReplicatedGroup
+from pewterring.consensus.group_environment import GroupCallbacks, GroupEnvironment, GroupOptions
 from pewterring.consensus.membership import address_of
 from pewterring.consensus.messages import ConsensusMessage
+from pewterring.consensus.snapshot_schedule import SNAPSHOT_AFTER_BYTES
 from pewterring.control.calls import (
     HEARTBEAT_PATH,
     READ_PATH,
@@ -57,14 +59,16 @@
         self.group = ReplicatedGroup(
             "control",
             f"{ip}#seed",
-            storage,
-            self.state,
-            cluster.send,
-            rng=random.Random(ip),
-            clock=clock,
-            on_leadership=self._on_leadership,
-            executor=InlineExecutor(),
-            snapshot_after_bytes=cluster.snapshot_after_bytes,
+            GroupEnvironment(
+                storage=storage,
+                machine=self.state,
+                send=cluster.send,
+                clock=clock,
+                rng=random.Random(ip),
+                executor=InlineExecutor(),
+            ),
+            GroupOptions(snapshot_after_bytes=cluster.snapshot_after_bytes),
+            GroupCallbacks(on_leadership=self._on_leadership),
         )
         self.leadership = cluster.leadership_class(self.group, clock)
         self.nodes = NodeTable()
--- a/tests/control/test_bad_input.py
+++ b/tests/control/test_bad_input.py
@@ -9,6 +9,7 @@
 
 from pewterring.consensus.errors import GroupFailedError
 from pewterring.consensus.group import ReplicatedGroup
+from pewterring.consensus.group_environment import GroupCallbacks, GroupEnvironment
 from pewterring.consensus.messages import Entry
 from pewterring.consensus.persistent import HardState
 from pewterring.control.commands import (
@@ -108,13 +109,15 @@
     return ReplicatedGroup(
         "control",
         "10.0.0.1#seed",
-        storage,
-        state,
-        lambda message: None,
-        rng=random.Random(1),
-        clock=asyncio.get_running_loop().time,
-        on_failure=failures.append,
-        executor=InlineExecutor(),
+        GroupEnvironment(
+            storage=storage,
+            machine=state,
+            send=lambda message: None,
+            clock=asyncio.get_running_loop().time,
+            rng=random.Random(1),
+            executor=InlineExecutor(),
+        ),
+        callbacks=GroupCallbacks(on_failure=failures.append),
     )
 
 
--- a/tests/control/test_held_up.py
+++ b/tests/control/test_held_up.py
@@ -39,7 +39,7 @@
 
 def begins_next_round(leader: ControlMachine) -> float:
     """How long it takes until the leader's next round."""
-    deadline = leader.group._running().next_deadline()
+    deadline = leader.group._driver.running().next_deadline()
     assert deadline is not None
     return deadline - asyncio.get_running_loop().time()
 
@@ -154,7 +154,7 @@
         refused = count_too_old(leader)
         follower = follower_of(cluster, leader)
         await asyncio.sleep(CUT_S)
-        follower.group._running()._state.last_leader_round = 1
+        follower.group._driver.running()._state.last_leader_round = 1
         assert (await follower.router.answer(GONE)).status == 200
         assert [call.round for call in refused] == [1]
         assert "i-9" in leader.state.workers
--- a/tests/simulation/patches.py
+++ b/tests/simulation/patches.py
@@ -1,6 +1,7 @@
 """What is replaced below the real programs: clocks, chance, sockets, files, and the sizes of logs."""
 
 import contextlib
+import dataclasses
 import random
 from collections.abc import Callable, Iterator
 from functools import lru_cache, partial
@@ -14,7 +15,9 @@
 from pewterring.configuration import acceptance
 from pewterring.configuration.reader import read_configuration
 from pewterring.consensus.group import ReplicatedGroup
+from pewterring.consensus.group_environment import GroupCallbacks, GroupEnvironment, GroupOptions
 from pewterring.consensus.messages import Entry, Membership
+from pewterring.consensus.raft_driver import RaftDriver
 from pewterring.consensus.types import RaftLimits, Save
 from pewterring.control import program as control_program
 from pewterring.distribution import follower, subscriber
@@ -99,10 +102,48 @@
         """Part of `AdmissionHeartbeats`."""
 
 
+class ObservedDriver(RaftDriver):
+    """The real driver; it tells the world what it does."""
+
+    world: "World"
+    owner: ReplicatedGroup
+
+    def _apply(self, entry: Entry) -> None:
+        if entry.kind == "members":
+            self.world.reach("members_applied")
+        self.world.reach("before_apply")
+        self.world.watch.applied(self.owner, entry)
+        super()._apply(entry)
+
+    def _begin_save(self, save: Save) -> None:
+        if save.snapshot is not None:
+            self.world.reach("snapshot")
+        super()._begin_save(save)
+
+    def _saved(self, save: Save) -> None:
+        applied = self.owner.applied_index
+        if save.snapshot is not None and save.snapshot.index < applied:
+            self.world.watch.violation(
+                f"{self.member} goes back from {applied} to the snapshot at {save.snapshot.index}"
+            )
+        super()._saved(save)
+        if save.hard_state is not None:
+            self.world.watch.saved(self.owner, save.hard_state.term)
+
+
 class ObservedGroup(ReplicatedGroup):
     """The real group; it tells the world what it does."""
 
-    def __init__(self, world: "World", *arguments: Any, **named: Any) -> None:
+    driver_class = ObservedDriver
+
+    def __init__(
+        self,
+        world: "World",
+        group: str,
+        member: str,
+        environment: GroupEnvironment,
+        callbacks: GroupCallbacks,
+    ) -> None:
         limits = RaftLimits(
             message_bytes=4000,
             window_bytes=16_000,
@@ -110,45 +151,32 @@
             snapshot_chunk_bytes=world.snapshot_chunk_bytes,
             retained_bytes=3000,
         )
-        super().__init__(*arguments, **named, limits=limits, snapshot_after_bytes=SNAPSHOT_AFTER_BYTES)
+        options = GroupOptions(limits=limits, snapshot_after_bytes=SNAPSHOT_AFTER_BYTES)
         self.world = world
+        self._notify_owner = callbacks.on_leadership
+        observed = dataclasses.replace(callbacks, on_leadership=self._on_leadership)
+        super().__init__(group, member, environment, options, observed)
+        assert isinstance(self._driver, ObservedDriver)
+        self._driver.world = world
+        self._driver.owner = self
 
     async def start(self) -> None:
         """Part of `ReplicatedGroup`."""
         await super().start()
         self.world.watch.starts(self)
 
-    def _apply(self, entry: Entry) -> None:
-        if entry.kind == "members":
-            self.world.reach("members_applied")
-        self.world.reach("before_apply")
-        self.world.watch.applied(self, entry)
-        super()._apply(entry)
-
-    def _tell_leadership(self, term: int | None) -> None:
-        if term is not None and term != self._told_term:
-            self.world.watch.leads(self, term)
-        super()._tell_leadership(term)
+    def _on_leadership(self, leads: bool) -> None:
+        if leads:
+            assert self.led_term is not None
+            self.world.watch.leads(self, self.led_term)
+        self._notify_owner(leads)
 
     async def change_membership(self, membership: Membership) -> None:
+        """Part of `ReplicatedGroup`."""
         self.world.watch.changes_members(self, membership)
         self.world.reach("members")
         await super().change_membership(membership)
 
-    def _begin_save(self, save: Save) -> None:
-        if save.snapshot is not None:
-            self.world.reach("snapshot")
-        super()._begin_save(save)
-
-    def _saved(self, save: Save) -> None:
-        if save.snapshot is not None and save.snapshot.index < self.applied_index:
-            self.world.watch.violation(
-                f"{self.member} goes back from {self.applied_index} to the snapshot at {save.snapshot.index}"
-            )
-        super()._saved(save)
-        if save.hard_state is not None:
-            self.world.watch.saved(self, save.hard_state.term)
-
 
 def _disk_of(world: "World") -> Callable[..., SimulatedDisk]:
     def disk(*_: Any) -> SimulatedDisk:
--- a/tests/simulation/watch.py
+++ b/tests/simulation/watch.py
@@ -130,7 +130,7 @@
         """A leader takes a heartbeat: no other may have led after it."""
         process = self._world.process()
         program = self._world.machine_of(process).program
-        term = program._group._told_term if program is not None else None
+        term = program._group.led_term if program is not None else None
         newest, other = self._newest_leader
         if newest > (term or 0):
             self.violation(f"{process.name} answers a heartbeat in term {term}; {other} leads in {newest}")
--- a/tests/simulation/world.py
+++ b/tests/simulation/world.py
@@ -222,7 +222,7 @@
 
         async def end() -> None:
             group = machine.group
-            if isinstance(machine, ControlMachine | StoreMachine) and group is not None and group._raft:
+            if isinstance(machine, ControlMachine | StoreMachine) and group is not None and group.is_started:
                 assert machine.program is not None
                 await machine.program.drain()
                 await machine.program.stop()
