--- a/benchmarks/redundancy.py
+++ b/benchmarks/redundancy.py
@@ -42,13 +42,9 @@
 from pewterring.consensus.errors import ConsensusError
 from pewterring.consensus.group import ReplicatedGroup
 from pewterring.consensus.group_environment import GroupCallbacks, GroupEnvironment
-from pewterring.consensus.membership import address_of
-from pewterring.consensus.membership_planner import (
-    MAX_CHANGES_PER_CHECK,
-    Candidates,
-    MembershipPlanner,
-    voters_needed,
-)
+from pewterring.consensus.membership import address_of, voters_needed
+from pewterring.consensus.membership_planner import MAX_CHANGES_PER_CHECK, MembershipPlanner
+from pewterring.consensus.membership_view import Candidates
 from pewterring.consensus.messages import CONSENSUS_MESSAGES, ConsensusMessage, Membership, SnapshotChunk
 from pewterring.consensus.persistent import HardState
 from pewterring.consensus.state_machine import StateMachine
--- a/pewterring/batch/members.py
+++ b/pewterring/batch/members.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterable
 
-from pewterring.consensus.membership_planner import Candidates
+from pewterring.consensus.membership_view import Candidates
 from pewterring.consensus.messages import Membership
 from pewterring.distribution.messages import STORE, NodeRecord
 
--- a/pewterring/consensus/leader.py
+++ b/pewterring/consensus/leader.py
@@ -92,12 +92,12 @@
         """Whether the process of `member` announced its end, and no later incarnation answered."""
         return self._departing_members.is_departing(member)
 
-    def on_leave(self, message: DepartureNotice) -> None:
+    def on_departure_notice(self, message: DepartureNotice) -> None:
         """Takes a departure notice, and answers that of a member which is no voter any more."""
         state = self._state
         if message.sender in state.voters:
             if message.term == state.term:
-                self._departing_members.on_leave(message.sender, message.round)
+                self._departing_members.on_notice(message.sender, message.round)
         elif state.members.last_change <= state.commit_index:
             self._acknowledge_departure(message.sender, message.round)
 
--- a/pewterring/consensus/membership_planner.py
+++ b/pewterring/consensus/membership_planner.py
@@ -1,76 +1,32 @@
 """Plans the members of a replicated group at its leader, one change at a time and without I/O.
 
-The leader keeps 2f + 1 good voters. A voter is lost once it has been silent for a part of the bound on
-catching up, or once its address is in use under another name, which means that its disk was lost. A voter
-that is asked to leave (`retiring`) keeps its vote until its successor has one. New members join as learners
-and vote once they hold what is committed.
+The leader keeps 2f + 1 healthy voters. A voter that is decommissioned keeps its vote until its successor has
+one. New members join as learners and vote once they have what is committed. `membership_view` says who is
+lost.
 
 The steps are ordered so that no change lowers how many more voters the group can lose:
 
 - A lost voter goes only when a learner is ready to take its place, or when it is one too many. Lost voters
   are replaced one after the other, so that a majority never is fewer than f + 1 disks.
-- A learner votes once it holds all that was committed at the check before.
-- A learner that is not needed is kept while a voter is silent, or may be: a new leader goes on with the copy
-  that the one before began.
-- A retiring voter goes last, once the wanted number of good voters holds all that was committed.
-- A voter that said its farewell goes the same way while it lives. It comes back, as a rule: where no learner
-  is ready to take its place it stays, and is lost as soon as it is silent.
+- A learner votes once it has all that was committed at the check before.
+- A learner that is not needed is kept while a voter does not answer, or may not: a new leader goes on with
+  the copy that the one before began.
+- A decommissioned voter goes last, once the wanted number of healthy voters has all that was committed.
+- A voter that announced its departure goes the same way while it lives. It comes back, as a rule: where no
+  learner is ready to take its place it stays, and is lost as soon as it answers no more.
 """
 
-from collections.abc import Mapping, Sequence, Set
-from dataclasses import dataclass, field
-from typing import Protocol
-
-from pewterring.consensus.membership import address_of
-from pewterring.consensus.messages import Membership
-from pewterring.durations import LATE_CHECK_S
-
-LOST_VOTER_FRACTION = (
-    0.25  # of the bound on catching up: a quarter to notice a loss, a quarter to copy the state
-)
-RECENT_CONTACT_S = 0.3  # a voter that answered so lately lives, whatever tables say of its address
-LOST_LEARNER_FRACTION = (
-    0.5  # of the same bound; a learner that takes over a large snapshot may not answer for a while
-)
-MAX_CHANGES_PER_CHECK = (
-    4  # made one after the other before the next check: a removal, a promotion, and some more
+from pewterring.consensus.membership import all_members, voters_needed, with_voter, without_member
+from pewterring.consensus.membership_view import (
+    Candidates,
+    MembershipObserver,
+    MembershipView,
+    PlannedGroup,
 )
-LEARNER_RETRY_DELAY_S = 10.0  # a learner that was dropped for its silence is the last choice for so long
-
-
-class PlannedGroup(Protocol):
-    """What the planner asks of a group's leader."""
-
-    @property
-    def membership(self) -> Membership:
-        """The membership in force."""
-        ...
-
-    @property
-    def commit_index(self) -> int:
-        """Index of the last entry known to be committed."""
-        ...
-
-    def match(self, member: str) -> int:
-        """Up to which index the member is known to have the log on disk."""
-        ...
-
-    def seconds_since_contact(self, member: str, now: float) -> float:
-        """For how long the member has answered no heartbeat of this leadership."""
-        ...
-
-    def is_departing(self, member: str) -> bool:
-        """Whether the member's process has said that it is about to end."""
-        ...
-
-
-@dataclass(frozen=True, slots=True)
-class Candidates:
-    """Who may be a member, as the group's surroundings have it."""
+from pewterring.consensus.messages import Membership
 
-    joining: Sequence[str] = ()  # members that may join, best first
-    current_names: Mapping[str, str] = field(default_factory=dict)  # address -> the name in use there now
-    decommissioning: Set[str] = frozenset()  # members that are to leave
+MAX_CHANGES_PER_CHECK = 4  # a removal, a promotion, and some more; the next check follows soon
+LEARNER_RETRY_DELAY_S = 10.0  # a learner that was dropped for not answering is the last choice for so long
 
 
 class MembershipPlanner:
@@ -79,206 +35,82 @@
     def __init__(
         self, own_member: str, tolerated_machines: int, catch_up_s: float, keeps_spare_learners: bool
     ) -> None:
-        """With `keeps_spares` whoever may join is a learner, needed or not: for groups with little state."""
+        """With `keeps_spare_learners` whoever may join is a learner: for groups with little state."""
         self._own_member = own_member
         self._wanted_voters = voters_needed(tolerated_machines)
-        self._lost_s = LOST_VOTER_FRACTION * catch_up_s
-        self._learner_lost_s = LOST_LEARNER_FRACTION * catch_up_s
-        self._keeps_spares = keeps_spare_learners
-        self._started_at = 0.0
-        self._planned_at = 0.0
-        self._committed_before = 0
-        self._watched_since: dict[str, float] = {}
-        self._dropped_at: dict[str, float] = {}
+        self._keeps_spare_learners = keeps_spare_learners
+        self._observer = MembershipObserver(own_member, catch_up_s)
+        self._dropped_at: dict[str, float] = {}  # learners that were removed
 
     def start(self, now: float, group: PlannedGroup) -> None:
-        """Begins a leadership, or begins anew: every member gets its whole time."""
-        self._started_at = now
-        self._planned_at = now
-        self._committed_before = group.commit_index
-        self._watched_since = dict.fromkeys(_members(group.membership), now)
+        """Begins a leadership: every member gets its full time to answer."""
+        self._observer.start(now, group)
 
     def plan(self, now: float, group: PlannedGroup, candidates: Candidates) -> Membership | None:
-        """The next change, or None.
-
-        After a pause in which this process could hear nobody, every member gets its whole time anew.
-        """
-        if now - self._planned_at > LATE_CHECK_S:
-            self.start(now, group)
-            return None
-        self._planned_at = now
-        view = self._observe(now, group, candidates)
-        self._committed_before = group.commit_index
-        return self._next_change(now, view, candidates)
-
-    def _observe(self, now: float, group: PlannedGroup, candidates: Candidates) -> "_View":
-        members = _members(group.membership)
-        self._watched_since = {member: self._watched_since.get(member, now) for member in members}
-        since_contact_s = {
-            member: min(group.seconds_since_contact(member, now), now - since)
-            for member, since in self._watched_since.items()
-        }
-        since_contact_s[self._own_member] = 0.0
-        renamed = {
-            member for member in members if self._is_renamed(member, since_contact_s[member], candidates)
-        }
-        departing = {member for member in members if group.is_departing(member)}
-        ended = {member for member in departing if since_contact_s[member] >= RECENT_CONTACT_S}
-        lost = renamed | ended | {member for member in members if since_contact_s[member] >= self._lost_s}
-        gone = renamed | {member for member in members if since_contact_s[member] >= self._learner_lost_s}
-        holders = {member for member in members if group.match(member) >= self._committed_before}
-        all_answer = now - self._started_at >= RECENT_CONTACT_S and all(
-            since_contact_s[voter] < RECENT_CONTACT_S for voter in group.membership.voters
-        )
-        decommissioning = candidates.decommissioning
-        return _View(
-            group.membership, since_contact_s, lost, gone, holders, decommissioning, departing, all_answer
-        )
-
-    def _is_renamed(self, member: str, since_contact_s: float, candidates: Candidates) -> bool:
-        """Whether the member's address is in use under another name: its disk was lost."""
-        current_name = candidates.current_names.get(address_of(member), member)
-        return current_name != member and member != self._own_member and since_contact_s >= RECENT_CONTACT_S
-
-    def _next_change(self, now: float, view: "_View", candidates: Candidates) -> Membership | None:
-        useless = view.useless_learners
-        if useless:
-            self._dropped_at[useless[0]] = now
-            return _without(view.membership, useless[0])
-        missing = self._wanted_voters - len(view.good_voters)
+        """Returns the membership after the next change, or None where none is due."""
+        view = self._observer.observe(now, group, candidates)
+        return self._next_change(now, view, candidates) if view is not None else None
+
+    def _next_change(self, now: float, view: MembershipView, candidates: Candidates) -> Membership | None:
+        removable = view.removable_learners
+        if removable:
+            self._dropped_at[removable[0]] = now
+            return without_member(view.membership, removable[0])
+        missing = self._wanted_voters - len(view.healthy_voters)
         if missing <= 0:
-            return self._reduce(view) or self._with_spare(now, view, candidates)
-        return self._replace(view) or self._with_learner(now, view, candidates, missing)
+            return self._remove_surplus(view) or self._add_spare(now, view, candidates)
+        return self._replace_voter(view) or self._add_learner(now, view, candidates, missing)
 
-    def _replace(self, view: "_View") -> Membership | None:
-        """Good voters are missing: takes lost ones away, and makes voters of learners that are ready."""
+    def _replace_voter(self, view: MembershipView) -> Membership | None:
+        """Healthy voters are missing: takes lost ones away, and makes voters of learners that are ready."""
         membership = view.membership
         ready = view.ready_learners
         surplus = len(membership.voters) - self._wanted_voters
         if view.lost_voters and (surplus > 0 or (surplus == 0 and ready)):
-            return _without(membership, view.lost_voters[0])
-        departing = view.replaced_voters(self._wanted_voters)
-        if departing:
-            return _without(membership, departing[0])
+            return without_member(membership, view.lost_voters[0])
+        replaceable = view.replaceable_voters(self._wanted_voters)
+        if replaceable:
+            return without_member(membership, replaceable[0])
         if ready:
-            return _promoted(membership, ready[0])
+            return with_voter(membership, ready[0])
         return None
 
-    def _reduce(self, view: "_View") -> Membership | None:
-        """There are enough good voters: takes away what is left over, this leader last."""
+    def _remove_surplus(self, view: MembershipView) -> Membership | None:
+        """There are enough healthy voters: takes away what is left over, this leader last."""
         membership = view.membership
         if view.lost_voters:
-            return _without(membership, view.lost_voters[0])
-        good = view.good_voters
-        decommissioning = [
-            voter for voter in membership.voters if voter in view.decommissioning | view.departing
-        ]
-        if decommissioning:
-            enough = len([voter for voter in good if voter in view.holders]) >= self._wanted_voters
-            decommissioning.sort(key=lambda voter: voter == self._own_member)
-            return _without(membership, decommissioning[0]) if enough else None
-        if membership.learners and view.all_answer and not self._keeps_spares:
-            return _without(membership, membership.learners[-1])
-        if len(good) > self._wanted_voters:
-            surplus = [voter for voter in good if voter != self._own_member]
-            return _without(membership, surplus[-1])
+            return without_member(membership, view.lost_voters[0])
+        healthy = view.healthy_voters
+        leaving = [voter for voter in membership.voters if voter in view.leaving]
+        if leaving:
+            is_safe = len([voter for voter in healthy if voter in view.caught_up]) >= self._wanted_voters
+            leaving.sort(key=lambda voter: voter == self._own_member)
+            return without_member(membership, leaving[0]) if is_safe else None
+        if membership.learners and view.all_voters_answer and not self._keeps_spare_learners:
+            return without_member(membership, membership.learners[-1])
+        if len(healthy) > self._wanted_voters:
+            surplus = [voter for voter in healthy if voter != self._own_member]
+            return without_member(membership, surplus[-1])
         return None
 
-    def _with_spare(self, now: float, view: "_View", candidates: Candidates) -> Membership | None:
-        return self._with_learner(now, view, candidates, 0) if self._keeps_spares else None
+    def _add_spare(self, now: float, view: MembershipView, candidates: Candidates) -> Membership | None:
+        return self._add_learner(now, view, candidates, 0) if self._keeps_spare_learners else None
 
-    def _with_learner(
-        self, now: float, view: "_View", candidates: Candidates, missing: int
+    def _add_learner(
+        self, now: float, view: MembershipView, candidates: Candidates, missing: int
     ) -> Membership | None:
         """Lets another learner join, where fewer than the missing ones are there or spares are kept."""
         membership = view.membership
-        if not self._keeps_spares and len(view.live_learners) >= missing:
+        if not self._keeps_spare_learners and len(view.reachable_learners) >= missing:
             return None
-        away = {*_members(membership), *candidates.decommissioning}
-        joining = [member for member in candidates.joining if member not in away]
+        excluded = {*all_members(membership), *candidates.decommissioning}
+        joining = [member for member in candidates.joining if member not in excluded]
         if not joining:
             return None
-        chosen = min(joining, key=lambda member: self._was_silent(member, now))
+        chosen = min(joining, key=lambda member: self._was_dropped_lately(member, now))
         return Membership(membership.voters, (*membership.learners, chosen))
 
-    def _was_silent(self, member: str, now: float) -> bool:
+    def _was_dropped_lately(self, member: str, now: float) -> bool:
         """Whether the member was a learner not long ago, and did not answer."""
         dropped_at = self._dropped_at.get(member)
         return dropped_at is not None and now - dropped_at < LEARNER_RETRY_DELAY_S
-
-
-@dataclass(frozen=True, slots=True)
-class _View:
-    """What one check of the group showed."""
-
-    membership: Membership
-    since_contact_s: Mapping[str, float]
-    lost: Set[str]
-    gone: Set[str]  # so long that a learner is given up
-    holders: Set[str]  # hold all that was committed at the check before
-    decommissioning: Set[str]
-    departing: Set[str]  # said their farewell
-    all_answer: bool  # every voter was heard just now, in this leadership
-
-    @property
-    def lost_voters(self) -> list[str]:
-        """Lost voters, the one that was silent longest first."""
-        lost = [voter for voter in self.membership.voters if voter in self.lost]
-        return sorted(lost, key=lambda voter: -self.since_contact_s[voter])
-
-    @property
-    def good_voters(self) -> list[str]:
-        """Voters that are there and may stay."""
-        away = self.lost | self.decommissioning | self.departing
-        return [voter for voter in self.membership.voters if voter not in away]
-
-    def replaced_voters(self, wanted: int) -> list[str]:
-        """Leaving voters without which the wanted number of others, leaving or not, holds everything.
-
-        Symptom answered: two leave at once and one learner is there. The first makes room for it at once,
-        else the group would stay with a voter more than it can spare when the second ends as well.
-        """
-        holders = [voter for voter in self.membership.voters if voter in self.holders - self.lost]
-        return [
-            voter
-            for voter in self.membership.voters
-            if voter in self.departing and len([other for other in holders if other != voter]) >= wanted
-        ]
-
-    @property
-    def live_learners(self) -> list[str]:
-        """Learners that answer, and do not leave themselves."""
-        away = self.lost | self.departing
-        return [learner for learner in self.membership.learners if learner not in away]
-
-    @property
-    def ready_learners(self) -> list[str]:
-        """Learners that may vote."""
-        return [learner for learner in self.live_learners if learner in self.holders]
-
-    @property
-    def useless_learners(self) -> list[str]:
-        """Learners that are given up or are to leave."""
-        away = self.gone | self.decommissioning
-        return [learner for learner in self.membership.learners if learner in away]
-
-
-def voters_needed(tolerated_machines: int) -> int:
-    """How many voters survive the loss of so many machines."""
-    return 2 * tolerated_machines + 1
-
-
-def _members(membership: Membership) -> tuple[str, ...]:
-    return (*membership.voters, *membership.learners)
-
-
-def _without(membership: Membership, member: str) -> Membership:
-    return Membership(
-        voters=tuple(voter for voter in membership.voters if voter != member),
-        learners=tuple(learner for learner in membership.learners if learner != member),
-    )
-
-
-def _promoted(membership: Membership, learner: str) -> Membership:
-    changed = _without(membership, learner)
-    return Membership((*changed.voters, learner), changed.learners)
--- a/pewterring/consensus/raft.py
+++ b/pewterring/consensus/raft.py
@@ -142,7 +142,7 @@
     def has_departed(self) -> bool:
         """Whether this member said its farewell and has no vote any more, or never had one."""
         is_voter = self.member in self.membership.voters or not self.membership_is_committed
-        return self._departure.is_answered or not is_voter
+        return self._departure.is_acknowledged or not is_voter
 
     def has_lease(self, now: float) -> bool:
         """Whether this member leads and no other can have been elected by `now`."""
@@ -192,9 +192,9 @@
                 self._step_election(now, message)
             case DepartureNotice():
                 if self._leader_role is not None:
-                    self._leader_role.on_leave(message)
+                    self._leader_role.on_departure_notice(message)
             case DepartureAck():
-                self._departure.on_left(message)
+                self._departure.on_ack(message)
 
     def _step_election(self, now: float, message: VoteRequest | VoteReply | TimeoutNow) -> None:
         match message:
--- a/pewterring/control/membership.py
+++ b/pewterring/control/membership.py
@@ -1,7 +1,7 @@
 """Who wishes to join the control group, as its leader has heard."""
 
 from pewterring.consensus.membership import address_of
-from pewterring.consensus.membership_planner import Candidates
+from pewterring.consensus.membership_view import Candidates
 
 ASKED_S = 2.0  # a wish to join is good for so long; it is repeated each half second
 
--- a/pewterring/control/program.py
+++ b/pewterring/control/program.py
@@ -14,8 +14,8 @@
 from pewterring.consensus.errors import ConsensusError
 from pewterring.consensus.group import ReplicatedGroup
 from pewterring.consensus.group_environment import GroupCallbacks, GroupEnvironment
-from pewterring.consensus.membership import address_of
-from pewterring.consensus.membership_planner import MembershipPlanner, voters_needed
+from pewterring.consensus.membership import address_of, voters_needed
+from pewterring.consensus.membership_planner import MembershipPlanner
 from pewterring.consensus.messages import CONSENSUS_MESSAGES, ConsensusMessage, Membership
 from pewterring.control.api import ControlApi
 from pewterring.control.duties import DutyRunner, LeaderDuties, controls_of
--- a/tests/consensus/planned_group.py
+++ b/tests/consensus/planned_group.py
@@ -3,7 +3,8 @@
 from collections.abc import Iterable
 
 from pewterring.consensus.membership import address_of, check_change
-from pewterring.consensus.membership_planner import Candidates, MembershipPlanner
+from pewterring.consensus.membership_planner import MembershipPlanner
+from pewterring.consensus.membership_view import Candidates
 from pewterring.consensus.messages import Membership
 
 CATCH_UP_S = 4.8
--- a/tests/consensus/planned_simulation.py
+++ b/tests/consensus/planned_simulation.py
@@ -10,8 +10,9 @@
 from pewterring.batch.program import MEMBERS_PERIOD_S
 from pewterring.consensus.departure import DEPARTURE_TIMEOUT_FRACTION
 from pewterring.consensus.errors import ConsensusError
-from pewterring.consensus.membership import address_of
-from pewterring.consensus.membership_planner import Candidates, MembershipPlanner, voters_needed
+from pewterring.consensus.membership import address_of, voters_needed
+from pewterring.consensus.membership_planner import MembershipPlanner
+from pewterring.consensus.membership_view import Candidates
 from pewterring.consensus.messages import ConsensusMessage, DepartureNotice
 from pewterring.consensus.raft import Raft
 from pewterring.control.program import TICK_S
--- a/tests/consensus/raft_breakages.py
+++ b/tests/consensus/raft_breakages.py
@@ -61,8 +61,8 @@
 
 
 class _AcceptsLateDepartures(LeaderRole):
-    def on_leave(self, message: DepartureNotice) -> None:
-        self._departing_members.on_leave(message.sender, self._rounds.number)
+    def on_departure_notice(self, message: DepartureNotice) -> None:
+        self._departing_members.on_notice(message.sender, self._rounds.number)
 
 
 class AcceptsLateDepartures(Raft):
--- a/tests/consensus/test_membership_planner.py
+++ b/tests/consensus/test_membership_planner.py
@@ -4,7 +4,8 @@
 
 import pytest
 
-from pewterring.consensus.membership_planner import LOST_VOTER_FRACTION, MembershipPlanner
+from pewterring.consensus.membership_planner import MembershipPlanner
+from pewterring.consensus.membership_view import LOST_VOTER_FRACTION
 from pewterring.consensus.messages import Membership
 from tests.consensus.planned_group import CATCH_UP_S, STEP_S, PlannedGroupStandIn, majority
 
--- a/tests/consensus/test_membership_planner_breakages.py
+++ b/tests/consensus/test_membership_planner_breakages.py
@@ -2,7 +2,8 @@
 
 import pytest
 
-from pewterring.consensus.membership_planner import Candidates, MembershipPlanner, PlannedGroup
+from pewterring.consensus.membership_planner import MembershipPlanner
+from pewterring.consensus.membership_view import Candidates, PlannedGroup
 from pewterring.consensus.messages import Membership
 from tests.consensus.test_membership_planner import breaks_a_rule, every_group
 
@@ -57,7 +58,9 @@
         change = super().plan(now, group, candidates)
         membership = group.membership
         silent = [
-            voter for voter in membership.voters if group.seconds_since_contact(voter, now) >= self._lost_s
+            voter
+            for voter in membership.voters
+            if group.seconds_since_contact(voter, now) >= self._observer.lost_voter_s
         ]
         if change is None and silent:
             return Membership(
@@ -73,7 +76,9 @@
         change = super().plan(now, group, candidates)
         membership = group.membership
         silent = [
-            voter for voter in membership.voters if group.seconds_since_contact(voter, now) >= self._lost_s
+            voter
+            for voter in membership.voters
+            if group.seconds_since_contact(voter, now) >= self._observer.lost_voter_s
         ]
         if change is not None and silent and len(change.voters) > len(membership.voters):
             return Membership(
--- a/tests/control/test_leadership.py
+++ b/tests/control/test_leadership.py
@@ -13,7 +13,8 @@
     TooManyUncommittedError,
 )
 from pewterring.consensus.group import ReplicatedGroup
-from pewterring.consensus.membership_planner import Candidates, MembershipPlanner, PlannedGroup
+from pewterring.consensus.membership_planner import MembershipPlanner
+from pewterring.consensus.membership_view import Candidates, PlannedGroup
 from pewterring.consensus.messages import Membership
 from pewterring.control.commands import Accepted, Command, PutNodes, RemoveWorkers
 from pewterring.control.duties import DutyRunner, LeaderDuties
--- a/tests/simulation/breakages.py
+++ b/tests/simulation/breakages.py
@@ -16,7 +16,7 @@
 from pewterring.consensus.follower import FollowerRole
 from pewterring.consensus.group import ReplicatedGroup
 from pewterring.consensus.leader import LeaderRole
-from pewterring.consensus.membership_planner import Candidates, MembershipPlanner
+from pewterring.consensus.membership_view import Candidates, MembershipObserver
 from pewterring.consensus.messages import SnapshotChunk
 from pewterring.consensus.state import MemberState
 from pewterring.consensus.types import Snapshot
@@ -66,14 +66,16 @@
 
 def promotion_without_catch_up() -> Any:
     """A learner becomes a voter whatever it holds."""
-    real = MembershipPlanner._observe
+    real = MembershipObserver.observe
 
-    def observe(self: MembershipPlanner, now: float, group: Any, candidates: Candidates) -> Any:
+    def observe(self: MembershipObserver, now: float, group: Any, candidates: Candidates) -> Any:
         seen = real(self, now, group, candidates)
+        if seen is None:
+            return None
         members = {*seen.membership.voters, *seen.membership.learners}
-        return dataclasses.replace(seen, holders=members)
+        return dataclasses.replace(seen, caught_up=members)
 
-    return mock.patch.object(MembershipPlanner, "_observe", observe)
+    return mock.patch.object(MembershipObserver, "observe", observe)
 
 
 def learner_counted() -> Any:
