--- /dev/null
+++ b/pewterring/consensus/leader.py
@@ -0,0 +1,285 @@
+"""Owns what a member has only while it leads, in one term: heartbeats, replication, commitment, reads.
+
+What may go wrong: an entry of an earlier term that is committed by counting can still be overwritten (Raft
+paper, figure 8; `may_commit`), a membership changed before the last change is committed allows majorities
+that do not overlap (`append_membership`), and a leader that nobody hears must step down (`tick`).
+"""
+
+from collections.abc import Sequence
+from math import inf
+
+import msgspec
+
+from pewterring.consensus.departure import DepartingMembers
+from pewterring.consensus.errors import MembershipRejectedError
+from pewterring.consensus.heartbeat_rounds import HeartbeatRounds
+from pewterring.consensus.leadership_transfer import LeadershipTransfer
+from pewterring.consensus.membership import check_change, encode_membership, majority_value
+from pewterring.consensus.messages import (
+    ENTRY_COMMAND,
+    ENTRY_EMPTY,
+    ENTRY_MEMBERS,
+    AppendReply,
+    DepartureAck,
+    DepartureNotice,
+    Entry,
+    Membership,
+    SnapshotReply,
+    TimeoutNow,
+)
+from pewterring.consensus.replication import Replication
+from pewterring.consensus.state import MemberState
+from pewterring.consensus.types import ReadTicket, Role, Snapshot
+from pewterring.consensus.uncommitted_limit import UncommittedLimit
+
+
+class LeaderRole:
+    """A member's leadership of one term; it begins with an empty entry and a heartbeat round."""
+
+    def __init__(self, state: MemberState, now: float) -> None:
+        state.role = Role.LEADER
+        state.leader = state.member
+        self._state = state
+        self._rounds = HeartbeatRounds(state.member, state.timing, now)
+        self._leadership_transfer = LeadershipTransfer(state.timing)
+        self._departing_members = DepartingMembers()
+        self._replication = Replication(state.group, state.member, state.term, state.log, state.limits)
+        # When an answer of a member came, even to a round of long ago: one that reads slowly is responsive.
+        self._last_reply_at: dict[str, float] = {}
+        self._uncommitted_limit = UncommittedLimit(state.limits.uncommitted_bytes)
+        self._first_index = self.append(ENTRY_EMPTY, b"null")
+        self._set_members(state.members.current)
+        self._begin_round(now)
+
+    def _set_members(self, membership: Membership) -> None:
+        self._replication.set_members((*membership.voters, *membership.learners))
+
+    @property
+    def due_at(self) -> float:
+        """When `tick` has something to do."""
+        return self._rounds.due_at
+
+    @property
+    def round_number(self) -> int:
+        """The number of the newest heartbeat round."""
+        return self._rounds.number
+
+    def is_recent_round(self, number: int, now: float) -> bool:
+        """Whether a round was sent no longer ago than the longest election time-out."""
+        return self._rounds.is_recent(number, now)
+
+    @property
+    def has_committed(self) -> bool:
+        """Whether an entry of this leader's own term is committed."""
+        return self._state.commit_index >= self._first_index
+
+    def has_lease(self, now: float) -> bool:
+        """Whether no other member can have been elected by `now`."""
+        return not self._leadership_transfer.has_notified and self._rounds.has_lease(self._state.voters, now)
+
+    def match(self, member: str) -> int:
+        """Up to which index `member` is known to have the log on disk."""
+        if member == self._state.member:
+            return self._state.unpersisted.persisted_index
+        peer = self._replication.peers.get(member)
+        return peer.match if peer else 0
+
+    def seconds_since_contact(self, member: str, now: float) -> float:
+        """For how long `member` has answered no heartbeat of this leadership; 0 for the leader itself."""
+        return 0.0 if member == self._state.member else self._rounds.seconds_since_contact(member, now)
+
+    def is_departing(self, member: str) -> bool:
+        """Whether the process of `member` announced its end, and no later incarnation answered."""
+        return self._departing_members.is_departing(member)
+
+    def on_departure_notice(self, message: DepartureNotice) -> None:
+        """Takes a departure notice, and answers that of a member which is no voter any more."""
+        state = self._state
+        if message.sender in state.voters:
+            if message.term == state.term:
+                self._departing_members.on_notice(message.sender, message.round)
+        elif state.members.last_change <= state.commit_index:
+            self._acknowledge_departure(message.sender, message.round)
+
+    def _acknowledge_departure(self, member: str, number: int) -> None:
+        state = self._state
+        state.outbox.append(
+            DepartureAck(group=state.group, sender=state.member, target=member, term=state.term, round=number)
+        )
+
+    def _acknowledge_departures(self) -> None:
+        """A change was committed: who waits for it need not announce its departure again."""
+        for member, number in self._departing_members.departing().items():
+            if member not in self._state.voters:
+                self._acknowledge_departure(member, number)
+
+    def append(self, kind: str, data: bytes) -> int:
+        """Appends an entry of this leader's term and returns its index."""
+        entry = Entry(self._state.log.last_index + 1, self._state.term, kind, msgspec.Raw(data))
+        self._state.append((entry,))
+        self._uncommitted_limit.on_appended(entry)
+        return entry.index
+
+    def append_command(self, data: bytes) -> int:
+        """Appends a command and returns its index.
+
+        Raises:
+            TooManyUncommittedError: the limit of uncommitted bytes is reached; nothing was appended.
+        """
+        self._uncommitted_limit.on_committed(self._state.commit_index)
+        self._uncommitted_limit.check(len(data))
+        return self.append(ENTRY_COMMAND, data)
+
+    def append_membership(self, membership: Membership) -> int:
+        """Appends a change of membership and returns its index.
+
+        The first check closes the gap of single-server changes (Ongaro, raft-dev, 10 July 2015).
+
+        Raises:
+            MembershipRejectedError: majorities before and after the change need not overlap; nothing was
+            appended.
+        """
+        state = self._state
+        if not self.has_committed:
+            raise MembershipRejectedError("no entry of the leader's term is committed yet")
+        if state.members.last_change > state.commit_index:
+            raise MembershipRejectedError("the change before is not committed yet")
+        check_change(state.members.current, membership)
+        index = self.append(ENTRY_MEMBERS, encode_membership(membership))
+        self._set_members(membership)
+        return index
+
+    def tick(self, now: float) -> None:
+        """Steps down if a majority is unresponsive; otherwise begins a round when one is due."""
+        state = self._state
+        if now < self.due_at:
+            return
+        if self._rounds.has_lost_majority(state.voters, now) or self._leadership_transfer.is_over(now):
+            state.become_follower(now, state.term, None)
+            return
+        self._leadership_transfer.notify_again()
+        self._mark_unresponsive(now)
+        self._replication.retransmit_overdue(now, state.timing.election_min_s)
+        self._begin_round(now)
+
+    def _mark_unresponsive(self, now: float) -> None:
+        oldest = now - self._state.timing.election_max_s
+        for name in self._replication.peers:
+            if self._last_reply_at.get(name, -inf) < oldest:
+                self._replication.mark_unresponsive(name)
+
+    def _begin_round(self, now: float) -> None:
+        number = self._rounds.begin(now)
+        self._state.outbox += self._replication.heartbeats(number, self._state.commit_index)
+
+    @property
+    def is_transferring_leadership(self) -> bool:
+        """Whether the leadership is being transferred, so that no more is appended."""
+        return self._leadership_transfer.is_active
+
+    def transfer_leadership(self, now: float) -> bool:
+        """Begins to transfer the leadership; False without another voter."""
+        if all(voter == self._state.member for voter in self._state.voters):
+            return False
+        self._leadership_transfer.begin(now)
+        return True
+
+    def yield_to_later_term(self, now: float) -> bool:
+        """Transfers the leadership because of a member in a later term; False if the leader must step down.
+
+        The member cannot follow this leader, and while a majority does, nobody leads in the later term. The
+        successor's term takes the member in. Symptom answered: a member that stood for election just before
+        it was cut off comes back, and for an election time-out nobody leads.
+        """
+        return self._rounds.has_lease(self._state.voters, now) and self.transfer_leadership(now)
+
+    def _notify_successor(self, now: float) -> None:
+        state = self._state
+        if not self.is_transferring_leadership or state.commit_index < state.log.last_index:
+            return
+        successor = self._leadership_transfer.choose(self._possible_successors(now))
+        if successor is not None:
+            state.outbox.append(
+                TimeoutNow(group=state.group, sender=state.member, target=successor, term=state.term)
+            )
+
+    def _possible_successors(self, now: float) -> list[str]:
+        """Responsive voters with the complete log: staying ones first, then by last answer."""
+        state = self._state
+        oldest = now - state.timing.election_min_s
+        complete = [
+            voter
+            for voter in state.voters
+            if voter != state.member
+            and self.match(voter) == state.log.last_index
+            and self._rounds.last_answered_at(voter) > oldest
+        ]
+        return sorted(
+            complete,
+            key=lambda voter: (not self.is_departing(voter), self._rounds.last_answered_at(voter)),
+            reverse=True,
+        )
+
+    def flush(self, now: float) -> None:
+        """Sends what may be sent now."""
+        self._notify_successor(now)
+        if self._rounds.is_next_requested:
+            self._begin_round(now)
+        self._state.outbox += self._replication.flush(now, self._rounds.number, self._state.commit_index)
+
+    def on_reply(self, now: float, reply: AppendReply | SnapshotReply) -> None:
+        """Takes a member's answer in this leader's term."""
+        self._last_reply_at[reply.sender] = now
+        self._rounds.record_answer(reply.sender, reply.round)
+        if isinstance(reply, AppendReply):
+            self._departing_members.on_reply(reply.sender, reply.round, reply.departing)
+            advanced = self._replication.on_append_reply(reply)
+        else:
+            advanced = self._replication.on_snapshot_reply(reply)
+        if advanced:
+            self.advance_commit(now)
+
+    def advance_commit(self, now: float) -> None:
+        """Commits what a majority has on disk; steps down if that was the leader's own removal."""
+        state = self._state
+        index = majority_value([self.match(voter) for voter in state.voters])
+        if index <= state.commit_index or not self.may_commit(index):
+            return
+        has_changed_members = state.commit_index < state.members.last_change <= index
+        state.commit_index = index
+        if has_changed_members:
+            self._acknowledge_departures()
+        if state.member not in state.voters and state.members.last_change <= index:
+            self._begin_round(now)  # so that the others learn what is committed
+            state.become_follower(now, state.term, None)
+
+    def may_commit(self, index: int) -> bool:
+        """Whether entries up to `index` may be committed by counting: only those of this leader's term."""
+        return self._state.log.term_at(index) == self._state.term
+
+    def new_ticket(self, at_once: bool) -> ReadTicket:
+        """A ticket to read, confirmed at once or by a later round."""
+        return self._rounds.new_ticket(self._state.commit_index if at_once else None)
+
+    def take_confirmed_reads(self) -> Sequence[ReadTicket]:
+        """Tickets whose round a majority has answered."""
+        if not self.has_committed:
+            return ()
+        return self._rounds.take_confirmed_reads(self._state.voters, self._state.commit_index)
+
+    @property
+    def snapshot_wanted(self) -> bool:
+        """Whether a member waits for a snapshot to be made."""
+        return self._replication.snapshot_wanted
+
+    def offer_snapshot(self, snapshot: Snapshot) -> None:
+        """Sends `snapshot` to the members that wait for one."""
+        self._replication.offer_snapshot(snapshot)
+
+    def oldest_snapshot_index(self) -> int | None:
+        """The index of the oldest snapshot being sent."""
+        return self._replication.oldest_snapshot_index()
+
+    def on_log_compacted(self) -> None:
+        """The log dropped entries that a snapshot covers."""
+        self._replication.on_log_compacted()
--- a/pewterring/consensus/messages.py
+++ b/pewterring/consensus/messages.py
@@ -1,4 +1,7 @@
-"""Messages between members of a replicated group, as JSON lines (msgspec structs tagged by class name).
+"""Owns the messages between members of a replicated group, as JSON lines (msgspec structs with a tag).
+
+What may go wrong: members of an older and a newer version talk to each other, and logs outlive versions. A
+type that is renamed here keeps its tag, a field its name, by `tag=` and `msgspec.field(name=)`.
 
 Members are named by strings: `IP#tag`. The address is the part before `#`; the tag is drawn when a data
 folder is made, so a member whose disk was lost comes back under another name.
@@ -6,13 +9,20 @@
 
 import msgspec
 
+# The kinds of entries, as they stand on the wire and on disk.
+ENTRY_EMPTY = (
+    "empty"  # the first of each leader, which commits what earlier terms left (Raft paper, section 8)
+)
+ENTRY_COMMAND = "command"
+ENTRY_MEMBERS = "members"
+
 
 class Entry(msgspec.Struct, frozen=True):
-    """One entry of the log. `data` is JSON: a command (`kind` "command"), or `Membership` ("members")."""
+    """One entry of the log. `data` is JSON: a command, a `Membership`, or null, by its `kind`."""
 
     index: int
     term: int
-    kind: str  # "empty", "command" or "members"
+    kind: str  # one of the kinds above
     data: msgspec.Raw = msgspec.Raw(b"null")
 
 
@@ -35,17 +45,17 @@
 class VoteRequest(Message, frozen=True, tag=True, kw_only=True):
     """Asks for a vote. With `prevote` it only asks whether one would be granted at `term`.
 
-    With `handed_over` the leader of the term before has given up its lease and wants to be succeeded.
+    With `leadership_transferred` the leader of the term before has given up its lease for a successor.
     """
 
     last_index: int
     last_term: int
     prevote: bool
-    handed_over: bool = False
+    leadership_transferred: bool = msgspec.field(default=False, name="handed_over")  # the wire's name
 
 
 class VoteReply(Message, frozen=True, tag=True, kw_only=True):
-    """Answers `VoteRequest`. `term` is the voter's own, or the asked one where a pre-vote is granted."""
+    """Answers `VoteRequest`. `term` is the voter's own, or the requested one if a pre-vote is granted."""
 
     granted: bool
     prevote: bool
@@ -65,19 +75,19 @@
 
 
 class AppendReply(Message, frozen=True, tag=True, kw_only=True, omit_defaults=True):
-    """Answers `AppendRequest`. `match` is the last index known to agree, or a hint where to try next.
+    """Answers `AppendRequest`. `match` is the last index known to agree, or a hint which to try next.
 
-    `leaving` says that the member's process is about to end.
+    `departing` says that the member's process is about to end.
     """
 
     accepted: bool
     match: int
     round: int
-    leaving: bool = False
+    departing: bool = msgspec.field(default=False, name="leaving")  # the wire's name
 
 
-class SnapshotPart(Message, frozen=True, tag=True, kw_only=True):
-    """One piece of a snapshot: `data` is base64 of bytes from `offset`; `total` is its size in bytes.
+class SnapshotChunk(Message, frozen=True, tag="SnapshotPart", kw_only=True):  # the wire's name
+    """One chunk of a snapshot: `data` is base64 of bytes from `offset`; `total` is its size in bytes.
 
     `checksum` is the CRC-32 of all of it.
     """
@@ -93,7 +103,7 @@
 
 
 class SnapshotReply(Message, frozen=True, tag=True, kw_only=True):
-    """Answers `SnapshotPart`: how many bytes the member has of that snapshot."""
+    """Answers `SnapshotChunk`: how many bytes the member has of that snapshot."""
 
     last_index: int
     received: int
@@ -104,18 +114,18 @@
     """Tells a voter to stand for election at once; the leader of `term` claims no lease any more."""
 
 
-class Leave(Message, frozen=True, tag=True, kw_only=True):
-    """A voter's farewell: its process is about to end, and a learner that is ready may take its place.
+class DepartureNotice(Message, frozen=True, tag="Leave", kw_only=True):  # the wire's name
+    """A voter's process is about to end, and a learner that is ready may take its place.
 
-    `round` is the last one of the leader of `term` that this life of the member has heard: what a later life
-    answers outweighs it.
+    `round` is the last one of the leader of `term` that this incarnation of the member has received: what a
+    later incarnation answers outweighs it.
     """
 
     round: int
 
 
-class Left(Message, frozen=True, tag=True, kw_only=True):
-    """Answers `Leave`, whose round it returns: its sender is no voter any more, by a committed change."""
+class DepartureAck(Message, frozen=True, tag="Left", kw_only=True):  # the wire's name
+    """Answers `DepartureNotice`, whose round it returns: a committed change has removed the voter."""
 
     round: int
 
@@ -125,20 +135,20 @@
     | VoteReply
     | AppendRequest
     | AppendReply
-    | SnapshotPart
+    | SnapshotChunk
     | SnapshotReply
     | TimeoutNow
-    | Leave
-    | Left
+    | DepartureNotice
+    | DepartureAck
 )
 CONSENSUS_MESSAGES = (
     VoteRequest,
     VoteReply,
     AppendRequest,
     AppendReply,
-    SnapshotPart,
+    SnapshotChunk,
     SnapshotReply,
     TimeoutNow,
-    Leave,
-    Left,
+    DepartureNotice,
+    DepartureAck,
 )
--- a/pewterring/control/program.py
+++ b/pewterring/control/program.py
@@ -10,13 +10,13 @@
 import msgspec
 from loguru import logger
 
+from pewterring.consensus.departure import DEPARTURE_TIMEOUT_FRACTION
 from pewterring.consensus.errors import ConsensusError
-from pewterring.consensus.farewell import LEAVE_PART
 from pewterring.consensus.group import ReplicatedGroup
-from pewterring.consensus.membership import address_of
+from pewterring.consensus.group_environment import GroupCallbacks, GroupEnvironment
+from pewterring.consensus.membership import address_of, voters_needed
+from pewterring.consensus.membership_planner import MembershipPlanner
 from pewterring.consensus.messages import CONSENSUS_MESSAGES, ConsensusMessage, Membership
-from pewterring.consensus.planner import MembershipPlanner, voters_needed
-from pewterring.consensus.types import RaftTiming
 from pewterring.control.api import ControlApi
 from pewterring.control.duties import DutyRunner, LeaderDuties, controls_of
 from pewterring.control.feed import FeedServer
@@ -70,17 +70,20 @@
         self._lines = LineServer(codec, self._on_message)
         self._state = ControlState(on_change=self._on_change)
         self._group = ReplicatedGroup(
-            group=GROUP,
-            member=self._member,
-            storage=storage,
-            machine=self._state,
-            send=self._send,
-            timing=RaftTiming(),
-            rng=random.Random(),
-            clock=self._clock,
-            on_leadership=self._on_leadership,
-            on_farewell=self._on_farewell,
-            on_failure=self._on_group_failure,
+            GROUP,
+            self._member,
+            GroupEnvironment(
+                storage=storage,
+                machine=self._state,
+                send=self._send,
+                clock=self._clock,
+                rng=random.Random(),
+            ),
+            callbacks=GroupCallbacks(
+                on_leadership=self._on_leadership,
+                on_departure=self._on_departure,
+                on_failure=self._on_group_failure,
+            ),
         )
         self._leadership = GroupLeadership(self._group, self._clock)
         nodes = NodeTable()
@@ -88,7 +91,7 @@
         registry = WorkerRegistry(self._state.workers, self._state.departed, settings.heartbeat_s)
         desk = RetirementDesk(self._state, nodes, self._leadership, needed)
         planner = MembershipPlanner(
-            self._member, settings.tolerated_machines, settings.bounds.catch_up_s, keeps_spares=True
+            self._member, settings.tolerated_machines, settings.bounds.catch_up_s, keeps_spare_learners=True
         )
         self._joins = JoinRequests()
         bounds = settings.bounds
@@ -138,9 +141,9 @@
         if self._group.is_leader:
             logger.info("hands the leadership of control over in term {}", self._group.term)
         with contextlib.suppress(ConsensusError):
-            await self._group.hand_over_leadership()
+            await self._group.transfer_leadership()
             if self._group.membership.learners:
-                await self._group.leave(LEAVE_PART * self._settings.bounds.grace_s)
+                await self._group.depart(DEPARTURE_TIMEOUT_FRACTION * self._settings.bounds.grace_s)
 
     async def stop(self) -> None:
         """Ends calls that are open, then all parts."""
@@ -206,7 +209,7 @@
         self._runner.start(self._clock())
         logger.info("leads control in term {}", self._group.term)
 
-    def _on_farewell(self) -> None:
+    def _on_departure(self) -> None:
         """A voter leaves: its place is filled now, not at the next tick."""
         if self._leadership.has_lease and (self._duty is None or self._duty.done()):
             self._duty = asyncio.create_task(self._runner.change_members(self._clock()))
--- a/tests/consensus/simulation.py
+++ b/tests/consensus/simulation.py
@@ -5,12 +5,12 @@
 import random
 from collections.abc import Callable
 
-from pewterring.consensus.errors import ConsensusError, NotLeader
-from pewterring.consensus.messages import ConsensusMessage, Entry, Membership
+from pewterring.consensus.errors import ConsensusError, NotLeaderError
+from pewterring.consensus.messages import ENTRY_COMMAND, ConsensusMessage, Entry, Membership
 from pewterring.consensus.raft import Raft
-from pewterring.consensus.types import Ready, Save, Snapshot
+from pewterring.consensus.types import RaftConfig, Ready, Save, Snapshot
 from tests.consensus.memory_storage import MemoryStorage
-from tests.consensus.parts import LIMITS, SNAPSHOT_AFTER, TIMING, Member, Violation, Weather
+from tests.consensus.simulated_members import LIMITS, SNAPSHOT_AFTER, TIMING, Member, Violation, Weather
 
 
 def _encoded(member: Member) -> bytes:
@@ -60,7 +60,10 @@
         member.applied_to = loaded.state.snapshot_index
         member.applied = json.loads(loaded.snapshot)["applied"] if loaded.snapshot else []
         member.raft = self.raft_class(
-            "g", name, TIMING, random.Random(self.rng.random()), loaded.state, self._clock(member), LIMITS
+            RaftConfig("g", name, TIMING, LIMITS),
+            random.Random(self.rng.random()),
+            loaded.state,
+            self._clock(member),
         )
         self._pump(member)
 
@@ -181,7 +184,7 @@
         self._at(time, self._in_life(member, tick))
 
     def _do(self, member: Member, raft: Raft, ready: Ready) -> None:
-        for message in ready.messages_first:
+        for message in ready.messages_before_sync:
             self._send(message)
         for entry in ready.committed:
             self._apply(member, entry)
@@ -234,7 +237,7 @@
         self._begin_job(member, write, done)
 
     def _compact_if_due(self, member: Member, raft: Raft) -> None:
-        if member.since_snapshot < SNAPSHOT_AFTER or member.job is not None or raft.installing:
+        if member.since_snapshot < SNAPSHOT_AFTER or member.job is not None or raft.is_installing_snapshot:
             return
         member.since_snapshot = 0
         snapshot = raft.make_snapshot(_encoded(member))
@@ -252,7 +255,7 @@
             raise Violation(f"{member.name} applied {entry.index} after {member.applied_to}")
         member.applied_to = entry.index
         member.since_snapshot += 1
-        if entry.kind == "command":
+        if entry.kind == ENTRY_COMMAND:
             text = json.loads(bytes(entry.data))
             member.applied.append([entry.index, entry.term, text])
             if member.proposals.pop((entry.index, entry.term), None) is not None:
@@ -294,7 +297,8 @@
         """The member stands for election now, as if the others had wished it."""
         member = self.members[name]
         assert member.raft is not None
-        member.raft._election._stand(self._clock(member))
+        # No message makes a member stand without a poll, but for a transfer, which voters treat otherwise.
+        member.raft._election._campaign(self._clock(member))
         self._pump(member)
 
     def has_leader(self) -> bool:
@@ -318,7 +322,7 @@
     def _check_leader(self, member: Member, raft: Raft) -> None:
         if raft.is_leader and self.leaders.setdefault(raft.term, member.name) != member.name:
             raise Violation(f"{member.name} and {self.leaders[raft.term]} lead in term {raft.term}")
-        if raft.is_leader and raft.installing:
+        if raft.is_leader and raft.is_installing_snapshot:
             raise Violation(f"{member.name} leads while it takes over a snapshot")
 
     def _check_read(self, raft: Raft, index: int, least: int) -> None:
@@ -346,7 +350,7 @@
             member.sync_s = None
             if member.frozen:
                 self.thaw(name)
-        self.run_until(lambda: self.leader() is not None and self.leader_raft().leads_committed)
+        self.run_until(lambda: self.leader() is not None and self.leader_raft().is_ready_leader)
         text = f"last {self.now}"
         while text not in self.acknowledged:
             self.propose(text)
@@ -381,8 +385,8 @@
         if member is None or member.raft is None or member.frozen:
             return False
         try:
-            key = member.raft.propose(self._clock(member), json.dumps(text).encode())
-        except NotLeader:
+            key = member.raft.propose(json.dumps(text).encode())
+        except NotLeaderError:
             return False
         member.proposals[key] = text
         self._pump(member)
@@ -395,7 +399,7 @@
             return False
         try:
             ticket = member.raft.request_read(self._clock(member))
-        except NotLeader:
+        except NotLeaderError:
             return False
         if ticket.index is not None:
             self._check_read(member.raft, ticket.index, self.seen_index)
@@ -410,7 +414,7 @@
         if member is None or member.raft is None or member.frozen:
             return False
         try:
-            member.raft.propose_membership(self._clock(member), membership)
+            member.raft.propose_membership(membership)
         except ConsensusError:
             return False
         self._pump(member)
@@ -433,5 +437,5 @@
             voters = tuple(voter for voter in now.voters if voter != old)
             self.change(Membership(voters=voters, learners=now.learners))
         else:
-            return raft.commit_index >= raft.applied_index and raft.leads_committed
+            return raft.commit_index >= raft.applied_index and raft.is_ready_leader
         return False
--- a/tests/consensus/test_group.py
+++ b/tests/consensus/test_group.py
@@ -8,14 +8,21 @@
 
 import pytest
 
-from pewterring.consensus.errors import GroupFailed, MembershipRefused, NotLeader, OutcomeUnknown
+from pewterring.consensus.errors import (
+    GroupFailedError,
+    MembershipRejectedError,
+    NotLeaderError,
+    OutcomeUnknownError,
+)
 from pewterring.consensus.group import ReplicatedGroup
-from pewterring.consensus.messages import ConsensusMessage, Membership, SnapshotPart
+from pewterring.consensus.group_environment import GroupCallbacks, GroupEnvironment, GroupOptions
+from pewterring.consensus.messages import ConsensusMessage, Membership, SnapshotChunk
 from pewterring.consensus.types import RaftLimits
 from tests.consensus.memory_storage import MemoryStorage
 from tests.consensus.virtual_time import InlineExecutor, run
 
 NAMES = ("a", "b", "c")
+SMALL_LIMITS = RaftLimits(retained_bytes=1000)  # else no member ever needs a snapshot of states so small
 
 
 class Machine:
@@ -40,15 +47,17 @@
 
     machine_class = Machine
 
-    def __init__(self, voters: tuple[str, ...] = NAMES) -> None:
+    def __init__(self, voters: tuple[str, ...] = NAMES, limits: RaftLimits = SMALL_LIMITS) -> None:
+        self.limits = limits
         self.cut: set[str] = set()
         self.groups: dict[str, ReplicatedGroup] = {}
         self.machines: dict[str, Machine] = {}
         self.storages: dict[str, MemoryStorage] = {}
-        self.told: list[tuple[str, bool]] = []
-        self.failures: list[GroupFailed] = []
+        self.notified: list[tuple[str, bool]] = []
+        self.failures: list[GroupFailedError] = []
         self.parts_sent = 0  # of snapshots
         self.leadership = asyncio.Event()
+        self.on_departure: Callable[[str], None] = lambda name: None  # gets the leader's name
         for name in voters:
             self.add(name, MemoryStorage(voters))
 
@@ -58,25 +67,29 @@
         self.groups[name] = ReplicatedGroup(
             "g",
             name,
-            storage,
-            self.machines[name],
-            self._send,
-            rng=random.Random(name),
-            clock=asyncio.get_running_loop().time,
-            limits=RaftLimits(kept_bytes=1000),  # else no member ever needs a snapshot of states so small
-            snapshot_after_bytes=2000,
-            on_leadership=lambda leads: self._tell(name, leads),
-            on_failure=self.failures.append,
-            executor=executor or InlineExecutor(),
+            GroupEnvironment(
+                storage=storage,
+                machine=self.machines[name],
+                send=self._send,
+                clock=asyncio.get_running_loop().time,
+                rng=random.Random(name),
+                executor=executor or InlineExecutor(),
+            ),
+            GroupOptions(limits=self.limits, snapshot_after_bytes=2000),
+            GroupCallbacks(
+                on_leadership=lambda leads: self._notify(name, leads),
+                on_departure=lambda: self.on_departure(name),
+                on_failure=self.failures.append,
+            ),
         )
         return self.groups[name]
 
-    def _tell(self, name: str, leads: bool) -> None:
-        self.told.append((name, leads))
+    def _notify(self, name: str, leads: bool) -> None:
+        self.notified.append((name, leads))
         self.leadership.set()
 
     def _send(self, message: ConsensusMessage) -> None:
-        self.parts_sent += isinstance(message, SnapshotPart)
+        self.parts_sent += isinstance(message, SnapshotChunk)
         if not self.cut & {message.sender, message.target} and message.target in self.groups:
             asyncio.get_running_loop().call_soon(self.groups[message.target].receive, message)
 
@@ -141,10 +154,10 @@
         leader = await network.start()
         await leader.propose(command("x"))
         follower = next(group for group in network.groups.values() if group is not leader)
-        with pytest.raises(NotLeader) as refused:
+        with pytest.raises(NotLeaderError) as refused:
             await follower.propose(command("y"))
         assert refused.value.leader == leader.member
-        with pytest.raises(NotLeader):
+        with pytest.raises(NotLeaderError):
             await follower.read_barrier()
         await network.stop()
 
@@ -163,11 +176,11 @@
         lost = asyncio.ensure_future(old.propose(command("lost")))
         new = await network.new_leader(old)
         assert not old.has_lease(clock())
-        with pytest.raises(NotLeader):
+        with pytest.raises(NotLeaderError):
             await old.read_barrier()
-        with pytest.raises(OutcomeUnknown):
+        with pytest.raises(OutcomeUnknownError):
             await lost
-        assert (old.member, False) in network.told
+        assert (old.member, False) in network.notified
         assert await new.propose(command("after")) == 2
         network.cut.clear()
         await wait_until(lambda: network.machines[old.member].commands == ["before", "after"])
@@ -209,7 +222,7 @@
         await leader.change_membership(Membership(voters=(*NAMES, "d")))
         await wait_until(lambda: network.machines["d"].commands == network.machines["a"].commands)
         assert joiner.membership.voters == (*NAMES, "d")
-        with pytest.raises(MembershipRefused):
+        with pytest.raises(MembershipRejectedError):
             await leader.change_membership(Membership(voters=("a", "b")))
         await network.stop()
 
@@ -221,11 +234,11 @@
         network = Network()
         old = await network.start()
         network.storages[old.member].failing = True
-        with pytest.raises(GroupFailed):
+        with pytest.raises(GroupFailedError):
             await old.propose(command("x"))
         assert len(network.failures) == 1
         assert "disk is gone" in str(network.failures[0])
-        with pytest.raises(GroupFailed):
+        with pytest.raises(GroupFailedError):
             await old.read_barrier()
         new = await network.new_leader(old)
         assert await new.propose(command("y")) in (1, 2)
@@ -238,7 +251,7 @@
     async def scenario() -> None:
         network = Network(("a",))
         network.storages["a"].failing = True
-        with pytest.raises(GroupFailed):
+        with pytest.raises(GroupFailedError):
             await network.groups["a"].start()
 
     run(scenario())
@@ -251,7 +264,10 @@
         storage = MemoryStorage(("a",))
         leads = asyncio.Event()
         group = ReplicatedGroup(
-            "g", "a", storage, Machine(), lambda message: None, on_leadership=lambda _: leads.set()
+            "g",
+            "a",
+            GroupEnvironment(storage=storage, machine=Machine(), send=lambda message: None),
+            callbacks=GroupCallbacks(on_leadership=lambda _: leads.set()),
         )
         await group.start()
         await asyncio.wait_for(leads.wait(), 10.0)
--- a/tests/consensus/test_uncommitted.py
+++ b/tests/consensus/test_uncommitted_limit.py
@@ -5,10 +5,11 @@
 
 import pytest
 
-from pewterring.consensus.errors import TooManyUncommitted
+from pewterring.consensus.errors import TooManyUncommittedError
 from pewterring.consensus.group import ReplicatedGroup
 from pewterring.consensus.log import ENTRY_OVERHEAD_BYTES
 from pewterring.consensus.types import RaftLimits
+from tests.consensus.raft_internals import log_of, raft_of
 from tests.consensus.test_full_disk import LimitedStorage, limited_network
 from tests.consensus.test_group import NAMES, Network, command, wait_until
 from tests.consensus.virtual_time import run
@@ -20,9 +21,8 @@
 
 async def started() -> tuple[Network, dict[str, LimitedStorage], ReplicatedGroup]:
     """A group whose leader takes `MOST_BYTES`."""
-    network, disks = limited_network()
-    for group in network.groups.values():
-        group._limits = RaftLimits(kept_bytes=KEPT_BYTES, uncommitted_bytes=MOST_BYTES)
+    limits = RaftLimits(retained_bytes=KEPT_BYTES, uncommitted_bytes=MOST_BYTES)
+    network, disks = limited_network(limits=limits)
     leader = await network.start()
     await leader.propose(command("first"))
     await asyncio.sleep(1.0)
@@ -34,17 +34,12 @@
         disks[name].full = is_full
 
 
-def log_bytes(group: ReplicatedGroup) -> int:
-    assert group._raft is not None
-    return group._raft._state.log.size_bytes
-
-
 async def propose_with_patience(leader: ReplicatedGroup, text: str, refused: list[str]) -> None:
     with contextlib.suppress(TimeoutError):
         async with asyncio.timeout(0.5):
             try:
                 await leader.propose(command(text))
-            except TooManyUncommitted:
+            except TooManyUncommittedError:
                 refused.append(text)
 
 
@@ -59,7 +54,7 @@
         for text in texts:
             calls.append(asyncio.create_task(propose_with_patience(leader, text, refused)))
             await asyncio.sleep(0.01)
-            most = max(most, *(log_bytes(group) for group in network.groups.values()))
+            most = max(most, *(log_of(group).size_bytes for group in network.groups.values()))
         await asyncio.gather(*calls)
         assert leader.is_leader
         assert 400 < len(refused) < 500
@@ -93,7 +88,7 @@
         set_full(disks, True)
         held = asyncio.ensure_future(leader.propose(command(large)))
         await asyncio.sleep(0.1)
-        with pytest.raises(TooManyUncommitted):
+        with pytest.raises(TooManyUncommittedError):
             await asyncio.wait_for(leader.propose(command("z")), 1.0)
         set_full(disks, False)
         assert await held == 3
@@ -111,9 +106,8 @@
         set_full(disks, True)
         held = asyncio.ensure_future(leader.propose(command("y" * (MOST_BYTES + ENTRY_OVERHEAD_BYTES))))
         await asyncio.sleep(0.1)
-        assert leader._raft is not None
         membership = type(leader.membership)(leader.membership.voters, ("d",))
-        leader._raft.propose_membership(asyncio.get_running_loop().time(), membership)
+        raft_of(leader).propose_membership(membership)
         assert leader.membership == membership
         held.cancel()
         await network.stop()
--- a/tests/control/test_leadership.py
+++ b/tests/control/test_leadership.py
@@ -6,15 +6,16 @@
 import pytest
 
 from pewterring.consensus.errors import (
-    GroupFailed,
-    MembershipRefused,
-    NotLeader,
-    OutcomeUnknown,
-    TooManyUncommitted,
+    GroupFailedError,
+    MembershipRejectedError,
+    NotLeaderError,
+    OutcomeUnknownError,
+    TooManyUncommittedError,
 )
 from pewterring.consensus.group import ReplicatedGroup
+from pewterring.consensus.membership_planner import MembershipPlanner
+from pewterring.consensus.membership_view import Candidates, PlannedGroup
 from pewterring.consensus.messages import Membership
-from pewterring.consensus.planner import Candidates, MembershipPlanner, PlannedGroup
 from pewterring.control.commands import Accepted, Command, PutNodes, RemoveWorkers
 from pewterring.control.duties import DutyRunner, LeaderDuties
 from pewterring.control.errors import NotLeading, OutcomeUnsure
@@ -122,10 +123,10 @@
 @pytest.mark.parametrize(
     ("error", "expected"),
     [
-        (NotLeader("b"), NotLeading),  # nothing was done
-        (TooManyUncommitted(1), NotLeading),  # nothing either
-        (OutcomeUnknown("lost"), OutcomeUnsure),  # may come into force yet
-        (GroupFailed("disk"), OutcomeUnsure),
+        (NotLeaderError("b"), NotLeading),  # nothing was done
+        (TooManyUncommittedError(1), NotLeading),  # nothing either
+        (OutcomeUnknownError("lost"), OutcomeUnsure),  # may come into force yet
+        (GroupFailedError("disk"), OutcomeUnsure),
     ],
 )
 def test_errors_of_the_group_say_whether_the_command_may_come_into_force(
@@ -158,7 +159,7 @@
 
 
 @pytest.mark.parametrize(
-    "error", [NotLeader(None), OutcomeUnknown("lost"), MembershipRefused("one at a time")]
+    "error", [NotLeaderError(None), OutcomeUnknownError("lost"), MembershipRejectedError("one at a time")]
 )
 def test_a_duty_that_failed_is_found_due_again(error: Exception) -> None:
     group, leadership = made()
