--- a/tests/consensus/memory_storage.py
+++ b/tests/consensus/memory_storage.py
@@ -7,13 +7,13 @@
 from pewterring.consensus.persistent import HardState, LoadedGroup, PersistentState
 
 
-class StorageMisused(AssertionError):
+class StorageMisuseError(AssertionError):
     """The core asked its storage for what would lose or overwrite something."""
 
 
 def _require(holds: bool, rule: str) -> None:
     if not holds:
-        raise StorageMisused(rule)
+        raise StorageMisuseError(rule)
 
 
 class MemoryStorage:
--- a/tests/consensus/planned_simulation.py
+++ b/tests/consensus/planned_simulation.py
@@ -73,7 +73,7 @@
 
     def _plan(self, member: Member, raft: Raft) -> None:
         now = self._clock(member)
-        leadership = (member.name, member.life, raft.term)
+        leadership = (member.name, member.incarnation, raft.term)
         planner = self._planners.get(leadership)
         if planner is None:
             planner = self._planner_class(member.name, self.tolerated, CATCH_UP_S, self._keeps_spares)
@@ -122,14 +122,14 @@
     def leave(self, name: str) -> Callable[[], bool]:
         """SIGTERM comes: says its farewell as `ReplicatedGroup.leave` does. Says whether it may end."""
         member = self.members[name]
-        life = member.life
+        incarnation = member.incarnation
         ends_at = self.now + PATIENCE_S
 
         def may_end() -> bool:
             return self.now >= ends_at or member.raft is None or member.raft.has_left
 
         def say() -> None:
-            if member.raft is None or member.life != life or may_end():
+            if member.raft is None or member.incarnation != incarnation or may_end():
                 return
             if member.raft.is_leader:
                 member.raft.hand_over(self._clock(member))
--- a/tests/consensus/raft_breakages.py
+++ b/tests/consensus/raft_breakages.py
@@ -43,13 +43,13 @@
         at_once = [*ready.messages_before_sync, *early]
         return dataclasses.replace(ready, messages_before_sync=at_once, save=save)
 
-    def persisted(self, now: float, save: Save) -> None:
+    def persisted(self, now: float, _save: Save) -> None:
         assert self._real_save is not None
         super().persisted(now, self._real_save)
 
 
 class _IgnoresFarewells(LeaderRole):
-    def is_leaving(self, member: str) -> bool:
+    def is_leaving(self, _member: str) -> bool:
         return False
 
 
@@ -99,7 +99,7 @@
 
 
 class _CommitsOldTerm(LeaderRole):
-    def may_commit(self, index: int) -> bool:
+    def may_commit(self, _index: int) -> bool:
         return True
 
 
@@ -113,7 +113,7 @@
 class ReadsWithoutLease(Raft):
     """Takes itself for the leader as long as nobody tells it otherwise."""
 
-    def has_lease(self, now: float) -> bool:
+    def has_lease(self, _now: float) -> bool:
         return self.is_leader
 
 
@@ -160,7 +160,7 @@
         self._checked_at = now
         super().step(now, message)
 
-    def request_read(self, now: float) -> ReadTicket:
+    def request_read(self, _now: float) -> ReadTicket:
         return super().request_read(self._checked_at)
 
 
@@ -219,7 +219,7 @@
 
 
 class _StepsDownAtOnce(LeaderRole):
-    def yield_to_later_term(self, now: float) -> bool:
+    def yield_to_later_term(self, _now: float) -> bool:
         return False
 
 
--- a/tests/consensus/raft_internals.py
+++ b/tests/consensus/raft_internals.py
@@ -6,11 +6,12 @@
 from pewterring.consensus.group import ReplicatedGroup
 from pewterring.consensus.log import Log
 from pewterring.consensus.raft import Raft
+from pewterring.consensus.types import RaftLimits
 
 
 def raft_of(group: ReplicatedGroup) -> Raft:
     """The core of a group that runs."""
-    raft = group._raft
+    raft = group._raft  # noqa: SLF001 - see the module
     assert raft is not None
     return raft
 
@@ -18,4 +19,9 @@
 def log_of(member: ReplicatedGroup | Raft) -> Log:
     """The log in the memory of a group that runs, or of a core."""
     raft = member if isinstance(member, Raft) else raft_of(member)
-    return raft._state.log
+    return raft._state.log  # noqa: SLF001 - see the module
+
+
+def set_limits(group: ReplicatedGroup, limits: RaftLimits) -> None:
+    """Gives a group that has not started yet other limits than its network does."""
+    group._limits = limits  # noqa: SLF001 - see the module
--- a/tests/consensus/scenarios.py
+++ b/tests/consensus/scenarios.py
@@ -2,12 +2,12 @@
 
 from pewterring.consensus.messages import AppendRequest, ConsensusMessage, SnapshotChunk
 from pewterring.consensus.raft import Raft
-from tests.consensus.simulated_members import Violation, Weather
+from tests.consensus.simulated_members import SafetyViolationError, Weather, drops_nothing
 from tests.consensus.simulation import Simulation
 
 NEVER_S = 1000.0
 CUT_S = 20.0
-WHOLE_S = 5.0  # for a snapshot of which one chunk is lost
+COMPLETE_S = 5.0  # for a snapshot of which one chunk is lost
 SNAPSHOT_CHUNKS = 8  # at least, of those that members need here
 AT_ONCE_S = 0.15  # far below the shortest election time-out
 
@@ -116,7 +116,7 @@
     simulation.run(0.5)
     simulation.crash(first)
     simulation.crash(second)
-    simulation.drops = lambda message: False
+    simulation.drops = drops_nothing
     simulation.start(later)
     simulation.start(fourth)
     _converges(simulation)
@@ -130,12 +130,12 @@
     """A member cut from the leader stands for election, and its voter starts again under the lease."""
     simulation, leader, (keeper, rival) = _settled(seed, 3, raft_class)
     simulation.cut(leader, rival)
-    _read_and_write(simulation, leader, 1.5)
+    read_and_write(simulation, leader, 1.5)
     if simulation.leader() == leader:
         simulation.crash(keeper)
         simulation.cut_off(leader)
         simulation.start(keeper)
-    _read_and_write(simulation, leader, 0.5)
+    read_and_write(simulation, leader, 0.5)
     simulation.check_converges()
 
 
@@ -188,11 +188,11 @@
         simulation.run(step_s)
         without_s += 0.0 if simulation.has_leader() else step_s
     if without_s > AT_ONCE_S:
-        raise Violation(f"nobody led for {without_s:.2f} s because one member came back")
+        raise SafetyViolationError(f"nobody led for {without_s:.2f} s because one member came back")
     simulation.check_converges()
 
 
-def _read_and_write(simulation: Simulation, reader: str, duration: float) -> None:
+def read_and_write(simulation: Simulation, reader: str, duration: float) -> None:
     """Reads at `reader`, and writes at another that leads after it."""
     end = simulation.now + duration
     while simulation.now < end:
@@ -218,7 +218,7 @@
     simulation.drops = lambda message: _record(message, chunks)
     simulation.start(away)
     simulation.run(1.0)
-    simulation.drops = lambda message: False
+    simulation.drops = drops_nothing
     _propose_many(simulation, "after ")
     for chunk in chunks:
         simulation.deliver_again(chunk)
@@ -243,7 +243,7 @@
     simulation.crash(leader)
     simulation.run_while(lambda: not chunks, 5.0)
     simulation.run(0.5)
-    simulation.drops = lambda message: False
+    simulation.drops = drops_nothing
     simulation.run(2.0)
     simulation.check_converges()
 
@@ -258,8 +258,8 @@
         )
         simulation.start(away)
         disk = simulation.members[away].disk
-        if not simulation.run_while(lambda disk=disk: disk.snapshot_index == 0, WHOLE_S):  # type: ignore[misc]
-            raise Violation(f"{away} has no snapshot {WHOLE_S} s after one chunk was lost")
+        if not simulation.run_while(lambda disk=disk: disk.snapshot_index == 0, COMPLETE_S):  # type: ignore[misc]
+            raise SafetyViolationError(f"{away} has no snapshot {COMPLETE_S} s after one chunk was lost")
         simulation.check_converges()
 
 
--- a/tests/consensus/schedules.py
+++ b/tests/consensus/schedules.py
@@ -1,58 +1,91 @@
 """Random schedules of faults and calls, drawn from a seed."""
 
 import random
+from collections.abc import Callable
+from dataclasses import dataclass
 
 from pewterring.consensus.raft import Raft
 from tests.consensus.simulated_members import Weather
 from tests.consensus.simulation import Simulation
 
+PAUSES_S = (0.01, 0.05, 0.2, 0.7)  # between two steps
+WEATHERS = (
+    Weather(),
+    Weather(lost=0.1, repeated=0.1, late=0.1),
+    Weather(lost=0.3, repeated=0.3, late=0.3, sync_s=(0.001, 0.2)),
+    Weather(delay_s=(0.01, 0.05), sync_s=(0.01, 0.1)),
+)
+
 
 def play(seed: int, voters: int, steps: int, raft_class: type[Raft] = Raft) -> Simulation:
     """Plays a schedule and checks that the group comes to agree after it."""
     rng = random.Random(f"schedule {seed}")
     simulation = Simulation(seed, voters, raft_class)
-    for step in range(steps):
-        _act(rng, simulation, step)
-        simulation.run(rng.choice((0.01, 0.05, 0.2, 0.7)))
+    for number in range(steps):
+        name = rng.choice(list(simulation.members))
+        (act,) = rng.choices(tuple(STEP_WEIGHTS), tuple(STEP_WEIGHTS.values()))
+        act(Step(rng, simulation, number, name))
+        simulation.run(rng.choice(PAUSES_S))
     simulation.check_converges()
     return simulation
 
 
-def _act(rng: random.Random, simulation: Simulation, step: int) -> None:
-    names = list(simulation.members)
-    name = rng.choice(names)
-    kind = rng.choices(
-        ("propose", "read", "crash", "start", "freeze", "thaw", "cut", "one way", "heal", "weather"),
-        (12, 12, 3, 5, 2, 3, 2, 2, 3, 2),
-    )[0]
-    if kind == "propose":
-        for number in range(rng.choice((1, 1, 5, 20))):
-            simulation.propose(f"{step}.{number}", rng.choice((None, name)))
-    elif kind == "read":
-        for reader in names:
-            simulation.read(reader)
-    elif kind == "crash":
-        simulation.crash(rng.choice((name, simulation.leader() or name)))
-    elif kind == "start":
-        for stopped in names:
-            simulation.start(stopped)
-    elif kind == "freeze":
-        simulation.freeze(rng.choice((name, simulation.leader() or name)))
-    elif kind == "thaw":
-        for frozen in names:
-            simulation.thaw(frozen)
-    elif kind == "cut":
-        simulation.cut_off(rng.choice((name, simulation.leader() or name)))
-    elif kind == "one way":
-        simulation.cuts.add((name, rng.choice(names)))
-    elif kind == "heal":
-        simulation.cuts.clear()
-    elif kind == "weather":
-        simulation.weather = rng.choice(
-            (
-                Weather(),
-                Weather(lost=0.1, repeated=0.1, late=0.1),
-                Weather(lost=0.3, repeated=0.3, late=0.3, sync_s=(0.001, 0.2)),
-                Weather(delay_s=(0.01, 0.05), sync_s=(0.01, 0.1)),
-            )
-        )
+@dataclass(frozen=True)
+class Step:
+    """One step of a schedule: a fault or calls, at the member `name` where it concerns one."""
+
+    rng: random.Random
+    simulation: Simulation
+    number: int
+    name: str
+
+    def _name_or_leader(self) -> str:
+        return self.rng.choice((self.name, self.simulation.leader() or self.name))
+
+    def propose(self) -> None:
+        for each in range(self.rng.choice((1, 1, 5, 20))):
+            self.simulation.propose(f"{self.number}.{each}", self.rng.choice((None, self.name)))
+
+    def read(self) -> None:
+        for reader in list(self.simulation.members):
+            self.simulation.read(reader)
+
+    def crash(self) -> None:
+        self.simulation.crash(self._name_or_leader())
+
+    def start(self) -> None:
+        for stopped in list(self.simulation.members):
+            self.simulation.start(stopped)
+
+    def freeze(self) -> None:
+        self.simulation.freeze(self._name_or_leader())
+
+    def thaw(self) -> None:
+        for frozen in list(self.simulation.members):
+            self.simulation.thaw(frozen)
+
+    def cut_off(self) -> None:
+        self.simulation.cut_off(self._name_or_leader())
+
+    def cut_one_way(self) -> None:
+        self.simulation.cuts.add((self.name, self.rng.choice(list(self.simulation.members))))
+
+    def heal(self) -> None:
+        self.simulation.cuts.clear()
+
+    def change_weather(self) -> None:
+        self.simulation.weather = self.rng.choice(WEATHERS)
+
+
+STEP_WEIGHTS: dict[Callable[[Step], None], int] = {
+    Step.propose: 12,
+    Step.read: 12,
+    Step.crash: 3,
+    Step.start: 5,
+    Step.freeze: 2,
+    Step.thaw: 3,
+    Step.cut_off: 2,
+    Step.cut_one_way: 2,
+    Step.heal: 3,
+    Step.change_weather: 2,
+}
--- a/tests/consensus/simulation.py
+++ b/tests/consensus/simulation.py
@@ -10,7 +10,15 @@
 from pewterring.consensus.raft import Raft
 from pewterring.consensus.types import RaftConfig, Ready, Save, Snapshot
 from tests.consensus.memory_storage import MemoryStorage
-from tests.consensus.simulated_members import LIMITS, SNAPSHOT_AFTER, TIMING, Member, Violation, Weather
+from tests.consensus.simulated_members import (
+    LIMITS,
+    SNAPSHOT_AFTER,
+    TIMING,
+    Member,
+    SafetyViolationError,
+    Weather,
+    drops_nothing,
+)
 
 
 def _encoded(member: Member) -> bytes:
@@ -27,7 +35,7 @@
         self.now = 0.0
         self.weather = Weather()
         self.cuts: set[tuple[str, str]] = set()  # (sender, target)
-        self.drops: Callable[[ConsensusMessage], bool] = lambda message: False
+        self.drops: Callable[[ConsensusMessage], bool] = drops_nothing
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._sequence = 0
         self.members: dict[str, Member] = {}
@@ -54,7 +62,7 @@
         member = self.members[name]
         if member.raft is not None:
             return
-        member.life += 1
+        member.incarnation += 1
         member.timer_at = None
         loaded = member.disk.load()
         member.applied_to = loaded.state.snapshot_index
@@ -120,7 +128,7 @@
     def run_until(self, condition: Callable[[], bool], limit: float = 30.0) -> None:
         """Runs until `condition` holds, which must come."""
         if not self.run_while(lambda: not condition(), limit):
-            raise Violation("what was waited for did not come")
+            raise SafetyViolationError("what was waited for did not come")
 
     def run_while(self, condition: Callable[[], bool], limit: float) -> bool:
         """Runs while `condition` holds; False if it still does at the limit."""
@@ -133,12 +141,12 @@
             action()
         return True
 
-    def _in_life(self, member: Member, action: Callable[[Raft], None]) -> Callable[[], None]:
+    def _in_incarnation(self, member: Member, action: Callable[[Raft], None]) -> Callable[[], None]:
         """The action, done if the process still lives then; when it is frozen, after that."""
-        life = member.life
+        incarnation = member.incarnation
 
         def act() -> None:
-            if member.raft is None or member.life != life:
+            if member.raft is None or member.incarnation != incarnation:
                 return
             if member.frozen:
                 member.postponed.append(act)
@@ -146,7 +154,7 @@
             try:
                 action(member.raft)
             except ConsensusError as error:
-                raise Violation(str(error)) from error
+                raise SafetyViolationError(str(error)) from error
             self._pump(member)
 
         return act
@@ -181,7 +189,7 @@
                 member.timer_at = None
             raft.tick(self._clock(member))
 
-        self._at(time, self._in_life(member, tick))
+        self._at(time, self._in_incarnation(member, tick))
 
     def _do(self, member: Member, raft: Raft, ready: Ready) -> None:
         for message in ready.messages_before_sync:
@@ -198,7 +206,7 @@
         try:
             applied: list[list[object]] = json.loads(snapshot.data)["applied"]
         except ValueError as error:
-            raise Violation(f"{member.name} got a snapshot that is none: {error}") from error
+            raise SafetyViolationError(f"{member.name} got a snapshot that is none: {error}") from error
         return applied
 
     def _begin_job(self, member: Member, work: Callable[[], None], done: Callable[[Raft], None]) -> None:
@@ -210,7 +218,7 @@
             done(raft)
 
         sync_s = self.rng.uniform(*self.weather.sync_s) if member.sync_s is None else member.sync_s
-        self._at(self.now + sync_s, self._in_life(member, finish))
+        self._at(self.now + sync_s, self._in_incarnation(member, finish))
 
     def _begin_save(self, member: Member, save: Save) -> None:
         def write() -> None:
@@ -227,7 +235,7 @@
                 member.applied = self._decoded(member, save.snapshot)
                 self._check_restored(member, save.snapshot)
                 if save.snapshot.index < member.applied_to:
-                    raise Violation(f"{member.name} went back from {member.applied_to}")
+                    raise SafetyViolationError(f"{member.name} went back from {member.applied_to}")
                 member.applied_to = save.snapshot.index
                 member.since_snapshot = 0
             raft.persisted(self._clock(member), save)
@@ -250,9 +258,9 @@
     def _apply(self, member: Member, entry: Entry) -> None:
         known = self.history.setdefault(entry.index, (entry.term, bytes(entry.data)))
         if known != (entry.term, bytes(entry.data)):
-            raise Violation(f"{member.name} applied {entry}, others {known}")
+            raise SafetyViolationError(f"{member.name} applied {entry}, others {known}")
         if entry.index != member.applied_to + 1:
-            raise Violation(f"{member.name} applied {entry.index} after {member.applied_to}")
+            raise SafetyViolationError(f"{member.name} applied {entry.index} after {member.applied_to}")
         member.applied_to = entry.index
         member.since_snapshot += 1
         if entry.kind == ENTRY_COMMAND:
@@ -286,7 +294,7 @@
     def _deliver(self, message: ConsensusMessage) -> None:
         member = self.members.get(message.target) or self._at_address(message.target)
         if member is not None and (message.sender, member.name) not in self.cuts:
-            self._in_life(member, lambda raft: raft.step(self._clock(member), message))()
+            self._in_incarnation(member, lambda raft: raft.step(self._clock(member), message))()
 
     def _at_address(self, target: str) -> Member | None:
         """Who has the address of a member that is gone: it gets what is meant for that one."""
@@ -298,7 +306,7 @@
         member = self.members[name]
         assert member.raft is not None
         # No message makes a member stand without a poll, but for a transfer, which voters treat otherwise.
-        member.raft._election._campaign(self._clock(member))
+        member.raft._election._campaign(self._clock(member))  # noqa: SLF001 - the line above
         self._pump(member)
 
     def has_leader(self) -> bool:
@@ -321,13 +329,15 @@
 
     def _check_leader(self, member: Member, raft: Raft) -> None:
         if raft.is_leader and self.leaders.setdefault(raft.term, member.name) != member.name:
-            raise Violation(f"{member.name} and {self.leaders[raft.term]} lead in term {raft.term}")
+            raise SafetyViolationError(
+                f"{member.name} and {self.leaders[raft.term]} lead in term {raft.term}"
+            )
         if raft.is_leader and raft.is_installing_snapshot:
-            raise Violation(f"{member.name} leads while it takes over a snapshot")
+            raise SafetyViolationError(f"{member.name} leads while it takes over a snapshot")
 
     def _check_read(self, raft: Raft, index: int, least: int) -> None:
         if index < least:
-            raise Violation(f"{raft.member} reads at {index} what was {least} before")
+            raise SafetyViolationError(f"{raft.member} reads at {index} what was {least} before")
         self.seen_index = max(self.seen_index, index)
         self.reads_done += 1
 
@@ -338,13 +348,13 @@
             if index <= snapshot.index and isinstance(json.loads(data), str)
         ]
         if member.applied != expected:
-            raise Violation(f"{member.name} restored what the others never were")
+            raise SafetyViolationError(f"{member.name} restored what the others never were")
 
     def check_converges(self) -> None:
         """With all machines and links well, the group takes commands and all members agree."""
         self.weather = Weather()
         self.cuts.clear()
-        self.drops = lambda message: False
+        self.drops = drops_nothing
         for name, member in self.members.items():
             self.start(name)
             member.sync_s = None
@@ -360,10 +370,10 @@
         membership = self.leader_raft().membership
         texts = {entry[2] for entry in leader.applied}
         if not texts >= self.acknowledged.keys():
-            raise Violation(f"lost: {self.acknowledged.keys() - texts}")
+            raise SafetyViolationError(f"lost: {self.acknowledged.keys() - texts}")
         for name in (*membership.voters, *membership.learners):
             if name in self.members and self.members[name].applied != leader.applied:
-                raise Violation(f"{name} and {leader.name} differ")
+                raise SafetyViolationError(f"{name} and {leader.name} differ")
 
     # What clients do.
 
--- a/tests/consensus/slow_members.py
+++ b/tests/consensus/slow_members.py
@@ -27,7 +27,7 @@
         self._syncs = 0
         disk.on_operation = self._on_operation
 
-    def _on_operation(self, number: int, operation: Operation, name: str) -> None:
+    def _on_operation(self, _number: int, operation: Operation, _name: str) -> None:
         self._syncs += operation in (Operation.SYNC, Operation.SYNC_FOLDER)
 
     def submit(self, work: Callable[..., Any], /, *args: Any, **kwargs: Any) -> Future[Any]:
@@ -36,16 +36,16 @@
         before = self._disk.bytes_written
         try:
             result = work(*args, **kwargs)
-        except Exception as error:
+        except Exception as error:  # noqa: BLE001 - a future carries whatever its work raised
             future.set_exception(error)
             return future
         written = self._disk.bytes_written - before
         delay = self._syncs * self._sync_s + written / self._bytes_per_s
-        asyncio.get_running_loop().call_later(delay, _settle, future, result)
+        asyncio.get_running_loop().call_later(delay, _set_result, future, result)
         return future
 
 
-def _settle(future: Future[Any], result: object) -> None:
+def _set_result(future: Future[Any], result: object) -> None:
     if not future.done():
         future.set_result(result)
 
@@ -63,7 +63,7 @@
 
 
 class SlowGroup:
-    """Three members; `lives` has the running ones, `disks` all."""
+    """Three members; `running` has those that run, `disks` all."""
 
     def __init__(self, machine: Callable[[], StateMachine], seed: int = 1) -> None:
         self._machine = machine
@@ -72,7 +72,7 @@
         self.disks = {name: SimulatedDisk() for name in NAMES}
         self.timers: dict[str, DiskTimer] = {}
         self.processors: dict[str, Processor] = {}
-        self.lives: dict[str, ReplicatedGroup] = {}
+        self.running: dict[str, ReplicatedGroup] = {}
         self.machines: dict[str, StateMachine] = {}
         self.sent_bytes = dict.fromkeys(NAMES, 0)  # by target
         self.led: list[tuple[str, float]] = []  # who began to lead, and when
@@ -100,16 +100,16 @@
             executor=self.timers[name],
         )
         await group.start()
-        self.lives[name] = group
+        self.running[name] = group
         return group
 
     async def end(self, name: str) -> None:
         """The process dies; what it had begun to write is on its disk."""
-        await self.lives.pop(name).stop()
+        await self.running.pop(name).stop()
         self.disks[name].kill()
 
     async def stop(self) -> None:
-        for name in list(self.lives):
+        for name in list(self.running):
             await self.end(name)
 
     def _note(self, name: str, leads: bool) -> None:
@@ -131,7 +131,7 @@
         loop.call_at(read_at, self._receive, target, line)
 
     def _receive(self, target: str, line: bytes) -> None:
-        group = self.lives.get(target)
+        group = self.running.get(target)
         if group is not None:
             message = self._codec.decode(self._codec.decode_line(line).body)
             assert isinstance(message, ConsensusMessage)
@@ -139,7 +139,7 @@
 
     async def leader(self) -> ReplicatedGroup:
         while True:
-            for group in self.lives.values():
+            for group in self.running.values():
                 if group.is_leader:
                     return group
             await asyncio.sleep(0.01)
--- a/tests/consensus/test_catch_up.py
+++ b/tests/consensus/test_catch_up.py
@@ -64,7 +64,9 @@
 
 async def until_caught_up(group: SlowGroup, member: ReplicatedGroup, index: int) -> None:
     """Waits until the member has applied all up to `index`, and the leader knows it to be on its disk."""
-    while member.applied_index < index or (await group.leader()).match(member.member) < index:
+    while True:
+        if member.applied_index >= index and (await group.leader()).match(member.member) >= index:
+            return
         await asyncio.sleep(0.01)
 
 
@@ -74,7 +76,7 @@
     for name in ("a", "b", "c"):
         await group.start(name)
     await order(group, commands, 30)
-    away = next(name for name in group.lives if name != group.led[-1][0])
+    away = next(name for name in group.running if name != group.led[-1][0])
     await group.end(away)
     return group, away
 
@@ -110,8 +112,8 @@
             await group.start(name)
         commands = changes(LARGE_ROUTES)
         await order(group, commands, 30)
-        away = next(name for name in group.lives if name != (group.led[-1][0]))
-        held = group.lives[away].applied_index
+        away = next(name for name in group.running if name != (group.led[-1][0]))
+        held = group.running[away].applied_index
         await group.end(away)
         target = await order(group, commands, 60)
         leader = await group.leader()
@@ -158,7 +160,7 @@
         commands = changes(routes=50)
         await order(group, commands, 10)
         leader = await group.leader()
-        away = next(name for name in group.lives if name != leader.member)
+        away = next(name for name in group.running if name != leader.member)
         await group.end(away)
         snapshot_bytes = longest = 0
         for _ in range(100):
@@ -169,9 +171,9 @@
         assert snapshot_bytes < SNAPSHOT_AFTER_BYTES
         log_bytes = LOG_BYTES + 100_000  # and what came meanwhile
         assert longest < log_bytes + KEPT_BYTES
-        for name in group.lives:
+        for name in group.running:
             assert group.disks[name].most_bytes < 2 * (log_bytes * 1.1 + snapshot_bytes)
-        for name in list(group.lives):
+        for name in list(group.running):
             await group.end(name)
             disk = group.disks[name]
             assert sum(disk.size(file) for file in disk.names()) < 2 * log_bytes * 1.1 + snapshot_bytes
--- a/tests/consensus/test_farewells.py
+++ b/tests/consensus/test_farewells.py
@@ -23,7 +23,7 @@
 from tests.consensus.planned_group import PlannedGroupStandIn
 from tests.consensus.planned_simulation import CATCH_UP_S, PATIENCE_S, PlannedSimulation
 from tests.consensus.raft_breakages import IgnoresFarewells, TakesLateFarewells
-from tests.consensus.simulated_members import Violation
+from tests.consensus.simulated_members import SafetyViolationError
 from tests.consensus.test_group import NAMES, Network, wait_until
 from tests.consensus.test_losses import HALF_S, kinds, tolerated_losses
 from tests.consensus.test_planner import breaks_a_rule, every_group
@@ -92,7 +92,7 @@
 @kinds
 @tolerated_losses
 def test_a_farewell_that_is_ignored_is_caught(tolerated: int, spares_kept: bool) -> None:
-    with pytest.raises((Violation, AssertionError)):
+    with pytest.raises((SafetyViolationError, AssertionError)):
         planned_replacement(0, tolerated, spares_kept, 0.0, IgnoresFarewells)
 
 
--- a/tests/consensus/test_handover.py
+++ b/tests/consensus/test_handover.py
@@ -9,7 +9,7 @@
 from pewterring.consensus.leader import LeaderRole
 from pewterring.consensus.messages import ConsensusMessage, TimeoutNow, VoteRequest
 from pewterring.consensus.raft import Raft
-from tests.consensus.simulated_members import Violation
+from tests.consensus.simulated_members import SafetyViolationError
 from tests.consensus.simulation import Simulation
 from tests.consensus.test_group import Network, command
 from tests.consensus.virtual_time import run
@@ -146,7 +146,7 @@
 
 
 def test_lease_kept_after_a_successor_was_told_is_caught() -> None:
-    with pytest.raises(Violation):
+    with pytest.raises(SafetyViolationError):
         read_at_a_leader_cut_off_while_it_hands_over(KeepsLease)
     read_at_a_leader_cut_off_while_it_hands_over(Raft)
 
--- a/tests/consensus/test_leases.py
+++ b/tests/consensus/test_leases.py
@@ -8,8 +8,8 @@
 from pewterring.consensus.membership import encode_membership
 from pewterring.consensus.messages import ENTRY_MEMBERS, Membership
 from pewterring.consensus.raft import Raft
-from tests.consensus.scenarios import _read_and_write
-from tests.consensus.simulated_members import TIMING, Violation
+from tests.consensus.scenarios import read_and_write
+from tests.consensus.simulated_members import TIMING, SafetyViolationError
 from tests.consensus.simulation import Simulation
 
 DRIFT = 0.1  # a clock that runs faster or slower by more than this is not allowed for
@@ -30,19 +30,22 @@
         simulation.set_clock_rate(name, 1 - drift if name == leader else 1 + drift)
     simulation.run(1.0)
     simulation.cut_off(leader)
-    _read_and_write(simulation, leader, 2.0)
+    read_and_write(simulation, leader, 2.0)
     simulation.check_converges()
 
 
-def test_no_stale_read_at_clocks_of_other_rates() -> None:
+def rivals_at_other_rates(drift: float) -> None:
     for seed in range(20):
-        rival_at_other_rates(seed, DRIFT)
+        rival_at_other_rates(seed, drift)
+
+
+def test_no_stale_read_at_clocks_of_other_rates() -> None:
+    rivals_at_other_rates(DRIFT)
 
 
 def test_clocks_far_beyond_what_is_allowed_for_are_noticed() -> None:
-    with pytest.raises(Violation, match="reads at"):
-        for seed in range(20):
-            rival_at_other_rates(seed, 4 * DRIFT)
+    with pytest.raises(SafetyViolationError, match="reads at"):
+        rivals_at_other_rates(4 * DRIFT)
 
 
 class _ChangesFreely(LeaderRole):
@@ -62,6 +65,7 @@
 
 
 NAMES = ("a", "b", "c", "d", "e")
+STEP_WEIGHTS = {"change": 8, "request": 10, "cut": 3, "cut one way": 2, "heal": 3, "freeze": 1, "thaw": 3}
 
 
 def play_changes(seed: int, raft_class: type[Raft] = Raft, steps: int = 120) -> Simulation:
@@ -78,30 +82,41 @@
 
 
 def _act(rng: random.Random, simulation: Simulation, step: int) -> None:
-    kind = rng.choices(("change", "ask", "cut", "one way", "heal", "freeze", "thaw"), (8, 10, 3, 2, 3, 1, 3))[
-        0
-    ]
+    (kind,) = rng.choices(tuple(STEP_WEIGHTS), tuple(STEP_WEIGHTS.values()))
     name = rng.choice(NAMES)
-    if kind == "change":
-        _change(rng, simulation)
-    elif kind == "ask":
-        for each in NAMES:
-            simulation.propose(f"{step} {each}", each)
-            simulation.read(each)
-    elif kind == "cut":
-        side = rng.sample(NAMES, 2)
-        for one in side:
-            for other in set(NAMES) - set(side):
-                simulation.cut(one, other)
-    elif kind == "one way":
-        simulation.cuts.add((name, rng.choice(NAMES)))
-    elif kind == "heal":
-        simulation.cuts.clear()
-    elif kind == "freeze":
-        simulation.freeze(simulation.leader() or name)
-    elif kind == "thaw":
-        for frozen in NAMES:
-            simulation.thaw(frozen, reading=True)
+    match kind:
+        case "change":
+            _change(rng, simulation)
+        case "request":
+            _request_everywhere(simulation, step)
+        case "cut":
+            _cut_in_two(rng, simulation)
+        case "cut one way":
+            simulation.cuts.add((name, rng.choice(NAMES)))
+        case "heal":
+            simulation.cuts.clear()
+        case "freeze":
+            simulation.freeze(simulation.leader() or name)
+        case "thaw":
+            _thaw_all(simulation)
+
+
+def _request_everywhere(simulation: Simulation, step: int) -> None:
+    for each in NAMES:
+        simulation.propose(f"{step} {each}", each)
+        simulation.read(each)
+
+
+def _cut_in_two(rng: random.Random, simulation: Simulation) -> None:
+    side = rng.sample(NAMES, 2)
+    for one in side:
+        for other in set(NAMES) - set(side):
+            simulation.cut(one, other)
+
+
+def _thaw_all(simulation: Simulation) -> None:
+    for frozen in NAMES:
+        simulation.thaw(frozen, reading=True)
 
 
 def _change(rng: random.Random, simulation: Simulation) -> None:
@@ -125,6 +140,9 @@
 
 
 def test_changes_whose_majorities_do_not_overlap_are_caught() -> None:
-    with pytest.raises(Violation, match=r"applied|lead in term|is committed|reads at"):
+    def play_all() -> None:
         for seed in range(60):
             play_changes(seed, ChangesFreely)
+
+    with pytest.raises(SafetyViolationError, match=r"applied|lead in term|is committed|reads at"):
+        play_all()
--- a/tests/consensus/test_losses.py
+++ b/tests/consensus/test_losses.py
@@ -7,7 +7,7 @@
 import pytest
 
 from tests.consensus.planned_simulation import CATCH_UP_S, PlannedSimulation
-from tests.consensus.simulated_members import Violation
+from tests.consensus.simulated_members import SafetyViolationError
 
 HALF_S = CATCH_UP_S / 2
 ROUNDS = 4
@@ -157,5 +157,5 @@
     """The check itself: where the second loss comes too early, the group does not come back."""
     simulation = started(1, 1, False)
     simulation.wipe(*simulation.oldest(2))
-    with pytest.raises(Violation):
+    with pytest.raises(SafetyViolationError):
         simulation.check_converges()
--- a/tests/consensus/test_raft_breakages.py
+++ b/tests/consensus/test_raft_breakages.py
@@ -6,9 +6,9 @@
 
 from pewterring.consensus.raft import Raft
 from tests.consensus import raft_breakages, scenarios
-from tests.consensus.memory_storage import StorageMisused
+from tests.consensus.memory_storage import StorageMisuseError
 from tests.consensus.schedules import play
-from tests.consensus.simulated_members import Violation
+from tests.consensus.simulated_members import SafetyViolationError
 
 Scenario = Callable[[int, type[Raft]], None]
 SEEDS = 6
@@ -34,21 +34,27 @@
 ]
 
 
+def _play_seeds(scenario: Scenario, raft_class: type[Raft]) -> None:
+    for seed in range(SEEDS):
+        scenario(seed, raft_class)
+
+
 @pytest.mark.parametrize(("scenario", "broken"), PAIRS, ids=lambda value: value.__name__)
 def test_broken_rule_is_caught(scenario: Scenario, broken: type[Raft]) -> None:
-    with pytest.raises((Violation, StorageMisused)):
-        for seed in range(SEEDS):
-            scenario(seed, broken)
+    with pytest.raises((SafetyViolationError, StorageMisuseError)):
+        _play_seeds(scenario, broken)
 
 
 @pytest.mark.parametrize("scenario", dict(PAIRS), ids=lambda value: value.__name__)
 def test_kept_rules_do_no_harm(scenario: Scenario) -> None:
-    for seed in range(SEEDS):
-        scenario(seed, Raft)
+    _play_seeds(scenario, Raft)
 
 
 @pytest.mark.parametrize("broken", [raft_breakages.ReadsWithoutLease, raft_breakages.ReadsBeforeOwnEntry])
 def test_stale_read_is_caught_by_schedules(broken: type[Raft]) -> None:
-    with pytest.raises(Violation):
+    def play_schedules() -> None:
         for seed in range(60):
             play(seed, 3 + 2 * (seed % 2), 150, broken)
+
+    with pytest.raises(SafetyViolationError):
+        play_schedules()
--- a/tests/consensus/virtual_time.py
+++ b/tests/consensus/virtual_time.py
@@ -45,7 +45,7 @@
         future: Future[Any] = Future()
         try:
             future.set_result(work(*args, **kwargs))
-        except Exception as error:
+        except Exception as error:  # noqa: BLE001 - a future carries whatever its work raised
             future.set_exception(error)
         return future
 
