--- a/tests/consensus/raft_internals.py
+++ b/tests/consensus/raft_internals.py
@@ -10,7 +10,7 @@
 
 def raft_of(group: ReplicatedGroup) -> Raft:
     """The core of a group that runs."""
-    raft = group._driver.raft
+    raft = group._driver.raft  # noqa: SLF001 - see the module
     assert raft is not None
     return raft
 
@@ -18,4 +18,4 @@
 def log_of(member: ReplicatedGroup | Raft) -> Log:
     """The log in the memory of a group that runs, or of a core."""
     raft = member if isinstance(member, Raft) else raft_of(member)
-    return raft._state.log
+    return raft._state.log  # noqa: SLF001 - see the module
