--- a/benchmarks/patches.py
+++ b/benchmarks/patches.py
@@ -14,8 +14,8 @@
 import msgspec
 import orjson
 
-from pewterring.configuration.acceptance import Candidate, candidate, patch_candidate
 from pewterring.configuration.reader import read_configuration
+from pewterring.configuration.validation import ValidatedDocument, validate_configuration, validate_patch
 from pewterring.control.commands import Accepted, Command, PatchConfiguration, PutConfiguration
 from pewterring.control.state import ControlState, encode_command
 
@@ -49,12 +49,12 @@
     return orjson.dumps({"version": version, "upsert": {"routes": routes(1, version)}})
 
 
-def put_of(wanted: Candidate) -> Command:
+def put_of(wanted: ValidatedDocument) -> Command:
     """The command of a whole configuration on version 1."""
     return PutConfiguration(1, wanted.version, wanted.digest, msgspec.Raw(wanted.document))
 
 
-def patch_of(wanted: Candidate) -> Command:
+def patch_of(wanted: ValidatedDocument) -> Command:
     """The command of a patch of version 1."""
     return PatchConfiguration(1, wanted.version, wanted.digest, msgspec.Raw(wanted.document))
 
@@ -71,9 +71,9 @@
 
 def measure(form: str, count: int) -> None:
     """Prints one line."""
-    check, command_of = (candidate, put_of) if form == "whole" else (patch_candidate, patch_of)
+    check, command_of = (validate_configuration, put_of) if form == "whole" else (validate_patch, patch_of)
     body = document(2, count) if form == "whole" else patch(2)
-    first = candidate(document(1, count))
+    first = validate_configuration(document(1, count))
     base = ControlState()
     base.apply(1, encode_command(PutConfiguration(0, 1, first.digest, msgspec.Raw(first.document))))
     snapshot = base.snapshot()
--- a/pewterring/batch/execution.py
+++ b/pewterring/batch/execution.py
@@ -109,8 +109,8 @@
             job.id,
             job.route,
             job.items.values(),
-            due_at=job.accepted_at + route.run_aim_ms / MILLISECONDS_A_SECOND,
-            give_up_at=job.accepted_at + route.keep_s,
+            due_at=job.accepted_at + route.completion_target_ms / MILLISECONDS_A_SECOND,
+            give_up_at=job.accepted_at + route.job_ttl_s,
             max_attempts=route.max_attempts,
             failed_attempts=job.failed_attempts,
         )
--- a/pewterring/cli/cluster.py
+++ b/pewterring/cli/cluster.py
@@ -13,8 +13,8 @@
 
 from pewterring.cli.errors import CommandError, UsageError
 from pewterring.cli.parser import add_subcommands
-from pewterring.configuration.acceptance import document_faults
 from pewterring.configuration.patch import is_patch
+from pewterring.configuration.validation import document_errors
 from pewterring.control.calls import READ_PATH, REPLACE_PATH, STATUS_PATH, UPDATE_PATH
 from pewterring.control.status import TierStatus
 from pewterring.node.settings import SettingsError, parse_address
@@ -61,8 +61,8 @@
         body = Path(given.file).read_bytes()
     except OSError as error:
         raise UsageError(f"{given.file}: {error.strerror}") from error
-    for fault in document_faults(body):
-        raise UsageError(f"{given.file}: {fault}")
+    for problem in document_errors(body):
+        raise UsageError(f"{given.file}: {problem}")
     path = UPDATE_PATH if is_patch(orjson.loads(body)) else REPLACE_PATH
     headers = {"Base-Version": str(given.base_version), "Content-Type": "application/json"}
     order = urllib.request.Request(f"http://{_address(given)}{path}", body, headers)
--- a/pewterring/cli/operator_configuration.py
+++ b/pewterring/cli/operator_configuration.py
@@ -8,9 +8,9 @@
 from marshmallow import fields, missing, validate
 
 from pewterring.cli.findings import Findings, nearest, unknown_key
-from pewterring.configuration.acceptance import document_faults
 from pewterring.configuration.patch import PATCH_FIELDS, is_patch
-from pewterring.configuration.reader import configuration_schema
+from pewterring.configuration.schema import configuration_schema
+from pewterring.configuration.validation import document_errors
 
 # Fields that operators send and nothing here reads.
 UNUSED_FIELDS = frozenset({"protocol", "tls", "kv_bytes", "link_mbps", "version", "adapters"})
@@ -18,9 +18,9 @@
 
 
 def check(path: Path) -> Findings:
-    """All faults of a configuration, slips of keys included. Raises OSError."""
+    """All errors of a configuration, slips of keys included. Raises OSError."""
     document = path.read_bytes()
-    problems = [str(fault) for fault in document_faults(document)]
+    problems = [str(error) for error in document_errors(document)]
     unknown = dict(_unknown_fields(_tree(document)))
     problems += [unknown_key(at, meant) for at, meant in unknown.items() if meant]
     others = sum(not meant for meant in unknown.values())
--- a/pewterring/configuration/__init__.py
+++ b/pewterring/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""Operators' configurations: typed values, validation, the immutable route table."""
+"""Operators' configurations: typed values, validation, patches, the immutable route table."""
--- a/pewterring/configuration/model.py
+++ b/pewterring/configuration/model.py
@@ -1,4 +1,7 @@
-"""The operator's configuration as immutable typed values. `reader` makes them from JSON and checks them."""
+"""The operator's configuration as immutable typed values. `reader` makes them from JSON and checks them.
+
+A field whose document key is another one says so; `reader` maps them.
+"""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -16,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WeightedService:
-    """One service of a route and the part of its requests that it gets, relative to the sum of weights."""
+    """One service of a route, and its share of the requests relative to the sum of weights."""
 
     service: str
     weight: float
@@ -37,22 +40,22 @@
     max_attempts: int
     session_affinity: bool = False
     resumable: bool = False
-    gap_aim_ms: float = 0.0  # longest pause between events that keeps a stream in time; 0: not given
+    token_gap_target_ms: float = 0.0  # `gap_aim_ms`: longest time between a stream's events; 0: not given
     max_queued_tokens: int = 0  # 0: no limit
-    run_aim_ms: float = 0.0
-    keep_s: float = 0.0
+    completion_target_ms: float = 0.0  # `run_aim_ms`: from a batch job's acceptance to its last item
+    job_ttl_s: float = 0.0  # `keep_s`: items of a job that is older are given up
 
     @property
-    def repeatable(self) -> bool:
+    def is_idempotent(self) -> bool:
         """Whether a request may run more than once."""
         return self.route_type in (RouteType.IDEMPOTENT, RouteType.BATCH_JOB) or self.resumable
 
 
 @dataclass(frozen=True, slots=True)
 class Engine:
-    """What the operator says of the model engines of a service."""
+    """What the operator states about the model engines of a service."""
 
-    capacity: int
+    capacity: int  # requests that one engine runs at once
     kv_tokens: int
     stride: int = 1  # tokens an event
     models: tuple[str, ...] = ()
@@ -64,13 +67,13 @@
 
     name: str
     health_check: str = "/healthz"
-    max_connections: int = 0  # of one worker from all callers; 0: not given
+    max_connections: int = 0  # of one worker from all clients together; 0: not given
     engine: Engine | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class ClientLimits:
-    """What a client may send, and how long it may take or rest."""
+    """What a client may send, and how long it may take or stay idle."""
 
     max_header_bytes: int = 16384
     max_body_bytes: int = 4194304
@@ -80,10 +83,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Configuration:
-    """One whole version. `document` is the operator's JSON, byte for byte as it was accepted."""
+    """One complete version. `document` is the operator's JSON, byte for byte as it was accepted."""
 
     version: int
     routes: tuple[Route, ...]
-    services: Mapping[str, Service]
+    services: Mapping[str, Service]  # by name
     limits: ClientLimits
     document: bytes = field(repr=False, default=b"")
--- a/pewterring/configuration/patch.py
+++ b/pewterring/configuration/patch.py
@@ -1,8 +1,10 @@
 """A patch of the operator's configuration: named items of its lists that are added, replaced or removed.
 
 Patching is done on the JSON text of each item, so that fields which nothing here reads stay as they came.
-What can be judged without the configuration that is patched is checked by `read_patch`; `apply_patch` judges
+What can be checked without the configuration that is patched is checked by `read_patch`; `apply_patch` checks
 the result. Items that the patch does not touch were valid before and are not checked anew.
+
+`apply_patch` runs on each replica when the log entry is applied: its result is the same bytes everywhere.
 """
 
 from collections.abc import Iterable, Iterator, Mapping
@@ -12,19 +14,12 @@
 import msgspec
 import orjson
 
-from pewterring.configuration.reader import (
-    InvalidConfiguration,
-    field_faults,
-    item_faults,
-    load_items,
-    reference_faults,
-)
-
-ROUTES = "routes"
-SERVICES = "backends"
-VERSION = "version"
-MAX_DOCUMENT_BYTES = 8 * 1024 * 1024  # what an order of a whole configuration may have
+from pewterring.configuration.errors import ConfigurationError
+from pewterring.configuration.reader import read_item_errors
+from pewterring.configuration.references import RouteReferences, reference_errors
 
+ROUTES, SERVICES, VERSION = "routes", "backends", "version"  # the documents' keys
+MAX_DOCUMENT_BYTES = 8 * 1024 * 1024  # as many as the body of a complete configuration may have
 MAX_VERSION = 2**63 - 1  # larger numbers are not read alike by all decoders
 
 ItemLists = dict[str, list[msgspec.Raw]]
@@ -44,19 +39,6 @@
     delete: dict[str, list[str]] | None = None
 
 
-class _WeightedReference(msgspec.Struct):
-    backend: str
-
-
-class _RouteReferences(msgspec.Struct):
-    """What a route shares with others or refers to."""
-
-    hostname: str
-    path_prefix: str
-    backend: str | None = None
-    weighted_backends: list[_WeightedReference] | None = None
-
-
 PATCH_FIELDS = frozenset(_PatchDocument.__struct_fields__)
 
 
@@ -70,19 +52,27 @@
 
 
 def read_patch(body: bytes) -> Patch:
-    """Reads an operator's patch and checks its items; raises `InvalidConfiguration`: the first fault."""
+    """Reads an operator's patch and checks its items.
+
+    Raises:
+        ConfigurationError: The first error of the patch.
+    """
     patch = parse_patch(body)
-    for fault in _item_faults(patch.upserts):
-        raise fault
+    for error in _item_errors(patch.upserts):
+        raise error
     return patch
 
 
 def parse_patch(body: bytes) -> Patch:
-    """Reads a patch and checks its names alone, which is what a patch that was checked before needs."""
+    """Reads a patch and checks its names alone, which is what a patch that was checked before needs.
+
+    Raises:
+        ConfigurationError: It is no patch, or an item's name is missing, twice there or also to be removed.
+    """
     try:
         document = msgspec.json.decode(body, type=_PatchDocument)
     except (msgspec.MsgspecError, ValueError, RecursionError) as error:
-        raise InvalidConfiguration("", f"not a patch: {error}") from error
+        raise ConfigurationError("", f"not a patch: {error}") from error
     deletes = {name: frozenset(names) for name, names in (document.delete or {}).items()}
     upserts = {
         name: _by_name(name, items, deletes.get(name, frozenset()))
@@ -97,9 +87,12 @@
 
 
 def apply_patch(document: bytes, patch: Patch) -> bytes:
-    """The configuration after the patch, on one line; raises `InvalidConfiguration` where it is not valid.
+    """The configuration after the patch, on one line.
+
+    `document` is the configuration before it, `null` where there is none yet.
 
-    `document` is `null` before the first configuration.
+    Raises:
+        ConfigurationError: The result is no valid configuration, or is larger than one may be.
     """
     content = msgspec.json.decode(document, type=dict[str, msgspec.Raw] | None) or {}
     for name in [*patch.upserts, *patch.deletes]:
@@ -108,11 +101,11 @@
             _patched(items, patch.upserts.get(name, {}), patch.deletes.get(name, frozenset()))
         )
     content[VERSION] = msgspec.Raw(str(patch.version).encode())
-    for fault in _result_faults(content):
-        raise fault
+    for error in _result_errors(content):
+        raise error
     result = _encoded(content)
     if len(result) > MAX_DOCUMENT_BYTES:
-        raise InvalidConfiguration("", f"the patched configuration has over {MAX_DOCUMENT_BYTES} bytes")
+        raise ConfigurationError("", f"the patched configuration has over {MAX_DOCUMENT_BYTES} bytes")
     return bytes(result)
 
 
@@ -123,11 +116,11 @@
         at = f"upsert.{list_name}.{index}"
         name = _name_of(at, item)
         if not name:
-            raise InvalidConfiguration(f"{at}.name", "an item of a patch needs a name")
+            raise ConfigurationError(f"{at}.name", "an item of a patch needs a name")
         if name in named:
-            raise InvalidConfiguration(f"{at}.name", f"{name!r} is there twice")
+            raise ConfigurationError(f"{at}.name", f"{name!r} is there twice")
         if name in deleted:
-            raise InvalidConfiguration(f"{at}.name", f"{name!r} is to be removed as well")
+            raise ConfigurationError(f"{at}.name", f"{name!r} is to be removed as well")
         named[name] = item.copy()
     return named
 
@@ -136,17 +129,14 @@
     try:
         return msgspec.json.decode(item, type=_Named).name or ""
     except msgspec.MsgspecError as error:
-        raise InvalidConfiguration(path, str(error)) from error
+        raise ConfigurationError(path, str(error)) from error
 
 
-def _item_faults(upserts: Mapping[str, Mapping[str, msgspec.Raw]]) -> Iterator[InvalidConfiguration]:
-    """Faults of items by themselves, in the lists that are read."""
-    known = {name: items for name, items in upserts.items() if name in (ROUTES, SERVICES)}
-    raw = {name: [orjson.loads(bytes(item)) for item in items.values()] for name, items in known.items()}
-    loaded, messages = load_items(raw)
-    yield from field_faults(("upsert",), messages)
-    if not messages:
-        yield from item_faults(loaded, "upsert.")
+def _item_errors(upserts: Mapping[str, Mapping[str, msgspec.Raw]]) -> Iterator[ConfigurationError]:
+    """Errors of items by themselves, in the lists that are read."""
+    read = {name: items for name, items in upserts.items() if name in (ROUTES, SERVICES)}
+    items = {name: [orjson.loads(bytes(item)) for item in each.values()] for name, each in read.items()}
+    yield from read_item_errors(items, "upsert")
 
 
 def _items(name: str, raw: msgspec.Raw | None) -> list[msgspec.Raw]:
@@ -155,14 +145,14 @@
     try:
         return msgspec.json.decode(raw, type=list[msgspec.Raw] | None) or []
     except msgspec.MsgspecError as error:
-        raise InvalidConfiguration(name, "not a list of named items") from error
+        raise ConfigurationError(name, "not a list of named items") from error
 
 
 def _patched(
     items: Iterable[msgspec.Raw], upserts: Mapping[str, msgspec.Raw], deletes: frozenset[str]
 ) -> list[msgspec.Raw]:
-    """The items of a list after the patch: replaced ones in their places, new ones at the end."""
-    left = dict(upserts)
+    """The items of a list after the patch: replaced ones where they were, new ones at the end."""
+    remaining = dict(upserts)
     patched = []
     for item in items:
         name = _name_of("", item)
@@ -170,29 +160,27 @@
             continue
         if name not in upserts:
             patched.append(item)
-        elif name in left:
-            patched.append(left.pop(name))
-    return patched + list(left.values())
+        elif name in remaining:  # else a second item of that name, which the first one's replacement covers
+            patched.append(remaining.pop(name))
+    return patched + list(remaining.values())
 
 
-def _result_faults(content: Mapping[str, msgspec.Raw]) -> Iterator[InvalidConfiguration]:
-    """Faults that items of the patched configuration have together."""
+def _result_errors(content: Mapping[str, msgspec.Raw]) -> Iterator[ConfigurationError]:
+    """Errors that items of the patched configuration have together."""
     for name in (ROUTES, SERVICES):
         if name not in content:
-            yield InvalidConfiguration(name, "the patched configuration has none")
+            yield ConfigurationError(name, "the patched configuration has none")
             return
     services = [_name_of(SERVICES, item) for item in _items(SERVICES, content.get(SERVICES))]
     routes = [_references(item) for item in _items(ROUTES, content.get(ROUTES))]
-    yield from reference_faults({SERVICES: [{"name": name} for name in services], ROUTES: routes})
+    yield from reference_errors(services, routes)
 
 
-def _references(route: msgspec.Raw) -> dict[str, Any]:
-    """The fields of a route that `reference_faults` looks at, those that are null left out."""
+def _references(route: msgspec.Raw) -> RouteReferences:
     try:
-        read = msgspec.json.decode(route, type=_RouteReferences)
+        return msgspec.json.decode(route, type=RouteReferences)
     except msgspec.MsgspecError as error:
-        raise InvalidConfiguration(ROUTES, str(error)) from error
-    return {key: value for key, value in msgspec.to_builtins(read).items() if value is not None}
+        raise ConfigurationError(ROUTES, str(error)) from error
 
 
 def _encoded(value: Any) -> msgspec.Raw:
--- a/pewterring/configuration/urgency.py
+++ b/pewterring/configuration/priority_ranks.py
@@ -1,12 +1,12 @@
-"""How urgent the live routes of a service are among each other."""
+"""Ranks the priorities of the live routes of each service, for admission under overload."""
 
 from collections.abc import Mapping
 
 from pewterring.configuration.model import Configuration, RouteType
 
 
-class Urgency:
-    """Ranks the live routes of each service by `priority`. Immutable once made."""
+class PriorityRanks:
+    """The rank of each live priority within its service. Immutable once made."""
 
     __slots__ = ("_ranks",)
 
@@ -15,14 +15,14 @@
         for route in configuration.routes:
             if route.route_type is RouteType.BATCH_JOB:
                 continue  # items yield to all live requests
-            for part in route.services:
-                priorities.setdefault(part.service, set()).add(route.priority)
+            for weighted in route.services:
+                priorities.setdefault(weighted.service, set()).add(route.priority)
         self._ranks: Mapping[tuple[str, int], int] = {
             (service, priority): rank
-            for service, found in priorities.items()
-            for rank, priority in enumerate(sorted(found))
+            for service, live in priorities.items()
+            for rank, priority in enumerate(sorted(live))
         }
 
     def rank(self, service: str, priority: int) -> int:
-        """How many priorities of the service are more urgent; 0 is the most urgent kind."""
+        """How many live priorities of the service come before this one; 0 where it is not known."""
         return self._ranks.get((service, priority), 0)
--- /dev/null
+++ b/pewterring/configuration/references.py
@@ -0,0 +1,51 @@
+"""Checks what items of a configuration refer to or have to share with no other: services, names, routes."""
+
+from collections.abc import Iterable, Iterator, Sequence
+
+import msgspec
+
+from pewterring.configuration.errors import ConfigurationError
+
+
+class WeightedReference(msgspec.Struct, frozen=True):
+    """The name of one service of a route that has several."""
+
+    service: str = msgspec.field(name="backend")  # the document's key
+
+
+class RouteReferences(msgspec.Struct, frozen=True):
+    """What a route shares with others or refers to."""
+
+    host: str = msgspec.field(name="hostname")  # the document's keys
+    path_prefix: str
+    service: str | None = msgspec.field(name="backend", default=None)
+    weighted_services: Sequence[WeightedReference] | None = msgspec.field(
+        name="weighted_backends", default=None
+    )
+
+
+def reference_errors(
+    service_names: Iterable[str], routes: Iterable[RouteReferences]
+) -> Iterator[ConfigurationError]:
+    """Errors of items that are each valid by themselves: names or routes twice, unknown services."""
+    services: set[str] = set()
+    for index, name in enumerate(service_names):
+        if name in services:
+            yield ConfigurationError(f"backends.{index}.name", f"{name!r} is there twice")
+        services.add(name)
+    matches: set[tuple[str, str]] = set()
+    for index, route in enumerate(routes):
+        yield from _unknown_services(f"routes.{index}", route, services)
+        match = (route.host.lower(), route.path_prefix)
+        if match in matches:
+            yield ConfigurationError(f"routes.{index}", f"another route has {''.join(match)}")
+        matches.add(match)
+
+
+def _unknown_services(path: str, route: RouteReferences, services: set[str]) -> Iterator[ConfigurationError]:
+    if route.service is not None and route.service not in services:
+        yield ConfigurationError(f"{path}.backend", f"unknown service {route.service!r}")
+    for index, weighted in enumerate(route.weighted_services or ()):
+        if weighted.service not in services:
+            at = f"{path}.weighted_backends.{index}"
+            yield ConfigurationError(at, f"unknown service {weighted.service!r}")
--- a/pewterring/control/service.py
+++ b/pewterring/control/service.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
-from pewterring.configuration.acceptance import Candidate, candidate, patch_candidate
-from pewterring.configuration.reader import InvalidConfiguration
+from pewterring.configuration.errors import ConfigurationError
+from pewterring.configuration.validation import ValidatedDocument, validate_configuration, validate_patch
 from pewterring.control.calls import (
     DEREGISTER_PATH,
     HEARTBEAT_PATH,
@@ -72,9 +72,9 @@
                 name = call.path[len(prefix) :]
                 return await handler(name, call.body) if name else refusal(404, "no name in the path")
         if call.path == REPLACE_PATH:
-            return await self._change_configuration(call, candidate, _put)
+            return await self._change_configuration(call, validate_configuration, _put)
         if call.path == UPDATE_PATH:
-            return await self._change_configuration(call, patch_candidate, _patch)
+            return await self._change_configuration(call, validate_patch, _patch)
         if call.path == READ_PATH:
             return await self._read()
         if call.path == STATUS_PATH:
@@ -101,8 +101,8 @@
     async def _change_configuration(
         self,
         call: Call,
-        check: Callable[[bytes], Candidate],
-        command_for: Callable[[int, Candidate], Command],
+        check: Callable[[bytes], ValidatedDocument],
+        command_for: Callable[[int, ValidatedDocument], Command],
     ) -> Answer:
         """Takes an order in either form. A patch is judged against its base only when it is applied."""
         base = read_base_version(call.base_version)
@@ -110,7 +110,7 @@
             return refusal(400, "Base-Version is not a number")
         try:
             wanted = check(call.body)
-        except InvalidConfiguration as error:
+        except ConfigurationError as error:
             return refusal(400, str(error))
         if wanted.version <= base:  # never taken, so this repeats no order, also where the document was taken
             return refusal(400, f"version: not above Base-Version {base}")
@@ -144,11 +144,11 @@
         return Answer(200, msgspec.json.encode({"state": state}))
 
 
-def _put(base: int, wanted: Candidate) -> Command:
+def _put(base: int, wanted: ValidatedDocument) -> Command:
     return PutConfiguration(base, wanted.version, wanted.digest, msgspec.Raw(wanted.document))
 
 
-def _patch(base: int, wanted: Candidate) -> Command:
+def _patch(base: int, wanted: ValidatedDocument) -> Command:
     return PatchConfiguration(base, wanted.version, wanted.digest, msgspec.Raw(wanted.document))
 
 
--- a/pewterring/control/state.py
+++ b/pewterring/control/state.py
@@ -7,8 +7,8 @@
 
 import msgspec
 
+from pewterring.configuration.errors import ConfigurationError
 from pewterring.configuration.patch import apply_patch, parse_patch
-from pewterring.configuration.reader import InvalidConfiguration
 from pewterring.control.commands import (
     Accepted,
     Command,
@@ -231,7 +231,7 @@
             return result
         try:
             document = apply_patch(bytes(self.document), parse_patch(bytes(command.patch)))
-        except InvalidConfiguration as error:
+        except ConfigurationError as error:
             return Invalid(str(error))
         return self._take_configuration(command, msgspec.Raw(document))
 
--- a/pewterring/distribution/follower.py
+++ b/pewterring/distribution/follower.py
@@ -4,8 +4,9 @@
 
 import msgspec
 
+from pewterring.configuration.errors import ConfigurationError
 from pewterring.configuration.model import Configuration
-from pewterring.configuration.reader import InvalidConfiguration, read_configuration
+from pewterring.configuration.reader import read_configuration
 from pewterring.distribution.messages import NodeRecord, Renewed, TableChanges, WholeTables
 from pewterring.distribution.tables import Tables
 
@@ -97,7 +98,7 @@
             return held
         try:
             told = read_configuration(text)
-        except InvalidConfiguration:
+        except ConfigurationError:
             return held  # control checks before it accepts; a newer control may accept what this cannot read
         return told if held is None or told.version >= held.version else held
 
--- a/pewterring/gateway/live.py
+++ b/pewterring/gateway/live.py
@@ -130,7 +130,7 @@
         return min(self._deadline, self._context.drain.ends_at) - self._now()
 
     def _may_run_again(self) -> bool:
-        if not self._route.repeatable or self._runs >= self._route.max_attempts:
+        if not self._route.is_idempotent or self._runs >= self._route.max_attempts:
             return False
         return not self._begun or self._last_event_id is not None
 
@@ -193,13 +193,13 @@
     ) -> WatchedAttempt:
         reading_s = worker.reading_after(now)  # which the watch allows for
         patience_s = max(0.0, PATIENCE * expected_s - reading_s) + self._silence_s() + worker.congested_s(now)
-        repeatable = self._route.repeatable and self._runs + 1 < self._route.max_attempts
+        repeatable = self._route.is_idempotent and self._runs + 1 < self._route.max_attempts
         return WatchedAttempt(worker, stream, patience_s, now, repeatable, expected_s)
 
     def _silence_s(self) -> float:
         """The silence of a worker that is borne: past it the answer would be late."""
-        if self._route.gap_aim_ms > 0:
-            return GAP_SHARE * self._route.gap_aim_ms / 1000
+        if self._route.token_gap_target_ms > 0:
+            return GAP_SHARE * self._route.token_gap_target_ms / 1000
         return self._route.target_latency_ms / 1000
 
     def _resume_id(self) -> int | None:
--- a/pewterring/gateway/program.py
+++ b/pewterring/gateway/program.py
@@ -16,8 +16,8 @@
 from pewterring.admission.shares import BEAT_S
 from pewterring.batch.messages import BATCH_MESSAGES
 from pewterring.configuration.model import ClientLimits, Configuration, Route, RouteType
-from pewterring.configuration.routes import RouteTable
-from pewterring.configuration.urgency import Urgency
+from pewterring.configuration.priority_ranks import PriorityRanks
+from pewterring.configuration.route_table import RouteTable
 from pewterring.distribution.messages import FEED_MESSAGES, GATEWAY_PROGRAM, NodeRecord
 from pewterring.distribution.subscriber import FeedSubscriber
 from pewterring.distribution.tables import Tables
@@ -79,7 +79,7 @@
         self._rng = rng or random.Random()
         self._life = secrets.token_hex(8)
         self._routes: RouteTable | None = None
-        self._urgency = Urgency(NO_ROUTES)
+        self._priority_ranks = PriorityRanks(NO_ROUTES)
         self._limits = UNKNOWN_LIMITS
         self._stopping = False
         self._metrics = GatewayMetrics()
@@ -159,7 +159,7 @@
     def _take_tables(self, old: Tables, new: Tables) -> None:
         if new.configuration is not old.configuration and new.configuration is not None:
             self._routes = RouteTable(new.configuration)
-            self._urgency = Urgency(new.configuration)
+            self._priority_ranks = PriorityRanks(new.configuration)
             self._limits = server_limits(new.configuration.limits)
             self._configured.set()
         if new.nodes is not old.nodes:
@@ -315,7 +315,7 @@
         self._metrics.requests += 1
         prompt = read_prompt(_text(request.get(b"prompt-prefix")), _text(request.get(b"token-usage")))
         trace = self._trace(request, route, prompt)
-        if not admission.acquire(self._urgency.rank(service, route.priority)):
+        if not admission.acquire(self._priority_ranks.rank(service, route.priority)):
             limit = self._metrics.refused(admission)
             if trace is not None:
                 trace.limit = limit
--- a/pewterring/gateway/request_trace.py
+++ b/pewterring/gateway/request_trace.py
@@ -64,7 +64,7 @@
             return self._reason_of_failure()
         if self.first_at - self.arrived_at > self.route.target_latency_ms / 1000:
             return self._reason_of_lateness()
-        if 0.0 < self.route.gap_aim_ms / 1000 < self.longest_pause_s:
+        if 0.0 < self.route.token_gap_target_ms / 1000 < self.longest_pause_s:
             return Reason.WORKER_FAILED if self.attempts > 1 else Reason.PAUSE
         return None
 
--- a/tests/batch/stand_ins.py
+++ b/tests/batch/stand_ins.py
@@ -50,8 +50,8 @@
         priority=1,
         max_attempts=2,
         max_queued_tokens=max_queued_tokens,
-        run_aim_ms=10_000,
-        keep_s=60,
+        completion_target_ms=10_000,
+        job_ttl_s=60,
     )
 
 
--- a/tests/configuration/test_patch.py
+++ b/tests/configuration/test_patch.py
@@ -5,9 +5,10 @@
 import orjson
 import pytest
 
-from pewterring.configuration.acceptance import candidate, document_faults, patch_candidate
+from pewterring.configuration.errors import ConfigurationError
 from pewterring.configuration.patch import MAX_VERSION, Patch, apply_patch, parse_patch, read_patch
-from pewterring.configuration.reader import InvalidConfiguration, read_configuration
+from pewterring.configuration.reader import read_configuration
+from pewterring.configuration.validation import document_errors, validate_configuration, validate_patch
 from tests.configuration.documents import document, encoded
 
 BASE = encoded()
@@ -21,8 +22,8 @@
 }
 
 
-def patch(version: int = 9, **parts: Any) -> bytes:
-    return orjson.dumps({"version": version, **parts})
+def patch(version: int = 9, **changes: Any) -> bytes:
+    return orjson.dumps({"version": version, **changes})
 
 
 def patched(body: bytes, base: bytes = BASE) -> dict[str, Any]:
@@ -33,7 +34,7 @@
     return decoded
 
 
-def test_items_are_replaced_in_their_places_added_at_the_end_and_removed() -> None:
+def test_items_are_replaced_where_they_stand_added_at_the_end_and_removed() -> None:
     changed = ROUTE | {"timeout_ms": 1}
     result = patched(patch(upsert={"routes": [NEW_ROUTE, changed]}, delete={"routes": ["r-2"]}))
     assert result == document(version=9, routes=[changed, NEW_ROUTE])
@@ -46,10 +47,10 @@
 
 
 def test_fields_that_nothing_reads_stay_as_they_came() -> None:
-    kept = BASE.replace(b'"some_new_field":{"x":1}', b'"some_new_field":{"x":12345678901234567890123.50}')
+    base = BASE.replace(b'"some_new_field":{"x":1}', b'"some_new_field":{"x":12345678901234567890123.50}')
     item = b'{"name":"huvo11a","engine":{"link_mbps":2200000.0,"new":1e400}}'
     body = b'{"version":9,"upsert":{"backends":[%s]}}' % item
-    result = apply_patch(kept, parse_patch(body))
+    result = apply_patch(base, parse_patch(body))
     assert b'{"x":12345678901234567890123.50}' in result
     assert item in result
 
@@ -62,7 +63,7 @@
 
 
 @pytest.mark.parametrize(
-    "parts",
+    "changes",
     [
         {},
         {"upsert": None, "delete": None},
@@ -72,13 +73,13 @@
         {"some_new_field": 1},
     ],
 )
-def test_a_patch_that_changes_no_item_gives_the_configuration_its_number(parts: dict[str, Any]) -> None:
-    assert patched(patch(**parts)) == document(version=9)
+def test_a_patch_that_changes_no_item_gives_the_configuration_its_number(changes: dict[str, Any]) -> None:
+    assert patched(patch(**changes)) == document(version=9)
 
 
 def test_the_first_configuration_may_come_as_a_patch() -> None:
-    parts = {"routes": document()["routes"], "backends": document()["backends"]}
-    assert patched(patch(upsert=parts), b"null") == {"version": 9, **parts}
+    lists = {"routes": document()["routes"], "backends": document()["backends"]}
+    assert patched(patch(upsert=lists), b"null") == {"version": 9, **lists}
 
 
 def test_a_name_that_stands_twice_in_the_base_is_replaced_once() -> None:
@@ -88,7 +89,7 @@
 
 
 @pytest.mark.parametrize(
-    ("parts", "path"),
+    ("changes", "path"),
     [
         ({"delete": {"backends": ["wuno96b"]}}, "routes.0.weighted_backends.1"),
         ({"upsert": {"routes": [NEW_ROUTE | {"backend": "never"}]}}, "routes.2.backend"),
@@ -97,18 +98,18 @@
         ({"upsert": {"version": [{"name": "x"}]}}, "version"),
     ],
 )
-def test_a_result_that_is_no_valid_configuration_is_refused(parts: dict[str, Any], path: str) -> None:
-    readable = read_patch(patch(**parts))
-    with pytest.raises(InvalidConfiguration) as refused:
+def test_a_result_that_is_no_valid_configuration_is_refused(changes: dict[str, Any], path: str) -> None:
+    readable = read_patch(patch(**changes))
+    with pytest.raises(ConfigurationError) as refused:
         apply_patch(BASE, readable)
     assert refused.value.path == path
 
 
 def test_a_result_without_services_or_too_large_is_refused() -> None:
-    with pytest.raises(InvalidConfiguration, match="backends: the patched configuration has none"):
+    with pytest.raises(ConfigurationError, match="backends: the patched configuration has none"):
         apply_patch(b"null", read_patch(patch(upsert={"routes": []})))
     large = [{"name": f"x-{number}", "text": "x" * 1_000_000} for number in range(9)]
-    with pytest.raises(InvalidConfiguration, match="bytes"):
+    with pytest.raises(ConfigurationError, match="bytes"):
         apply_patch(BASE, read_patch(patch(upsert={"notes": large})))
 
 
@@ -146,31 +147,31 @@
         patch(upsert={"backends": [{"name": "s", "max_connections": -1}]}),
     ],
 )
-def test_what_no_base_makes_valid_is_refused_before_it_is_known(body: bytes) -> None:
-    with pytest.raises(InvalidConfiguration):
-        patch_candidate(body)
+def test_a_patch_that_no_base_makes_valid_is_refused_before_the_base_is_known(body: bytes) -> None:
+    with pytest.raises(ConfigurationError):
+        validate_patch(body)
 
 
-def test_an_order_is_told_from_one_of_the_other_form() -> None:
-    whole = candidate(BASE)
-    assert patch_candidate(BASE).digest != whole.digest
+def test_a_patch_is_never_taken_for_a_complete_configuration() -> None:
+    complete = validate_configuration(BASE)
+    assert validate_patch(BASE).digest != complete.digest
     spaced = b'{\n "upsert" : {"routes": []},\r\n "version": 9}'
-    wanted = patch_candidate(spaced)
-    assert wanted.digest == patch_candidate(patch(upsert={"routes": []})).digest
+    wanted = validate_patch(spaced)
+    assert wanted.digest == validate_patch(patch(upsert={"routes": []})).digest
     assert b"\n" not in wanted.document
     assert read_patch(wanted.document) == Patch(9, {"routes": {}}, {})
 
 
-def test_faults_of_a_patch_are_told_as_those_of_a_configuration() -> None:
-    assert document_faults(patch(upsert={"routes": [NEW_ROUTE]})) == []
-    (fault,) = document_faults(patch(upsert={"routes": [NEW_ROUTE | {"timeout_ms": 0}]}))
-    assert fault.path == "upsert.routes.0.timeout_ms"
+def test_errors_of_a_patch_name_their_field_as_those_of_a_configuration_do() -> None:
+    assert document_errors(patch(upsert={"routes": [NEW_ROUTE]})) == []
+    (error,) = document_errors(patch(upsert={"routes": [NEW_ROUTE | {"timeout_ms": 0}]}))
+    assert error.path == "upsert.routes.0.timeout_ms"
 
 
 def test_items_without_a_name_stay_in_the_base() -> None:
     unnamed = [ROUTE | {"name": None}, NEW_ROUTE | {"name": ""}]
     base = encoded(routes=unnamed)
-    assert candidate(base)
+    assert validate_configuration(base)
     assert patched(patch(upsert={"routes": [ROUTE | {"path_prefix": "/x/"}]}), base)["routes"] == [
         *unnamed,
         ROUTE | {"path_prefix": "/x/"},
@@ -180,5 +181,5 @@
 @pytest.mark.parametrize("routes", [[7], ["r"], [{"name": "r"}], [{"name": 7}], {"name": "r"}])
 def test_a_base_that_cannot_be_read_refuses_the_patch_and_ends_nothing(routes: object) -> None:
     readable = read_patch(patch(upsert={"routes": [NEW_ROUTE]}))
-    with pytest.raises(InvalidConfiguration):
+    with pytest.raises(ConfigurationError):
         apply_patch(encoded(routes=routes), readable)
--- a/tests/configuration/test_urgency.py
+++ b/tests/configuration/test_priority_ranks.py
@@ -1,20 +1,20 @@
-"""Ranks of the live routes of a service by priority."""
+"""Ranks of the live priorities of a service."""
 
 from dataclasses import replace
 
 from pewterring.configuration.model import ClientLimits, Configuration, Route, RouteType, WeightedService
-from pewterring.configuration.urgency import Urgency
+from pewterring.configuration.priority_ranks import PriorityRanks
 
 SPLIT = (WeightedService("a", 1.0), WeightedService("b", 1.0))
 ROUTE = Route("r", "h", "/p/", RouteType.IDEMPOTENT, SPLIT[:1], 1000, 200, 0, 1)
 
 
-def urgency(*routes: Route) -> Urgency:
-    return Urgency(Configuration(1, routes, {}, ClientLimits()))
+def priority_ranks(*routes: Route) -> PriorityRanks:
+    return PriorityRanks(Configuration(1, routes, {}, ClientLimits()))
 
 
-def test_ranks_count_the_more_urgent_priorities_of_the_same_service() -> None:
-    found = urgency(
+def test_a_rank_counts_the_priorities_of_the_same_service_that_come_before() -> None:
+    found = priority_ranks(
         replace(ROUTE, priority=5),
         replace(ROUTE, priority=2, services=SPLIT),
         replace(ROUTE, priority=2),
@@ -25,9 +25,11 @@
 
 
 def test_batch_routes_take_no_rank() -> None:
-    found = urgency(replace(ROUTE, priority=0, route_type=RouteType.BATCH_JOB), replace(ROUTE, priority=4))
+    found = priority_ranks(
+        replace(ROUTE, priority=0, route_type=RouteType.BATCH_JOB), replace(ROUTE, priority=4)
+    )
     assert found.rank("a", 4) == 0
 
 
-def test_what_is_unknown_is_as_urgent_as_any() -> None:
-    assert urgency().rank("a", 7) == 0
+def test_an_unknown_service_has_the_first_rank() -> None:
+    assert priority_ranks().rank("a", 7) == 0
--- a/tests/configuration/test_reader.py
+++ b/tests/configuration/test_reader.py
@@ -4,13 +4,13 @@
 
 import pytest
 
-from pewterring.configuration.digest import as_line, digest_of
+from pewterring.configuration.errors import ConfigurationError
 from pewterring.configuration.model import RouteType, WeightedService
-from pewterring.configuration.reader import InvalidConfiguration, read_configuration
+from pewterring.configuration.reader import read_configuration
 from tests.configuration.documents import document, encoded, with_route
 
 
-def test_a_whole_configuration_is_read() -> None:
+def test_a_complete_configuration_is_read() -> None:
     raw = encoded()
     configuration = read_configuration(raw)
     streaming, batch = configuration.routes
@@ -18,7 +18,7 @@
     assert configuration.document == raw
     assert streaming.host == "ficu95.example"
     assert streaming.services == (WeightedService("huvo11a", 90), WeightedService("wuno96b", 10))
-    assert streaming.gap_aim_ms == 250
+    assert streaming.token_gap_target_ms == 250
     assert batch.route_type is RouteType.BATCH_JOB
     assert batch.timeout_ms > 0
     assert batch.max_queued_tokens == 1400000
@@ -34,14 +34,14 @@
 
 
 @pytest.mark.parametrize("length", [0, 1, 100, len(encoded()) - 1])
-def test_a_document_that_is_cut_short_is_refused(length: int) -> None:
-    with pytest.raises(InvalidConfiguration):
+def test_a_truncated_document_is_refused(length: int) -> None:
+    with pytest.raises(ConfigurationError):
         read_configuration(encoded()[:length])
 
 
 @pytest.mark.parametrize("raw", [b"[]", b"null", b"7", b'"x"', b"\xff\xfe", b'{"version":NaN}', b"{}"])
 def test_what_is_no_configuration_is_refused(raw: bytes) -> None:
-    with pytest.raises(InvalidConfiguration):
+    with pytest.raises(ConfigurationError):
         read_configuration(raw)
 
 
@@ -75,30 +75,23 @@
     ],
 )
 def test_a_faulty_route_is_refused_and_named(changes: dict[str, Any]) -> None:
-    with pytest.raises(InvalidConfiguration) as caught:
+    with pytest.raises(ConfigurationError) as caught:
         read_configuration(with_route(1, **changes))
     assert caught.value.path.startswith("routes.1")
 
 
 @pytest.mark.parametrize("version", ["7", 7.5, None, True, [7]])
 def test_a_version_is_an_integer(version: object) -> None:
-    with pytest.raises(InvalidConfiguration) as caught:
+    with pytest.raises(ConfigurationError) as caught:
         read_configuration(encoded(version=version))
     assert caught.value.path == "version"
 
 
 def test_services_are_named_once() -> None:
     services = document()["backends"]
-    with pytest.raises(InvalidConfiguration):
+    with pytest.raises(ConfigurationError):
         read_configuration(encoded(backends=[*services, services[0]]))
 
 
 def test_the_root_is_a_prefix() -> None:
     assert read_configuration(with_route(1, path_prefix="/")).routes[1].path_prefix == "/"
-
-
-def test_a_digest_is_of_what_the_document_says() -> None:
-    pretty = encoded().replace(b",", b",\r\n  ")
-    assert b"\n" not in as_line(pretty)
-    assert digest_of(as_line(pretty)) == digest_of(encoded())
-    assert digest_of(encoded(version=8)) != digest_of(encoded())
--- a/tests/configuration/test_routes.py
+++ b/tests/configuration/test_route_table.py
@@ -4,7 +4,7 @@
 import pytest
 
 from pewterring.configuration.reader import read_configuration
-from pewterring.configuration.routes import RouteTable
+from pewterring.configuration.route_table import RouteTable
 from tests.configuration.documents import document, encoded
 
 
@@ -28,8 +28,10 @@
 
 
 def test_the_order_of_routes_does_not_matter() -> None:
-    turned = document()
-    turned["routes"].reverse()
-    route = RouteTable(read_configuration(orjson.dumps(turned))).find("ficu95.example", "/lohu930/pufi791/x")
+    reversed_routes = document()
+    reversed_routes["routes"].reverse()
+    route = RouteTable(read_configuration(orjson.dumps(reversed_routes))).find(
+        "ficu95.example", "/lohu930/pufi791/x"
+    )
     assert route is not None
     assert route.name == "r-2"
--- a/tests/configuration/test_acceptance.py
+++ b/tests/configuration/test_validation.py
@@ -1,4 +1,4 @@
-"""What control takes from an operator, and that whatever it takes can be read back by all."""
+"""Which documents control accepts from an operator, and that whatever it accepts is read back by all."""
 
 import msgspec
 import orjson
@@ -6,9 +6,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from pewterring.configuration.acceptance import candidate, document_faults
-from pewterring.configuration.digest import digest_of
-from pewterring.configuration.reader import InvalidConfiguration, read_configuration
+from pewterring.configuration.digest import document_digest
+from pewterring.configuration.errors import ConfigurationError
+from pewterring.configuration.reader import read_configuration
+from pewterring.configuration.validation import document_errors, validate_configuration
 from pewterring.control.commands import Accepted, PutConfiguration
 from pewterring.control.state import ControlState, encode_command
 from tests.configuration.documents import encoded, with_route
@@ -23,12 +24,12 @@
     return b"[" * depth + b"]" * depth
 
 
-def test_a_document_is_kept_on_one_line_and_otherwise_as_it_came() -> None:
+def test_an_accepted_document_stands_on_a_single_line_and_otherwise_as_it_came() -> None:
     body = encoded().replace(b",", b",\r\n ")
-    wanted = candidate(body)
-    assert wanted.version == 7
-    assert wanted.document == body.replace(b"\r\n", b"  ")
-    assert wanted.digest == digest_of(body) == candidate(wanted.document).digest
+    validated = validate_configuration(body)
+    assert validated.version == 7
+    assert validated.document == body.replace(b"\r\n", b"  ")
+    assert validated.digest == document_digest(body) == validate_configuration(validated.document).digest
 
 
 @pytest.mark.parametrize(
@@ -40,14 +41,14 @@
     ],
 )
 def test_a_key_that_stands_twice_is_refused(body: bytes) -> None:
-    with pytest.raises(InvalidConfiguration, match="twice"):
-        candidate(body)
+    with pytest.raises(ConfigurationError, match="twice"):
+        validate_configuration(body)
 
 
 @pytest.mark.parametrize("depth", [300, 1000, 1022, 5000])
 def test_nesting_that_not_all_decoders_follow_is_refused(depth: int) -> None:
-    with pytest.raises(InvalidConfiguration):
-        candidate(with_field(nested(depth)))
+    with pytest.raises(ConfigurationError):
+        validate_configuration(with_field(nested(depth)))
 
 
 @pytest.mark.parametrize(
@@ -71,20 +72,20 @@
     ],
 )
 def test_what_is_no_json_as_it_came_is_refused(body: bytes) -> None:
-    with pytest.raises(InvalidConfiguration):
-        candidate(body)
+    with pytest.raises(ConfigurationError):
+        validate_configuration(body)
 
 
-def taken_everywhere(body: bytes) -> None:
-    """Puts a candidate through the log and a snapshot, and reads it as gateways do."""
-    wanted = candidate(body)
-    command = PutConfiguration(0, wanted.version, wanted.digest, msgspec.Raw(wanted.document))
+def check_accepted_everywhere(body: bytes) -> None:
+    """Puts a validated document through the log and a snapshot, and reads it as gateways do."""
+    validated = validate_configuration(body)
+    command = PutConfiguration(0, validated.version, validated.digest, msgspec.Raw(validated.document))
     state, restored = ControlState(), ControlState()
     assert state.apply(1, encode_command(command)) == Accepted()
     restored.restore(state.snapshot())
-    assert bytes(restored.document) == wanted.document
-    assert orjson.loads(wanted.document) == orjson.loads(body)
-    assert read_configuration(wanted.document).version == wanted.version
+    assert bytes(restored.document) == validated.document
+    assert orjson.loads(validated.document) == orjson.loads(body)
+    assert read_configuration(validated.document).version == validated.version
     assert restored.apply(2, encode_command(command)) == Accepted(repeated=True)
 
 
@@ -92,19 +93,19 @@
     "value",
     [b"-0", b"1e-400", b"1E+5", b'"\\u0000"', b'"\x7f"', '"\u2028"'.encode(), b"1" * 300, nested(200), b'""'],
 )
-def test_unusual_json_is_taken_and_read_back(value: bytes) -> None:
-    taken_everywhere(with_field(value))
+def test_unusual_json_is_accepted_and_read_back(value: bytes) -> None:
+    check_accepted_everywhere(with_field(value))
 
 
 @pytest.mark.parametrize("version", [1, 2**53 + 1, 2**63, 2**64 - 1])
-def test_large_versions_are_taken_and_read_back(version: int) -> None:
-    taken_everywhere(encoded(version=version))
+def test_large_versions_are_accepted_and_read_back(version: int) -> None:
+    check_accepted_everywhere(encoded(version=version))
 
 
-def test_all_faults_of_a_document_are_told() -> None:
-    assert document_faults(encoded()) == []
-    assert len(document_faults(with_route(0, timeout_ms=0, hostname=None))) == 2
-    assert [str(fault) for fault in document_faults(with_field(b'{"a":1,"a":2}'))] == [
+def test_all_errors_of_a_document_are_reported() -> None:
+    assert document_errors(encoded()) == []
+    assert len(document_errors(with_route(0, timeout_ms=0, hostname=None))) == 2
+    assert [str(error) for error in document_errors(with_field(b'{"a":1,"a":2}'))] == [
         "the key 'a' stands twice in one object"
     ]
 
@@ -122,12 +123,12 @@
 
 @settings(max_examples=60, derandomize=True, database=None, deadline=None)
 @given(JSON, st.integers(0, 2000), st.binary(max_size=3))
-def test_each_body_is_refused_or_taken_whole(value: object, at: int, noise: bytes) -> None:
+def test_each_body_is_refused_or_accepted_completely(value: object, at: int, noise: bytes) -> None:
     body = with_field(orjson.dumps(value))
-    taken_everywhere(body)
+    check_accepted_everywhere(body)
     damaged = body[:at] + noise + body[at + len(noise) :]
     try:
-        candidate(damaged)
-    except InvalidConfiguration:
+        validate_configuration(damaged)
+    except ConfigurationError:
         return
-    taken_everywhere(damaged)
+    check_accepted_everywhere(damaged)
--- a/tests/control/records.py
+++ b/tests/control/records.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from pewterring.configuration.digest import digest_of
+from pewterring.configuration.digest import document_digest
 from pewterring.control.commands import Command, PutConfiguration, Result
 from pewterring.control.state import ControlState, encode_command
 from pewterring.distribution.messages import GroupStatus, NodeRecord, WorkerRecord
@@ -11,7 +11,7 @@
 
 def put(base: int, version: int, **changes: object) -> PutConfiguration:
     document = encoded(version=version, **changes)
-    return PutConfiguration(base, version, digest_of(document), msgspec.Raw(document))
+    return PutConfiguration(base, version, document_digest(document), msgspec.Raw(document))
 
 
 def apply(state: ControlState, command: Command) -> Result:
--- a/tests/control/test_cut_off.py
+++ b/tests/control/test_cut_off.py
@@ -6,7 +6,7 @@
 import msgspec
 import pytest
 
-from pewterring.configuration.digest import as_line
+from pewterring.configuration.digest import single_line
 from pewterring.control.calls import DEREGISTER_PATH, RETIRE_GET_PATH, RETIRE_START_PATH, Answer, Call
 from pewterring.control.commands import PutNodes
 from pewterring.control.errors import NotLeading
@@ -253,7 +253,7 @@
             assert machine is leader or not machine.leadership.has_lease
     for ip in cluster.ips:
         answer: Answer = await cluster.machines[ip].router.answer(read_call())
-        assert answer.body == as_line(encoded(version=newest)), ip
+        assert answer.body == single_line(encoded(version=newest)), ip
     for node in nodes:
         assert await node.has_version(newest, CONFIG_S), node.ip
 
--- a/tests/control/test_faults.py
+++ b/tests/control/test_faults.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from pewterring.configuration.digest import as_line
+from pewterring.configuration.digest import single_line
 from pewterring.control.calls import Answer, Call
 from pewterring.distribution.follower import TableFollower
 from tests.configuration.documents import encoded
@@ -73,7 +73,7 @@
         document = encoded(version=2)
         assert (await cluster.call(put_call(1, document), first)).status == 200
         await asyncio.sleep(2.0)
-        assert (await cluster.call(read_call(), first)).body == as_line(document)
+        assert (await cluster.call(read_call(), first)).body == single_line(document)
         assert (await cluster.call(put_call(1, document), first)).status == 200, "sent once more"
         assert (await cluster.call(put_call(1, encoded(version=3)), first)).status == 412
         configuration = (await told_by(await cluster.leader())).tables.configuration
@@ -93,7 +93,7 @@
         assert sorted(answer.status for answer in answers) == [200, 412]
         winner = documents[[answer.status for answer in answers].index(200)]
         await asyncio.sleep(2.0)
-        assert (await cluster.call(read_call())).body == as_line(winner)
+        assert (await cluster.call(read_call())).body == single_line(winner)
 
     each_point(scenario)
 
--- a/tests/control/test_program.py
+++ b/tests/control/test_program.py
@@ -11,7 +11,7 @@
 import msgspec
 import pytest
 
-from pewterring.configuration.digest import as_line
+from pewterring.configuration.digest import single_line
 from pewterring.control.membership import JoinRequests
 from pewterring.control.messages import JoinGroup
 from pewterring.control.program import MESSAGES, ControlProgram
@@ -168,7 +168,7 @@
                 await machines.stop(ip)
             for ip in IPS:
                 await machines.start(ip, bootstrap=False)
-            assert await machines.read() == as_line(encoded(version=5))
+            assert await machines.read() == single_line(encoded(version=5))
             status, _ = await machines.call(
                 "POST", "/v1/Config.Replace", encoded(version=5), Base_Version="3"
             )
@@ -193,7 +193,7 @@
             assert again._member.startswith(lost)
             assert not again._member.endswith("#seed")
             await machines.stop(leader)
-            assert await machines.read() == as_line(encoded(version=3))
+            assert await machines.read() == single_line(encoded(version=3))
 
     asyncio.run(scenario())
 
--- a/tests/control/test_two_operators.py
+++ b/tests/control/test_two_operators.py
@@ -24,9 +24,9 @@
     rule,
 )
 
-from pewterring.configuration.acceptance import PATCH_DIGEST
-from pewterring.configuration.digest import digest_of
+from pewterring.configuration.digest import document_digest
 from pewterring.configuration.patch import apply_patch, parse_patch
+from pewterring.configuration.validation import PATCH_DIGEST_PREFIX
 from pewterring.control.calls import REPLACE_PATH, UPDATE_PATH
 from pewterring.control.commands import (
     Accepted,
@@ -406,13 +406,13 @@
     def _patch_configuration(self, command: PatchConfiguration) -> Result:
         result = super()._patch_configuration(command)
         if result == Accepted():
-            self._taken[command.version] = digest_of(bytes(self.document))
+            self._taken[command.version] = document_digest(bytes(self.document))
         return result
 
 
 class PatchesAgain(ControlState):
     def has_taken(self, version: int, digest: str) -> bool:
-        return not digest.startswith(PATCH_DIGEST) and super().has_taken(version, digest)
+        return not digest.startswith(PATCH_DIGEST_PREFIX) and super().has_taken(version, digest)
 
 
 class JudgedOnArrival(Group):
--- a/tests/gateway/gateway.py
+++ b/tests/gateway/gateway.py
@@ -45,7 +45,9 @@
 def route(
     kind: RouteType = RouteType.IDEMPOTENT, prefix: str = "/p/", timeout_ms: float = 5000, **changed: object
 ) -> Route:
-    made = Route("r", "h", prefix, kind, (WeightedService("s", 1.0),), timeout_ms, 200, 0, 2, gap_aim_ms=250)
+    made = Route(
+        "r", "h", prefix, kind, (WeightedService("s", 1.0),), timeout_ms, 200, 0, 2, token_gap_target_ms=250
+    )
     return replace(made, **changed)  # type: ignore[arg-type]
 
 
--- a/tests/gateway/test_request_trace.py
+++ b/tests/gateway/test_request_trace.py
@@ -13,7 +13,16 @@
 from pewterring.observability.request_log import LINE_FORMAT, REQUEST_EVENT, Reason
 
 ROUTE = Route(
-    "plan", "h", "/p/", RouteType.STREAMING, (WeightedService("s", 1),), 4000, 400, 0, 2, gap_aim_ms=300
+    "plan",
+    "h",
+    "/p/",
+    RouteType.STREAMING,
+    (WeightedService("s", 1),),
+    4000,
+    400,
+    0,
+    2,
+    token_gap_target_ms=300,
 )
 
 
--- a/tests/golden/records.py
+++ b/tests/golden/records.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from pewterring.configuration.acceptance import candidate, patch_candidate
+from pewterring.configuration.validation import validate_configuration, validate_patch
 from pewterring.distribution.messages import (
     DRAINING,
     GATEWAY_PROGRAM,
@@ -90,4 +90,4 @@
 
 def digests() -> tuple[str, str]:
     """The digests that the program gives the document and the patch."""
-    return candidate(DOCUMENT).digest, patch_candidate(PATCH).digest
+    return validate_configuration(DOCUMENT).digest, validate_patch(PATCH).digest
--- a/tests/golden/settings_cases.py
+++ b/tests/golden/settings_cases.py
@@ -11,7 +11,7 @@
 
 import orjson
 
-from pewterring.configuration import model, patch, reader
+from pewterring.configuration import model, patch, reader, schema
 from pewterring.node import keys, settings
 from pewterring.standalone import config as standalone
 from pewterring.standalone.network.connection import Address as StandaloneAddress
@@ -100,10 +100,10 @@
             max_attempts=2,
             session_affinity=True,
             resumable=True,
-            gap_aim_ms=250.0,
+            token_gap_target_ms=250.0,
             max_queued_tokens=1400000,
-            run_aim_ms=10000.0,
-            keep_s=60.0,
+            completion_target_ms=10000.0,
+            job_ttl_s=60.0,
         ),
         _least_route("/jobs/", model.RouteType.BATCH_JOB, "large"),
         _least_route("/once/", model.RouteType.NON_IDEMPOTENT, "large"),
@@ -214,7 +214,7 @@
 
 def configuration_keys() -> str:
     """Each key of a configuration with its kind, the kinds of routes, and the keys of a patch."""
-    lines = list(_schema_keys(reader.configuration_schema().fields))
+    lines = list(_schema_keys(schema.configuration_schema().fields))
     lines += [f"routes.route_type value {kind.value}" for kind in model.RouteType]
     lines += [f"patch {key}" for key in patch.PATCH_FIELDS]
     return sorted_lines(lines)
--- a/tests/simulation/breakages.py
+++ b/tests/simulation/breakages.py
@@ -12,7 +12,7 @@
 
 from pewterring.batch.messages import JobAccepted, SubmitJob
 from pewterring.batch.service import BatchService, SubmitReply
-from pewterring.configuration.digest import digest_of
+from pewterring.configuration.digest import document_digest
 from pewterring.consensus.following import Following
 from pewterring.consensus.group import ReplicatedGroup
 from pewterring.consensus.leading import Leading
@@ -224,7 +224,7 @@
     def patched(self: ControlState, command: PatchConfiguration) -> Result:
         result = real(self, command)
         if result == Accepted():
-            self._taken[command.version] = digest_of(bytes(self.document))
+            self._taken[command.version] = document_digest(bytes(self.document))
         return result
 
     return mock.patch.object(ControlState, "_patch_configuration", patched)
--- a/tests/simulation/callers.py
+++ b/tests/simulation/callers.py
@@ -7,7 +7,7 @@
 
 import orjson
 
-from pewterring.configuration.digest import digest_of
+from pewterring.configuration.digest import document_digest
 from pewterring.control.calls import (
     DEREGISTER_PATH,
     HEARTBEAT_PATH,
@@ -59,7 +59,7 @@
 
 def state_of(body: bytes) -> State:
     """The state that a document makes."""
-    return State(orjson.loads(body)["version"], digest_of(body))
+    return State(orjson.loads(body)["version"], document_digest(body))
 
 
 class Operator:
--- a/tests/simulation/patches.py
+++ b/tests/simulation/patches.py
@@ -11,7 +11,7 @@
 
 from pewterring.batch import partition as batch_partition
 from pewterring.batch import program as batch_program
-from pewterring.configuration import acceptance
+from pewterring.configuration import validation
 from pewterring.configuration.reader import read_configuration
 from pewterring.consensus.group import ReplicatedGroup
 from pewterring.consensus.messages import Entry, Membership
@@ -173,7 +173,7 @@
             "DiskGroupStorage",
             partial(DiskGroupStorage, segment_bytes=SEGMENT_BYTES),
         ),
-        (acceptance, "read_configuration", read_once),
+        (validation, "read_configuration", read_once),
         (follower, "read_configuration", read_once),
         (batch_partition, "FolderDisk", _disk_of(world)),
         (batch_partition, "ReplicatedGroup", partial(ObservedGroup, world)),
