--- a/pewterring/batch/execution.py
+++ b/pewterring/batch/execution.py
@@ -16,7 +16,7 @@
 from pewterring.configuration.model import Configuration
 from pewterring.distribution.messages import WorkerRecord
 from pewterring.distribution.tables import Tables
-from pewterring.durations import MILLISECONDS_A_SECOND
+from pewterring.durations import MILLISECONDS_PER_SECOND
 
 POLL_S = 0.1  # while items could start but find no worker, or the tables are not fresh
 SHORTEST_WAIT_S = 0.01
@@ -109,7 +109,7 @@
             job.id,
             job.route,
             job.items.values(),
-            due_at=job.accepted_at + route.completion_target_ms / MILLISECONDS_A_SECOND,
+            due_at=job.accepted_at + route.completion_target_ms / MILLISECONDS_PER_SECOND,
             give_up_at=job.accepted_at + route.job_ttl_s,
             max_attempts=route.max_attempts,
             failed_attempts=job.failed_attempts,
--- a/pewterring/batch/service.py
+++ b/pewterring/batch/service.py
@@ -31,7 +31,7 @@
 from pewterring.batch.retention import jobs_to_drop
 from pewterring.batch.state import BatchState, Clock, Job
 from pewterring.distribution.tables import Tables
-from pewterring.durations import MILLISECONDS_A_SECOND
+from pewterring.durations import MILLISECONDS_PER_SECOND
 
 BatchCall = SubmitJob | ReadResults | ReadItem | EndJob
 SubmitReply = JobAccepted | JobRefused | NotLeading | Unsure
@@ -189,7 +189,8 @@
     async def _read_results(self, call: ReadResults) -> ResultPage | Unknown:
         if await self._known(call.job) is None:
             return Unknown()
-        await self._waiters.wait(call.job, call.wait_ms / MILLISECONDS_A_SECOND, lambda: self._has_news(call))
+        wait_s = call.wait_ms / MILLISECONDS_PER_SECOND
+        await self._waiters.wait(call.job, wait_s, lambda: self._has_news(call))
         await self._confirm_leading()
         job = self._state.job(call.job)
         return Unknown() if job is None else result_page(job, call.after)
--- a/pewterring/batch/state.py
+++ b/pewterring/batch/state.py
@@ -29,7 +29,7 @@
     decode_command,
 )
 from pewterring.batch.messages import ItemResult, ItemSpec
-from pewterring.durations import MILLISECONDS_A_SECOND
+from pewterring.durations import MILLISECONDS_PER_SECOND
 
 RouteKey = tuple[str, str]  # host and path prefix
 Clock = Callable[[], float]  # seconds of the steady clock
@@ -150,7 +150,7 @@
         job = Job(
             id=command.job,
             route=(command.host, command.path_prefix),
-            accepted_at=self._clock() - command.age_ms / MILLISECONDS_A_SECOND,
+            accepted_at=self._clock() - command.age_ms / MILLISECONDS_PER_SECOND,
             total=len(items),
             items=items,
         )
@@ -244,7 +244,7 @@
         id=job.id,
         host=job.route[0],
         path_prefix=job.route[1],
-        age_ms=(now - job.accepted_at) * MILLISECONDS_A_SECOND,
+        age_ms=(now - job.accepted_at) * MILLISECONDS_PER_SECOND,
         total=job.total,
         items=tuple(job.items.values()),
         results=tuple(job.results),
@@ -257,7 +257,7 @@
     return Job(
         id=stored.id,
         route=(stored.host, stored.path_prefix),
-        accepted_at=now - stored.age_ms / MILLISECONDS_A_SECOND,
+        accepted_at=now - stored.age_ms / MILLISECONDS_PER_SECOND,
         total=stored.total,
         items={item.id: item for item in stored.items},
         results=list(stored.results),
--- a/pewterring/consensus/planner.py
+++ b/pewterring/consensus/planner.py
@@ -23,7 +23,7 @@
 
 from pewterring.consensus.membership import address_of
 from pewterring.consensus.messages import Membership
-from pewterring.durations import LATE_CHECK_S
+from pewterring.durations import PAUSE_THRESHOLD_S
 
 LOST_PART = 0.25  # of the bound on catching up: a quarter to notice a loss, a quarter to copy the state
 ANSWERS_S = 0.3  # a voter that answered so lately lives, whatever tables say of its address
@@ -97,7 +97,7 @@
 
         After a pause in which this process could hear nobody, every member gets its whole time anew.
         """
-        if now - self._planned_at > LATE_CHECK_S:
+        if now - self._planned_at > PAUSE_THRESHOLD_S:
             self.start(now, group)
             return None
         self._planned_at = now
--- a/pewterring/control/duties.py
+++ b/pewterring/control/duties.py
@@ -58,7 +58,7 @@
     def start(self, now: float, epoch: int, membership: Membership) -> None:
         """Begins a leadership, everything before it being applied."""
         self._nodes.start(now, self._state.nodes)
-        self._registry.start(now)
+        self._registry.restart_timeouts(now)
         self._publisher.start(epoch, controls_of(membership))
         self._first_store_seen = None
         self._retiring_since = {}
@@ -72,11 +72,11 @@
     def due_commands(self, now: float) -> list[Command]:
         """What is to be committed now."""
         due: list[Command] = []
-        silent = self._registry.silent(now)
-        if silent.fallen:
-            due.append(SilenceWorkers(silent.fallen))
-        if silent.gone:
-            due.append(RemoveWorkers(silent.gone))
+        unresponsive = self._registry.unresponsive_workers(now)
+        if unresponsive.newly:
+            due.append(SilenceWorkers(unresponsive.newly))
+        if unresponsive.expired:
+            due.append(RemoveWorkers(unresponsive.expired))
         nodes = self._nodes.uncommitted(self._state.nodes)
         if nodes is not None:
             due.append(nodes)
--- a/pewterring/control/nodes.py
+++ b/pewterring/control/nodes.py
@@ -4,7 +4,7 @@
 
 from pewterring.control.commands import PutNodes
 from pewterring.distribution.messages import NodeRecord
-from pewterring.durations import LATE_CHECK_S
+from pewterring.durations import PAUSE_THRESHOLD_S
 
 SILENCE_S = 1.5  # a node that was not heard for longer leaves the table
 
@@ -38,7 +38,7 @@
 
     def expire(self, now: float) -> bool:
         """Removes silent nodes; says whether the table changed."""
-        held_up = now - self._checked > LATE_CHECK_S
+        held_up = now - self._checked > PAUSE_THRESHOLD_S
         self._checked = now
         if held_up:
             self._heard = dict.fromkeys(self._records, now)
--- a/pewterring/control/service.py
+++ b/pewterring/control/service.py
@@ -36,7 +36,7 @@
 from pewterring.control.retiring import RetirementDesk, RetirementRefused
 from pewterring.control.state import ControlState
 from pewterring.control.status import status_of
-from pewterring.registry.heartbeats import InvalidHeartbeat, read_heartbeat
+from pewterring.registry.heartbeats import InvalidHeartbeatError, read_heartbeat
 from pewterring.registry.workers import WorkerRegistry
 
 ACKNOWLEDGED = Answer(200)
@@ -84,7 +84,7 @@
     async def _heartbeat(self, worker_id: str, body: bytes) -> Answer:
         try:
             heartbeat = read_heartbeat(body)
-        except InvalidHeartbeat as error:
+        except InvalidHeartbeatError as error:
             return refusal(400, str(error))
         self._leadership.check_lease()
         record = self._registry.observe(self._clock(), worker_id, heartbeat)
--- a/pewterring/durations.py
+++ b/pewterring/durations.py
@@ -1,4 +1,4 @@
-"""Figures of time that several parts of the serving tier share."""
+"""Constants of time that several packages share."""
 
-MILLISECONDS_A_SECOND = 1000.0
-LATE_CHECK_S = 0.5  # a longer pause between checks of a clock means that this process itself was held up
+MILLISECONDS_PER_SECOND = 1000.0
+PAUSE_THRESHOLD_S = 0.5  # a longer time between two checks of a clock means that this process was paused
--- a/pewterring/local/engine.py
+++ b/pewterring/local/engine.py
@@ -136,7 +136,7 @@
     async def _beat(self, control: str) -> bool:
         self._sequence += 1
         beat = Heartbeat(
-            backend=self._service,
+            service=self._service,
             address=self._address,
             zone=self._zone,
             capacity=CAPACITY,
--- a/pewterring/registry/__init__.py
+++ b/pewterring/registry/__init__.py
@@ -1,1 +1,1 @@
-"""What is known of workers: registrations, incarnations, drains."""
+"""Workers as control knows them: heartbeats, registrations, time-outs."""
--- a/pewterring/registry/heartbeats.py
+++ b/pewterring/registry/heartbeats.py
@@ -1,4 +1,7 @@
-"""What a worker says of itself in a heartbeat."""
+"""What a worker states about itself in a heartbeat, and the check of it.
+
+What passes here is committed and sent to all gateways, which connect to the address as it stands.
+"""
 
 import ipaddress
 from typing import Annotated
@@ -7,16 +10,16 @@
 
 from pewterring.distribution.messages import DRAINING, READY, WorkerRecord
 
-MAX_CAPACITY = 1_000_000
+MAX_CAPACITY = 1_000_000  # requests at once: more than any worker runs, and sums of it stay exact
 MAX_PORT = 65535
 
 
-class InvalidHeartbeat(Exception):
-    """The body of a heartbeat cannot be used."""
+class InvalidHeartbeatError(Exception):
+    """A heartbeat's body cannot be used: the text names the field. The worker has to send another."""
 
 
 class LoadedModel(msgspec.Struct, frozen=True):
-    """One model that the worker holds."""
+    """One model that the worker has loaded."""
 
     name: str = ""
     version: int = 0
@@ -25,22 +28,22 @@
 class Heartbeat(msgspec.Struct, frozen=True):
     """The body of a heartbeat. Unknown fields are ignored; `sequence` rises with each call."""
 
-    backend: str
+    service: str = msgspec.field(name="backend")  # the wire's name
     address: str  # IP:port
     zone: str = ""
     version: str = ""
     capacity: Annotated[int, msgspec.Meta(ge=0, le=MAX_CAPACITY)] = 1
     state: str = READY
-    cold_remaining_ms: float = 0.0
+    warm_up_remaining_ms: float = msgspec.field(name="cold_remaining_ms", default=0.0)  # the wire's name
     stage: str = ""
     models: tuple[LoadedModel, ...] = ()
     sequence: int = 0
 
     def record(self, worker_id: str) -> WorkerRecord:
-        """What is kept of the worker. Any state other than ready counts as draining."""
+        """What is committed of the worker. Any state other than ready counts as draining."""
         return WorkerRecord(
             id=worker_id,
-            service=self.backend,
+            service=self.service,
             address=self.address,
             zone=self.zone,
             capacity=self.capacity,
@@ -53,16 +56,17 @@
 
 
 def read_heartbeat(body: bytes) -> Heartbeat:
-    """Decodes a heartbeat, or raises `InvalidHeartbeat`.
+    """Decodes the body of a heartbeat.
 
-    What is taken goes to all gateways, which connect to the address as it stands.
+    Raises:
+        InvalidHeartbeatError: It is no heartbeat, or its address is none that a gateway can connect to.
     """
     try:
         heartbeat = _decoder.decode(body)
     except (msgspec.DecodeError, ValueError, RecursionError) as error:
-        raise InvalidHeartbeat(str(error)) from error
+        raise InvalidHeartbeatError(str(error)) from error
     if not _is_address(heartbeat.address):
-        raise InvalidHeartbeat(f"address: not IP:port: {heartbeat.address!r}")
+        raise InvalidHeartbeatError(f"address: not IP:port: {heartbeat.address!r}")
     return heartbeat
 
 
@@ -72,6 +76,11 @@
         ipaddress.IPv4Address(ip)
     except ValueError:
         return False
-    return (
-        port.isascii() and port.isdecimal() and len(port) <= len(str(MAX_PORT)) and 0 < int(port) <= MAX_PORT
-    )
+    return _is_port(port)
+
+
+def _is_port(text: str) -> bool:
+    """Whether the text is a port. Its length is limited first: the sender may write millions of digits."""
+    if not (text.isascii() and text.isdecimal()) or len(text) > len(str(MAX_PORT)):
+        return False
+    return 0 < int(text) <= MAX_PORT
--- a/pewterring/registry/workers.py
+++ b/pewterring/registry/workers.py
@@ -1,101 +1,109 @@
-"""Decides at the leader what each heartbeat, farewell or silence of a worker changes of what is committed.
+"""Decides at control's leader what each heartbeat or time-out of a worker changes of what is committed.
 
-What is committed of workers is only read here. The registry itself holds soft state, which a new leader
-starts without: when each worker was last heard, and the last sequence number.
+What is committed of workers is only read here. The registry itself owns soft state, which a new leader starts
+without: when each worker last sent a heartbeat, and with which sequence number. What may go wrong: a leader
+that was paused itself would take all workers for unresponsive, so after a pause all time-outs start anew.
 """
 
 from collections.abc import Mapping, Set
 from dataclasses import dataclass
 
 from pewterring.distribution.messages import DRAINING, READY, SILENT, WorkerRecord
-from pewterring.durations import LATE_CHECK_S
+from pewterring.durations import PAUSE_THRESHOLD_S
 from pewterring.registry.heartbeats import Heartbeat
 
-SILENCE_PERIODS = 3.5  # heartbeat periods without a heartbeat after which a worker counts as silent
-# Heartbeat periods after which a silent worker is removed, though a gateway may still have answers from it.
+HEARTBEAT_TIMEOUT_PERIODS = 3.5  # without a heartbeat for so many periods a worker counts as unresponsive
+# Periods after which an unresponsive worker is removed, though a gateway may still have answers from it.
 REMOVAL_PERIODS = 50.0
 
 
 @dataclass(slots=True)
 class Contact:
-    """When a worker was last heard, and the sequence number it had."""
+    """A worker's last heartbeat: when it came, in seconds, and the highest sequence number so far."""
 
-    heard: float
+    heard_at: float
     sequence: int
 
 
 @dataclass(frozen=True, slots=True)
-class Silences:
-    """Ids of workers whose silence has consequences now."""
+class UnresponsiveWorkers:
+    """Ids of workers whose time-out has consequences now."""
 
-    fallen: tuple[str, ...] = ()  # ready ones: from now on only gateways that they answer send to them
-    gone: tuple[str, ...] = ()  # to be removed
+    newly: tuple[str, ...] = ()  # ready ones: from now on only gateways that they answer send to them
+    expired: tuple[str, ...] = ()  # to be removed
 
 
 class WorkerRegistry:
-    """Compares what workers say with what is committed. `departed` holds ids that never come back."""
+    """Compares what workers state with what is committed. Runs on the leader's event loop.
+
+    `departed` holds ids that never come back. All times are seconds of one monotonic clock.
+    """
 
     def __init__(
         self, committed: Mapping[str, WorkerRecord], departed: Set[str], heartbeat_period_s: float
     ) -> None:
-        self.silence_s = SILENCE_PERIODS * heartbeat_period_s
+        self._heartbeat_timeout_s = HEARTBEAT_TIMEOUT_PERIODS * heartbeat_period_s
         self._removal_s = REMOVAL_PERIODS * heartbeat_period_s
         self._committed = committed
         self._departed = departed
         self._contacts: dict[str, Contact] = {}
-        self._checked = 0.0
+        self._checked_at = 0.0
 
-    def start(self, now: float) -> None:
-        """Begins a leadership: every worker gets its whole time anew."""
+    def restart_timeouts(self, now: float) -> None:
+        """Gives every worker its full time anew: at the beginning of a leadership, or after a pause."""
         for worker_id in self._committed:
-            self._contacts.setdefault(worker_id, Contact(now, 0)).heard = now
-        self._checked = now
+            self._contacts.setdefault(worker_id, Contact(now, 0)).heard_at = now
+        self._checked_at = now
 
     def observe(self, now: float, worker_id: str, heartbeat: Heartbeat) -> WorkerRecord | None:
         """Takes a heartbeat; returns the record to commit, or None where nothing changes."""
         if worker_id in self._departed:
             return None
-        known = self._committed.get(worker_id)
         contact = self._contacts.get(worker_id)
         if contact is None:
             contact = self._contacts[worker_id] = Contact(now, 0)
-        late = heartbeat.sequence < contact.sequence
-        if late and heartbeat.state != DRAINING:
+        overtaken = heartbeat.sequence < contact.sequence
+        if overtaken and heartbeat.state != DRAINING:
             return None
-        contact.heard = now
+        contact.heard_at = now
         contact.sequence = max(contact.sequence, heartbeat.sequence)
-        record = heartbeat.record(worker_id)
-        if known is None:
+        return self._change(heartbeat.record(worker_id))
+
+    def _change(self, record: WorkerRecord) -> WorkerRecord | None:
+        """The record where it differs from the committed one; draining is never taken back."""
+        committed = self._committed.get(record.id)
+        if committed is None:
             return record
-        if known.state == DRAINING and record.state != DRAINING:
+        if committed.state == DRAINING and record.state != DRAINING:
             return None
-        return None if record == known else record
+        return None if record == committed else record
 
-    def silent(self, now: float) -> Silences:
-        """The committed workers that have been silent for too long.
+    def unresponsive_workers(self, now: float) -> UnresponsiveWorkers:
+        """The committed workers that have sent no heartbeat for too long. Called periodically.
 
         Where this was not called for a while the process was frozen or starved and could hear nobody:
-        then every worker gets its whole time anew.
+        then every worker gets its full time anew.
         """
-        if now - self._checked > LATE_CHECK_S:
-            self.start(now)
-            return Silences()
-        self._checked = now
+        if now - self._checked_at > PAUSE_THRESHOLD_S:
+            self.restart_timeouts(now)
+            return UnresponsiveWorkers()
+        self._checked_at = now
         self._forget_removed(now)
-        found: dict[str, list[str]] = {}
+        newly: list[str] = []
+        expired: list[str] = []
         for worker in self._committed.values():
             contact = self._contacts.setdefault(worker.id, Contact(now, 0))
-            if now - contact.heard > (self._removal_s if worker.state == SILENT else self.silence_s):
-                found.setdefault(worker.state, []).append(worker.id)
-        fallen = found.pop(READY, [])
-        return Silences(tuple(fallen), tuple(worker_id for ids in found.values() for worker_id in ids))
+            timeout_s = self._removal_s if worker.state == SILENT else self._heartbeat_timeout_s
+            if now - contact.heard_at > timeout_s:
+                (newly if worker.state == READY else expired).append(worker.id)
+        return UnresponsiveWorkers(tuple(newly), tuple(expired))
 
     def _forget_removed(self, now: float) -> None:
-        """Drops contacts of workers that are no longer committed, once late heartbeats are over."""
+        """Drops contacts of workers that are no longer committed, once overtaken heartbeats are past."""
         forgotten = [
             worker_id
             for worker_id, contact in self._contacts.items()
-            if now - contact.heard > 2 * self.silence_s and worker_id not in self._committed
+            if now - contact.heard_at > 2 * self._heartbeat_timeout_s and worker_id not in self._committed
         ]
         for worker_id in forgotten:
             del self._contacts[worker_id]
--- a/pewterring/transport/http_exchange.py
+++ b/pewterring/transport/http_exchange.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from pewterring.durations import MILLISECONDS_A_SECOND
+from pewterring.durations import MILLISECONDS_PER_SECOND
 from pewterring.transport.http_answer import AnswerHead
 from pewterring.transport.http_common import Headers
 from pewterring.transport.line_errors import TransportError
@@ -54,7 +54,7 @@
         """
         if self.deadline is None:
             return self.headers
-        left_ms = max(LEAST_TIMEOUT_MS, int((self.deadline - now) * MILLISECONDS_A_SECOND))
+        left_ms = max(LEAST_TIMEOUT_MS, int((self.deadline - now) * MILLISECONDS_PER_SECOND))
         return [*self.headers, (TIMEOUT_HEADER, b"%d" % left_ms)]
 
 
--- a/tests/control/cluster.py
+++ b/tests/control/cluster.py
@@ -94,7 +94,7 @@
             self.feed.end_sessions()
             return
         self.nodes.start(self._clock(), self.state.nodes)
-        self.registry.start(self._clock())
+        self.registry.restart_timeouts(self._clock())
         self.publisher.start(self.group.term, self._cluster.ips)
 
 
--- a/tests/golden/control_calls.py
+++ b/tests/golden/control_calls.py
@@ -21,18 +21,18 @@
 from tests.golden.rows import Family, Row
 
 HEARTBEAT = Heartbeat(
-    backend="search",
+    service="search",
     address="10.0.2.1:8080",
     zone="zone-a",
     version="1.4",
     capacity=48,
     state="draining",
-    cold_remaining_ms=12.5,
+    warm_up_remaining_ms=12.5,
     stage="loading",
     models=(LoadedModel(name="small", version=2),),
     sequence=9,
 )
-PLAIN_HEARTBEAT = Heartbeat(backend="search", address="10.0.2.1:8080")
+PLAIN_HEARTBEAT = Heartbeat(service="search", address="10.0.2.1:8080")
 PLAIN_MODEL_HEARTBEAT = msgspec.structs.replace(PLAIN_HEARTBEAT, models=(LoadedModel(),))
 STATUS = TierStatus(
     version=8,
