--- a/pewterring/lab/explore.py
+++ b/pewterring/lab/explore.py
@@ -12,7 +12,10 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass, field
 
-from pewterring.membership.members import Members, Setup
+from pewterring.membership.outgoing import Datagram
+from pewterring.membership.prober import Probe
+from pewterring.membership.protocol import MembershipProtocol
+from pewterring.membership.settings import ProtocolSettings
 
 FAIR_PERIODS = 80  # of the continuation; suspicion and a few rounds of calls to the dead take some twenty
 CUT_PERIODS = 30  # of an instance that hears nobody: it holds all others for dead then
@@ -24,7 +27,7 @@
     """One state of all instances and what is between them."""
 
     now: float
-    members: list[Members | None]
+    members: list[MembershipProtocol | None]
     lives: list[int]
     flight: list[tuple[int, int, bytes]] = field(default_factory=list)
     crashes: int = 0
@@ -34,29 +37,34 @@
         """What tells states apart; counters and exact times don't."""
         views = tuple(
             m and (
-                m.incarnation, m.life, m.probe and (m.probe.member, m.probe.sent, m.probe.helped),
-                tuple(sorted((o.number, o.incarnation, o.life, o.state) for o in m.members.values())),
-                tuple(sorted(m.told)),
+                m.identity.incarnation, m.identity.start_id, _probe_key(m.prober.probe),
+                tuple(sorted(other.update() for other in m.members.by_number.values())),
+                tuple(m.members.queue.members()),
             )
             for m in self.members
         )  # fmt: skip
         return views, tuple(sorted(self.flight)), self.crashes
 
-    def send(self, sender: int, out: list[tuple[int, bytes]]) -> None:
+    def send(self, sender: int, out: list[Datagram]) -> None:
         for to, data in out:
             if len(self.flight) < MOST_FLIGHT:
                 self.flight.append((sender, to, data))
 
 
+def _probe_key(probe: Probe | None) -> tuple[int, int, bool] | None:
+    return (probe.member, probe.sent, probe.indirect) if probe else None
+
+
 class Found(Exception):
     """A state from which the fair continuation does not end in agreement; the text has the way there."""
 
 
-Make = Callable[[int, int, int], Members]
+Make = Callable[[int, int, int], MembershipProtocol]
 
 
-def fresh(number: int, size: int, life: int) -> Members:
-    return Members(number, size, life, random.Random(number), Setup(period_s=1.0))
+def fresh(number: int, size: int, start_id: int) -> MembershipProtocol:
+    settings = ProtocolSettings(period_s=1.0)
+    return MembershipProtocol(number, size, start_id, random.Random(number), settings)
 
 
 def steps(state: Node, make: Make, most_crashes: int) -> Iterator[tuple[str, Node]]:
@@ -68,7 +76,7 @@
                 after.flight.pop(n)
             node = after.members[to]
             if what != "is lost" and node is not None:
-                after.send(to, node.hear(after.now, sender, data))
+                after.send(to, node.receive(after.now, sender, data))
             yield f"{sender}->{to} {what}", after
     for n, member in enumerate(state.members):
         after = copy.deepcopy(state)
@@ -104,14 +112,14 @@
     running = {n for n, m in enumerate(after.members) if m is not None}
 
     def agree() -> bool:
-        return all(m is None or set(m.alive()) == running for m in after.members)
+        return all(m is None or set(m.present()) == running for m in after.members)
 
     while after.now < end:
         while after.flight:
             sender, to, data = after.flight.pop(0)
             node = after.members[to]
             if node is not None:
-                after.send(to, node.hear(after.now, sender, data))
+                after.send(to, node.receive(after.now, sender, data))
         if after.now > end - 1 and agree():
             return True
         due = [(m.due(), n) for n, m in enumerate(after.members) if m is not None]
--- a/pewterring/lab/gossip.py
+++ b/pewterring/lab/gossip.py
@@ -12,8 +12,10 @@
 from pewterring.lab.engine import START, Engine
 from pewterring.lab.stores import Store
 from pewterring.lab.streams import Stream
-from pewterring.membership.members import Members, Out, Setup
 from pewterring.membership.messages import State
+from pewterring.membership.outgoing import Datagram
+from pewterring.membership.protocol import MembershipProtocol
+from pewterring.membership.settings import ProtocolSettings
 
 
 class Detector(Protocol):
@@ -21,11 +23,11 @@
 
     def due(self) -> float: ...
 
-    def tick(self, now: float) -> list[Out]: ...
+    def tick(self, now: float) -> list[Datagram]: ...
 
-    def hear(self, now: float, sender: int, data: bytes) -> list[Out]: ...
+    def receive(self, now: float, sender: int, data: bytes) -> list[Datagram]: ...
 
-    def alive(self) -> list[int]: ...
+    def present(self) -> list[int]: ...
 
 
 class Heartbeats:
@@ -46,20 +48,20 @@
     def due(self) -> float:
         return self.next_at
 
-    def tick(self, now: float) -> list[Out]:
+    def tick(self, now: float) -> list[Datagram]:
         self.looked = now
         if now < self.next_at:
             return []
         self.next_at = now + self.period
-        return [(n, b"H") for n in range(self.size) if n != self.me]
+        return [Datagram(n, b"H") for n in range(self.size) if n != self.me]
 
-    def hear(self, now: float, sender: int, data: bytes) -> list[Out]:
+    def receive(self, now: float, sender: int, data: bytes) -> list[Datagram]:
         if sender in self.heard:
             self.gaps.setdefault(sender, deque(maxlen=self.WINDOW)).append(now - self.heard[sender])
         self.heard[sender] = self.looked = now
         return []
 
-    def alive(self) -> list[int]:
+    def present(self) -> list[int]:
         return sorted([self.me, *(n for n, at in self.heard.items() if self.looked - at < self.longest(n))])
 
     def longest(self, member: int) -> float:
@@ -82,10 +84,10 @@
         delay: tuple[float, float] = (0.004, 0.02),
         intake: float = 100.0,
         kind: str = "swim",
-        setup: Setup | None = None,
+        settings: ProtocolSettings | None = None,
     ) -> None:
         self.size, self.seed, self.loss, self.delay, self.intake = size, seed, loss, delay, intake
-        self.kind, self.setup = kind, setup or Setup()
+        self.kind, self.settings = kind, settings or ProtocolSettings()
         self.engine = Engine()
         self.streams = [Stream(seed, "instance", n) for n in range(size)]
         self.nodes: list[Detector | None] = [None] * size
@@ -102,7 +104,7 @@
         self.lives[n] += 1
         rng = random.Random(self.streams[n].seed64())
         if self.kind == "swim":
-            node: Detector = Members(n, self.size, rng.getrandbits(32), rng, self.setup)
+            node: Detector = MembershipProtocol(n, self.size, rng.getrandbits(32), rng, self.settings)
         else:
             node = Heartbeats(n, self.size, self.intake, rng, self.kind == "phi")
         self.nodes[n] = node
@@ -112,7 +114,7 @@
         self.nodes[n] = None
         self.lives[n] += 1
 
-    def turn(self, n: int, node: Detector, out: list[Out]) -> None:
+    def turn(self, n: int, node: Detector, out: list[Datagram]) -> None:
         for to, data in out:
             self.send(n, to, data)
         self.planned[n] += 1
@@ -138,7 +140,7 @@
         if not self.intakes[b].take(now, 1.0):
             self.dropped += 1
             return
-        self.turn(b, node, node.hear(now, a, data))
+        self.turn(b, node, node.receive(now, a, data))
 
     def run(self, seconds: float) -> None:
         self.engine.run(self.engine.now + seconds)
@@ -149,7 +151,7 @@
         for node in self.nodes:
             if isinstance(node, Heartbeats):
                 node.looked = now
-        return [set(node.alive()) for node in self.nodes if node is not None]
+        return [set(node.present()) for node in self.nodes if node is not None]
 
     def wrong(self) -> tuple[int, int]:
         """Pairs in which a running one is missed, and in which one that is gone is still held."""
@@ -160,8 +162,10 @@
     def declared(self, since: float) -> int:
         """Times since then that a running instance was declared dead by another (swim alone)."""
         return sum(
-            c.at >= since and c.state == State.DEAD and self.nodes[c.member] is not None
+            change.at >= since
+            and change.update.state == State.DEAD
+            and self.nodes[change.update.member] is not None
             for node in self.nodes
-            if isinstance(node, Members)
-            for c in node.changes
+            if isinstance(node, MembershipProtocol)
+            for change in node.members.changes
         )
--- a/pewterring/membership/__init__.py
+++ b/pewterring/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Who is there: failure detection and dissemination among gatekeepers, without a leader. Free of I/O."""
+"""Who is there: failure detection and dissemination among gateways, without a leader. Free of I/O."""
--- a/tests/golden/datagram_cases.py
+++ b/tests/golden/datagram_cases.py
@@ -42,22 +42,28 @@
     expected: Any
 
 
+MEMBERSHIP_NAMES = {
+    membership.Kind.PING: "membership-ping",
+    membership.Kind.ACK: "membership-ack",
+    membership.Kind.PING_REQUEST: "membership-ask",
+    membership.Kind.LEAVE: "membership-leave",
+}
+
+
 def _membership() -> list[Case]:
-    rumours = tuple(
-        membership.Rumour(0x0102 + state, 0x01020304, INCARNATION, state) for state in membership.State
+    updates = tuple(
+        membership.MemberUpdate(0x0102 + state, 0x01020304, INCARNATION, state) for state in membership.State
     )
     messages = {
-        f"membership-{kind.name.lower()}": membership.Message(
-            kind, 0x01020304, INCARNATION, 0x0A0B0C0D, 0x1122, rumours
-        )
-        for kind in membership.Kind
+        name: membership.Message(kind, 0x01020304, INCARNATION, 0x0A0B0C0D, 0x1122, updates)
+        for kind, name in MEMBERSHIP_NAMES.items()
     }
     messages["membership-no-rumours"] = membership.Message(membership.Kind.PING, 0, 0, 0, 0)
     messages["membership-most-rumours"] = membership.Message(
-        membership.Kind.ACK, 1, 2, 3, 4, (rumours[1],) * membership.ROOM
+        membership.Kind.ACK, 1, 2, 3, 4, (updates[1],) * membership.MAX_UPDATES
     )
     return [
-        Case(name, partial(membership.write, message), membership.read, message)
+        Case(name, partial(membership.encode, message), membership.decode, message)
         for name, message in messages.items()
     ]
 
--- a/tests/membership/test_explore.py
+++ b/tests/membership/test_explore.py
@@ -3,35 +3,35 @@
 import pytest
 
 from pewterring.lab.explore import Found, Make, explore, fresh
-from pewterring.membership.members import Members
+from pewterring.membership.protocol import MembershipProtocol
 
 
-class NeverRefutes(Members):
+class NeverRefutes(MembershipProtocol):
     def refute(self, incarnation: int) -> None:
-        pass
+        """Leaves what is said of it as it is."""
 
 
-class RefutesTooLow(Members):
+class RefutesTooLow(MembershipProtocol):
     def refute(self, incarnation: int) -> None:
-        self.incarnation = incarnation  # not above what was said of it
+        self.identity.incarnation = incarnation  # not above what was said of it
 
 
-def variant(kind: type[Members]) -> Make:
-    def make(number: int, size: int, life: int) -> Members:
-        plain = fresh(number, size, life)
-        return kind(number, size, life, plain.rng, plain.setup)
+def variant(kind: type[MembershipProtocol]) -> Make:
+    def make(number: int, size: int, start_id: int) -> MembershipProtocol:
+        plain = fresh(number, size, start_id)
+        return kind(number, size, start_id, plain.rng, plain.settings)
 
     return make
 
 
-def test_every_interleaving_settles() -> None:
+def test_every_interleaving_ends_in_agreement() -> None:
     states, tried = explore(size=3, depth=2, crashes=1)
     assert states > 50
     assert tried > states
 
 
 @pytest.mark.parametrize("kind", [NeverRefutes, RefutesTooLow])
-def test_broken_variants_are_refuted(kind: type[Members]) -> None:
+def test_broken_variants_are_refuted(kind: type[MembershipProtocol]) -> None:
     with pytest.raises(Found) as found:
         explore(size=3, depth=2, crashes=1, make=variant(kind))
     assert "cut off" in str(found.value)
