--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -38,7 +38,8 @@
 from pewterring.distribution.messages import FEED_MESSAGES, NodeRecord, WorkerRecord
 from pewterring.distribution.subscriber import FeedSubscriber
 from pewterring.distribution.tables import Tables
-from pewterring.node.settings import Address, Bounds, NodeSettings
+from pewterring.node.address import Address
+from pewterring.node.settings import Bounds, NodeSettings
 from pewterring.storage.disk import FolderDisk
 from pewterring.storage.group import DiskGroupStorage
 from pewterring.transport.lines import LinkPool, MessageCodec, TransportError
--- a/pewterring/cli/cluster.py
+++ b/pewterring/cli/cluster.py
@@ -17,7 +17,8 @@
 from pewterring.configuration.validation import document_errors
 from pewterring.control.calls import READ_PATH, REPLACE_PATH, STATUS_PATH, UPDATE_PATH
 from pewterring.control.status import TierStatus
-from pewterring.node.settings import SettingsError, parse_address
+from pewterring.node.address import parse_address
+from pewterring.node.errors import SettingsError
 
 TIMEOUT_S = 3.0
 NOT_FOUND = 404
--- a/pewterring/cli/config.py
+++ b/pewterring/cli/config.py
@@ -86,7 +86,8 @@
     kind = given.kind or kind_of(given.path)
     if kind == SETTINGS:
         from pewterring.cli import node_settings
-        from pewterring.node.settings import SettingsError, settings_path
+        from pewterring.node.errors import SettingsError
+        from pewterring.node.settings_file import settings_path
 
         path = settings_path(given.path)
         try:
@@ -124,7 +125,8 @@
     kind = given.kind or kind_of(given.path)
     if kind == SETTINGS:
         from pewterring.cli import node_settings
-        from pewterring.node.settings import SettingsError, settings_path
+        from pewterring.node.errors import SettingsError
+        from pewterring.node.settings_file import settings_path
 
         try:
             return node_settings.show(settings_path(given.path))
--- a/pewterring/cli/node_settings.py
+++ b/pewterring/cli/node_settings.py
@@ -5,14 +5,11 @@
 from typing import Any
 
 from pewterring.cli.findings import Findings, nearest, unknown_key
+from pewterring.node.errors import SettingsError
 from pewterring.node.keys import REQUIRED_BY
-from pewterring.node.settings import (
-    SettingRead,
-    SettingsError,
-    SettingsReport,
-    examine_settings,
-    read_text,
-)
+from pewterring.node.settings import SettingsReport, examine_settings
+from pewterring.node.settings_file import read_text
+from pewterring.node.value_reader import SettingRead
 
 UNITS = {"_ms": "milliseconds", "_s": "seconds", "_mb": "MiB", "_fds": "descriptors", "cpu_share": "cores"}
 DESCRIPTIONS = {
--- a/pewterring/cli/tier.py
+++ b/pewterring/cli/tier.py
@@ -10,14 +10,10 @@
 from loguru import logger
 
 from pewterring.cli.errors import FAILED, USAGE_ERROR
-from pewterring.node.settings import (
-    NodeSettings,
-    RequestLogMode,
-    SettingsError,
-    SettingsReport,
-    settings_path,
-)
-from pewterring.node.settings_file import SettingsFile, SettingsReloader
+from pewterring.node.errors import SettingsError
+from pewterring.node.settings import NodeSettings, RequestLogMode, SettingsReport
+from pewterring.node.settings_file import SettingsFile, settings_path
+from pewterring.node.settings_reloader import ReloadCallbacks, SettingsReloader
 from pewterring.observability.log import configure_log
 from pewterring.observability.request_log import REQUEST_EVENT
 
@@ -119,13 +115,13 @@
             take(changed)
         logger.bind(event="settings_reloaded").info("the settings file has changed")
 
-    def refused(error: SettingsError) -> None:
+    def on_refused(error: SettingsError) -> None:
         logger.bind(event="settings_refused").warning("settings kept as they were: {}", error)
 
-    def waiting(names: tuple[str, ...]) -> None:
+    def on_restart_needed(names: tuple[str, ...]) -> None:
         logger.bind(event="settings_need_restart", fields=names).warning("some changes wait for a new start")
 
-    return SettingsReloader(file, settings, apply, refused, waiting)
+    return SettingsReloader(file, settings, ReloadCallbacks(apply, on_refused, on_restart_needed))
 
 
 def _make(name: str, settings: NodeSettings, failed: asyncio.Event) -> Program:
--- a/pewterring/control/http_server.py
+++ b/pewterring/control/http_server.py
@@ -5,7 +5,7 @@
 
 from loguru import logger
 
-from pewterring.node.settings import Address
+from pewterring.node.address import Address
 from pewterring.transport.http_request import ServerLimits
 from pewterring.transport.http_server import Handler, HttpServer
 
--- a/pewterring/control/program.py
+++ b/pewterring/control/program.py
@@ -32,7 +32,8 @@
 from pewterring.control.standstill import StandstillWatch
 from pewterring.control.state import ControlState
 from pewterring.distribution.messages import FEED_MESSAGES, Renew, Subscribe
-from pewterring.node.settings import NodeSettings, SettingsError
+from pewterring.node.errors import SettingsError
+from pewterring.node.settings import NodeSettings
 from pewterring.registry.workers import WorkerRegistry
 from pewterring.storage.disk import FolderDisk
 from pewterring.storage.group import DiskGroupStorage
--- a/pewterring/node/keys.py
+++ b/pewterring/node/keys.py
@@ -3,7 +3,9 @@
 SETTINGS_VARIABLE = "PEWTERRING_CONFIG"  # environment variable that names the file
 DEFAULT_PATH = "/etc/pewterring/node.conf"
 LAST_PORT = 65535
-FRONT, READY, CONTROL = "listen_addrs.front", "listen_addrs.ready", "listen_addrs.control"
+FRONT = "listen_addrs.front"
+READY = "listen_addrs.ready"
+CONTROL = "listen_addrs.control"
 REQUIRED_BY = {
     "gateway": (FRONT, READY),
     "control": (CONTROL, "data_dir"),
--- a/pewterring/node/settings_file.py
+++ b/pewterring/node/settings_file.py
@@ -1,108 +1,76 @@
-"""The settings file of a running process: read whole or not at all, and polled for changes."""
+"""The settings file of a process on its disk: found, read as one state of it, checked for changes."""
 
-import asyncio
 import os
-from collections.abc import Callable
-from dataclasses import fields, replace
 from pathlib import Path
+from typing import NamedTuple
 
-from pewterring.node.settings import NodeSettings, SettingsError, SettingsReport, read_report, read_text
+from pewterring.node.errors import SettingsError
+from pewterring.node.keys import DEFAULT_PATH, SETTINGS_VARIABLE
+from pewterring.node.settings import SettingsReport, read_report
 
-POLL_INTERVAL_S = 1.0  # between checks for a change without a signal
-READ_TRIES = 3  # while the file changes as it is read
-# What a process was built on: another value counts from its next start.
-FIXED_FIELDS = (
-    "node_id", "ip", "zone", "region", "front", "ready", "control", "internal_port", "data_dir", "cluster",
-)  # fmt: skip
+READ_ATTEMPTS = 3  # while the file changes as it is read
 
-Signature = tuple[int, int, int]  # inode, size, time of the last change in nanoseconds
 
+def settings_path(given: str | None = None) -> Path:
+    """The file: the one given, else the one that `PEWTERRING_CONFIG` names, else the usual one."""
+    return Path(given or os.environ.get(SETTINGS_VARIABLE) or DEFAULT_PATH)
 
-def signature(path: Path) -> Signature | None:
-    """What tells one state of a file from another; None where it cannot be read."""
+
+def read_text(path: Path) -> str:
+    """The file's text.
+
+    Raises:
+        SettingsError: It cannot be read, or is not UTF-8.
+    """
+    try:
+        return path.read_text(encoding="utf-8")
+    except (OSError, UnicodeDecodeError) as error:
+        raise SettingsError(f"cannot read {path}: {error}") from error
+
+
+class FileSignature(NamedTuple):
+    """What tells one state of a file from another."""
+
+    inode: int
+    size_bytes: int
+    modified_ns: int
+
+
+def file_signature(path: Path) -> FileSignature | None:
+    """The file's present state; None where it cannot be read."""
     try:
-        status = os.stat(path)
+        status = path.stat()
     except OSError:
         return None
-    return status.st_ino, status.st_size, status.st_mtime_ns
+    return FileSignature(status.st_ino, status.st_size, status.st_mtime_ns)
 
 
 class SettingsFile:
-    """Reads one program's settings file."""
+    """One program's settings file. Another program may replace it, or write it in place, at any time."""
 
     def __init__(self, path: Path, program: str) -> None:
         self.path = path
         self._program = program
-        self._taken: Signature | None = None  # of the content read last
-        self._seen: Signature | None = None  # at the last check
+        self._read: FileSignature | None = None  # of the content read last
+        self._checked: FileSignature | None = None  # at the last check
 
     def read(self) -> SettingsReport:
-        """Reads the file as one state of it. Raises `SettingsError`."""
-        for _ in range(READ_TRIES):
-            before = signature(self.path)
+        """Reads the file as one state of it.
+
+        Raises:
+            SettingsError: It cannot be read or used, or changes at each attempt.
+        """
+        for _ in range(READ_ATTEMPTS):
+            before = file_signature(self.path)
             text = read_text(self.path)
-            if signature(self.path) == before:
-                self._taken = self._seen = before
+            if file_signature(self.path) == before:
+                self._read = self._checked = before
                 return read_report(text, self._program)
         raise SettingsError(f"{self.path} changes while it is read")
 
     def has_changed(self) -> bool:
-        """Whether two checks in a row found a state that was not read yet: one check may find half a file."""
-        now = signature(self.path)
-        settled = now == self._seen
-        self._seen = now
-        return settled and now is not None and now != self._taken
-
-
-def merged(running: NodeSettings, new: NodeSettings) -> tuple[NodeSettings, tuple[str, ...]]:
-    """The new settings with what only a start can change kept as it is, and the names of such changes."""
-    names = [field.name for field in fields(new) if field.name in FIXED_FIELDS]
-    held = {name: getattr(running, name) for name in names if getattr(running, name) != getattr(new, name)}
-    return replace(new, **held), tuple(held)
-
-
-class SettingsReloader:
-    """Takes changed settings: at once by `reload`, or by `watch` without a signal.
-
-    `apply` gets settings that are valid and complete; `refused` gets the reason where a file cannot be used,
-    and the settings before stay in force; `waiting` gets the fields that wait for a new start.
-    """
-
-    def __init__(
-        self,
-        file: SettingsFile,
-        settings: NodeSettings,
-        apply: Callable[[NodeSettings], None],
-        refused: Callable[[SettingsError], None],
-        waiting: Callable[[tuple[str, ...]], None],
-    ) -> None:
-        self.settings = settings
-        self._file = file
-        self._apply = apply
-        self._refused = refused
-        self._waiting = waiting
-
-    def reload(self) -> None:
-        """Reads the file now."""
-        try:
-            report = self._file.read()
-        except SettingsError as error:
-            self._refused(error)
-            return
-        settings, held = merged(self.settings, report.settings)
-        if held:
-            self._waiting(held)
-        if settings != self.settings:
-            self.settings = settings
-            self._apply(settings)
-
-    def poll(self) -> None:
-        """Reads the file where it has changed."""
-        if self._file.has_changed():
-            self.reload()
-
-    async def watch(self) -> None:
-        """Polls for changes until it is cancelled."""
-        while True:
-            await asyncio.sleep(POLL_INTERVAL_S)
-            self.poll()
+        """Whether two checks in a row found the same unread state: one check may find half a file."""
+        current = file_signature(self.path)
+        is_stable = current == self._checked
+        self._checked = current
+        return is_stable and current is not None and current != self._read
--- /dev/null
+++ b/pewterring/node/value_reader.py
@@ -0,0 +1,125 @@
+"""Typed values out of the raw keys of a settings file, with a record of what was read and what is wrong."""
+
+import math
+from collections.abc import Mapping, Sequence
+from dataclasses import dataclass
+from enum import StrEnum
+from typing import TypeVar
+
+from pewterring.node.address import Address, is_port, parse_address
+from pewterring.node.errors import SettingsError
+
+Value = TypeVar("Value")
+
+
+class ValueKind(StrEnum):
+    """How a key's text is read."""
+
+    TEXT = "text"
+    NUMBER = "number"
+    FLAG = "flag"
+    ADDRESS = "address"
+    ADDRESSES = "addresses"
+    PORTS = "ports"
+
+
+@dataclass(frozen=True, slots=True)
+class SettingRead:
+    """One key that was looked up, and what was found."""
+
+    kind: ValueKind
+    value: object
+    given: bool
+    required: bool
+
+
+class ValueReader:
+    """Reads raw keys. Problems are collected instead of raised, so that all of them are reported at once."""
+
+    def __init__(self, raw: Mapping[str, str]) -> None:
+        self._raw = raw
+        self.reads: dict[str, SettingRead] = {}
+        self.problems: list[str] = []
+
+    def required_text(self, key: str) -> str:
+        """A text that has to be there."""
+        return self._record(key, ValueKind.TEXT, self._required(key), required=True)
+
+    def text(self, key: str) -> str:
+        """A text, empty where it is not given."""
+        return self._record(key, ValueKind.TEXT, self._given(key))
+
+    def number(self, key: str, default: float, least: float = 0.0) -> float:
+        """A finite number, `least` or more."""
+        value = self._given(key)
+        return self._record(key, ValueKind.NUMBER, self._number(key, value, default, least))
+
+    def _number(self, key: str, value: str, default: float, least: float) -> float:
+        number = default
+        if value:
+            try:
+                number = float(value)
+            except ValueError:
+                self.problems.append(f"{key} is not a number: {value!r}")
+        if math.isfinite(number) and number >= least:
+            return number
+        self.problems.append(f"{key} must be {least:g} or more: {value!r}")
+        return default
+
+    def flag(self, key: str) -> bool:
+        """`true` or `false`, the latter where it is not given."""
+        value = self._given(key).lower()
+        if value not in ("true", "false", ""):
+            self.problems.append(f"{key} is neither true nor false: {value!r}")
+        return self._record(key, ValueKind.FLAG, value == "true")
+
+    def one_of(self, key: str, values: Sequence[str]) -> str:
+        """One of `values`; the first where the key is not given."""
+        value = self._given(key) or values[0]
+        if value not in values:
+            self.problems.append(f"{key} is none of {', '.join(values)}: {value!r}")
+            value = values[0]
+        return self._record(key, ValueKind.TEXT, str(value))
+
+    def address(self, key: str) -> Address | None:
+        """`IP:port`, None where it is not given."""
+        value = self._given(key)
+        return self._record(key, ValueKind.ADDRESS, self._address(key, value) if value else None)
+
+    def addresses(self, key: str) -> tuple[Address, ...]:
+        """Addresses with commas between them."""
+        texts = [text.strip() for text in self._given(key).split(",")]
+        found = [self._address(key, text) for text in texts if text]
+        return self._record(key, ValueKind.ADDRESSES, tuple(address for address in found if address))
+
+    def first_port(self, key: str) -> int:
+        """The first of two ports with a comma between them."""
+        value = self._required(key)
+        first = value.split(",")[0].strip()
+        if value and not is_port(first):
+            self.problems.append(f"{key} is not a range of ports: {value!r}")
+        return self._record(key, ValueKind.PORTS, int(first) if is_port(first) else 0, required=True)
+
+    def is_given(self, key: str) -> bool:
+        """Whether the file has a value for the key: an empty one counts as not given."""
+        return bool(self._given(key))
+
+    def _given(self, key: str) -> str:
+        return self._raw.get(key, "").strip()
+
+    def _required(self, key: str) -> str:
+        value = self._given(key)
+        if not value:
+            self.problems.append(f"{key} is missing")
+        return value
+
+    def _address(self, key: str, value: str) -> Address | None:
+        try:
+            return parse_address(key, value)
+        except SettingsError as error:
+            self.problems.extend(error.problems)
+            return None
+
+    def _record(self, key: str, kind: ValueKind, value: Value, *, required: bool = False) -> Value:
+        self.reads[key] = SettingRead(kind, value, self.is_given(key), required)
+        return value
--- a/tests/control/test_http_server.py
+++ b/tests/control/test_http_server.py
@@ -12,7 +12,7 @@
 from pewterring.control.api import ControlApi
 from pewterring.control.calls import Answer, Call
 from pewterring.control.http_server import LIMITS, ApiServer
-from pewterring.node.settings import Address
+from pewterring.node.address import Address
 from tests.loopback import free_port, loopback_ip
 from tests.transport.http_stand_ins import PATIENCE_S, Wire
 
--- a/tests/control/test_program.py
+++ b/tests/control/test_program.py
@@ -25,7 +25,9 @@
 )
 from pewterring.distribution.subscriber import FeedSubscriber
 from pewterring.distribution.tables import Tables
-from pewterring.node.settings import Address, NodeSettings, SettingsError
+from pewterring.node.address import Address
+from pewterring.node.errors import SettingsError
+from pewterring.node.settings import NodeSettings
 from pewterring.transport.lines import ChannelClosed, LineServer, MessageCodec, connect
 from tests.configuration.documents import encoded
 from tests.loopback import free_port, loopback_ip
--- a/tests/gateway/gateway.py
+++ b/tests/gateway/gateway.py
@@ -20,7 +20,8 @@
 from pewterring.distribution.tables import Tables
 from pewterring.gateway.batch_calls import BatchCalls
 from pewterring.gateway.program import GatewayProgram
-from pewterring.node.settings import Address, Bounds, NodeSettings
+from pewterring.node.address import Address
+from pewterring.node.settings import Bounds, NodeSettings
 from pewterring.routing.prompt import Prompt
 from pewterring.transport.http_client import WorkerPool
 from pewterring.transport.http_exchange import SendRequest
--- a/tests/golden/settings_cases.py
+++ b/tests/golden/settings_cases.py
@@ -13,6 +13,7 @@
 
 from pewterring.configuration import model, patch, reader, schema
 from pewterring.node import keys, settings
+from pewterring.node.address import Address
 from pewterring.standalone import config as standalone
 from pewterring.standalone.network.connection import Address as StandaloneAddress
 from pewterring.standalone.network.discovery import Entry, Listing
@@ -37,11 +38,11 @@
     ip="10.1.0.35",
     zone="a",
     region="r",
-    front=settings.Address("10.1.0.35", 8144),
-    ready=settings.Address("10.1.0.35", 8140),
-    control=settings.Address("10.1.0.35", 8146),
+    front=Address("10.1.0.35", 8144),
+    ready=Address("10.1.0.35", 8140),
+    control=Address("10.1.0.35", 8146),
     internal_port=7660,
-    seeds=(settings.Address("10.1.0.38", 8146), settings.Address("10.2.0.31", 8146)),
+    seeds=(Address("10.1.0.38", 8146), Address("10.2.0.31", 8146)),
     bootstrap=True,
     data_dir=Path("/data/pewterring"),
     heartbeat_s=1.2,
@@ -162,7 +163,7 @@
 
 def read_node_settings(name: str) -> settings.NodeSettings:
     """Reads one of the golden node.conf files."""
-    return settings.read_settings((INPUTS / name).read_text(encoding="utf-8"))
+    return settings.read_report((INPUTS / name).read_text(encoding="utf-8")).settings
 
 
 def read_configuration() -> model.Configuration:
--- a/tests/node/settings_texts.py
+++ b/tests/node/settings_texts.py
@@ -1,4 +1,6 @@
-"""Settings files as they are handed to processes."""
+"""Settings files as they are given to processes."""
+
+from pewterring.node.settings import NodeSettings, read_report
 
 VALUES = {
     "node_id": "edge-a-1",
@@ -26,3 +28,8 @@
     values: dict[str, str | None] = {**VALUES}
     values.update((name.replace("__", "."), value) for name, value in changes.items())
     return "".join(f"{key}={value}\n" for key, value in values.items() if value is not None)
+
+
+def read_settings(text: str) -> NodeSettings:
+    """What a process runs with that has this file."""
+    return read_report(text).settings
--- a/tests/node/test_settings.py
+++ b/tests/node/test_settings.py
@@ -2,15 +2,10 @@
 
 import pytest
 
-from pewterring.node.settings import (
-    Address,
-    RequestLogMode,
-    SettingsError,
-    examine_settings,
-    read_report,
-    read_settings,
-)
-from tests.node.settings_texts import settings_text
+from pewterring.node.address import Address
+from pewterring.node.errors import SettingsError
+from pewterring.node.settings import RequestLogMode, examine_settings, read_report
+from tests.node.settings_texts import read_settings, settings_text
 
 
 def test_values_are_typed_and_in_base_units() -> None:
--- a/tests/node/test_settings_file.py
+++ b/tests/node/test_settings_reloader.py
@@ -1,17 +1,18 @@
-"""Changes of the settings file: taken whole or not at all, with a signal or without."""
+"""Changes of the settings file: taken completely or not at all, with a signal or without."""
 
-import os
 from pathlib import Path
 
 import pytest
 
-from pewterring.node.settings import NodeSettings, SettingsError
-from pewterring.node.settings_file import SettingsFile, SettingsReloader
+from pewterring.node.errors import SettingsError
+from pewterring.node.settings import NodeSettings
+from pewterring.node.settings_file import SettingsFile
+from pewterring.node.settings_reloader import ReloadCallbacks, SettingsReloader
 from tests.node.settings_texts import settings_text
 
 
 class Process:
-    """A process that runs with a settings file and notes what its reloader tells it."""
+    """A process that runs with a settings file and records what its reloader calls."""
 
     def __init__(self, folder: Path) -> None:
         self.path = folder / "node.conf"
@@ -19,16 +20,15 @@
         file = SettingsFile(self.path, "gateway")
         self.applied: list[NodeSettings] = []
         self.refused: list[SettingsError] = []
-        self.waiting: list[tuple[str, ...]] = []
-        self.reloader = SettingsReloader(
-            file, file.read().settings, self.applied.append, self.refused.append, self.waiting.append
-        )
+        self.restart_needed: list[tuple[str, ...]] = []
+        callbacks = ReloadCallbacks(self.applied.append, self.refused.append, self.restart_needed.append)
+        self.reloader = SettingsReloader(file, file.read().settings, callbacks)
 
     def replace(self, text: str) -> None:
-        """Puts another file in the old one's place."""
+        """Replaces the file by another."""
         new = self.path.with_suffix(".new")
         new.write_text(text)
-        os.replace(new, self.path)
+        new.replace(self.path)
 
     def poll_twice(self) -> None:
         self.reloader.poll()
@@ -40,7 +40,7 @@
     return Process(tmp_path)
 
 
-def test_a_signal_takes_the_new_file_at_once(process: Process) -> None:
+def test_a_signal_applies_the_new_file_at_once(process: Process) -> None:
     process.replace(settings_text(seed_nodes="10.9.0.1:8146"))
     process.reloader.reload()
     assert [str(seed) for seed in process.applied[0].seeds] == ["10.9.0.1:8146"]
@@ -97,11 +97,11 @@
     assert len(process.applied) == 1
 
 
-def test_what_a_process_was_built_on_waits_for_its_next_start(process: Process) -> None:
+def test_what_a_process_was_built_on_needs_a_restart(process: Process) -> None:
     changes = {"seed_nodes": "10.9.0.1:8146", "listen_addrs__front": "10.1.0.35:9999", "cluster_name": "two"}
     process.replace(settings_text(**changes))
     process.reloader.reload()
-    assert process.waiting == [("front", "cluster")]
+    assert process.restart_needed == [("front", "cluster")]
     (settings,) = process.applied
     assert settings.cluster == ""
     assert str(settings.front) == "10.1.0.35:8144"
--- a/tests/node_settings.py
+++ b/tests/node_settings.py
@@ -4,7 +4,8 @@
 from dataclasses import replace
 from typing import Any
 
-from pewterring.node.settings import Address, Bounds, NodeSettings
+from pewterring.node.address import Address
+from pewterring.node.settings import Bounds, NodeSettings
 
 PLAIN = NodeSettings(
     node_id="node",
--- a/tests/simulation/patches.py
+++ b/tests/simulation/patches.py
@@ -18,7 +18,7 @@
 from pewterring.consensus.types import RaftLimits, Save
 from pewterring.control import program as control_program
 from pewterring.distribution import follower, subscriber
-from pewterring.node.settings import Address
+from pewterring.node.address import Address
 from pewterring.storage import identity
 from pewterring.storage.group import DiskGroupStorage
 from pewterring.transport import link_pool
--- a/tests/simulation/world.py
+++ b/tests/simulation/world.py
@@ -14,7 +14,8 @@
 from pewterring.distribution.subscriber import FeedSubscriber
 from pewterring.distribution.tables import Tables
 from pewterring.gateway.batch_calls import BatchCalls
-from pewterring.node.settings import Address, NodeSettings
+from pewterring.node.address import Address
+from pewterring.node.settings import NodeSettings
 from pewterring.transport.lines import LinkPool, MessageCodec
 from tests.node_settings import addresses, node_settings
 from tests.simulation.batch import Items, answer_batch_call
