--- a/pewterring/cli/inspect_requests.py
+++ b/pewterring/cli/inspect_requests.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from pewterring.cli.errors import UsageError
-from pewterring.observability.request_log import LINE_FORMAT, REQUEST_EVENT, RequestLine
+from pewterring.observability.request_log import RECORD_FORMAT, REQUEST_EVENT, RequestRecord
 
 SMALLEST_BAND_TOKENS = 4096  # prompts are told apart by size in bands that double from here
 
@@ -26,7 +26,7 @@
 class LoggedRequest:
     """One request and when it arrived, in seconds of the time of day."""
 
-    line: RequestLine
+    line: RequestRecord
     arrived_at: float
 
 
@@ -46,10 +46,10 @@
             common = msgspec.json.decode(line[start:], type=_LogLine)
             if common.event != REQUEST_EVENT:
                 return
-            if common.format != LINE_FORMAT:
+            if common.format != RECORD_FORMAT:
                 self.unreadable += 1
                 return
-            request = msgspec.json.decode(line[start:], type=RequestLine)
+            request = msgspec.json.decode(line[start:], type=RequestRecord)
         except msgspec.MsgspecError:
             self.unreadable += 1
             return
--- a/pewterring/cli/tier.py
+++ b/pewterring/cli/tier.py
@@ -42,8 +42,8 @@
     except SettingsError as error:
         print(f"pewterring: {error}", file=sys.stderr)
         return USAGE_ERROR
-    whole = (REQUEST_EVENT,) if report.settings.request_log is RequestLogMode.ALL else ()
-    configure_log({"program": name, "node": report.settings.node_id}, whole=whole)
+    unthinned = (REQUEST_EVENT,) if report.settings.request_log is RequestLogMode.ALL else ()
+    configure_log({"program": name, "node": report.settings.node_id}, unthinned=unthinned)
     _tell_unknown(report)
     try:
         return asyncio.run(_run(name, file, report.settings))
--- a/pewterring/gateway/metrics.py
+++ b/pewterring/gateway/metrics.py
@@ -6,7 +6,7 @@
 
 from pewterring.admission.service import ServiceAdmission
 from pewterring.distribution.tables import Tables
-from pewterring.observability.metrics import Family, Labels, single
+from pewterring.observability.metrics import Labels, MetricFamily, single_sample
 
 PREFIX = "pewterring_gateway_"
 
@@ -56,22 +56,24 @@
         if limit is not None:
             self._limits[limit] += 1
 
-    def families(self, state: GatewayState) -> list[Family]:
+    def families(self, state: GatewayState) -> list[MetricFamily]:
         """All metrics."""
         return [*self._counters(state), *_gauges(state), *_admission(state.admissions)]
 
-    def _counters(self, state: GatewayState) -> list[Family]:
+    def _counters(self, state: GatewayState) -> list[MetricFamily]:
         return [
-            single(PREFIX + "requests_total", "Live requests that a route was found for.", self.requests),
-            single(PREFIX + "batch_calls_total", "Calls of batch clients.", self.batch_calls),
-            single(PREFIX + "unrouted_total", "Requests that no route was found for.", self.unrouted),
-            Family(
+            single_sample(
+                PREFIX + "requests_total", "Live requests that a route was found for.", self.requests
+            ),
+            single_sample(PREFIX + "batch_calls_total", "Calls of batch clients.", self.batch_calls),
+            single_sample(PREFIX + "unrouted_total", "Requests that no route was found for.", self.unrouted),
+            MetricFamily(
                 PREFIX + "limited_total",
                 "Live requests that a limit kept from a worker's answer.",
                 {(limit.value,): count for limit, count in self._limits.items()},
                 ("limit",),
             ),
-            single(
+            single_sample(
                 PREFIX + "worker_connections_total",
                 "Connections begun to workers.",
                 state.worker_connections_made,
@@ -79,26 +81,30 @@
         ]
 
 
-def _gauges(state: GatewayState) -> list[Family]:
+def _gauges(state: GatewayState) -> list[MetricFamily]:
     tables = state.tables
     return [
-        single(PREFIX + "ready", "Whether readiness is answered with 200.", float(state.ready)),
-        single(PREFIX + "requests_held", "Requests read whole and not answered.", state.requests_held),
-        single(PREFIX + "client_connections", "Open connections of clients.", state.client_connections),
-        single(
+        single_sample(PREFIX + "ready", "Whether readiness is answered with 200.", float(state.ready)),
+        single_sample(PREFIX + "requests_held", "Requests read whole and not answered.", state.requests_held),
+        single_sample(
+            PREFIX + "client_connections", "Open connections of clients.", state.client_connections
+        ),
+        single_sample(
             PREFIX + "configuration_version",
             "Version of the configuration in force.",
             tables.configuration.version if tables.configuration else 0,
         ),
-        single(PREFIX + "tables_age_seconds", "Time since control confirmed the tables.", state.tables_age_s),
-        single(PREFIX + "workers", "Registered workers.", len(tables.workers)),
+        single_sample(
+            PREFIX + "tables_age_seconds", "Time since control confirmed the tables.", state.tables_age_s
+        ),
+        single_sample(PREFIX + "workers", "Registered workers.", len(tables.workers)),
     ]
 
 
-def _admission(admissions: Mapping[str, ServiceAdmission]) -> list[Family]:
-    def family(name: str, help: str, values: Mapping[str, float]) -> Family:
+def _admission(admissions: Mapping[str, ServiceAdmission]) -> list[MetricFamily]:
+    def family(name: str, description: str, values: Mapping[str, float]) -> MetricFamily:
         samples: dict[Labels, float] = {(service,): value for service, value in values.items()}
-        return Family(PREFIX + name, help, samples, ("service",))
+        return MetricFamily(PREFIX + name, description, samples, ("service",))
 
     return [
         family("attempts", "Requests out at workers.", {name: a.out for name, a in admissions.items()}),
--- a/pewterring/gateway/request_trace.py
+++ b/pewterring/gateway/request_trace.py
@@ -7,7 +7,7 @@
 from pewterring.configuration.model import Route
 from pewterring.gateway.metrics import Limit
 from pewterring.observability.log import EVENT
-from pewterring.observability.request_log import LINE_FORMAT, REQUEST_EVENT, Reason, RequestLine
+from pewterring.observability.request_log import RECORD_FORMAT, REQUEST_EVENT, Reason, RequestRecord
 
 MOST = 0.5  # share of the time to the first event from which on one cause is named for it
 BY_LIMIT = {
@@ -73,16 +73,16 @@
             return Reason.STREAM_BROKEN
         if self.limit is not None:
             return BY_LIMIT[self.limit]
-        return Reason.WORKER_FAILED if self.failure else Reason.CLIENT_LEFT
+        return Reason.WORKER_FAILED if self.failure else Reason.CLIENT_DISCONNECTED
 
     def _reason_of_lateness(self) -> Reason:
         if self.attempts > 1:
             return Reason.WORKER_FAILED
         took_s = self.first_at - self.arrived_at
         if self.expected_wait_s > MOST * took_s:
-            return Reason.BEHIND_PROMPTS
+            return Reason.BEHIND_PREFILLS
         if self.expected_read_s > MOST * took_s:
-            return Reason.PROMPT_NOT_KEPT
+            return Reason.PROMPT_NOT_CACHED
         return Reason.AT_WORKER
 
     def log(self, now: float) -> None:
@@ -90,28 +90,27 @@
         reason = self.reason()
         if reason is None:
             return
-        line = RequestLine(
-            format=LINE_FORMAT,
+        record = RequestRecord(
+            format=RECORD_FORMAT,
             request=self.request_id,
             route=self.route.name,
             reason=reason,
             status=self.status,
-            aim_s=self.route.target_latency_ms / 1000,
+            target_s=self.route.target_latency_ms / 1000,
             tokens=self.tokens,
-            to_read=self.to_read,
+            prefill_tokens=self.to_read,
             admitted_s=self._since(self.admitted_at),
             sent_s=self._since(self.sent_at),
-            waiting_s=round(self.expected_wait_s, 4),
+            expected_wait_s=round(self.expected_wait_s, 4),
             first_s=self._since(self.first_at),
             end_s=self._since(now),
             pause_s=round(self.longest_pause_s, 4),
             attempts=self.attempts,
             worker=self.worker,
-            out=self.out,
+            in_flight=self.out,
             failure=self.failure,
         )
-        fields = {name: getattr(line, name) for name in line.__struct_fields__}
-        logger.bind(**{EVENT: REQUEST_EVENT}, **fields).info("")
+        logger.bind(**{EVENT: REQUEST_EVENT}, **record.log_fields()).info("")
 
     def _since(self, moment: float) -> float:
         return round(moment - self.arrived_at, 4) if moment else 0.0
--- a/pewterring/observability/log.py
+++ b/pewterring/observability/log.py
@@ -1,7 +1,18 @@
-"""Logs as JSON lines through loguru: one event one name, events that repeat thinned out.
+"""Logs as JSON lines through loguru: one object a line on standard error.
 
-An event's name is the `event` that the caller bound, else the place of the call. Bound fields, such as
-`request`, become fields of the line.
+The convention of a log call in this repository:
+
+    logger.bind(event="leadership_acquired", group=group, term=term).info("Leadership of a group is acquired")
+
+- `event` is bound in each call: `snake_case`, in the field's terms, one name for one event. Alerts and the
+  on-call pages go by it, so a module or function can be renamed without renaming an event.
+- Values are bound as fields in base units, with the unit in the name where the type does not say it. The
+  message is a plain sentence without values.
+- Fields of every line (`time`, `level`, `event`, those given to `configure_log`) cannot be bound over.
+- Events that repeat are thinned out (`event_thinner`): `suppressed` counts those that were dropped.
+
+A record without a bound event is a library's: what comes by the standard library's logging is
+`library.LOGGER`, anything else is named by the module and function of the call.
 """
 
 import logging
@@ -14,52 +25,19 @@
 import orjson
 from loguru import logger
 
+from pewterring.observability.event_thinner import EventThinner
+
 if TYPE_CHECKING:
     from loguru import Message, Record
 
 EVENT = "event"
 ROOT = "pewterring."
-BURST_LINES = 5  # lines of one event in a period
-PERIOD_S = 10.0
-MAX_EVENTS = 512  # whose counts are kept
 DEFAULT_LEVEL = "INFO"
-
-
-class EventThinner:
-    """Decides which lines of an event are written: the first `BURST_LINES` of each period."""
-
-    def __init__(
-        self,
-        burst: int = BURST_LINES,
-        period_s: float = PERIOD_S,
-        whole: Collection[str] = (),
-    ) -> None:
-        self._burst = burst
-        self._period_s = period_s
-        self._whole = whole  # events of which each line is written
-        self._periods: dict[str, list[float]] = {}  # began at, written, suppressed
-
-    def admit(self, event: str, now: float) -> int | None:
-        """None where the line is dropped, else how many lines of the event were dropped before it."""
-        if event in self._whole:
-            return 0
-        period = self._periods.get(event)
-        if period is None:
-            if len(self._periods) >= MAX_EVENTS:
-                self._periods.clear()
-            period = self._periods[event] = [now, 0, 0]
-        elif now - period[0] >= self._period_s:
-            period[0], period[1] = now, 0
-        if period[1] >= self._burst:
-            period[2] += 1
-            return None
-        suppressed, period[2] = int(period[2]), 0
-        period[1] += 1
-        return suppressed
+LIBRARY_LEVELS = ("WARNING", "ERROR", "CRITICAL")  # that loguru has too; others are logged as INFO
 
 
 class JsonLineSink:
-    """A sink of loguru that writes one JSON object a line."""
+    """A sink of loguru that writes one JSON object a line. loguru calls it under a lock, on any thread."""
 
     def __init__(
         self,
@@ -74,35 +52,37 @@
         self._clock = clock
 
     def __call__(self, message: "Message") -> None:
-        """Called by loguru."""
+        """Writes the record, unless its event is thinned out. Called by loguru."""
         record = message.record
         event = event_name(record)
         suppressed = self._thinner.admit(event, self._clock())
         if suppressed is None:
             return
-        line = self._line(record, event)
+        content = self._content(record, event)
         if suppressed:
-            line["suppressed"] = suppressed
-        self._write(orjson.dumps(line, default=str).decode() + "\n")
+            content["suppressed"] = suppressed
+        self._write(orjson.dumps(content, default=str).decode() + "\n")
 
-    def _line(self, record: "Record", event: str) -> dict[str, Any]:
-        line: dict[str, Any] = {
+    def _content(self, record: "Record", event: str) -> dict[str, Any]:
+        """The object of a record, with the keys in the order in which they are written."""
+        content: dict[str, Any] = {
             "time": round(record["time"].timestamp(), 3),
             "level": record["level"].name.lower(),
             EVENT: event,
             **self._fields,
         }
-        line.update((name, value) for name, value in record["extra"].items() if name not in line)
+        content.update((name, value) for name, value in record["extra"].items() if name not in content)
         if record["message"]:
-            line["message"] = record["message"]
+            content["message"] = record["message"]
         error = record["exception"]
         if error is not None:
-            line["exception"] = "".join(traceback.format_exception(error.type, error.value, error.traceback))
-        return line
+            trace = traceback.format_exception(error.type, error.value, error.traceback)
+            content["exception"] = "".join(trace)
+        return content
 
 
 def event_name(record: "Record") -> str:
-    """The name of a record's event."""
+    """The name of a record's event: the bound one, else the place of the call (libraries alone)."""
     bound = record["extra"].get(EVENT)
     if bound:
         return str(bound)
@@ -114,16 +94,19 @@
     """Passes what libraries log by the standard library on to loguru."""
 
     def emit(self, record: logging.LogRecord) -> None:
-        level = record.levelname if record.levelname in ("WARNING", "ERROR", "CRITICAL") else "INFO"
+        level = record.levelname if record.levelname in LIBRARY_LEVELS else "INFO"
         bound = logger.bind(**{EVENT: f"library.{record.name}"}).opt(exception=record.exc_info)
         bound.log(level, "{}", record.getMessage())
 
 
-def configure_log(fields: Mapping[str, str], level: str = DEFAULT_LEVEL, whole: Collection[str] = ()) -> None:
-    """Sends all logs of this process to standard error. `fields` stand in every line; events named in `whole`
-    are not thinned out.
+def configure_log(
+    fields: Mapping[str, str], level: str = DEFAULT_LEVEL, unthinned: Collection[str] = ()
+) -> None:
+    """Sends all logs of this process to standard error.
+
+    `fields` stand in every line; events named in `unthinned` are not thinned out.
     """
     logger.remove()
-    sink = JsonLineSink(sys.stderr.write, fields, EventThinner(whole=whole))
+    sink = JsonLineSink(sys.stderr.write, fields, EventThinner(unthinned=unthinned))
     logger.add(sink, level=level, format="{message}", backtrace=False, diagnose=False)
     logging.basicConfig(handlers=[_StandardLibraryHandler()], level=logging.WARNING, force=True)
--- a/pewterring/observability/metrics.py
+++ b/pewterring/observability/metrics.py
@@ -1,5 +1,7 @@
-"""Metrics in the Prometheus text format. The client library is loaded at the first scrape: start-up and
-requests pay for counters alone."""
+"""Metrics in the Prometheus text format.
+
+The client library is loaded at the first scrape: start-up and requests pay for counters alone.
+"""
 
 from collections.abc import Iterable, Iterator, Mapping
 from dataclasses import dataclass, field
@@ -16,11 +18,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Family:
+class MetricFamily:
     """All samples of one name. A counter's name ends in `_total`; units are base units, named last."""
 
     name: str
-    help: str
+    description: str  # one sentence, the text of `# HELP`
     samples: Mapping[Labels, float]
     labels: tuple[str, ...] = field(default=())
 
@@ -30,13 +32,13 @@
         return self.name.endswith(COUNTER_SUFFIX)
 
 
-def single(name: str, help: str, value: float) -> Family:
+def single_sample(name: str, description: str, value: float) -> MetricFamily:
     """A family of one sample without labels."""
-    return Family(name, help, {(): value})
+    return MetricFamily(name, description, {(): value})
 
 
-def render(families: Iterable[Family]) -> bytes:
-    """The text of these families and of the process itself: its processor time, memory and descriptors."""
+def render(families: Iterable[MetricFamily]) -> bytes:
+    """The text of these families and of the process itself: its processor time, memory, descriptors."""
     from prometheus_client import CollectorRegistry, ProcessCollector
     from prometheus_client.exposition import generate_latest
 
@@ -47,9 +49,9 @@
 
 
 class _Collector:
-    """Gives families in the library's form."""
+    """Hands families to the library in its form."""
 
-    def __init__(self, families: tuple[Family, ...]) -> None:
+    def __init__(self, families: tuple[MetricFamily, ...]) -> None:
         self._families = families
 
     def collect(self) -> Iterator["Metric"]:
@@ -58,7 +60,7 @@
 
         for family in self._families:
             kind = CounterMetricFamily if family.is_counter else GaugeMetricFamily
-            metric = kind(family.name, family.help, labels=family.labels)
+            metric = kind(family.name, family.description, labels=family.labels)
             for labels, value in family.samples.items():
                 metric.add_metric(labels, value)
             yield metric
--- a/pewterring/observability/request_log.py
+++ b/pewterring/observability/request_log.py
@@ -1,7 +1,7 @@
-"""Log lines of requests that were late, refused or failed: times, worker and reason of each.
+"""Log records of requests that were late, refused or failed: times, worker and reason of each.
 
-A line is one `RequestLine` as JSON, beside the fields that all lines have. `pewterring inspect requests` sums
-lines up.
+A record is one `RequestRecord` as JSON, beside the fields that all log lines have. `pewterring inspect
+requests` sums records up, those of other versions of this program too: fields keep their names in the log.
 """
 
 from enum import StrEnum
@@ -9,26 +9,26 @@
 import msgspec
 
 REQUEST_EVENT = "request"
-LINE_FORMAT = 1  # of the fields below; a reader passes over lines of other formats
+RECORD_FORMAT = 1  # of the fields below; a reader passes over records of other formats
 
 
 class Reason(StrEnum):
-    """What held a request up, as the gateway saw it."""
+    """What delayed or ended a request, as the gateway saw it."""
 
-    REFUSED = "refused"  # at admission, or because the gateway ends
-    NO_WORKER = "no_worker"  # no worker, or none left to try
+    REFUSED = "refused"  # at admission, or because the gateway shuts down
+    NO_WORKER = "no_worker"  # no worker, or none left for another attempt
     NO_CONNECTION = "no_connection"  # all connections to the chosen workers were in use
-    DEADLINE = "deadline"  # the time was over before a worker answered
-    WORKER_FAILED = "worker_failed"  # an attempt before the last one failed or fell silent
-    STREAM_BROKEN = "stream_broken"  # after the first event, and it was not taken up again
-    PROMPT_NOT_KEPT = "prompt_not_kept"  # most of the time went into reading the prompt
-    BEHIND_PROMPTS = "behind_prompts"  # prompts that gateways had sent there before
+    DEADLINE = "deadline"  # the request's time ended before a worker answered
+    WORKER_FAILED = "worker_failed"  # an attempt before the last one failed or timed out
+    STREAM_BROKEN = "stream_broken"  # after the first event, and it was not resumed
+    PROMPT_NOT_CACHED = "prompt_not_kept"  # most of the time went into the prefill
+    BEHIND_PREFILLS = "behind_prompts"  # prefills of requests that gateways had sent there before
     AT_WORKER = "at_worker"  # the worker took longer than all that was known of it explains
     PAUSE = "pause"  # between two events
-    CLIENT_LEFT = "client_left"
+    CLIENT_DISCONNECTED = "client_left"
 
 
-class RequestLine(msgspec.Struct, frozen=True, omit_defaults=True):
+class RequestRecord(msgspec.Struct, frozen=True, omit_defaults=True):
     """One request. Seconds are since its first byte arrived; tokens are of the prompt."""
 
     format: int
@@ -36,16 +36,21 @@
     route: str
     reason: Reason
     status: int = 0  # 0: none was sent
-    aim_s: float = 0.0  # the route's objective for the first event
+    target_s: float = msgspec.field(name="aim_s", default=0.0)  # of the first event; the log's name
     tokens: int = 0
-    to_read: int = 0  # tokens that the last worker was thought not to keep
+    prefill_tokens: int = msgspec.field(name="to_read", default=0)  # expected; the log's name
     admitted_s: float = 0.0
     sent_s: float = 0.0  # to the last worker
-    waiting_s: float = 0.0  # expected there for prompts sent before
+    expected_wait_s: float = msgspec.field(name="waiting_s", default=0.0)  # for prefills; the log's name
     first_s: float = 0.0  # first event; 0: none
     end_s: float = 0.0
     pause_s: float = 0.0  # the longest between two events
     attempts: int = 0
     worker: str = ""
-    out: int = 0  # this gateway's other attempts at the last worker
+    in_flight: int = msgspec.field(name="out", default=0)  # other attempts at the worker; the log's name
     failure: str = ""  # of the last attempt that failed
+
+    def log_fields(self) -> dict[str, object]:
+        """All values by their names in the log, to be bound to the record's event."""
+        names = zip(self.__struct_fields__, self.__struct_encode_fields__, strict=True)
+        return {log_name: getattr(self, name) for name, log_name in names}
--- a/tests/gateway/test_request_log.py
+++ b/tests/gateway/test_request_log.py
@@ -9,7 +9,8 @@
 from loguru import logger
 
 from pewterring.node.settings import RequestLogMode
-from pewterring.observability.log import EventThinner, JsonLineSink
+from pewterring.observability.event_thinner import EventThinner
+from pewterring.observability.log import JsonLineSink
 from pewterring.observability.request_log import REQUEST_EVENT
 from pewterring.transport.http_request import ServerRequest
 from pewterring.transport.http_responder import Responder
--- a/tests/gateway/test_request_trace.py
+++ b/tests/gateway/test_request_trace.py
@@ -9,8 +9,9 @@
 from pewterring.configuration.model import Route, RouteType, WeightedService
 from pewterring.gateway.metrics import Limit
 from pewterring.gateway.request_trace import RequestTrace
-from pewterring.observability.log import EventThinner, JsonLineSink
-from pewterring.observability.request_log import LINE_FORMAT, REQUEST_EVENT, Reason
+from pewterring.observability.event_thinner import EventThinner
+from pewterring.observability.log import JsonLineSink
+from pewterring.observability.request_log import RECORD_FORMAT, REQUEST_EVENT, Reason
 
 ROUTE = Route(
     "plan",
@@ -46,8 +47,8 @@
 @pytest.mark.parametrize(
     ("sent", "reason"),
     [
-        ({"wait_s": 0.3}, Reason.BEHIND_PROMPTS),
-        ({"read_s": 0.3}, Reason.PROMPT_NOT_KEPT),
+        ({"wait_s": 0.3}, Reason.BEHIND_PREFILLS),
+        ({"read_s": 0.3}, Reason.PROMPT_NOT_CACHED),
         ({}, Reason.AT_WORKER),
     ],
 )
@@ -72,7 +73,7 @@
         (Limit.NO_WORKER, Reason.NO_WORKER),
         (Limit.CONNECTIONS, Reason.NO_CONNECTION),
         (Limit.DEADLINE, Reason.DEADLINE),
-        (None, Reason.CLIENT_LEFT),
+        (None, Reason.CLIENT_DISCONNECTED),
     ],
 )
 def test_a_request_without_an_answer_has_what_kept_it_from_one(limit: Limit | None, reason: Reason) -> None:
@@ -93,7 +94,9 @@
     from loguru import logger
 
     lines: list[str] = []
-    sink = JsonLineSink(lines.append, {"node": "edge-1"}, EventThinner(whole=(REQUEST_EVENT,)), lambda: 0.0)
+    sink = JsonLineSink(
+        lines.append, {"node": "edge-1"}, EventThinner(unthinned=(REQUEST_EVENT,)), lambda: 0.0
+    )
     logger.remove()
     number = logger.add(sink, format="{message}")
     for each in made:
@@ -113,7 +116,7 @@
     first = orjson.loads(lines[0])
     assert (first["event"], first["format"], first["reason"]) == (
         REQUEST_EVENT,
-        LINE_FORMAT,
+        RECORD_FORMAT,
         "behind_prompts",
     )
     assert (first["first_s"], first["end_s"], first["tokens"]) == (0.5, 0.9, 17_000)
--- a/tests/golden/metric_cases.py
+++ b/tests/golden/metric_cases.py
@@ -8,7 +8,7 @@
 from pewterring.admission.service import ServiceAdmission
 from pewterring.distribution.tables import Tables
 from pewterring.gateway.metrics import GatewayMetrics, GatewayState
-from pewterring.observability.metrics import CONTENT_TYPE, METRICS_PATH, Family, render
+from pewterring.observability.metrics import CONTENT_TYPE, METRICS_PATH, MetricFamily, render
 from tests.golden.golden_files import sorted_lines
 
 GOLDEN_FILE = "gateway-metrics.txt"
@@ -17,7 +17,7 @@
 PROCESS_PREFIX, HELP_PREFIX = "process_", "# HELP "
 
 
-def families() -> list[Family]:
+def families() -> list[MetricFamily]:
     """The gateway's families with one service and distinct values."""
     admission = ServiceAdmission(incarnation=1)
     admission.rescale(0.0, slots=10, processes=1)
--- a/tests/golden/request_log_cases.py
+++ b/tests/golden/request_log_cases.py
@@ -2,30 +2,33 @@
 
 import msgspec
 
-from pewterring.observability.request_log import LINE_FORMAT, REQUEST_EVENT, Reason, RequestLine
+from pewterring.observability.request_log import RECORD_FORMAT, REQUEST_EVENT, Reason, RequestRecord
 
 GOLDEN_FILE = "request-log.txt"
-FULL_LINE = RequestLine(
-    format=LINE_FORMAT,
+FULL_LINE = RequestRecord(
+    format=RECORD_FORMAT,
     request="7",
     route="chat",
     reason=Reason.WORKER_FAILED,
     status=502,
-    aim_s=0.25,
+    target_s=0.25,
     tokens=5000,
-    to_read=400,
+    prefill_tokens=400,
     admitted_s=0.01,
     sent_s=0.02,
-    waiting_s=0.03,
+    expected_wait_s=0.03,
     first_s=0.5,
     end_s=1.5,
     pause_s=0.125,
     attempts=2,
     worker="w1",
-    out=3,
+    in_flight=3,
     failure="reset",
 )
-LINES = [FULL_LINE, *(RequestLine(LINE_FORMAT, str(n), "code", reason) for n, reason in enumerate(Reason))]
+LINES = [
+    FULL_LINE,
+    *(RequestRecord(RECORD_FORMAT, str(n), "code", reason) for n, reason in enumerate(Reason)),
+]
 
 
 def encoded() -> str:
@@ -33,7 +36,7 @@
     return "".join(f"{REQUEST_EVENT} {msgspec.json.encode(line).decode()}\n" for line in LINES)
 
 
-def decoded(text: str) -> list[RequestLine]:
+def decoded(text: str) -> list[RequestRecord]:
     """The lines that `encoded` made."""
     prefix = f"{REQUEST_EVENT} "
-    return [msgspec.json.decode(line.removeprefix(prefix), type=RequestLine) for line in text.splitlines()]
+    return [msgspec.json.decode(line.removeprefix(prefix), type=RequestRecord) for line in text.splitlines()]
--- a/tests/observability/test_metrics.py
+++ b/tests/observability/test_metrics.py
@@ -9,7 +9,7 @@
 from pewterring.admission.service import ServiceAdmission
 from pewterring.distribution.tables import Tables
 from pewterring.gateway.metrics import GatewayMetrics, GatewayState, Limit
-from pewterring.observability.metrics import Family, render, single
+from pewterring.observability.metrics import MetricFamily, render, single_sample
 
 ROOT = Path(__file__).resolve().parents[2]
 OTHER_UNITS = ("_ms", "_milliseconds", "_kb", "_mb", "_minutes")
@@ -37,7 +37,9 @@
 
 
 def test_counters_and_gauges_are_written_with_their_kind() -> None:
-    text = render([single("a_total", "A.", 2), Family("b", "B.", {("x",): 1.5, ("y",): 0}, ("kind",))])
+    text = render(
+        [single_sample("a_total", "A.", 2), MetricFamily("b", "B.", {("x",): 1.5, ("y",): 0}, ("kind",))]
+    )
     assert b"# TYPE a_total counter" in text
     assert b"# TYPE b gauge" in text
     found = samples(text)
@@ -82,7 +84,7 @@
         assert family.name.startswith("pewterring_gateway_")
         assert not family.name.endswith(OTHER_UNITS)
         assert not family.name.removesuffix("_total").endswith(OTHER_UNITS)
-        assert family.help.endswith(".")
+        assert family.description.endswith(".")
 
 
 def test_the_library_is_loaded_at_the_first_scrape_only() -> None:
