--- a/pewterring/consensus/membership_view.py
+++ b/pewterring/consensus/membership_view.py
@@ -11,7 +11,7 @@
 
 from pewterring.consensus.membership import address_of, all_members
 from pewterring.consensus.messages import Membership
-from pewterring.durations import LATE_CHECK_S
+from pewterring.durations import PAUSE_THRESHOLD_S
 
 LOST_VOTER_FRACTION = 0.25  # of the bound on catching up: a quarter to notice a loss, one to copy the state
 RECENT_CONTACT_S = 0.3  # a voter that answered so lately lives, whatever tables say of its address
@@ -145,7 +145,7 @@
             What it shows; None after a pause in which this process could hear nobody: every member gets its
             full time anew.
         """
-        if now - self._checked_at > LATE_CHECK_S:
+        if now - self._checked_at > PAUSE_THRESHOLD_S:
             self.start(now, group)
             return None
         self._checked_at = now
