--- a/pewterring/consensus/election.py
+++ b/pewterring/consensus/election.py
@@ -1,9 +1,8 @@
 """Owns elections: standing for one after a poll that changes nothing (a pre-vote), and voting.
 
 Raft paper, sections 5.2 and 5.4; pre-votes as in section 9.6 of the dissertation. What may go wrong: a vote
-told before it is on disk can be given twice in one term, and a vote given while a leader counts on this
-member's silence breaks that leader's lease. So votes go out by `send_when_persisted`, and
-`_must_withhold_vote` guards both.
+that leaves before it is on disk can be given twice in one term, and a vote given within a leader's lease
+breaks that lease. So votes go out by `send_when_persisted`, and only if `_must_withhold_vote` allows it.
 """
 
 from collections.abc import Iterable
@@ -32,7 +31,7 @@
 
 
 class Election:
-    """The part of a member that stands for election and votes."""
+    """Stands for election, and votes in the elections of others, for one member."""
 
     def __init__(self, state: MemberState) -> None:
         self._state = state
@@ -107,9 +106,8 @@
         """Takes an answer; True if it makes this member the leader."""
         state = self._state
         if not reply.granted:
-            if (
-                reply.term > state.term and state.role is not Role.LEADER
-            ):  # a leader learns that by its heartbeats
+            # A leader learns of a later term by the answers to its heartbeats, and may then transfer.
+            if reply.term > state.term and state.role is not Role.LEADER:
                 state.become_follower(now, reply.term, None)
             return False
         polled_as = Role.PRECANDIDATE if reply.prevote else Role.CANDIDATE
--- a/pewterring/consensus/errors.py
+++ b/pewterring/consensus/errors.py
@@ -6,7 +6,7 @@
 ├── MembershipRejectedError    nothing was done: the text says what stands against it
 ├── OutcomeUnknownError        may be carried out later, or never: read before trying again
 ├── InvariantError             a rule of the protocol is broken: the member stops
-├── GroupFailedError           the member has stopped: restart the process once the cause is mended
+├── GroupFailedError           the member has stopped: restart the process once the cause is repaired
 └── StorageError               the disk failed: the member stops
     └── StorageFullError       nothing was saved: try again when there is free space
 """
--- a/pewterring/consensus/follower.py
+++ b/pewterring/consensus/follower.py
@@ -62,7 +62,7 @@
 
 
 class FollowerRole:
-    """The part of a member that takes a leader's messages."""
+    """Takes a leader's messages for one member, and answers them."""
 
     def __init__(self, state: MemberState) -> None:
         self._state = state
--- a/pewterring/consensus/messages.py
+++ b/pewterring/consensus/messages.py
@@ -10,9 +10,7 @@
 import msgspec
 
 # The kinds of entries, as they stand on the wire and on disk.
-ENTRY_EMPTY = (
-    "empty"  # the first of each leader, which commits what earlier terms left (Raft paper, section 8)
-)
+ENTRY_EMPTY = "empty"  # the first of each leader; commits what earlier terms left (Raft paper, section 8)
 ENTRY_COMMAND = "command"
 ENTRY_MEMBERS = "members"
 
@@ -43,7 +41,7 @@
 
 
 class VoteRequest(Message, frozen=True, tag=True, kw_only=True):
-    """Asks for a vote. With `prevote` it only asks whether one would be granted at `term`.
+    """Asks for a vote. With `prevote` it only asks whether a vote would be granted at `term`.
 
     With `leadership_transferred` the leader of the term before has given up its lease for a successor.
     """
@@ -115,7 +113,7 @@
 
 
 class DepartureNotice(Message, frozen=True, tag="Leave", kw_only=True):  # the wire's name
-    """A voter's process is about to end, and a learner that is ready may take its place.
+    """A voter's process is about to end, and a learner that is ready may replace it.
 
     `round` is the last one of the leader of `term` that this incarnation of the member has received: what a
     later incarnation answers outweighs it.
--- a/pewterring/consensus/types.py
+++ b/pewterring/consensus/types.py
@@ -26,9 +26,9 @@
 class RaftTiming:
     """Times of the protocol in seconds. All members of a group use the same."""
 
-    heartbeat_s: float = 0.08
-    election_min_s: float = 0.4
-    election_max_s: float = 0.8
+    heartbeat_s: float = 0.08  # five within the shortest election time-out, so that lost ones do no harm
+    election_min_s: float = 0.4  # votes are withheld so long after a leader's message
+    election_max_s: float = 0.8  # a leader steps down after so long without a majority
 
     @property
     def lease_s(self) -> float:
@@ -42,16 +42,14 @@
 
     message_bytes: int = 250_000  # entries in one message
     window_bytes: int = 1_000_000  # heartbeats wait behind it: half a second on a link or processor of 2 MB/s
-    window_messages: int = 32
+    window_messages: int = 32  # bounds the messages in flight where entries are small
     snapshot_chunk_bytes: int = 256 * 1024  # small, so that a heartbeat gets in between two
     snapshot_chunks_in_flight: int = 4  # together about as many bytes as the window has
     uncommitted_bytes: int = 32_000_000  # a larger command is accepted while no other is uncommitted
-    retained_bytes: int = (
-        4_000_000  # entries kept in memory after a snapshot covers them, for members that lag a little
-    )
-    retained_for_transfers_bytes: int = (
-        16_000_000  # the same while an older snapshot is being sent, however slowly
-    )
+    # Entries that stay in memory after a snapshot covers them: a member that lags a little needs no snapshot.
+    retained_bytes: int = 4_000_000
+    # The same while an older snapshot is being sent, however slowly: its member goes on with these entries.
+    retained_for_transfers_bytes: int = 16_000_000
 
 
 @dataclass(frozen=True, slots=True)
--- a/pewterring/consensus/unpersisted.py
+++ b/pewterring/consensus/unpersisted.py
@@ -1,6 +1,6 @@
-"""Owns which part of a member's state is not on disk yet, and the messages that wait until it is.
+"""Owns what of a member's state is not on disk yet, and the messages that wait until it is.
 
-What may go wrong: a message that leaves too early claims what a loss of power can take back, and an index
+What may go wrong: a message that is sent too early claims what a loss of power can take back, and an index
 that counts as persisted too early commits what only one disk has. So `persisted_index` never rises but in
 `on_saved` and `on_compacted`, and everything that changes the log during a save lowers what that save will
 count for.
--- a/tests/consensus/raft_breakages.py
+++ b/tests/consensus/raft_breakages.py
@@ -84,18 +84,18 @@
     early = AppendReply
 
 
-class _CountsUnsaved(LeaderRole):
+class _CountsUnpersisted(LeaderRole):
     def match(self, member: str) -> int:
         if member == self._state.member:
             return self._state.log.last_index
         return super().match(member)
 
 
-class CountsOwnUnsaved(Raft):
+class CountsOwnUnpersisted(Raft):
     """Counts its own entries towards a majority before they are on disk."""
 
     def _begin_leading(self, now: float) -> LeaderRole:
-        return _CountsUnsaved(self._state, now)
+        return _CountsUnpersisted(self._state, now)
 
 
 class _CommitsOldTerm(LeaderRole):
@@ -322,7 +322,7 @@
 BREAKAGES: tuple[type[Raft], ...] = (
     VoteBeforeSync,
     AnswerBeforeSync,
-    CountsOwnUnsaved,
+    CountsOwnUnpersisted,
     CommitsOldTerm,
     ReadsWithoutLease,
     ReadsBeforeOwnEntry,
--- a/tests/consensus/scenarios.py
+++ b/tests/consensus/scenarios.py
@@ -12,7 +12,7 @@
 AT_ONCE_S = 0.15  # far below the shortest election time-out
 
 
-def _settled(seed: int, voters: int, raft_class: type[Raft]) -> tuple[Simulation, str, list[str]]:
+def _with_leader(seed: int, voters: int, raft_class: type[Raft]) -> tuple[Simulation, str, list[str]]:
     """A group with a leader that has committed; the leader, and the others."""
     simulation = Simulation(seed, voters, raft_class)
     simulation.run_until(lambda: simulation.leader() is not None and simulation.leader_raft().is_ready_leader)
@@ -74,7 +74,7 @@
 
 def follower_loses_entry(seed: int, raft_class: type[Raft]) -> None:
     """The follower whose answer made the majority loses power before its disk has the entry."""
-    simulation, leader, (slow, cut) = _settled(seed, 3, raft_class)
+    simulation, leader, (slow, cut) = _with_leader(seed, 3, raft_class)
     _propose_unsaved(simulation, slow, cut)
     _lose_power(simulation, slow, leader)
     _comes_back(simulation, slow)
@@ -82,9 +82,9 @@
 
 def leader_loses_entry(seed: int, raft_class: type[Raft]) -> None:
     """The leader loses power before its disk has an entry that one follower of two has."""
-    simulation, leader, (holder, cut) = _settled(seed, 3, raft_class)
+    simulation, leader, (follower, cut) = _with_leader(seed, 3, raft_class)
     _propose_unsaved(simulation, leader, cut)
-    _lose_power(simulation, leader, holder)
+    _lose_power(simulation, leader, follower)
     _comes_back(simulation, leader)
 
 
@@ -93,7 +93,7 @@
 
     This is figure 8 of the paper on Raft (Ongaro and Ousterhout, 2014).
     """
-    simulation, first, (second, third, fourth, fifth) = _settled(seed, 5, raft_class)
+    simulation, first, (second, third, fourth, fifth) = _with_leader(seed, 5, raft_class)
     for name in (third, fourth, fifth):
         simulation.cut(first, name)
     simulation.propose("x" * 300)
@@ -128,20 +128,20 @@
 
 def rival_under_lease(seed: int, raft_class: type[Raft]) -> None:
     """A member cut from the leader stands for election, and its voter starts again under the lease."""
-    simulation, leader, (keeper, rival) = _settled(seed, 3, raft_class)
+    simulation, leader, (voter, rival) = _with_leader(seed, 3, raft_class)
     simulation.cut(leader, rival)
     read_and_write(simulation, leader, 1.5)
     if simulation.leader() == leader:
-        simulation.crash(keeper)
+        simulation.crash(voter)
         simulation.cut_off(leader)
-        simulation.start(keeper)
+        simulation.start(voter)
     read_and_write(simulation, leader, 0.5)
     simulation.check_converges()
 
 
 def answers_wait_out_a_freeze(seed: int, raft_class: type[Raft]) -> None:
     """The leader freezes while answers are on their way; they wait in its sockets until others have led."""
-    simulation, leader, (other, _) = _settled(seed, 3, raft_class)
+    simulation, leader, (other, _) = _with_leader(seed, 3, raft_class)
     simulation.weather = Weather(delay_s=(0.02, 0.03))
     simulation.run(1.0)
     simulation.freeze(leader)
@@ -161,7 +161,7 @@
 
 def wiped_voter_and_rival(seed: int, raft_class: type[Raft]) -> None:
     """A voter loses its disk, and the one that was cut off all the while stands for election."""
-    simulation, leader, (wiped, rival) = _settled(seed, 3, raft_class)
+    simulation, leader, (wiped, rival) = _with_leader(seed, 3, raft_class)
     simulation.cut_off(rival)
     simulation.propose("x")
     simulation.run(0.3)
@@ -175,9 +175,9 @@
 
 def back_in_a_later_term(seed: int, raft_class: type[Raft]) -> None:
     """A member stands for election at the moment at which it is cut off, and comes back behind the others."""
-    simulation, leader, (away, _) = _settled(seed, 3, raft_class)
-    simulation.cut_off(away)
-    simulation.stand(away)
+    simulation, leader, (absent, _) = _with_leader(seed, 3, raft_class)
+    simulation.cut_off(absent)
+    simulation.stand(absent)
     simulation.propose("meanwhile")
     simulation.run(CUT_S)
     assert simulation.leader() == leader
@@ -204,19 +204,19 @@
 
 def _needs_snapshot(seed: int, raft_class: type[Raft]) -> tuple[Simulation, str, str, str]:
     """A group in which one member that is down needs a snapshot; the leader, the other, and that member."""
-    simulation, leader, (other, away) = _settled(seed, 3, raft_class)
-    simulation.crash(away)
+    simulation, leader, (other, absent) = _with_leader(seed, 3, raft_class)
+    simulation.crash(absent)
     _propose_many(simulation, "")
     simulation.run(0.5)
-    return simulation, leader, other, away
+    return simulation, leader, other, absent
 
 
 def late_snapshot(seed: int, raft_class: type[Raft]) -> None:
     """The chunks of a snapshot come once more after its member has gone on."""
-    simulation, _, _, away = _needs_snapshot(seed, raft_class)
+    simulation, _, _, absent = _needs_snapshot(seed, raft_class)
     chunks: list[SnapshotChunk] = []
     simulation.drops = lambda message: _record(message, chunks)
-    simulation.start(away)
+    simulation.start(absent)
     simulation.run(1.0)
     simulation.drops = drops_nothing
     _propose_many(simulation, "after ")
@@ -234,10 +234,10 @@
 
 def leader_lost_amid_snapshot(seed: int, raft_class: type[Raft]) -> None:
     """The leader ends when a member has the first chunks of a snapshot; the next sends one of that index."""
-    simulation, leader, _, away = _needs_snapshot(seed, raft_class)
+    simulation, leader, _, absent = _needs_snapshot(seed, raft_class)
     chunks: list[SnapshotChunk] = []
     simulation.drops = lambda message: isinstance(message, SnapshotChunk) and message.offset > 1000
-    simulation.start(away)
+    simulation.start(absent)
     simulation.run(0.3)
     simulation.drops = lambda message: _is_entry(message) or _record(message, chunks)
     simulation.crash(leader)
@@ -251,15 +251,15 @@
 def chunk_lost_amid_window(seed: int, raft_class: type[Raft]) -> None:
     """One chunk of a snapshot is lost, while others are on the way behind it; each in its turn."""
     for lost in range(SNAPSHOT_CHUNKS):
-        simulation, _, _, away = _needs_snapshot(seed, raft_class)
+        simulation, _, _, absent = _needs_snapshot(seed, raft_class)
         chunks: list[SnapshotChunk] = []
         simulation.drops = lambda message, chunks=chunks, lost=lost: (  # type: ignore[misc]
             _record(message, chunks) or (isinstance(message, SnapshotChunk) and len(chunks) == lost + 1)
         )
-        simulation.start(away)
-        disk = simulation.members[away].disk
+        simulation.start(absent)
+        disk = simulation.members[absent].disk
         if not simulation.run_while(lambda disk=disk: disk.snapshot_index == 0, COMPLETE_S):  # type: ignore[misc]
-            raise SafetyViolationError(f"{away} has no snapshot {COMPLETE_S} s after one chunk was lost")
+            raise SafetyViolationError(f"{absent} has no snapshot {COMPLETE_S} s after one chunk was lost")
         simulation.check_converges()
 
 
@@ -272,7 +272,7 @@
 
     It is one of the two that make the majority; the other goes with it, and keeps its disk.
     """
-    simulation, leader, (slow, cut) = _settled(seed, 3, raft_class)
+    simulation, leader, (slow, cut) = _with_leader(seed, 3, raft_class)
     simulation.cut_off(cut)
     simulation.run(0.2)
     count = 0
--- a/tests/consensus/test_catch_up.py
+++ b/tests/consensus/test_catch_up.py
@@ -26,7 +26,7 @@
 # Of what a member may have to be sent: entries until the next snapshot, those kept behind it, and the state.
 # The slow disk writes the entries in half of the time that there is.
 LOG_BYTES = 5_000_000
-KEPT_BYTES = 4_000_000
+RETAINED_BYTES = 4_000_000
 STATE_BYTES = 1_000_000
 
 
@@ -71,15 +71,15 @@
         await asyncio.sleep(0.01)
 
 
-async def group_with_a_member_away(commands: Iterator[bytes]) -> tuple[SlowGroup, str]:
+async def group_with_a_member_absent(commands: Iterator[bytes]) -> tuple[SlowGroup, str]:
     """Three members that took some changes, and the name of one that has ended since."""
     group = SlowGroup(ControlState)
     for name in ("a", "b", "c"):
         await group.start(name)
     await order(group, commands, 30)
-    away = next(name for name in group.running if name != group.led[-1][0])
-    await group.end(away)
-    return group, away
+    absent = next(name for name in group.running if name != group.led[-1][0])
+    await group.end(absent)
+    return group, absent
 
 
 @pytest.mark.parametrize("count", [60, 150, 200, 300, 550, 1500])
@@ -88,16 +88,16 @@
 
     async def scenario() -> None:
         commands = changes(LARGE_ROUTES)
-        group, away = await group_with_a_member_away(commands)
+        group, absent = await group_with_a_member_absent(commands)
         target = await order(group, commands, count)
         going_on = asyncio.create_task(orders_go_on(group, commands))
-        led_before, sent_before = len(group.led), group.sent_bytes[away]
+        led_before, sent_before = len(group.led), group.sent_bytes[absent]
         began = asyncio.get_running_loop().time()
-        late = await group.start(away, SLOW_SYNC_S, SLOW_DISK_BYTES_PER_S, HALF_SPEED_BYTES_PER_S)
+        late = await group.start(absent, SLOW_SYNC_S, SLOW_DISK_BYTES_PER_S, HALF_SPEED_BYTES_PER_S)
         await asyncio.wait_for(until_caught_up(group, late, target), CATCH_UP_S)
         assert asyncio.get_running_loop().time() - began < CATCH_UP_S
         assert group.led[led_before:] == []
-        assert group.sent_bytes[away] - sent_before < LOG_BYTES + KEPT_BYTES + STATE_BYTES
+        assert group.sent_bytes[absent] - sent_before < LOG_BYTES + RETAINED_BYTES + STATE_BYTES
         going_on.cancel()
         await group.stop()
 
@@ -113,16 +113,16 @@
             await group.start(name)
         commands = changes(LARGE_ROUTES)
         await order(group, commands, 30)
-        away = next(name for name in group.running if name != (group.led[-1][0]))
-        held = group.running[away].applied_index
-        await group.end(away)
+        absent = next(name for name in group.running if name != (group.led[-1][0]))
+        applied_before = group.running[absent].applied_index
+        await group.end(absent)
         target = await order(group, commands, 60)
         leader = await group.leader()
-        missed = log_of(leader).bytes_after(held)
-        sent_before = group.sent_bytes[away]
-        late = await group.start(away, SLOW_SYNC_S, SLOW_DISK_BYTES_PER_S, processor=2e6)
+        missed = log_of(leader).bytes_after(applied_before)
+        sent_before = group.sent_bytes[absent]
+        late = await group.start(absent, SLOW_SYNC_S, SLOW_DISK_BYTES_PER_S, processor=2e6)
         await until_caught_up(group, late, target)
-        assert group.sent_bytes[away] - sent_before < 1.3 * missed
+        assert group.sent_bytes[absent] - sent_before < 1.3 * missed
         await group.stop()
 
     run(scenario())
@@ -134,16 +134,16 @@
 
     async def scenario() -> None:
         commands = changes(LARGE_ROUTES)
-        group, away = await group_with_a_member_away(commands)
+        group, absent = await group_with_a_member_absent(commands)
         old = group.led[-1][0]
         target = await order(group, commands, count)
-        late = await group.start(away, SLOW_SYNC_S, SLOW_DISK_BYTES_PER_S, HALF_SPEED_BYTES_PER_S)
+        late = await group.start(absent, SLOW_SYNC_S, SLOW_DISK_BYTES_PER_S, HALF_SPEED_BYTES_PER_S)
         await asyncio.sleep(0.05)
         await group.end(old)
         new = await group.leader()
         assert new is not late or late.applied_index >= target
         await asyncio.wait_for(until_caught_up(group, late, target), CATCH_UP_S)
-        state = group.machines[away]
+        state = group.machines[absent]
         assert isinstance(state, ControlState)
         assert state.version >= count // 3
         await group.stop()
@@ -161,8 +161,8 @@
         commands = changes(routes=50)
         await order(group, commands, 10)
         leader = await group.leader()
-        away = next(name for name in group.running if name != leader.member)
-        await group.end(away)
+        absent = next(name for name in group.running if name != leader.member)
+        await group.end(absent)
         snapshot_bytes = longest = 0
         for _ in range(100):
             await order(group, commands, 100)
@@ -171,7 +171,7 @@
         assert leader.applied_index >= 10_000
         assert snapshot_bytes < SNAPSHOT_AFTER_BYTES
         log_bytes = LOG_BYTES + 100_000  # and what came meanwhile
-        assert longest < log_bytes + KEPT_BYTES
+        assert longest < log_bytes + RETAINED_BYTES
         for name in group.running:
             assert group.disks[name].most_bytes < 2 * (log_bytes * 1.1 + snapshot_bytes)
         for name in list(group.running):
--- a/tests/consensus/test_raft.py
+++ b/tests/consensus/test_raft.py
@@ -16,7 +16,7 @@
     @initialize(seed=st.integers(0, 1000))
     def begin(self, seed: int) -> None:
         self.simulation = Simulation(seed)
-        self.places = {name: name for name in "abc"}  # the member that is there now
+        self.current_members = {name: name for name in "abc"}  # the member that is there now
         self.joining: tuple[str, str] | None = None
         self.count = 0
 
@@ -39,7 +39,7 @@
 
     @rule(name=NAMES)
     def crash(self, name: str) -> None:
-        self.simulation.crash(self.places[name])
+        self.simulation.crash(self.current_members[name])
 
     @rule()
     def crash_leader(self) -> None:
@@ -49,16 +49,16 @@
 
     @rule()
     def crash_all(self) -> None:
-        for name in self.places.values():
+        for name in self.current_members.values():
             self.simulation.crash(name)
 
     @rule(name=NAMES)
     def start(self, name: str) -> None:
-        self.simulation.start(self.places[name])
+        self.simulation.start(self.current_members[name])
 
     @rule(name=NAMES)
     def freeze(self, name: str) -> None:
-        self.simulation.freeze(self.places[name])
+        self.simulation.freeze(self.current_members[name])
 
     @rule()
     def thaw(self) -> None:
@@ -67,11 +67,11 @@
 
     @rule(sender=NAMES, receiver=NAMES)
     def cut_one_way(self, sender: str, receiver: str) -> None:
-        self.simulation.cuts.add((self.places[sender], self.places[receiver]))
+        self.simulation.cuts.add((self.current_members[sender], self.current_members[receiver]))
 
     @rule(name=NAMES)
     def cut_off(self, name: str) -> None:
-        self.simulation.cut_off(self.places[name])
+        self.simulation.cut_off(self.current_members[name])
 
     @rule()
     def heal(self) -> None:
@@ -88,11 +88,11 @@
         if self.joining is not None:
             return
         self.count += 1
-        old, new = self.places[name], f"{name}#{self.count}"
+        old, new = self.current_members[name], f"{name}#{self.count}"
         self.simulation.crash(old)
         del self.simulation.members[old]
         self.simulation.join(new)
-        self.places[name] = new
+        self.current_members[name] = new
         self.joining = (old, new)
 
     def teardown(self) -> None:
--- a/tests/consensus/test_raft_breakages.py
+++ b/tests/consensus/test_raft_breakages.py
@@ -16,7 +16,7 @@
 PAIRS: list[tuple[Scenario, type[Raft]]] = [
     (scenarios.vote_lost_with_power, raft_breakages.VoteBeforeSync),
     (scenarios.follower_loses_entry, raft_breakages.AnswerBeforeSync),
-    (scenarios.leader_loses_entry, raft_breakages.CountsOwnUnsaved),
+    (scenarios.leader_loses_entry, raft_breakages.CountsOwnUnpersisted),
     (scenarios.old_entry_overwritten, raft_breakages.CommitsOldTerm),
     (scenarios.rival_under_lease, raft_breakages.VotesAgainAtOnce),
     (scenarios.rival_under_lease, raft_breakages.VotesWhileLed),
@@ -46,7 +46,7 @@
 
 
 @pytest.mark.parametrize("scenario", dict(PAIRS), ids=lambda value: value.__name__)
-def test_kept_rules_do_no_harm(scenario: Scenario) -> None:
+def test_without_a_breakage_the_scenarios_break_no_rule(scenario: Scenario) -> None:
     _play_seeds(scenario, Raft)
 
 
--- a/tests/consensus/test_schedules.py
+++ b/tests/consensus/test_schedules.py
@@ -62,17 +62,17 @@
     assert raft.next_deadline() is None
 
 
-def test_leader_hands_out_a_snapshot_to_one_that_was_long_away() -> None:
+def test_leader_sends_a_snapshot_to_a_member_that_was_long_absent() -> None:
     simulation = Simulation(2)
     simulation.run_until(lambda: simulation.leader() is not None)
-    away = next(name for name in simulation.members if name != simulation.leader())
-    simulation.crash(away)
+    absent = next(name for name in simulation.members if name != simulation.leader())
+    simulation.crash(absent)
     for number in range(100):
         simulation.propose(f"{number} {'x' * 50}")
         simulation.run(0.05)
-    simulation.start(away)
+    simulation.start(absent)
     simulation.run(3.0)
-    assert simulation.members[away].disk.snapshot_index > 0
+    assert simulation.members[absent].disk.snapshot_index > 0
     simulation.check_converges()
 
 
@@ -87,8 +87,8 @@
     simulation = Simulation(4)
     simulation.run_until(lambda: simulation.leader() is not None)
     leader = simulation.leader()
-    away = next(name for name in simulation.members if name != leader)
-    simulation.cut_off(away)
+    absent = next(name for name in simulation.members if name != leader)
+    simulation.cut_off(absent)
     simulation.run(20.0)
     simulation.cuts.clear()
     simulation.run(5.0)
--- a/tests/consensus/test_snapshot_transfer.py
+++ b/tests/consensus/test_snapshot_transfer.py
@@ -180,7 +180,7 @@
     assert sending.chunks() == [0]
 
 
-def test_silence_keeps_what_the_member_has() -> None:
+def test_an_unresponsive_member_keeps_what_it_has() -> None:
     sending = Sending.begin()
     sending.chunks()
     sending.answer(CHUNK_BYTES)
@@ -193,7 +193,7 @@
     assert sending.chunks() == [CHUNK_BYTES]
 
 
-def test_a_snapshot_to_a_silent_member_is_dropped_when_the_log_left_it_behind() -> None:
+def test_a_snapshot_to_an_unresponsive_member_is_dropped_when_the_log_left_it_behind() -> None:
     sending = Sending.begin()
     sending.log.append(Entry(index, 1, "empty") for index in range(101, 121))
     sending.replication.mark_unresponsive("b")
@@ -348,7 +348,7 @@
         return list(self._reordered)
 
 
-def test_chunks_far_ahead_are_not_kept() -> None:
+def test_chunks_far_ahead_are_not_buffered() -> None:
     assembly = _ObservedAssembly()
     data = bytes(MAX_REORDERED_BYTES + 10 * CHUNK_BYTES)
     assembly.add(chunk(data, 0))
@@ -412,7 +412,7 @@
             self.sending.hear(round_number=self.round_number)
         self.sending.replication.retransmit_overdue(self.sending.now, PATIENCE_S)
 
-    def falls_silent(self, _: int, is_heard: bool) -> None:
+    def becomes_unresponsive(self, _: int, is_heard: bool) -> None:
         self.sending.replication.mark_unresponsive("b")
         if is_heard:
             self.sending.hear(round_number=self.round_number)
@@ -430,14 +430,14 @@
     Lossy.chunk_is_lost,
     Lossy.answer_is_lost,
     Lossy.time_passes,
-    Lossy.falls_silent,
+    Lossy.becomes_unresponsive,
     Lossy.begins_anew,
 )
 
 
 @settings(derandomize=True, deadline=None)
 @given(st.lists(st.tuples(st.sampled_from(EVENTS), st.integers(0, 8), st.booleans()), max_size=60))
-def test_a_snapshot_comes_whole_whatever_became_of_chunks_and_answers(
+def test_a_snapshot_arrives_complete_whatever_became_of_chunks_and_answers(
     events: list[tuple[Callable[[Lossy, int, bool], None], int, bool]],
 ) -> None:
     lossy = Lossy(Sending.begin(WINDOW))
@@ -457,31 +457,31 @@
     assert lossy.snapshot.data == lossy.sending.data
 
 
-def _leader_and_away(simulation: Simulation, changes: int) -> tuple[str, str]:
+def _leader_and_absent(simulation: Simulation, changes: int) -> tuple[str, str]:
     """A leader, and a member that was away during so many changes."""
     simulation.run_until(lambda: simulation.leader() is not None and simulation.leader_raft().is_ready_leader)
     leader = simulation.leader() or ""
-    away = next(name for name in simulation.members if name != leader)
-    simulation.crash(away)
+    absent = next(name for name in simulation.members if name != leader)
+    simulation.crash(absent)
     for number in range(changes):
         simulation.propose(f"{number} {'x' * 50}")
         simulation.run(0.02)
-    return leader, away
+    return leader, absent
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_a_member_that_stands_still_again_and_again_gets_its_snapshot(seed: int) -> None:
+def test_a_member_that_is_paused_again_and_again_gets_its_snapshot(seed: int) -> None:
     """Each time longer than a leader waits for an answer, while changes go on."""
     simulation = Simulation(seed)
-    _, away = _leader_and_away(simulation, 300)
-    simulation.start(away)
+    _, absent = _leader_and_absent(simulation, 300)
+    simulation.start(absent)
     for step in range(12):
         simulation.run(0.25)
-        simulation.freeze(away)
+        simulation.freeze(absent)
         simulation.propose(f"meanwhile {step}")
         simulation.run(1.0)
-        simulation.thaw(away)
-    assert simulation.members[away].disk.snapshot_index > 0
+        simulation.thaw(absent)
+    assert simulation.members[absent].disk.snapshot_index > 0
     simulation.check_converges()
 
 
@@ -489,24 +489,24 @@
 def test_newer_snapshots_do_not_begin_one_anew(seed: int) -> None:
     """Half of the chunks are lost; the leader makes several snapshots before the one on its way is there."""
     simulation = Simulation(seed)
-    leader, away = _leader_and_away(simulation, 60)
+    leader, absent = _leader_and_absent(simulation, 60)
     fate = random.Random(seed)
     sent: set[int] = set()
 
     def loses(message: ConsensusMessage) -> bool:
-        if isinstance(message, SnapshotChunk) and not simulation.members[away].disk.snapshot_index:
+        if isinstance(message, SnapshotChunk) and not simulation.members[absent].disk.snapshot_index:
             sent.add(message.last_index)
         return isinstance(message, SnapshotChunk) and fate.random() < 0.5
 
     simulation.drops = loses
     before = simulation.members[leader].disk.snapshot_index
-    simulation.start(away)
+    simulation.start(absent)
     for number in range(400):
-        if simulation.members[away].disk.snapshot_index:
+        if simulation.members[absent].disk.snapshot_index:
             break
         simulation.propose(f"meanwhile {number}")
         simulation.run(0.05)
-    assert sent == {simulation.members[away].disk.snapshot_index}
+    assert sent == {simulation.members[absent].disk.snapshot_index}
     assert simulation.members[leader].disk.snapshot_index > before + 40
     simulation.check_converges()
 
@@ -515,9 +515,9 @@
 def test_a_snapshot_that_is_never_taken_up_does_not_keep_the_log(seed: int) -> None:
     """The member answers heartbeats, and no chunk of a snapshot reaches it."""
     simulation = Simulation(seed)
-    leader, away = _leader_and_away(simulation, 40)
+    leader, absent = _leader_and_absent(simulation, 40)
     simulation.drops = lambda message: isinstance(message, SnapshotChunk)
-    simulation.start(away)
+    simulation.start(absent)
     longest = 0
     for number in range(600):
         simulation.propose(f"more {number} {'x' * 50}")
@@ -534,16 +534,16 @@
 def test_a_leader_that_goes_amid_the_window_mixes_nothing(count: int) -> None:
     """With so many chunks sent; those of the old leader come as late as those of the next."""
     simulation = Simulation(count)
-    leader, away = _leader_and_away(simulation, 60)
+    leader, absent = _leader_and_absent(simulation, 60)
     chunks: list[SnapshotChunk] = []
 
-    def is_kept_back(message: ConsensusMessage) -> bool:
+    def is_recorded(message: ConsensusMessage) -> bool:
         if isinstance(message, SnapshotChunk) and message.sender == leader:
             chunks.append(message)
         return False
 
-    simulation.drops = is_kept_back
-    simulation.start(away)
+    simulation.drops = is_recorded
+    simulation.start(absent)
     simulation.run_until(lambda: len(chunks) >= count)
     simulation.crash(leader)
     simulation.run_until(lambda: simulation.leader() not in (None, leader))
@@ -551,13 +551,13 @@
         simulation.deliver_again(late)
         simulation.run(0.002)
     simulation.run(2.0)
-    assert simulation.members[away].disk.snapshot_index > 0
+    assert simulation.members[absent].disk.snapshot_index > 0
     simulation.check_converges()
 
 
 def test_a_snapshot_takes_fewer_journeys_than_it_has_chunks() -> None:
     simulation = Simulation(1)
-    _, away = _leader_and_away(simulation, 300)
+    _, absent = _leader_and_absent(simulation, 300)
     journey_s = 0.2
     simulation.weather = Weather(delay_s=(journey_s / 2, journey_s / 2))
     chunks: list[int] = []
@@ -568,7 +568,7 @@
         return False
 
     simulation.drops = is_lost
-    simulation.start(away)
+    simulation.start(absent)
     began = simulation.now
-    simulation.run_until(lambda: simulation.members[away].disk.snapshot_index > 0)
+    simulation.run_until(lambda: simulation.members[absent].disk.snapshot_index > 0)
     assert simulation.now - began < len(chunks) * journey_s / 2
