--- a/pewterring/batch/service.py
+++ b/pewterring/batch/service.py
@@ -37,7 +37,7 @@
 SubmitReply = JobAccepted | JobRefused | NotLeading | Unsure
 BatchReply = SubmitReply | ResultPage | ItemBody | JobEnded | Unknown
 
-DISK_FULL_RETRY_S = 0.5  # told to a client whose job does not fit now
+FULL_RETRY_S = 0.5  # told to a client whose job does not fit now
 NO_ROUTE_RETRY_S = 0.5
 NO_ROOM_RETRY_S = 1.0  # jobs are forgotten each few seconds
 DROP_PERIOD_S = 5.0
@@ -168,7 +168,7 @@
             return JobRefused(full=False, retry_after_s=NO_ROUTE_RETRY_S)
         tokens = sum(item.tokens for item in call.items)
         if not self._quota.fits(key, tokens, route.max_queued_tokens):
-            return JobRefused(full=True, retry_after_s=DISK_FULL_RETRY_S)
+            return JobRefused(full=True, retry_after_s=FULL_RETRY_S)
         if not self._has_room(call):
             logger.warning("job {} is refused: the partition holds as much as the store can carry", call.job)
             return JobRefused(full=False, retry_after_s=NO_ROOM_RETRY_S)
