--- a/pewterring/consensus/departure.py
+++ b/pewterring/consensus/departure.py
@@ -53,36 +53,36 @@
             self.is_acknowledged = True
 
 
-class _LastWord(NamedTuple):
-    """What a member said last, by the round that it answered."""
+class _LastReport(NamedTuple):
+    """What a member reported last, by the round that it answered."""
 
     round: int
     departing: bool
 
 
-_NOTHING_HEARD = _LastWord(-1, False)
+_NO_REPORT = _LastReport(-1, False)
 
 
 class DepartingMembers:
     """What the leader of a term has heard of departures. A member's rounds rise over all its incarnations."""
 
     def __init__(self) -> None:
-        self._heard: dict[str, _LastWord] = {}
+        self._heard: dict[str, _LastReport] = {}
 
     def on_reply(self, member: str, number: int, departing: bool) -> None:
         """Takes what an answer to round `number` says."""
-        if number > self._heard.get(member, _NOTHING_HEARD).round:
-            self._heard[member] = _LastWord(number, departing)
+        if number > self._heard.get(member, _NO_REPORT).round:
+            self._heard[member] = _LastReport(number, departing)
 
     def on_notice(self, member: str, number: int) -> None:
         """Takes a notice; one that came late, after answers of a later incarnation, changes nothing."""
-        if number >= self._heard.get(member, _NOTHING_HEARD).round:
-            self._heard[member] = _LastWord(number, True)
+        if number >= self._heard.get(member, _NO_REPORT).round:
+            self._heard[member] = _LastReport(number, True)
 
     def is_departing(self, member: str) -> bool:
         """Whether the last that was heard of `member` is its departure."""
-        return self._heard.get(member, _NOTHING_HEARD).departing
+        return self._heard.get(member, _NO_REPORT).departing
 
     def departing(self) -> dict[str, int]:
-        """Returns the members whose last word was their departure, with its round."""
-        return {member: word.round for member, word in self._heard.items() if word.departing}
+        """Returns the members that reported their departure last, with its round."""
+        return {member: report.round for member, report in self._heard.items() if report.departing}
--- a/pewterring/consensus/group.py
+++ b/pewterring/consensus/group.py
@@ -15,7 +15,7 @@
 class ReplicatedGroup:
     """One member of one group. It runs on the event loop, from `start` to `stop` or to a failure."""
 
-    driver_class = RaftDriver
+    driver_class = RaftDriver  # a subclass may observe the work by another driver
 
     def __init__(
         self,
--- a/pewterring/consensus/membership_planner.py
+++ b/pewterring/consensus/membership_planner.py
@@ -81,11 +81,11 @@
         if view.lost_voters:
             return without_member(membership, view.lost_voters[0])
         healthy = view.healthy_voters
-        leaving = [voter for voter in membership.voters if voter in view.leaving]
-        if leaving:
+        outgoing = [voter for voter in membership.voters if voter in view.outgoing]
+        if outgoing:
             is_safe = len([voter for voter in healthy if voter in view.caught_up]) >= self._wanted_voters
-            leaving.sort(key=lambda voter: voter == self._own_member)
-            return without_member(membership, leaving[0]) if is_safe else None
+            outgoing.sort(key=lambda voter: voter == self._own_member)
+            return without_member(membership, outgoing[0]) if is_safe else None
         if membership.learners and view.all_voters_answer and not self._keeps_spare_learners:
             return without_member(membership, membership.learners[-1])
         if len(healthy) > self._wanted_voters:
--- a/pewterring/consensus/membership_view.py
+++ b/pewterring/consensus/membership_view.py
@@ -32,7 +32,7 @@
         """Index of the last entry known to be committed."""
         ...
 
-    def match(self, member: str) -> int:
+    def match(self, member: str, /) -> int:
         """Returns the last index that the member is known to have on disk."""
         ...
 
@@ -76,11 +76,11 @@
     @property
     def healthy_voters(self) -> list[str]:
         """Voters that are there and may stay."""
-        away = self.lost | self.leaving
-        return [voter for voter in self.membership.voters if voter not in away]
+        excluded = self.lost | self.outgoing
+        return [voter for voter in self.membership.voters if voter not in excluded]
 
     @property
-    def leaving(self) -> Set[str]:
+    def outgoing(self) -> Set[str]:
         """Members that depart, or are decommissioned."""
         return self.decommissioning | self.departing
 
@@ -100,8 +100,8 @@
     @property
     def reachable_learners(self) -> list[str]:
         """Learners that answer, and do not depart themselves."""
-        away = self.lost | self.departing
-        return [learner for learner in self.membership.learners if learner not in away]
+        excluded = self.lost | self.departing
+        return [learner for learner in self.membership.learners if learner not in excluded]
 
     @property
     def ready_learners(self) -> list[str]:
@@ -111,8 +111,8 @@
     @property
     def removable_learners(self) -> list[str]:
         """Learners that are given up, or decommissioned."""
-        away = self.lost_as_learners | self.decommissioning
-        return [learner for learner in self.membership.learners if learner in away]
+        excluded = self.lost_as_learners | self.decommissioning
+        return [learner for learner in self.membership.learners if learner in excluded]
 
 
 class MembershipObserver:
@@ -159,13 +159,13 @@
         replaced = {name for name in members if self._is_replaced(name, since_contact_s[name], candidates)}
         departing = {name for name in members if group.is_departing(name)}
         ended = {name for name in departing if since_contact_s[name] >= RECENT_CONTACT_S}
-        silent = {name for name in members if since_contact_s[name] >= self.lost_voter_s}
-        long_silent = {name for name in members if since_contact_s[name] >= self._lost_learner_s}
+        unresponsive = {name for name in members if since_contact_s[name] >= self.lost_voter_s}
+        long_unresponsive = {name for name in members if since_contact_s[name] >= self._lost_learner_s}
         return MembershipView(
             membership=group.membership,
             since_contact_s=since_contact_s,
-            lost=replaced | ended | silent,
-            lost_as_learners=replaced | long_silent,
+            lost=replaced | ended | unresponsive,
+            lost_as_learners=replaced | long_unresponsive,
             caught_up={name for name in members if group.match(name) >= self._committed_before},
             decommissioning=candidates.decommissioning,
             departing=departing,
--- a/pewterring/consensus/raft_driver.py
+++ b/pewterring/consensus/raft_driver.py
@@ -122,7 +122,7 @@
             return False
         try:
             self.raft.step(self._clock(), message)
-        except Exception as error:
+        except Exception as error:  # noqa: BLE001 - the outermost edge: any fault ends this member
             self._fail(error)
             return False
         self.schedule()
@@ -148,7 +148,7 @@
             while self._take_ready(raft):
                 pass
             self._timer.arm(raft.next_deadline())
-        except Exception as error:
+        except Exception as error:  # noqa: BLE001 - the outermost edge: any fault ends this member
             self._fail(error)
 
     def _on_deadline(self) -> None:
@@ -158,7 +158,7 @@
         try:
             raft.tick(self._clock())
             self._transfer_leadership_if_disk_lags(raft)
-        except Exception as error:
+        except Exception as error:  # noqa: BLE001 - the outermost edge: any fault ends this member
             self._fail(error)
         else:
             self.process()
--- a/pewterring/consensus/state_machine.py
+++ b/pewterring/consensus/state_machine.py
@@ -6,7 +6,7 @@
 class StateMachine(Protocol):
     """What the committed commands act on. All calls come from the event loop, in the log's order."""
 
-    def apply(self, index: int, command: bytes) -> object:
+    def apply(self, index: int, command: bytes, /) -> object:
         """Applies one command.
 
         Returns:
@@ -18,7 +18,7 @@
         """Returns the complete state, encoded."""
         ...
 
-    def restore(self, data: bytes) -> None:
+    def restore(self, data: bytes, /) -> None:
         """Replaces the complete state by one that `snapshot` returned.
 
         Raises:
--- a/pewterring/consensus/storage_jobs.py
+++ b/pewterring/consensus/storage_jobs.py
@@ -124,7 +124,7 @@
         self._disk_full.end()
         try:
             job.on_written()
-        except Exception as error:
+        except Exception as error:  # noqa: BLE001 - the outermost edge: any fault ends this member
             self._fail(error)
 
     def _begin_again(self, job: _Job) -> None:
--- a/tests/batch/test_members.py
+++ b/tests/batch/test_members.py
@@ -46,6 +46,6 @@
 def test_a_spare_store_in_another_zone_takes_the_place_of_a_lost_one() -> None:
     same_zone = store("10.0.0.0#e", zone="10.0.0.2")
     nodes = (same_zone, store(OWN), store(SECOND), store(FOURTH))
-    group = PlannedGroupStandIn(USUAL.voters, (OWN, SECOND, FOURTH, same_zone.member))
+    group = PlannedGroupStandIn(USUAL, (OWN, SECOND, FOURTH, same_zone.member))
     group.run(10.0, joining=store_candidates(nodes, USUAL).joining)
     assert group.membership == Membership((OWN, SECOND, FOURTH))
--- a/tests/consensus/planned_group.py
+++ b/tests/consensus/planned_group.py
@@ -12,19 +12,18 @@
 
 
 class PlannedGroupStandIn:
-    """Applies what the planner at the first voter says, while `alive` members answer and hold all."""
+    """Applies what the planner at the first voter says, while `alive` members answer and have everything."""
 
     def __init__(
         self,
-        voters: Iterable[str],
+        membership: Membership,
         alive: Iterable[str] = (),
         tolerated: int = 1,
         keeps_spare_learners: bool = False,
-        learners: Iterable[str] = (),
         planner_class: type[MembershipPlanner] = MembershipPlanner,
     ) -> None:
         self.now = 0.0
-        self.membership = Membership(tuple(voters), tuple(learners))
+        self.membership = membership
         self.own = self.membership.voters[0]
         self.alive = {self.own, *alive}
         self.behind: set[str] = set()
@@ -37,7 +36,7 @@
         self.planner = planner_class(self.own, tolerated, CATCH_UP_S, keeps_spare_learners)
         self.planner.start(self.now, self)
 
-    # What the planner asks
+    # What the planner reads
 
     def match(self, member: str) -> int:
         return 0 if member in self.behind or member not in self.alive else self.commit_index
@@ -56,7 +55,7 @@
     # Time
 
     def run(self, seconds: float, joining: Iterable[str] = ()) -> list[Membership]:
-        """Lets time pass, and `joining` members ask; the changes that were made."""
+        """Lets time pass, and `joining` members ask to join; returns the changes that were made."""
         self.joining = list(joining) or self.joining
         before = len(self.changes)
         end = self.now + seconds
@@ -74,12 +73,12 @@
             self.changes.append(change)
             assert len(self.changes) < 100, "the plan goes round in circles"
 
-    # What the group could bear
+    # What the group tolerates
 
-    def losses_borne(self, membership: Membership) -> int:
-        """How many more voters may be lost while a majority that holds all remains; negative if none does."""
-        holders = [voter for voter in membership.voters if self.match(voter) >= self.commit_index]
-        return len(holders) - majority(membership)
+    def tolerated_losses(self, membership: Membership) -> int:
+        """How many more voters may be lost while a majority has everything; below 0 if none does."""
+        caught_up = [voter for voter in membership.voters if self.match(voter) >= self.commit_index]
+        return len(caught_up) - majority(membership)
 
 
 def majority(membership: Membership) -> int:
--- a/tests/consensus/planned_simulation.py
+++ b/tests/consensus/planned_simulation.py
@@ -1,7 +1,7 @@
 """The simulated group with its planner of members: machines lose their disks, go for good, or are emptied.
 
 A wiped machine comes back at its address under another name. The surroundings of the group (the table of
-stores, the wishes to join) are exact and at once; what takes time is the group's own part.
+stores, the requests to join) are exact and at once; what takes time is the group's own part.
 """
 
 import contextlib
@@ -20,15 +20,15 @@
 from tests.consensus.simulation import Simulation
 
 CATCH_UP_S = 4.8
-STEP_S = 0.002  # between looks whether a process may end
+STEP_S = 0.002  # between checks whether a process may end
 DOWN_S = 0.5  # until a machine that lost its disk is back
-PATIENCE_S = DEPARTURE_TIMEOUT_FRACTION * 8.0  # of a process that leaves; `grace_s` is 8
+DEPARTURE_TIMEOUT_S = DEPARTURE_TIMEOUT_FRACTION * 8.0  # `grace_s` is 8
 
 
 class PlannedSimulation(Simulation):
     """`tolerated` losses, 2f + 1 voters, and so many spare machines.
 
-    The planner and its looks are control's with `keeps_spares`, else a partition's.
+    The planner and its checks are control's with `keeps_spare_learners`, else a partition's.
     """
 
     def __init__(
@@ -37,22 +37,20 @@
         tolerated: int,
         keeps_spare_learners: bool,
         spares: int = 0,
-        planner_class: type[MembershipPlanner] = MembershipPlanner,
         raft_class: type[Raft] = Raft,
     ) -> None:
         super().__init__(seed, voters_needed(tolerated), raft_class)
         self.tolerated = tolerated
         self.decommissioning: set[str] = set()
         self.written = 0
-        self._keeps_spares = keeps_spare_learners
+        self._keeps_spare_learners = keeps_spare_learners
         self._interval_s = TICK_S if keeps_spare_learners else MEMBERS_PERIOD_S
-        self._planner_class = planner_class
         self._planners: dict[tuple[str, int, int], MembershipPlanner] = {}
         self._wipes = 0
         self._disk_since = dict.fromkeys(self.members, 0.0)
         for number in range(spares):
             self.join(f"spare{number}")
-        self._at(self.now + self._interval_s, self._look_again)
+        self._at(self.now + self._interval_s, self._check_again)
 
     def join(self, name: str) -> None:
         super().join(name)
@@ -60,9 +58,9 @@
 
     # The planner
 
-    def _look_again(self) -> None:
+    def _check_again(self) -> None:
         self._plan_members()
-        self._at(self.now + self._interval_s, self._look_again)
+        self._at(self.now + self._interval_s, self._check_again)
 
     def _plan_members(self) -> None:
         for member in tuple(self.members.values()):
@@ -77,7 +75,7 @@
         leadership = (member.name, member.incarnation, raft.term)
         planner = self._planners.get(leadership)
         if planner is None:
-            planner = self._planner_class(member.name, self.tolerated, CATCH_UP_S, self._keeps_spares)
+            planner = MembershipPlanner(member.name, self.tolerated, CATCH_UP_S, self._keeps_spare_learners)
             planner.start(now, raft)
             self._planners[leadership] = planner
         change = planner.plan(now, raft, self._candidates())
@@ -105,7 +103,7 @@
         del self.members[name]
 
     def stop_for_good(self, name: str) -> None:
-        """A planned end: a leader hands over first, as both programs do on SIGTERM."""
+        """A planned end: a leader transfers its leadership first, as both programs do on SIGTERM."""
         member = self.members[name]
         if member.raft is not None and member.raft.is_leader:
             member.raft.transfer_leadership(self._clock(member))
@@ -113,7 +111,7 @@
             self.run(0.1)
         self.lose_for_good(name)
 
-    # Farewells
+    # Departures
 
     def _deliver(self, message: ConsensusMessage) -> None:
         super()._deliver(message)
@@ -121,29 +119,29 @@
             self._plan_members()  # as both programs do
 
     def depart(self, name: str) -> Callable[[], bool]:
-        """SIGTERM comes: says its farewell as `ReplicatedGroup.leave` does. Says whether it may end."""
+        """SIGTERM comes: departs as `ReplicatedGroup.depart` does. Returns what says whether it may end."""
         member = self.members[name]
         incarnation = member.incarnation
-        ends_at = self.now + PATIENCE_S
+        ends_at = self.now + DEPARTURE_TIMEOUT_S
 
         def may_end() -> bool:
             return self.now >= ends_at or member.raft is None or member.raft.has_departed
 
-        def say() -> None:
+        def announce() -> None:
             if member.raft is None or member.incarnation != incarnation or may_end():
                 return
             if member.raft.is_leader:
                 member.raft.transfer_leadership(self._clock(member))
-                self._at(self.now + STEP_S, say)
+                self._at(self.now + STEP_S, announce)
             else:
                 member.raft.announce_departure()
-                self._at(self.now + TIMING.heartbeat_s, say)
+                self._at(self.now + TIMING.heartbeat_s, announce)
             self._pump(member)
 
-        say()
+        announce()
         return may_end
 
-    def leave_for_good(self, name: str) -> float:
+    def depart_for_good(self, name: str) -> float:
         """SIGTERM comes, the process ends once it may, and its disk is gone; how long that took."""
         began = self.now
         may_end = self.depart(name)
@@ -176,7 +174,7 @@
         self.propose(text)
         self.run_until(lambda: text in self.acknowledged)
 
-    def is_whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether 2f + 1 voters that are there and are to stay hold all that is committed."""
         name = self.leader()
         if name is None:
@@ -189,8 +187,8 @@
             voter in self.members and raft.match(voter) >= raft.commit_index for voter in voters
         )
 
-    def until_whole(self) -> float:
-        """Waits until the group is whole; how long that took."""
+    def until_complete(self) -> float:
+        """Waits until the group is complete; how long that took."""
         began = self.now
-        self.run_until(self.is_whole)
+        self.run_until(self.is_complete)
         return self.now - began
--- a/tests/consensus/test_departure.py
+++ b/tests/consensus/test_departure.py
@@ -1,4 +1,4 @@
-"""Voters that stop by plan: their place is filled before their process ends, and a restart costs nothing.
+"""Voters that stop by plan: their successor votes before their process ends, and a restart costs nothing.
 
 A planned replacement is read to the letter: the successor has had its time beside the old machine, which does
 not count as lost when it ends, so as many disks as may be lost go at that instant, or a little later.
@@ -19,14 +19,14 @@
     Membership,
 )
 from pewterring.consensus.raft import Raft
+from tests.consensus.group_network import NAMES, Network, wait_until
 from tests.consensus.memory_storage import MemoryStorage
 from tests.consensus.planned_group import PlannedGroupStandIn
-from tests.consensus.planned_simulation import CATCH_UP_S, PATIENCE_S, PlannedSimulation
+from tests.consensus.planned_simulation import CATCH_UP_S, DEPARTURE_TIMEOUT_S, PlannedSimulation
 from tests.consensus.raft_breakages import AcceptsLateDepartures, IgnoresDepartures
 from tests.consensus.simulated_members import SafetyViolationError
-from tests.consensus.test_group import NAMES, Network, wait_until
 from tests.consensus.test_losses import HALF_S, kinds, tolerated_losses
-from tests.consensus.test_membership_planner import breaks_a_rule, every_group
+from tests.consensus.test_membership_planner import VoterState, breaks_a_rule, every_group
 from tests.consensus.virtual_time import run
 
 ROUNDS = 3
@@ -36,10 +36,10 @@
 
 
 def started(
-    seed: int, tolerated: int, spares_kept: bool, spares: int = 0, raft_class: type[Raft] = Raft
+    seed: int, tolerated: int, keeps_spares: bool, spares: int = 0, raft_class: type[Raft] = Raft
 ) -> PlannedSimulation:
-    simulation = PlannedSimulation(seed, tolerated, spares_kept, spares, raft_class=raft_class)
-    simulation.run_until(simulation.is_whole)
+    simulation = PlannedSimulation(seed, tolerated, keeps_spares, spares, raft_class=raft_class)
+    simulation.run_until(simulation.is_complete)
     simulation.write(1.0)
     return simulation
 
@@ -56,55 +56,55 @@
 
 
 def planned_replacement(
-    seed: int, tolerated: int, spares_kept: bool, after_s: float, raft_class: type[Raft] = Raft
+    seed: int, tolerated: int, keeps_spares: bool, after_s: float, raft_class: type[Raft] = Raft
 ) -> None:
     """As the old machine ends, or `after_s` later, the oldest of the other disks are lost."""
-    simulation = started(seed, tolerated, spares_kept, raft_class=raft_class)
+    simulation = started(seed, tolerated, keeps_spares, raft_class=raft_class)
     for number in range(ROUNDS):
         simulation.join(f"new{number}")
         simulation.write(0.3)  # the copies of these small parts take time for each command
         simulation.run(CATCH_UP_S)
         simulation.propose_and_wait(f"last words {number}")
-        simulation.leave_for_good(simulation.oldest()[0])
+        simulation.depart_for_good(simulation.oldest()[0])
         simulation.run(after_s)
         simulation.wipe(*simulation.oldest(tolerated))
         back_at = simulation.now
-        assert simulation.until_whole() < HALF_S
+        assert simulation.until_complete() < HALF_S
         simulation.run(back_at + CATCH_UP_S - simulation.now)
     simulation.check_converges()
 
 
 @kinds
 @tolerated_losses
-def test_other_disks_are_lost_as_the_old_machine_ends(tolerated: int, spares_kept: bool) -> None:
+def test_other_disks_are_lost_as_the_old_machine_ends(tolerated: int, keeps_spares: bool) -> None:
     for seed in range(3):
-        planned_replacement(seed, tolerated, spares_kept, 0.0)
+        planned_replacement(seed, tolerated, keeps_spares, 0.0)
 
 
 @kinds
 @tolerated_losses
-def test_other_disks_are_lost_soon_after_the_old_machine_ended(tolerated: int, spares_kept: bool) -> None:
+def test_other_disks_are_lost_soon_after_the_old_machine_ended(tolerated: int, keeps_spares: bool) -> None:
     rng = random.Random("soon after")
     for seed in range(5):
-        planned_replacement(seed, tolerated, spares_kept, rng.uniform(0.0, LATEST_S))
+        planned_replacement(seed, tolerated, keeps_spares, rng.uniform(0.0, LATEST_S))
 
 
 @kinds
 @tolerated_losses
-def test_a_departure_that_is_ignored_is_caught(tolerated: int, spares_kept: bool) -> None:
+def test_a_departure_that_is_ignored_is_caught(tolerated: int, keeps_spares: bool) -> None:
     with pytest.raises((SafetyViolationError, AssertionError)):
-        planned_replacement(0, tolerated, spares_kept, 0.0, IgnoresDepartures)
+        planned_replacement(0, tolerated, keeps_spares, 0.0, IgnoresDepartures)
 
 
 @kinds
 @tolerated_losses
 def test_other_disks_are_lost_while_the_old_machine_waits_for_its_swap(
-    tolerated: int, spares_kept: bool
+    tolerated: int, keeps_spares: bool
 ) -> None:
     """It serves as a voter until it has no vote, and waits longer where others are lost meanwhile."""
     rng = random.Random("amid")
     for seed in range(6):
-        simulation = started(seed, tolerated, spares_kept)
+        simulation = started(seed, tolerated, keeps_spares)
         simulation.join("new")
         simulation.run(CATCH_UP_S)
         old, *others = simulation.oldest(tolerated + 1)
@@ -114,7 +114,7 @@
         while not may_end():
             simulation.run(0.002)
         simulation.lose_for_good(old)
-        assert simulation.until_whole() < HALF_S
+        assert simulation.until_complete() < HALF_S
         simulation.check_converges()
 
 
@@ -123,39 +123,39 @@
 
 @kinds
 @tolerated_losses
-def test_a_voter_is_swapped_soon_after_sigterm(tolerated: int, spares_kept: bool) -> None:
+def test_a_voter_is_swapped_soon_after_sigterm(tolerated: int, keeps_spares: bool) -> None:
     for seed in range(5):
-        simulation = started(seed, tolerated, spares_kept, spares=1)
+        simulation = started(seed, tolerated, keeps_spares, spares=1)
         old = follower(simulation)
-        assert simulation.leave_for_good(old) < SWAPPED_S
-        assert simulation.until_whole() < AT_ONCE_S
+        assert simulation.depart_for_good(old) < SWAPPED_S
+        assert simulation.until_complete() < AT_ONCE_S
 
 
 @kinds
 @tolerated_losses
-def test_a_leader_that_leaves_hands_over_and_its_successor_swaps_it(
-    tolerated: int, spares_kept: bool
+def test_a_leader_that_departs_transfers_its_leadership_and_is_swapped(
+    tolerated: int, keeps_spares: bool
 ) -> None:
     for seed in range(5):
-        simulation = started(seed, tolerated, spares_kept, spares=1)
+        simulation = started(seed, tolerated, keeps_spares, spares=1)
         old = simulation.leader() or ""
-        assert simulation.leave_for_good(old) < SWAPPED_S
+        assert simulation.depart_for_good(old) < SWAPPED_S
         assert old not in voters(simulation)
-        assert simulation.until_whole() < AT_ONCE_S
+        assert simulation.until_complete() < AT_ONCE_S
 
 
 @kinds
-def test_a_leader_is_lost_amid_a_swap(spares_kept: bool) -> None:
+def test_a_leader_is_lost_amid_a_swap(keeps_spares: bool) -> None:
     """The next leader hears of the departure with the first answer, and goes on."""
     for point in range(10):
-        simulation = started(point, 2, spares_kept, spares=2)
+        simulation = started(point, 2, keeps_spares, spares=2)
         old = follower(simulation)
         may_end = simulation.depart(old)
         simulation.run(0.003 * point)
         simulation.crash(simulation.leader() or "")
         while not may_end():
             simulation.run(0.002)
-        assert old not in voters(simulation), "it was told so"
+        assert old not in voters(simulation), "it was acknowledged"
         simulation.lose_for_good(old)
         simulation.check_converges()
 
@@ -164,8 +164,8 @@
 
 
 @kinds
-def test_a_lost_departure_is_said_again(spares_kept: bool) -> None:
-    simulation = started(1, 1, spares_kept, spares=1)
+def test_a_lost_notice_is_repeated(keeps_spares: bool) -> None:
+    simulation = started(1, 1, keeps_spares, spares=1)
     lost: list[ConsensusMessage] = []
 
     def drops(message: ConsensusMessage) -> bool:
@@ -177,22 +177,22 @@
         return False
 
     simulation.drops = drops
-    assert simulation.leave_for_good(follower(simulation)) < 2 * SWAPPED_S
+    assert simulation.depart_for_good(follower(simulation)) < 2 * SWAPPED_S
     assert len(lost) == 10
-    assert simulation.is_whole()
+    assert simulation.is_complete()
 
 
 @kinds
-def test_a_departure_counts_also_where_it_only_stands_in_answers(spares_kept: bool) -> None:
-    simulation = started(2, 1, spares_kept, spares=1)
+def test_a_departure_counts_also_where_it_only_stands_in_answers(keeps_spares: bool) -> None:
+    simulation = started(2, 1, keeps_spares, spares=1)
     simulation.drops = lambda message: isinstance(message, DepartureNotice)
-    assert simulation.leave_for_good(follower(simulation)) < SWAPPED_S
-    assert simulation.is_whole()
+    assert simulation.depart_for_good(follower(simulation)) < SWAPPED_S
+    assert simulation.is_complete()
 
 
 @kinds
-def test_an_answer_that_is_lost_is_given_again(spares_kept: bool) -> None:
-    simulation = started(3, 1, spares_kept, spares=1)
+def test_a_lost_acknowledgement_is_repeated(keeps_spares: bool) -> None:
+    simulation = started(3, 1, keeps_spares, spares=1)
     lost: list[ConsensusMessage] = []
 
     def drops(message: ConsensusMessage) -> bool:
@@ -202,26 +202,26 @@
         return False
 
     simulation.drops = drops
-    assert simulation.leave_for_good(follower(simulation)) < 2 * SWAPPED_S
+    assert simulation.depart_for_good(follower(simulation)) < 2 * SWAPPED_S
     assert len(lost) == 3
 
 
 @kinds
-def test_a_process_waits_no_longer_than_its_patience(spares_kept: bool) -> None:
-    simulation = started(4, 1, spares_kept, spares=1)
+def test_a_process_waits_no_longer_than_its_timeout(keeps_spares: bool) -> None:
+    simulation = started(4, 1, keeps_spares, spares=1)
     old = follower(simulation)
     simulation.cut_off(old)
-    assert PATIENCE_S <= simulation.leave_for_good(old) < PATIENCE_S + 0.1
+    assert DEPARTURE_TIMEOUT_S <= simulation.depart_for_good(old) < DEPARTURE_TIMEOUT_S + 0.1
 
 
-def restart_and_late_departures(spares_kept: bool, raft_class: type[Raft] = Raft) -> None:
-    """Farewells of an earlier life come, twice each, when the member runs again and a learner is there."""
-    simulation = started(5, 1, spares_kept, raft_class=raft_class)
-    kept: list[ConsensusMessage] = []
+def restart_and_late_notices(keeps_spares: bool, raft_class: type[Raft] = Raft) -> None:
+    """Notices of an earlier incarnation come, twice each, when the member runs again beside a learner."""
+    simulation = started(5, 1, keeps_spares, raft_class=raft_class)
+    sent: list[ConsensusMessage] = []
 
     def drops(message: ConsensusMessage) -> bool:
         if isinstance(message, DepartureNotice):
-            kept.append(message)
+            sent.append(message)
         return False
 
     simulation.drops = drops
@@ -236,31 +236,31 @@
     simulation.join("spare")
     simulation.write(0.5)
     assert voters(simulation) == usual
-    assert len(kept) > 3
-    for message in kept * 2:
+    assert len(sent) > 3
+    for message in sent * 2:
         simulation.deliver_again(message)
     simulation.write(3.0)
-    assert voters(simulation) == usual, "the life that runs now has said no departure"
+    assert voters(simulation) == usual, "the incarnation that runs now has announced no departure"
     simulation.check_converges()
 
 
 @kinds
-def test_a_late_departure_does_not_touch_a_later_life(spares_kept: bool) -> None:
-    restart_and_late_departures(spares_kept)
+def test_a_late_notice_does_not_touch_a_later_incarnation(keeps_spares: bool) -> None:
+    restart_and_late_notices(keeps_spares)
 
 
-def test_a_leader_that_takes_late_departures_is_caught() -> None:
+def test_a_leader_that_accepts_late_notices_is_caught() -> None:
     with pytest.raises(AssertionError):
-        restart_and_late_departures(True, AcceptsLateDepartures)
+        restart_and_late_notices(True, AcceptsLateDepartures)
 
 
-def test_a_late_answer_does_not_end_a_later_departure() -> None:
+def test_a_late_acknowledgement_does_not_end_a_later_departure() -> None:
     simulation = started(6, 1, True, spares=1)
-    kept: list[ConsensusMessage] = []
+    sent: list[ConsensusMessage] = []
 
     def drops(message: ConsensusMessage) -> bool:
         if isinstance(message, DepartureAck):
-            kept.append(message)
+            sent.append(message)
         return False
 
     simulation.drops = drops
@@ -278,8 +278,8 @@
     simulation.drops = lambda message: (
         isinstance(message, DepartureNotice | AppendReply) and message.sender == old
     )
-    assert kept
-    for message in kept:
+    assert sent
+    for message in sent:
         simulation.deliver_again(message)
     simulation.run(0.1)
     assert not may_end()
@@ -290,9 +290,9 @@
 
 @kinds
 @tolerated_losses
-def test_a_restart_without_a_spare_changes_nothing(tolerated: int, spares_kept: bool) -> None:
+def test_a_restart_without_a_spare_changes_nothing(tolerated: int, keeps_spares: bool) -> None:
     for seed in range(3):
-        simulation = started(seed, tolerated, spares_kept)
+        simulation = started(seed, tolerated, keeps_spares)
         usual = simulation.leader_raft().membership
         for name in usual.voters:
             simulation.depart(name)
@@ -302,33 +302,33 @@
             simulation.start(name)
             simulation.write(1.0)
             assert simulation.leader_raft().membership == usual
-        assert simulation.is_whole()
+        assert simulation.is_complete()
         simulation.check_converges()
 
 
 @kinds
 @tolerated_losses
-def test_rolling_restarts_with_a_spare_keep_the_group_whole(tolerated: int, spares_kept: bool) -> None:
+def test_rolling_restarts_with_a_spare_keep_the_group_complete(tolerated: int, keeps_spares: bool) -> None:
     """Who was swapped out comes back with its disk, and is the spare for the next one."""
     for seed in range(3):
-        simulation = started(seed, tolerated, spares_kept, spares=1)
+        simulation = started(seed, tolerated, keeps_spares, spares=1)
         everybody = sorted(simulation.members)
         for name in everybody:
             simulation.run_until(simulation.depart(name))
             simulation.crash(name)
-            assert simulation.until_whole() < SWAPPED_S
+            assert simulation.until_complete() < SWAPPED_S
             simulation.write(1.0)
-            assert simulation.is_whole()
+            assert simulation.is_complete()
             simulation.start(name)
             simulation.write(1.0)
-            assert simulation.is_whole()
+            assert simulation.is_complete()
         assert sorted(simulation.members) == everybody
         simulation.check_converges()
 
 
 @kinds
-def test_a_member_that_was_swapped_out_may_be_promoted_again(spares_kept: bool) -> None:
-    simulation = started(7, 1, spares_kept, spares=1)
+def test_a_member_that_was_swapped_out_may_be_promoted_again(keeps_spares: bool) -> None:
+    simulation = started(7, 1, keeps_spares, spares=1)
     old = follower(simulation)
     simulation.run_until(simulation.depart(old))
     simulation.crash(old)
@@ -336,7 +336,7 @@
     simulation.start(old)
     simulation.write(1.0)
     simulation.lose_for_good("spare0")
-    assert simulation.until_whole() < HALF_S
+    assert simulation.until_complete() < HALF_S
     assert old in voters(simulation)
     simulation.check_converges()
 
@@ -345,25 +345,25 @@
 
 
 @kinds
-def test_two_leave_and_two_learners_take_their_places(spares_kept: bool) -> None:
+def test_two_depart_and_two_learners_replace_them(keeps_spares: bool) -> None:
     for seed in range(4):
-        simulation = started(seed, 2, spares_kept, spares=2)
+        simulation = started(seed, 2, keeps_spares, spares=2)
         departing = [follower(simulation, number) for number in range(2)]
         ends = [simulation.depart(name) for name in departing]
         simulation.run_until(lambda ends=ends: all(may_end() for may_end in ends))  # type: ignore[misc]
         for name in departing:
             simulation.lose_for_good(name)
         simulation.wipe(*simulation.oldest(2))
-        assert simulation.until_whole() < HALF_S
+        assert simulation.until_complete() < HALF_S
         simulation.check_converges()
 
 
 @kinds
 @tolerated_losses
-def test_two_leave_and_one_learner_takes_a_place(tolerated: int, spares_kept: bool) -> None:
+def test_two_depart_and_one_learner_replaces_one(tolerated: int, keeps_spares: bool) -> None:
     """The other one keeps its vote, and the group has no voter too many."""
     for seed in range(4):
-        simulation = started(seed, tolerated, spares_kept, spares=1)
+        simulation = started(seed, tolerated, keeps_spares, spares=1)
         departing = [follower(simulation, number) for number in range(2)]
         ends = [simulation.depart(name) for name in departing]
         simulation.run_until(lambda ends=ends: any(may_end() for may_end in ends))  # type: ignore[misc]
@@ -371,7 +371,7 @@
         assert len(voters(simulation)) == 2 * tolerated + 1
         assert [may_end() for may_end in ends].count(True) == 1
         assert len(set(departing) & set(voters(simulation))) == 1
-        assert simulation.is_whole()
+        assert simulation.is_complete()
 
 
 # The planner alone
@@ -381,25 +381,37 @@
 USUAL = Membership((A, B, C))
 
 
-@pytest.mark.parametrize("spares_kept", [False, True])
-def test_a_learner_that_is_ready_takes_the_place_first(spares_kept: bool) -> None:
-    group = PlannedGroupStandIn(USUAL.voters, (A, B, C, D), learners=(D,), keeps_spare_learners=spares_kept)
+@pytest.mark.parametrize("keeps_spares", [False, True])
+def test_a_learner_that_is_ready_replaces_the_voter_first(keeps_spares: bool) -> None:
+    group = PlannedGroupStandIn(
+        Membership(USUAL.voters, (D,)), (A, B, C, D), keeps_spare_learners=keeps_spares
+    )
     group.departing = {C}
     assert group.run(1.0, joining=(D,)) == [Membership((A, B, C, D)), Membership((A, B, D))]
 
 
-@pytest.mark.parametrize("spares_kept", [False, True])
-def test_a_learner_that_lags_takes_no_place(spares_kept: bool) -> None:
-    group = PlannedGroupStandIn(USUAL.voters, (A, B, C, D), learners=(D,), keeps_spare_learners=spares_kept)
+@pytest.mark.parametrize("keeps_spares", [False, True])
+def test_a_learner_that_lags_replaces_nobody(keeps_spares: bool) -> None:
+    group = PlannedGroupStandIn(
+        Membership(USUAL.voters, (D,)), (A, B, C, D), keeps_spare_learners=keeps_spares
+    )
     group.departing = {C}
     group.behind = {D}
     assert group.run(5.0, joining=(D,)) == []
 
 
-@pytest.mark.parametrize(("tolerated", "states"), [(1, ("good", "lost", "retiring")), (2, ("good", "lost"))])
-def test_no_departure_lowers_how_many_losses_are_borne(tolerated: int, states: tuple[str, ...]) -> None:
-    """Any number of voters leave; those that were not swapped out go on afterwards."""
-    groups = every_group(tolerated, kinds=(*states, "leaving"))
+@pytest.mark.parametrize(
+    ("tolerated", "states"),
+    [
+        (1, (VoterState.HEALTHY, VoterState.LOST, VoterState.DECOMMISSIONED)),
+        (2, (VoterState.HEALTHY, VoterState.LOST)),
+    ],
+)
+def test_no_departure_lowers_how_many_losses_are_tolerated(
+    tolerated: int, states: tuple[VoterState, ...]
+) -> None:
+    """Any number of voters depart; those that were not swapped out go on afterwards."""
+    groups = every_group(tolerated, kinds=(*states, VoterState.DEPARTING))
     assert len(groups) > 60
     for group in groups:
         departing = set(group.departing)
@@ -411,10 +423,10 @@
         assert breaks_a_rule(group, tolerated) == ""
 
 
-@pytest.mark.parametrize("spares_kept", [False, True])
-def test_a_learner_that_leaves_itself_takes_no_place(spares_kept: bool) -> None:
+@pytest.mark.parametrize("keeps_spares", [False, True])
+def test_a_learner_that_departs_itself_replaces_nobody(keeps_spares: bool) -> None:
     group = PlannedGroupStandIn(
-        USUAL.voters, (A, B, C, D, F), learners=(D,), keeps_spare_learners=spares_kept
+        Membership(USUAL.voters, (D,)), (A, B, C, D, F), keeps_spare_learners=keeps_spares
     )
     group.departing = {C, D}
     group.run(2.0, joining=(F,))
@@ -422,7 +434,7 @@
 
 
 def test_a_voter_that_left_without_a_swap_is_lost_at_once() -> None:
-    group = PlannedGroupStandIn(USUAL.voters, (A, B, C, D), learners=(D,), keeps_spare_learners=True)
+    group = PlannedGroupStandIn(Membership(USUAL.voters, (D,)), (A, B, C, D), keeps_spare_learners=True)
     group.behind = {D}
     group.departing = {C}
     group.run(0.5)
@@ -432,23 +444,23 @@
     assert group.membership == Membership((A, B, D))
 
 
-def test_a_lost_voter_is_replaced_before_one_that_leaves() -> None:
-    group = PlannedGroupStandIn(USUAL.voters, (A, C, D), learners=(D,), keeps_spare_learners=True)
+def test_a_lost_voter_is_replaced_before_one_that_departs() -> None:
+    group = PlannedGroupStandIn(Membership(USUAL.voters, (D,)), (A, C, D), keeps_spare_learners=True)
     group.departing = {C}
     group.run(5.0)
     assert set(group.membership.voters) == {A, C, D}
     assert all(set(change.voters) >= {A, C} for change in group.changes)
 
 
-def test_a_retiring_voter_stays_until_the_others_hold_all_without_one_that_leaves() -> None:
-    group = PlannedGroupStandIn((A, B, C, D), (A, B, C, D))
+def test_a_decommissioned_voter_stays_until_the_others_have_all_without_one_that_departs() -> None:
+    group = PlannedGroupStandIn(Membership((A, B, C, D)), (A, B, C, D))
     group.decommissioning = {C}
     group.departing = {D}
     group.run(5.0)
     assert len(group.membership.voters) == 3
 
 
-# The driver
+# The group
 
 
 def swap(group: ReplicatedGroup, voter: str, learner: str) -> list[Membership]:
@@ -457,7 +469,7 @@
     return [Membership((*group.membership.voters, learner)), Membership((*others, learner))]
 
 
-def test_driver_leaves_once_another_has_its_vote() -> None:
+def test_group_departs_once_another_has_its_vote() -> None:
     async def scenario() -> None:
         network = Network()
         leader = await network.start()
@@ -471,14 +483,14 @@
             heard += name == leader.member
 
         network.on_departure = on_departure
-        told = asyncio.ensure_future(departing.depart(5.0))
+        departure = asyncio.ensure_future(departing.depart(5.0))
         await wait_until(lambda: heard > 1)
         assert leader.is_departing(departing.member)
-        assert not told.done()
+        assert not departure.done()
         for change in swap(leader, departing.member, "d"):
             await leader.change_membership(change)
         began = asyncio.get_running_loop().time()
-        await told
+        await departure
         assert asyncio.get_running_loop().time() - began < AT_ONCE_S
         await departing.depart(5.0)
         assert asyncio.get_running_loop().time() - began < AT_ONCE_S, "it has no vote to give"
@@ -487,7 +499,7 @@
     run(scenario())
 
 
-def test_driver_that_leads_hands_over_and_leaves_in_its_patience() -> None:
+def test_group_that_leads_transfers_and_departs_in_its_timeout() -> None:
     async def scenario() -> None:
         network = Network()
         old = await network.start()
@@ -501,7 +513,7 @@
     run(scenario())
 
 
-def test_driver_with_one_voter_has_nobody_to_leave_to() -> None:
+def test_group_with_one_voter_has_nobody_to_depart_to() -> None:
     async def scenario() -> None:
         network = Network(("a",))
         only = await network.start()
@@ -512,16 +524,16 @@
     run(scenario())
 
 
-def test_driver_that_stops_meanwhile_fails() -> None:
+def test_group_that_stops_amid_its_departure_fails() -> None:
     async def scenario() -> None:
         network = Network()
         leader = await network.start()
         departing = next(group for group in network.groups.values() if group is not leader)
-        told = asyncio.ensure_future(departing.depart(1.0))
+        departure = asyncio.ensure_future(departing.depart(1.0))
         await asyncio.sleep(0.1)
         await departing.stop()
         with pytest.raises(GroupFailedError):
-            await told
+            await departure
         await network.stop()
 
     run(scenario())
--- a/tests/consensus/test_full_disk.py
+++ b/tests/consensus/test_full_disk.py
@@ -1,61 +1,19 @@
-"""A disk without room: nothing is lost or claimed, and the member goes on once there is room."""
+"""A full disk: nothing is lost or acknowledged, and the member goes on once there is free space."""
 
 import asyncio
-from collections.abc import Sequence
 
-from pewterring.consensus.errors import StorageFullError
 from pewterring.consensus.group import ReplicatedGroup
-from pewterring.consensus.messages import Entry, Membership
-from pewterring.consensus.persistent import HardState, LoadedGroup
-from pewterring.consensus.types import RaftLimits
-from tests.consensus.memory_storage import MemoryStorage
-from tests.consensus.test_group import NAMES, SMALL_LIMITS, Network, command, wait_until
+from tests.consensus.group_network import NAMES, command, wait_until
+from tests.consensus.limited_storage import limited_network
 from tests.consensus.virtual_time import run
 
 
-class LimitedStorage(MemoryStorage):
-    """Has no room for entries while `full`, and none for snapshots while `snapshots_full`."""
-
-    def __init__(self, voters: tuple[str, ...]) -> None:
-        super().__init__(voters)
-        self.full = False
-        self.snapshots_full = False
-        self.refused = 0
-
-    def load(self) -> LoadedGroup:
-        self._check_room(self.full)  # a new log begins with its first records
-        return super().load()
-
-    def save(self, hard_state: HardState | None, truncate_from: int | None, entries: Sequence[Entry]) -> None:
-        self._check_room(self.full)
-        super().save(hard_state, truncate_from, entries)
-
-    def save_snapshot(self, index: int, term: int, membership: Membership, data: bytes) -> None:
-        self._check_room(self.full or self.snapshots_full)
-        super().save_snapshot(index, term, membership, data)
-
-    def _check_room(self, is_full: bool) -> None:
-        if is_full:
-            self.refused += 1
-            raise StorageFullError("no room")
-
-
-def limited_network(
-    voters: tuple[str, ...] = NAMES, limits: RaftLimits = SMALL_LIMITS
-) -> tuple[Network, dict[str, LimitedStorage]]:
-    network = Network(voters, limits)
-    disks = {name: LimitedStorage(voters) for name in voters}
-    for name, disk in disks.items():
-        network.add(name, disk)
-    return network, disks
-
-
 async def propose_many(leader: ReplicatedGroup, count: int) -> None:
     for number in range(count):
         await leader.propose(command(f"{number}"))
 
 
-def test_a_leader_without_room_goes_on_with_the_others() -> None:
+def test_a_leader_without_disk_space_goes_on_with_the_others() -> None:
     async def scenario() -> None:
         network, disks = limited_network()
         leader = await network.start()
@@ -74,7 +32,7 @@
     run(scenario())
 
 
-def test_a_majority_without_room_acknowledges_nothing_until_there_is_some() -> None:
+def test_a_majority_without_disk_space_acknowledges_nothing_until_there_is_some() -> None:
     async def scenario() -> None:
         network, disks = limited_network()
         leader = await network.start()
@@ -91,7 +49,7 @@
     run(scenario())
 
 
-def test_without_room_for_a_snapshot_entries_are_saved_all_the_same() -> None:
+def test_without_disk_space_for_a_snapshot_entries_are_saved_all_the_same() -> None:
     async def scenario() -> None:
         network, disks = limited_network(("a",))
         leader = await network.start()
@@ -107,7 +65,7 @@
     run(scenario())
 
 
-def test_a_member_that_waits_for_room_can_be_stopped() -> None:
+def test_a_member_that_waits_for_disk_space_can_be_stopped() -> None:
     async def scenario() -> None:
         network, disks = limited_network(("a",))
         leader = await network.start()
@@ -123,7 +81,7 @@
     run(scenario())
 
 
-def test_a_member_that_starts_without_room_takes_part_once_there_is_some() -> None:
+def test_a_member_that_starts_without_disk_space_joins_in_once_there_is_some() -> None:
     async def scenario() -> None:
         network, disks = limited_network()
         late = network.groups["c"]
@@ -143,7 +101,7 @@
     run(scenario())
 
 
-def test_a_start_that_waits_for_room_can_be_given_up() -> None:
+def test_a_start_that_waits_for_disk_space_can_be_given_up() -> None:
     async def scenario() -> None:
         network, disks = limited_network(("a",))
         disks["a"].full = True
--- a/tests/consensus/test_group.py
+++ b/tests/consensus/test_group.py
@@ -1,10 +1,6 @@
-"""The asyncio driver: three members in one loop, in virtual time."""
+"""A replicated group as its owner sees it: three members in one loop, in virtual time."""
 
 import asyncio
-import json
-import random
-from collections.abc import Callable
-from concurrent.futures import Executor
 
 import pytest
 
@@ -15,120 +11,18 @@
     OutcomeUnknownError,
 )
 from pewterring.consensus.group import ReplicatedGroup
-from pewterring.consensus.group_environment import GroupCallbacks, GroupEnvironment, GroupOptions
-from pewterring.consensus.messages import ConsensusMessage, Membership, SnapshotChunk
-from pewterring.consensus.types import RaftLimits
+from pewterring.consensus.group_environment import GroupCallbacks, GroupEnvironment
+from pewterring.consensus.messages import Membership
+from tests.consensus.group_network import NAMES, Machine, Network, command, wait_until
 from tests.consensus.memory_storage import MemoryStorage
-from tests.consensus.virtual_time import InlineExecutor, run
-
-NAMES = ("a", "b", "c")
-SMALL_LIMITS = RaftLimits(retained_bytes=1000)  # else no member ever needs a snapshot of states so small
-
-
-class Machine:
-    """Keeps the commands; the result of one is how many there are."""
-
-    def __init__(self) -> None:
-        self.commands: list[str] = []
-
-    def apply(self, index: int, command: bytes) -> object:
-        self.commands.append(json.loads(command))
-        return len(self.commands)
-
-    def snapshot(self) -> bytes:
-        return json.dumps(self.commands).encode()
-
-    def restore(self, data: bytes) -> None:
-        self.commands = json.loads(data)
-
-
-class Network:
-    """Groups in one loop; messages take one turn of it. `cut` members neither send nor receive."""
-
-    machine_class = Machine
-
-    def __init__(self, voters: tuple[str, ...] = NAMES, limits: RaftLimits = SMALL_LIMITS) -> None:
-        self.limits = limits
-        self.cut: set[str] = set()
-        self.groups: dict[str, ReplicatedGroup] = {}
-        self.machines: dict[str, Machine] = {}
-        self.storages: dict[str, MemoryStorage] = {}
-        self.notified: list[tuple[str, bool]] = []
-        self.failures: list[GroupFailedError] = []
-        self.parts_sent = 0  # of snapshots
-        self.leadership = asyncio.Event()
-        self.on_departure: Callable[[str], None] = lambda name: None  # gets the leader's name
-        for name in voters:
-            self.add(name, MemoryStorage(voters))
-
-    def add(self, name: str, storage: MemoryStorage, executor: Executor | None = None) -> ReplicatedGroup:
-        self.storages[name] = storage
-        self.machines[name] = self.machine_class()
-        self.groups[name] = ReplicatedGroup(
-            "g",
-            name,
-            GroupEnvironment(
-                storage=storage,
-                machine=self.machines[name],
-                send=self._send,
-                clock=asyncio.get_running_loop().time,
-                rng=random.Random(name),
-                executor=executor or InlineExecutor(),
-            ),
-            GroupOptions(limits=self.limits, snapshot_after_bytes=2000),
-            GroupCallbacks(
-                on_leadership=lambda leads: self._notify(name, leads),
-                on_departure=lambda: self.on_departure(name),
-                on_failure=self.failures.append,
-            ),
-        )
-        return self.groups[name]
-
-    def _notify(self, name: str, leads: bool) -> None:
-        self.notified.append((name, leads))
-        self.leadership.set()
-
-    def _send(self, message: ConsensusMessage) -> None:
-        self.parts_sent += isinstance(message, SnapshotChunk)
-        if not self.cut & {message.sender, message.target} and message.target in self.groups:
-            asyncio.get_running_loop().call_soon(self.groups[message.target].receive, message)
-
-    async def start(self) -> ReplicatedGroup:
-        for group in self.groups.values():
-            await group.start()
-        return await self.new_leader(None)
-
-    async def new_leader(self, old: ReplicatedGroup | None) -> ReplicatedGroup:
-        while True:
-            for group in self.groups.values():
-                if group is not old and group.is_leader:
-                    return group
-            self.leadership.clear()
-            await asyncio.wait_for(self.leadership.wait(), 10.0)
-
-    async def stop(self) -> None:
-        for group in self.groups.values():
-            await group.stop()
-
-
-def command(text: str) -> bytes:
-    return json.dumps(text).encode()
-
-
-async def wait_until(condition: Callable[[], bool]) -> None:
-    """Waits, in virtual time, for what comes with some heartbeat."""
-    for _ in range(1000):
-        if condition():
-            return
-        await asyncio.sleep(0.01)
-    raise AssertionError("what was waited for did not come")
+from tests.consensus.virtual_time import run
 
 
 def test_results_come_back_and_members_agree() -> None:
     async def scenario() -> None:
         network = Network()
         leader = await network.start()
-        results = await asyncio.gather(*(leader.propose(command(str(n))) for n in range(50)))
+        results = await asyncio.gather(*(leader.propose(command(str(number))) for number in range(50)))
         assert results == list(range(1, 51))
         await wait_until(lambda: all(len(machine.commands) == 50 for machine in network.machines.values()))
         await network.stop()
@@ -164,7 +58,7 @@
     run(scenario())
 
 
-def test_leader_cut_off_loses_lease_and_outcome() -> None:
+def test_a_partitioned_leader_loses_its_lease_and_the_outcome() -> None:
     async def scenario() -> None:
         network = Network()
         old = await network.start()
@@ -218,7 +112,7 @@
         await joiner.start()
         await leader.change_membership(Membership(voters=NAMES, learners=("d",)))
         await wait_until(lambda: leader.match("d") >= leader.commit_index)
-        assert network.parts_sent > 0
+        assert network.chunks_sent > 0
         await leader.change_membership(Membership(voters=(*NAMES, "d")))
         await wait_until(lambda: network.machines["d"].commands == network.machines["a"].commands)
         assert joiner.membership.voters == (*NAMES, "d")
@@ -266,7 +160,7 @@
         group = ReplicatedGroup(
             "g",
             "a",
-            GroupEnvironment(storage=storage, machine=Machine(), send=lambda message: None),
+            GroupEnvironment(storage=storage, machine=Machine(), send=lambda _: None),
             callbacks=GroupCallbacks(on_leadership=lambda _: leads.set()),
         )
         await group.start()
--- a/tests/consensus/test_bad_state.py
+++ b/tests/consensus/test_group_failures.py
@@ -11,8 +11,8 @@
 from pewterring.consensus.messages import Membership
 from pewterring.consensus.raft import Raft
 from pewterring.storage.group import DiskGroupStorage
+from tests.consensus.group_network import NAMES, Machine, Network, command, wait_until
 from tests.consensus.memory_storage import MemoryStorage
-from tests.consensus.test_group import NAMES, Machine, Network, command, wait_until
 from tests.consensus.virtual_time import InlineExecutor, run
 from tests.storage.model import MEMBERS
 from tests.storage.simulated_disk import SimulatedDisk
@@ -32,7 +32,7 @@
             GroupEnvironment(
                 storage=DiskGroupStorage(disk, "g"),
                 machine=machine,
-                send=lambda message: None,
+                send=lambda _: None,
                 clock=asyncio.get_running_loop().time,
                 executor=InlineExecutor(),
             ),
--- a/tests/consensus/test_leadership_transfer.py
+++ b/tests/consensus/test_leadership_transfer.py
@@ -1,4 +1,4 @@
-"""A leader hands over: soon, without a stale read, and without harm where messages are lost."""
+"""A leadership is transferred: soon, without a stale read, and without harm where messages are lost."""
 
 import asyncio
 import random
@@ -9,25 +9,25 @@
 from pewterring.consensus.leader import LeaderRole
 from pewterring.consensus.messages import ConsensusMessage, TimeoutNow, VoteRequest
 from pewterring.consensus.raft import Raft
+from tests.consensus.group_network import Network, command
 from tests.consensus.simulated_members import SafetyViolationError
 from tests.consensus.simulation import Simulation
-from tests.consensus.test_group import Network, command
 from tests.consensus.virtual_time import run
 
 AT_ONCE_S = 0.15  # far below the shortest election time-out
 
 
-class HandingSimulation(Simulation):
-    """A simulated group whose leader can be told to hand over."""
+class TransferSimulation(Simulation):
+    """A simulated group whose leader can be asked to transfer its leadership."""
 
-    def settle(self) -> str:
+    def until_led(self) -> str:
         """Waits for a leader and returns its name."""
         self.run_until(lambda: self.leader() is not None and self.leader_raft().is_ready_leader)
         self.run(0.5)
         return self.leader() or ""
 
     def transfer_leadership(self) -> bool:
-        """Tells the leader; False where there is none that can."""
+        """Asks the leader to; False where there is none that can."""
         member = self.members.get(self.leader() or "")
         if member is None or member.raft is None or member.frozen:
             return False
@@ -35,6 +35,10 @@
         self._pump(member)
         return begun
 
+    def is_succeeded_within(self, old: str, limit_s: float) -> bool:
+        """Whether another member leads in time."""
+        return self.run_while(lambda: self.leader() in (old, None), limit_s)
+
     def has_lease(self, name: str) -> bool:
         member = self.members[name]
         return member.raft is not None and member.raft.has_lease(self._clock(member))
@@ -43,27 +47,27 @@
 @pytest.mark.parametrize("voters", [2, 3, 5])
 def test_successor_leads_long_before_an_election_timeout(voters: int) -> None:
     for seed in range(5):
-        simulation = HandingSimulation(seed, voters)
-        old = simulation.settle()
+        simulation = TransferSimulation(seed, voters)
+        old = simulation.until_led()
         simulation.propose("before")
         assert simulation.transfer_leadership()
-        assert simulation.run_while(lambda s=simulation, o=old: s.leader() in (o, None), AT_ONCE_S)  # type: ignore[misc]
+        assert simulation.is_succeeded_within(old, AT_ONCE_S)
         assert simulation.leader_raft().term == 2
         assert "before" in simulation.acknowledged
         simulation.check_converges()
 
 
 def test_only_voter_keeps_the_leadership() -> None:
-    simulation = HandingSimulation(1, voters=1)
-    old = simulation.settle()
+    simulation = TransferSimulation(1, voters=1)
+    old = simulation.until_led()
     assert not simulation.transfer_leadership()
     assert simulation.propose("still")
     assert simulation.leader() == old
 
 
 def test_lost_message_is_sent_again() -> None:
-    simulation = HandingSimulation(2)
-    old = simulation.settle()
+    simulation = TransferSimulation(2)
+    old = simulation.until_led()
     lost: list[ConsensusMessage] = []
 
     def drops(message: ConsensusMessage) -> bool:
@@ -74,13 +78,13 @@
 
     simulation.drops = drops
     simulation.transfer_leadership()
-    assert simulation.run_while(lambda: simulation.leader() in (old, None), 0.4)
+    assert simulation.is_succeeded_within(old, 0.4)
     assert len(lost) == 1
 
 
 def test_leader_without_a_successor_steps_down_in_time() -> None:
-    simulation = HandingSimulation(3)
-    old = simulation.settle()
+    simulation = TransferSimulation(3)
+    old = simulation.until_led()
     simulation.drops = lambda message: isinstance(message, TimeoutNow)
     simulation.transfer_leadership()
     raft = simulation.members[old].raft
@@ -89,9 +93,9 @@
     simulation.check_converges()
 
 
-def test_no_lease_once_a_successor_was_told() -> None:
-    simulation = HandingSimulation(4)
-    old = simulation.settle()
+def test_no_lease_once_a_successor_was_notified() -> None:
+    simulation = TransferSimulation(4)
+    old = simulation.until_led()
     assert simulation.has_lease(old)
     simulation.drops = lambda message: isinstance(message, VoteRequest)
     simulation.transfer_leadership()
@@ -99,23 +103,23 @@
 
 
 def test_late_order_to_stand_changes_nothing_in_a_later_term() -> None:
-    simulation = HandingSimulation(5)
-    old = simulation.settle()
-    kept: list[ConsensusMessage] = []
+    simulation = TransferSimulation(5)
+    old = simulation.until_led()
+    late: list[ConsensusMessage] = []
 
     def drops(message: ConsensusMessage) -> bool:
         if isinstance(message, TimeoutNow):
-            kept.append(message)
+            late.append(message)
         return isinstance(message, TimeoutNow)
 
     simulation.drops = drops
     simulation.transfer_leadership()
     simulation.run_until(lambda: not simulation.members[old].raft.is_leader)  # type: ignore[union-attr]
-    simulation.drops = lambda message: False
-    simulation.settle()
+    simulation.drops = lambda _: False
+    simulation.until_led()
     term = simulation.leader_raft().term
-    for message in kept:
-        simulation._deliver_later(message)
+    for message in late:
+        simulation.deliver_again(message)
     simulation.run(3.0)
     assert simulation.leader_raft().term == term
 
@@ -126,16 +130,16 @@
 
 
 class KeepsLease(Raft):
-    """Answers reads by its lease although it has told a successor to stand."""
+    """Answers reads by its lease although it has notified a successor to stand."""
 
     def _begin_leading(self, now: float) -> LeaderRole:
         return _KeepsLease(self._state, now)
 
 
-def read_at_a_leader_cut_off_while_it_hands_over(raft_class: type[Raft]) -> None:
+def read_at_a_leader_cut_off_amid_its_transfer(raft_class: type[Raft]) -> None:
     """The old leader hears nothing of its successor's election, and is asked to read at once after it."""
-    simulation = HandingSimulation(6, raft_class=raft_class)
-    old = simulation.settle()
+    simulation = TransferSimulation(6, raft_class=raft_class)
+    old = simulation.until_led()
     simulation.drops = lambda message: message.target == old
     simulation.transfer_leadership()
     simulation.run_until(lambda: simulation.leader() not in (old, None))
@@ -145,17 +149,17 @@
     assert simulation.read(old)
 
 
-def test_lease_kept_after_a_successor_was_told_is_caught() -> None:
+def test_a_lease_claimed_after_a_successor_was_notified_is_caught() -> None:
     with pytest.raises(SafetyViolationError):
-        read_at_a_leader_cut_off_while_it_hands_over(KeepsLease)
-    read_at_a_leader_cut_off_while_it_hands_over(Raft)
+        read_at_a_leader_cut_off_amid_its_transfer(KeepsLease)
+    read_at_a_leader_cut_off_amid_its_transfer(Raft)
 
 
 def test_schedules_with_leadership_transfers() -> None:
-    """Crashes, cuts and bad weather around hand-overs: nothing is lost and no read goes back."""
+    """Crashes, cuts and bad weather around transfers: nothing is lost and no read goes back."""
     for seed in range(25):
         rng = random.Random(f"handover {seed}")
-        simulation = HandingSimulation(seed, rng.choice((3, 3, 5)))
+        simulation = TransferSimulation(seed, rng.choice((3, 3, 5)))
         simulation.weather.lost = simulation.weather.late = rng.choice((0.0, 0.1))
         for step in range(80):
             name = rng.choice(list(simulation.members))
@@ -179,41 +183,41 @@
         simulation.check_converges()
 
 
-def test_driver_returns_when_another_leads_and_refuses_commands() -> None:
+def test_group_returns_when_another_leads_and_rejects_commands() -> None:
     async def scenario() -> None:
         network = Network()
         old = await network.start()
         await old.propose(command("before"))
-        handing = asyncio.ensure_future(old.transfer_leadership())
+        transfer = asyncio.ensure_future(old.transfer_leadership())
         await asyncio.sleep(0)
         with pytest.raises(NotLeaderError):
             await old.propose(command("refused"))
         began = asyncio.get_running_loop().time()
-        await handing
+        await transfer
         new = await network.new_leader(old)
         assert asyncio.get_running_loop().time() - began < AT_ONCE_S
         assert await new.propose(command("after")) == 2
-        await old.transfer_leadership()  # a follower has nothing to hand over
+        await old.transfer_leadership()  # a follower has nothing to transfer
         await network.stop()
 
     run(scenario())
 
 
-def test_driver_returns_when_the_group_stops_meanwhile() -> None:
+def test_group_returns_when_it_stops_meanwhile() -> None:
     async def scenario() -> None:
         network = Network()
         old = await network.start()
         network.cut.add(old.member)
-        handing = asyncio.ensure_future(old.transfer_leadership())
+        transfer = asyncio.ensure_future(old.transfer_leadership())
         await asyncio.sleep(0)
         await old.stop()
-        await handing
+        await transfer
         await network.stop()
 
     run(scenario())
 
 
-def test_driver_with_one_voter_returns_at_once() -> None:
+def test_group_with_one_voter_returns_at_once() -> None:
     async def scenario() -> None:
         network = Network(("a",))
         leader = await network.start()
--- a/tests/consensus/test_losses.py
+++ b/tests/consensus/test_losses.py
@@ -11,37 +11,37 @@
 
 HALF_S = CATCH_UP_S / 2
 ROUNDS = 4
-kinds = pytest.mark.parametrize("spares_kept", [False, True], ids=["batch", "control"])
+kinds = pytest.mark.parametrize("keeps_spares", [False, True], ids=["batch", "control"])
 tolerated_losses = pytest.mark.parametrize("tolerated", [1, 2])
 
 
-def started(seed: int, tolerated: int, spares_kept: bool, spares: int = 0) -> PlannedSimulation:
-    simulation = PlannedSimulation(seed, tolerated, spares_kept, spares)
-    simulation.run_until(simulation.is_whole)
+def started(seed: int, tolerated: int, keeps_spares: bool, spares: int = 0) -> PlannedSimulation:
+    simulation = PlannedSimulation(seed, tolerated, keeps_spares, spares)
+    simulation.run_until(simulation.is_complete)
     simulation.write(0.5)
     return simulation
 
 
 @kinds
 @tolerated_losses
-def test_the_oldest_disks_are_wiped_again_and_again(tolerated: int, spares_kept: bool) -> None:
+def test_the_oldest_disks_are_wiped_again_and_again(tolerated: int, keeps_spares: bool) -> None:
     for seed in range(2):
-        simulation = started(seed, tolerated, spares_kept)
+        simulation = started(seed, tolerated, keeps_spares)
         for _ in range(ROUNDS):
             simulation.write(0.3)
             simulation.wipe(*simulation.oldest(tolerated))
             back_at = simulation.now
-            assert simulation.until_whole() < HALF_S
+            assert simulation.until_complete() < HALF_S
             simulation.write(back_at + CATCH_UP_S - simulation.now)
         simulation.check_converges()
 
 
 @kinds
 @tolerated_losses
-def test_the_oldest_machines_are_replaced_one_after_the_other(tolerated: int, spares_kept: bool) -> None:
+def test_the_oldest_machines_are_replaced_one_after_the_other(tolerated: int, keeps_spares: bool) -> None:
     """The machines go for good at the instant of an acknowledgement; empty ones start a second later."""
     for seed in range(2):
-        simulation = started(seed, tolerated, spares_kept)
+        simulation = started(seed, tolerated, keeps_spares)
         for number in range(ROUNDS):
             simulation.propose_and_wait(f"last words {number}")
             for name in simulation.oldest(tolerated):
@@ -50,7 +50,7 @@
             for new in range(tolerated):
                 simulation.join(f"new{number}.{new}")
             started_at = simulation.now
-            assert simulation.until_whole() < HALF_S
+            assert simulation.until_complete() < HALF_S
             simulation.write(started_at + CATCH_UP_S - simulation.now)
         simulation.check_converges()
 
@@ -58,10 +58,10 @@
 @kinds
 @tolerated_losses
 def test_all_others_lose_power_as_the_oldest_disks_are_lost_at_an_acknowledgement(
-    tolerated: int, spares_kept: bool
+    tolerated: int, keeps_spares: bool
 ) -> None:
     for seed in range(6):
-        simulation = started(seed, tolerated, spares_kept, spares=1)
+        simulation = started(seed, tolerated, keeps_spares, spares=1)
         simulation.propose_and_wait("last words")
         wiped = simulation.oldest(tolerated)
         others = [name for name in simulation.members if name not in wiped]
@@ -74,37 +74,37 @@
             simulation.start(name)
         for number in range(tolerated):
             simulation.join(f"{wiped[number]}#new")
-        assert simulation.until_whole() < HALF_S
+        assert simulation.until_complete() < HALF_S
         simulation.check_converges()
 
 
 @kinds
-def test_a_planned_replacement_leaves_the_group_whole_before_the_next_loss(spares_kept: bool) -> None:
+def test_a_planned_replacement_leaves_the_group_complete_before_the_next_loss(keeps_spares: bool) -> None:
     """The new machine starts, a second later the old one ends, and the next loss comes as soon as it may."""
     for seed in range(2):
-        simulation = started(seed, 1, spares_kept)
+        simulation = started(seed, 1, keeps_spares)
         for number in range(ROUNDS):
             simulation.join(f"new{number}")
             started_at = simulation.now
             simulation.write(1.0)
             simulation.stop_for_good(simulation.oldest()[0])
-            assert simulation.until_whole() < HALF_S
+            assert simulation.until_complete() < HALF_S
             simulation.write(started_at + CATCH_UP_S - simulation.now)
         simulation.check_converges()
 
 
 @kinds
-def test_a_leader_is_wiped_at_each_point_of_a_change_of_members(spares_kept: bool) -> None:
+def test_a_leader_is_wiped_at_each_point_of_a_change_of_members(keeps_spares: bool) -> None:
     """Another machine is already away for good; with two losses allowed the leader may go as well."""
     for point in range(12):
-        simulation = started(point, 2, spares_kept, spares=1)
+        simulation = started(point, 2, keeps_spares, spares=1)
         follower = next(name for name in simulation.oldest(5) if name != simulation.leader())
         simulation.lose_for_good(follower)
         simulation.write(1.2)
         simulation.run(point * 0.07)
         simulation.wipe(simulation.leader() or "")
         back_at = simulation.now
-        assert simulation.until_whole() < HALF_S
+        assert simulation.until_complete() < HALF_S
         simulation.write(back_at + CATCH_UP_S - simulation.now)
         simulation.wipe(*simulation.oldest(2))
         simulation.check_converges()
@@ -112,21 +112,21 @@
 
 @kinds
 @tolerated_losses
-def test_others_are_wiped_the_instant_that_a_retirement_succeeds(tolerated: int, spares_kept: bool) -> None:
+def test_others_are_wiped_the_instant_that_a_retirement_succeeds(tolerated: int, keeps_spares: bool) -> None:
     """While another voter was frozen the one that leaves was the only one beside the leader that held all."""
     for seed in range(3):
-        simulation = started(seed, tolerated, spares_kept, spares=1)
+        simulation = started(seed, tolerated, keeps_spares, spares=1)
         others = [name for name in simulation.oldest(5) if name != simulation.leader()]
         simulation.freeze(others[0])
         simulation.decommissioning = {others[1]}
         simulation.write(1.0)
         simulation.thaw(others[0])
-        while not simulation.is_whole():
+        while not simulation.is_complete():
             simulation.write(0.02)
         simulation.lose_for_good(others[1])
         simulation.decommissioning = set()
         simulation.wipe(*simulation.oldest(tolerated))
-        assert simulation.until_whole() < HALF_S
+        assert simulation.until_complete() < HALF_S
         simulation.check_converges()
 
 
@@ -135,7 +135,7 @@
     gone = next(name for name in simulation.oldest(3) if name != simulation.leader())
     simulation.crash(gone)
     simulation.run(1.5)
-    assert simulation.until_whole() < HALF_S
+    assert simulation.until_complete() < HALF_S
     assert gone not in simulation.leader_raft().membership.voters
     term = simulation.leader_raft().term
     simulation.start(gone)
--- a/tests/consensus/test_membership_planner_breakages.py
+++ b/tests/consensus/test_membership_planner_breakages.py
@@ -8,15 +8,15 @@
 from tests.consensus.test_membership_planner import breaks_a_rule, every_group
 
 
-class _Flattering:
-    """A group whose learners seem to hold all."""
+class _SeemsCaughtUp:
+    """A group whose learners seem to have everything."""
 
     def __init__(self, group: PlannedGroup) -> None:
         self._group = group
         self.membership = group.membership
         self.commit_index = group.commit_index
 
-    def match(self, member: str) -> int:
+    def match(self, _member: str) -> int:
         return self.commit_index
 
     def seconds_since_contact(self, member: str, now: float) -> float:
@@ -30,11 +30,11 @@
     """A learner votes before it holds what is committed."""
 
     def plan(self, now: float, group: PlannedGroup, candidates: Candidates) -> Membership | None:
-        return super().plan(now, _Flattering(group), candidates)
+        return super().plan(now, _SeemsCaughtUp(group), candidates)
 
 
 class CountsLearners(MembershipPlanner):
-    """A learner that answers counts as a voter: one that retires leaves in its favour."""
+    """A learner that answers counts as a voter: one that is decommissioned leaves in its favour."""
 
     def plan(self, now: float, group: PlannedGroup, candidates: Candidates) -> Membership | None:
         change = super().plan(now, group, candidates)
@@ -57,14 +57,14 @@
     def plan(self, now: float, group: PlannedGroup, candidates: Candidates) -> Membership | None:
         change = super().plan(now, group, candidates)
         membership = group.membership
-        silent = [
+        lost = [
             voter
             for voter in membership.voters
             if group.seconds_since_contact(voter, now) >= self._observer.lost_voter_s
         ]
-        if change is None and silent:
+        if change is None and lost:
             return Membership(
-                tuple(voter for voter in membership.voters if voter != silent[0]), membership.learners
+                tuple(voter for voter in membership.voters if voter != lost[0]), membership.learners
             )
         return change
 
@@ -75,14 +75,14 @@
     def plan(self, now: float, group: PlannedGroup, candidates: Candidates) -> Membership | None:
         change = super().plan(now, group, candidates)
         membership = group.membership
-        silent = [
+        lost = [
             voter
             for voter in membership.voters
             if group.seconds_since_contact(voter, now) >= self._observer.lost_voter_s
         ]
-        if change is not None and silent and len(change.voters) > len(membership.voters):
+        if change is not None and lost and len(change.voters) > len(membership.voters):
             return Membership(
-                tuple(voter for voter in membership.voters if voter != silent[0]), membership.learners
+                tuple(voter for voter in membership.voters if voter != lost[0]), membership.learners
             )
         return change
 
@@ -101,6 +101,6 @@
     assert any(breaks_a_rule(group, tolerated) for group in groups)
 
 
-def test_the_planner_itself_is_not() -> None:
+def test_the_planner_itself_is_not_caught() -> None:
     for tolerated in (1, 2):
         assert not any(breaks_a_rule(group, tolerated) for group in every_group(tolerated))
--- a/tests/consensus/test_stalled_disk.py
+++ b/tests/consensus/test_stalled_disk.py
@@ -7,9 +7,9 @@
 from typing import Any
 
 from pewterring.consensus.errors import ConsensusError
+from tests.consensus.group_network import NAMES, Machine, Network, command, wait_until
 from tests.consensus.memory_storage import MemoryStorage
 from tests.consensus.raft_internals import log_of
-from tests.consensus.test_group import NAMES, Machine, Network, command, wait_until
 from tests.consensus.virtual_time import InlineExecutor, run
 
 CHANGE = command("x" * 500_000)
@@ -23,7 +23,7 @@
 class SmallMachine(Machine):
     """Keeps how long the commands were."""
 
-    def apply(self, index: int, command: bytes) -> object:
+    def apply(self, _index: int, command: bytes) -> object:
         self.commands.append(str(len(command)))
         return len(self.commands)
 
@@ -37,20 +37,20 @@
 
     def __init__(self) -> None:
         self._inline = InlineExecutor()
-        self._held: list[tuple[Future[Any], Callable[[], Any]]] = []
+        self._queued: list[tuple[Future[Any], Callable[[], Any]]] = []
         self.stalled = False
 
     def submit(self, work: Callable[..., Any], /, *args: Any, **kwargs: Any) -> Future[Any]:
         if not self.stalled:
             return self._inline.submit(work, *args, **kwargs)
         future: Future[Any] = Future()
-        self._held.append((future, lambda: work(*args, **kwargs)))
+        self._queued.append((future, lambda: work(*args, **kwargs)))
         return future
 
     def go_on(self) -> None:
         self.stalled = False
-        held, self._held = self._held, []
-        for future, work in held:
+        queued, self._queued = self._queued, []
+        for future, work in queued:
             if not future.cancelled():
                 future.set_result(work())
 
@@ -79,7 +79,7 @@
     return most
 
 
-def test_a_leader_whose_disk_stands_still_lets_another_lead() -> None:
+def test_a_leader_whose_disk_stalls_lets_another_lead() -> None:
     async def scenario() -> None:
         network, executors = stalling_network()
         old = await network.start()
@@ -112,22 +112,22 @@
     run(scenario())
 
 
-def test_a_follower_whose_disk_stands_still_claims_and_leads_nothing() -> None:
+def test_a_follower_whose_disk_stalls_claims_and_leads_nothing() -> None:
     async def scenario() -> None:
         network, executors = stalling_network()
         leader = await network.start()
-        still = next(name for name in NAMES if name != leader.member)
-        executors[still].stalled = True
-        before = leader.match(still)
+        stalled = next(name for name in NAMES if name != leader.member)
+        executors[stalled].stalled = True
+        before = leader.match(stalled)
         most = await propose(network, CHANGES)
-        assert leader.match(still) == before
+        assert leader.match(stalled) == before
         assert most < MOST_LOG_BYTES
         await leader.stop()
         await asyncio.sleep(5.0)
-        assert not any(group.is_leader for name, group in network.groups.items() if name == still)
-        executors[still].go_on()
+        assert not any(group.is_leader for name, group in network.groups.items() if name == stalled)
+        executors[stalled].go_on()
         await network.new_leader(leader)
-        await wait_until(lambda: len(network.machines[still].commands) == CHANGES)
+        await wait_until(lambda: len(network.machines[stalled].commands) == CHANGES)
         await network.stop()
 
     run(scenario())
--- a/tests/consensus/test_uncommitted_limit.py
+++ b/tests/consensus/test_uncommitted_limit.py
@@ -9,9 +9,9 @@
 from pewterring.consensus.group import ReplicatedGroup
 from pewterring.consensus.log import ENTRY_OVERHEAD_BYTES
 from pewterring.consensus.types import RaftLimits
+from tests.consensus.group_network import NAMES, Network, command, wait_until
+from tests.consensus.limited_storage import LimitedStorage, limited_network
 from tests.consensus.raft_internals import log_of, raft_of
-from tests.consensus.test_full_disk import LimitedStorage, limited_network
-from tests.consensus.test_group import NAMES, Network, command, wait_until
 from tests.consensus.virtual_time import run
 
 LIMIT_BYTES = 10_000
