--- a/pewterring/consensus/raft.py
+++ b/pewterring/consensus/raft.py
@@ -131,7 +131,7 @@
         return self._leader_role.seconds_since_contact(member, now) if self._leader_role is not None else 0.0
 
     def is_departing(self, member: str) -> bool:
-        """Whether `member` has said its farewell to this leader; False elsewhere."""
+        """Whether `member` has announced its departure to this leader; False elsewhere."""
         return self._leader_role is not None and self._leader_role.is_departing(member)
 
     def announce_departure(self) -> None:
@@ -140,7 +140,7 @@
 
     @property
     def has_departed(self) -> bool:
-        """Whether this member said its farewell and has no vote any more, or never had one."""
+        """Whether this member announced its departure and has no vote any more, or never had one."""
         is_voter = self.member in self.membership.voters or not self.membership_is_committed
         return self._departure.is_acknowledged or not is_voter
 
--- a/tests/consensus/test_leadership_transfer.py
+++ b/tests/consensus/test_leadership_transfer.py
@@ -163,13 +163,13 @@
         simulation.weather.lost = simulation.weather.late = rng.choice((0.0, 0.1))
         for step in range(80):
             name = rng.choice(list(simulation.members))
-            action = rng.choice(("propose", "propose", "read", "hand over", "crash", "cut", "heal"))
+            action = rng.choice(("propose", "propose", "read", "transfer", "crash", "cut", "heal"))
             if action == "propose":
                 simulation.propose(f"{step}", rng.choice((None, name)))
             elif action == "read":
                 for reader in simulation.members:
                     simulation.read(reader)
-            elif action == "hand over":
+            elif action == "transfer":
                 simulation.transfer_leadership()
             elif action == "crash":
                 simulation.crash(name)
--- a/tests/consensus/test_stalled_disk.py
+++ b/tests/consensus/test_stalled_disk.py
@@ -71,7 +71,7 @@
         if leader is None:
             await asyncio.sleep(PAUSE_S)
             continue
-        with contextlib.suppress(ConsensusError):  # refused, as the leadership is handed over
+        with contextlib.suppress(ConsensusError):  # rejected, as the leadership is transferred
             await leader.propose(CHANGE)
             count -= 1
         await asyncio.sleep(PAUSE_S)
--- a/tests/simulation/named.py
+++ b/tests/simulation/named.py
@@ -68,15 +68,15 @@
             2, 1, again(Fault(5.5, Kind.PLANNED, FOLLOWER), Fault(7.0, Kind.CUT_VOTERS, LEADER, lasts_s=2.5))
         ),
     ),
-    "farewell ignored": (
+    "departure ignored": (
         departure_ignored,
         replaced_to_the_letter(1, 1, On.CONTROL, STOPPED_AT_S + PATIENCE_S),
     ),
-    "a process ends without its farewell": (
+    "a process ends without its departure": (
         ends_without_departure,
         replaced_to_the_letter(1, 1, On.CONTROL, STOPPED_AT_S),
     ),
-    "a store ends without its farewell": (
+    "a store ends without its departure": (
         ends_without_departure,
         replaced_to_the_letter(1, 1, On.STORE, STOPPED_AT_S),
     ),
