--- a/pewterring/registry/workers.py
+++ b/pewterring/registry/workers.py
@@ -7,7 +7,7 @@
 from collections.abc import Mapping, Set
 from dataclasses import dataclass
 
-from pewterring.distribution.messages import DRAINING, READY, SILENT, WorkerRecord
+from pewterring.distribution.messages import DRAINING, READY, UNRESPONSIVE, WorkerRecord
 from pewterring.durations import LATE_CHECK_S
 from pewterring.registry.heartbeats import Heartbeat
 
@@ -85,7 +85,7 @@
         found: dict[str, list[str]] = {}
         for worker in self._committed.values():
             contact = self._contacts.setdefault(worker.id, Contact(now, 0))
-            if now - contact.heard > (self._removal_s if worker.state == SILENT else self.silence_s):
+            if now - contact.heard > (self._removal_s if worker.state == UNRESPONSIVE else self.silence_s):
                 found.setdefault(worker.state, []).append(worker.id)
         fallen = found.pop(READY, [])
         return Silences(tuple(fallen), tuple(worker_id for ids in found.values() for worker_id in ids))
