--- a/pewterring/registry/workers.py
+++ b/pewterring/registry/workers.py
@@ -7,7 +7,7 @@
 from collections.abc import Mapping, Set
 from dataclasses import dataclass
 
-from pewterring.distribution.messages import DRAINING, READY, UNRESPONSIVE, WorkerRecord
+from pewterring.distribution.messages import RegistrationState, WorkerRecord
 from pewterring.durations import LATE_CHECK_S
 from pewterring.registry.heartbeats import Heartbeat
 
@@ -60,14 +60,14 @@
         if contact is None:
             contact = self._contacts[worker_id] = Contact(now, 0)
         late = heartbeat.sequence < contact.sequence
-        if late and heartbeat.state != DRAINING:
+        if late and heartbeat.state != RegistrationState.DRAINING:
             return None
         contact.heard = now
         contact.sequence = max(contact.sequence, heartbeat.sequence)
         record = heartbeat.record(worker_id)
         if known is None:
             return record
-        if known.state == DRAINING and record.state != DRAINING:
+        if known.state == RegistrationState.DRAINING and record.state != RegistrationState.DRAINING:
             return None
         return None if record == known else record
 
@@ -85,9 +85,11 @@
         found: dict[str, list[str]] = {}
         for worker in self._committed.values():
             contact = self._contacts.setdefault(worker.id, Contact(now, 0))
-            if now - contact.heard > (self._removal_s if worker.state == UNRESPONSIVE else self.silence_s):
+            if now - contact.heard > (
+                self._removal_s if worker.state == RegistrationState.UNRESPONSIVE else self.silence_s
+            ):
                 found.setdefault(worker.state, []).append(worker.id)
-        fallen = found.pop(READY, [])
+        fallen = found.pop(RegistrationState.READY, [])
         return Silences(tuple(fallen), tuple(worker_id for ids in found.values() for worker_id in ids))
 
     def _forget_removed(self, now: float) -> None:
