--- a/pewterring/storage/disk.py
+++ b/pewterring/storage/disk.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 from typing import Protocol
 
-from pewterring.storage.errors import StorageError, StorageFailed, StorageFullError
+from pewterring.storage.errors import StorageError, StorageFailedError, StorageFullError
 
 FULL_ERRORS = frozenset({errno.ENOSPC, errno.EDQUOT, errno.EFBIG})
 
@@ -33,7 +33,7 @@
 
 
 class DiskFile(Protocol):
-    """One open file. Errors are `StorageFullError` or `StorageFailed`."""
+    """One open file. Errors are `StorageFullError` or `StorageFailedError`."""
 
     def write(self, data: bytes) -> None:
         """Appends. After an error any part of `data` may be in the file."""
@@ -49,7 +49,7 @@
 
 
 class Disk(Protocol):
-    """One folder of files. Errors are `StorageFullError` or `StorageFailed`."""
+    """One folder of files. Errors are `StorageFullError` or `StorageFailedError`."""
 
     def names(self) -> list[str]:
         """The names of all files, in no order."""
@@ -82,7 +82,7 @@
     try:
         yield
     except OSError as error:
-        kind: type[StorageError] = StorageFullError if error.errno in FULL_ERRORS else StorageFailed
+        kind: type[StorageError] = StorageFullError if error.errno in FULL_ERRORS else StorageFailedError
         raise kind(f"cannot {action} {name}: {error}") from error
 
 
--- a/pewterring/storage/errors.py
+++ b/pewterring/storage/errors.py
@@ -3,20 +3,20 @@
 from pewterring.consensus.errors import StorageError, StorageFullError
 
 __all__ = [
-    "CorruptLog",
-    "CorruptSnapshot",
+    "CorruptLogError",
+    "CorruptSnapshotError",
     "StorageError",
-    "StorageFailed",
+    "StorageFailedError",
     "StorageFullError",
-    "UnknownFormat",
+    "UnknownFormatError",
 ]
 
 
-class StorageFailed(StorageError):
+class StorageFailedError(StorageError):
     """The disk reported an error other than being full; what was being written is in an unknown state."""
 
 
-class CorruptLog(StorageError):
+class CorruptLogError(StorageError):
     """Records that had been synced are damaged or missing; the log cannot be trusted."""
 
     def __init__(self, file: str, offset: int) -> None:
@@ -25,7 +25,7 @@
         self.offset = offset
 
 
-class CorruptSnapshot(StorageError):
+class CorruptSnapshotError(StorageError):
     """The newest snapshot is damaged."""
 
     def __init__(self, file: str) -> None:
@@ -33,7 +33,7 @@
         self.file = file
 
 
-class UnknownFormat(StorageError):
+class UnknownFormatError(StorageError):
     """A file was written by a later version of the program; nothing of it is taken."""
 
     def __init__(self, file: str, found: int, known: int) -> None:
--- a/pewterring/storage/group.py
+++ b/pewterring/storage/group.py
@@ -9,7 +9,7 @@
 from pewterring.consensus.messages import Entry, Membership
 from pewterring.consensus.persistent import HardState, LoadedGroup, PersistentState
 from pewterring.storage.disk import Disk
-from pewterring.storage.errors import CorruptLog, StorageError, StorageFullError
+from pewterring.storage.errors import CorruptLogError, StorageError, StorageFullError
 from pewterring.storage.formats import FORMAT, check_format
 from pewterring.storage.log import Position, SegmentedLog
 from pewterring.storage.snapshots import SnapshotHeader, SnapshotStore
@@ -111,7 +111,7 @@
         try:
             record = _DECODER.decode(payload)
         except msgspec.MsgspecError as error:
-            raise CorruptLog(position.file, position.offset) from error
+            raise CorruptLogError(position.file, position.offset) from error
         if isinstance(record, _HardStateRecord):
             check_format(position.file, record.format)
             self._hard_state = HardState(record.term, record.vote)
@@ -122,7 +122,7 @@
             if record.entry.index <= self._snapshot_index:
                 return
             if record.entry.index != self._snapshot_index + len(entries) + 1:
-                raise CorruptLog(position.file, position.offset)
+                raise CorruptLogError(position.file, position.offset)
             entries.append(record.entry)
 
     # Writing
--- a/pewterring/storage/log.py
+++ b/pewterring/storage/log.py
@@ -2,14 +2,14 @@
 
 Segments are files numbered without gaps. Only the last one is written to, and each batch of records is
 synced before the next one is written. So damage that a crash can leave is confined to the last batch of the
-last segment: that batch is cut off when the log is opened, and any other damage raises `CorruptLog`.
+last segment: that batch is cut off when the log is opened, and any other damage raises `CorruptLogError`.
 """
 
 from collections.abc import Iterator, Sequence
 from dataclasses import dataclass
 
 from pewterring.storage.disk import Disk, DiskFile
-from pewterring.storage.errors import CorruptLog, StorageError, StorageFailed, StorageFullError
+from pewterring.storage.errors import CorruptLogError, StorageError, StorageFailedError, StorageFullError
 from pewterring.storage.records import Record, encode_batch, has_later_batch, read_record
 
 FIRST_SEGMENT = 1
@@ -84,7 +84,7 @@
             self._start_segment(FIRST_SEGMENT, ())
             return
         if not numbers:
-            raise CorruptLog(self._name(first_segment or FIRST_SEGMENT), 0)
+            raise CorruptLogError(self._name(first_segment or FIRST_SEGMENT), 0)
         for number in numbers:
             yield from self._read_segment(number, is_last=number == numbers[-1])
         self._remove_present_before(numbers[0])
@@ -101,7 +101,7 @@
         last = present[-1] if present else first
         for number in range(first, last + 1):
             if number not in present:
-                raise CorruptLog(self._name(number), 0)
+                raise CorruptLogError(self._name(number), 0)
         return present
 
     def _remove_present_before(self, first: int) -> None:
@@ -127,7 +127,7 @@
                 end = record.end
             batch += 1
         if end < len(data) and (not is_last or has_later_batch(data, end, batch + 1)):
-            raise CorruptLog(file, end)
+            raise CorruptLogError(file, end)
         self._sizes[number] = end
         self._batch = batch
 
@@ -222,7 +222,7 @@
 
     def _check_usable(self) -> None:
         if self._failed:
-            raise StorageFailed(f"the log {self._prefix}* failed before")
+            raise StorageFailedError(f"the log {self._prefix}* failed before")
 
     def _release(self) -> None:
         if self._file is not None:
--- a/pewterring/storage/overlay.py
+++ b/pewterring/storage/overlay.py
@@ -3,7 +3,7 @@
 from pathlib import Path
 
 from pewterring.storage.disk import Disk, DiskFile
-from pewterring.storage.errors import StorageFailed
+from pewterring.storage.errors import StorageFailedError
 
 
 class _OverlayFile:
@@ -41,7 +41,7 @@
         try:
             found = {path.name for path in self._folder.iterdir() if path.is_file()}
         except OSError as error:
-            raise StorageFailed(f"cannot list {self._folder}: {error.strerror}") from error
+            raise StorageFailedError(f"cannot list {self._folder}: {error.strerror}") from error
         return list((found - self._removed) | set(self.changed))
 
     def read(self, name: str) -> bytes:
@@ -51,7 +51,7 @@
         try:
             return (self._folder / name).read_bytes()
         except OSError as error:
-            raise StorageFailed(f"cannot read {self._folder / name}: {error.strerror}") from error
+            raise StorageFailedError(f"cannot read {self._folder / name}: {error.strerror}") from error
 
     def size(self, name: str) -> int:
         """See `Disk`."""
--- a/pewterring/storage/snapshots.py
+++ b/pewterring/storage/snapshots.py
@@ -11,7 +11,7 @@
 
 from pewterring.consensus.messages import Membership
 from pewterring.storage.disk import Disk
-from pewterring.storage.errors import CorruptSnapshot, StorageFullError
+from pewterring.storage.errors import CorruptSnapshotError, StorageFullError
 from pewterring.storage.formats import FORMAT, check_format
 from pewterring.storage.records import encode_record, read_record
 
@@ -98,15 +98,15 @@
         content = self._disk.read(name)
         record = read_record(content, 0)
         if record is None:
-            raise CorruptSnapshot(name)
+            raise CorruptSnapshotError(name)
         try:
             header = msgspec.json.decode(record.payload, type=SnapshotHeader)
         except msgspec.MsgspecError as error:
-            raise CorruptSnapshot(name) from error
+            raise CorruptSnapshotError(name) from error
         check_format(name, header.format)
         data = content[record.end :]
         if len(data) != header.size or zlib.crc32(data) != header.checksum:
-            raise CorruptSnapshot(name)
+            raise CorruptSnapshotError(name)
         self.size_bytes = len(content)
         return Snapshot(header, data, name)
 
--- a/tests/storage/simulated_disk.py
+++ b/tests/storage/simulated_disk.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from pewterring.storage.disk import DiskFile, Operation
-from pewterring.storage.errors import StorageFailed, StorageFullError
+from pewterring.storage.errors import StorageFailedError, StorageFullError
 
 
 class PowerLoss(Exception):
@@ -194,5 +194,5 @@
 
     def _content(self, name: str) -> _Content:
         if name not in self.files:
-            raise StorageFailed(f"there is no {name}")
+            raise StorageFailedError(f"there is no {name}")
         return self.files[name]
--- a/tests/storage/test_bad_files.py
+++ b/tests/storage/test_bad_files.py
@@ -3,7 +3,7 @@
 import msgspec
 import pytest
 
-from pewterring.storage.errors import CorruptLog, CorruptSnapshot, StorageError, UnknownFormat
+from pewterring.storage.errors import CorruptLogError, CorruptSnapshotError, StorageError, UnknownFormatError
 from pewterring.storage.formats import FORMAT
 from pewterring.storage.group import DiskGroupStorage
 from pewterring.storage.records import HEADER_BYTES, encode_record, read_record
@@ -64,13 +64,13 @@
 def test_a_log_of_a_later_version_is_refused() -> None:
     disk = written_disk()
     disk.damage(LOG, rewritten(disk.read(LOG), format=FORMAT + 1, length="of what nobody knows"))
-    check_refused(disk, LOG, UnknownFormat)
+    check_refused(disk, LOG, UnknownFormatError)
 
 
 def test_a_snapshot_of_a_later_version_is_refused() -> None:
     disk = written_disk()
     disk.damage(SNAPSHOT, rewritten(disk.read(SNAPSHOT), format=FORMAT + 1))
-    check_refused(disk, SNAPSHOT, UnknownFormat)
+    check_refused(disk, SNAPSHOT, UnknownFormatError)
 
 
 def test_files_without_a_format_are_of_the_first() -> None:
@@ -85,7 +85,7 @@
 
 
 def test_damage_of_what_was_synced_is_refused() -> None:
-    for name, error in ((LOG, CorruptLog), (SNAPSHOT, CorruptSnapshot)):
+    for name, error in ((LOG, CorruptLogError), (SNAPSHOT, CorruptSnapshotError)):
         disk = written_disk()
         damaged = bytearray(disk.read(name))
         damaged[HEADER_BYTES + 1] ^= 1
@@ -96,4 +96,4 @@
 def test_a_missing_segment_is_refused() -> None:
     disk = written_disk()
     disk.remove(LOG)
-    check_refused(disk, LOG, CorruptLog)
+    check_refused(disk, LOG, CorruptLogError)
--- a/tests/storage/test_group.py
+++ b/tests/storage/test_group.py
@@ -13,7 +13,7 @@
 from pewterring.consensus.messages import Membership
 from pewterring.consensus.persistent import GroupStorage, HardState
 from pewterring.storage.disk import Disk, FolderDisk
-from pewterring.storage.errors import CorruptLog, CorruptSnapshot, StorageError, StorageFullError
+from pewterring.storage.errors import CorruptLogError, CorruptSnapshotError, StorageError, StorageFullError
 from pewterring.storage.group import DiskGroupStorage
 from pewterring.storage.log import SegmentedLog
 from tests.storage.model import MEMBERS, Call, Model, after, entry, plain, random_call
@@ -124,7 +124,7 @@
         monkeypatch.setattr("tests.storage.simulated_disk.SimulatedFile.sync", lambda self: None)
     else:
         monkeypatch.setattr(SimulatedDisk, "sync_folder", lambda self: None)
-    with pytest.raises((AssertionError, CorruptLog)):
+    with pytest.raises((AssertionError, CorruptLogError)):
         for seed in range(12):
             test_power_lost_in_each_operation_keeps_what_was_acknowledged(seed)
 
@@ -249,7 +249,7 @@
         damaged = bytearray(content)
         damaged[position] ^= 1
         disk.damage(name, bytes(damaged))
-        with pytest.raises(CorruptSnapshot):
+        with pytest.raises(CorruptSnapshotError):
             opened(disk)
 
 
@@ -259,7 +259,7 @@
     log = SegmentedLog(disk, "group")
     list(log.open(None))
     log.append([b'{"type":"unknown"}\n'])
-    with pytest.raises(CorruptLog):
+    with pytest.raises(CorruptLogError):
         opened(disk)
 
 
--- a/tests/storage/test_identity.py
+++ b/tests/storage/test_identity.py
@@ -7,7 +7,7 @@
 import pytest
 
 from pewterring.storage.disk import FolderDisk, Operation
-from pewterring.storage.errors import StorageError, StorageFailed, StorageFullError
+from pewterring.storage.errors import StorageError, StorageFailedError, StorageFullError
 from pewterring.storage.identity import member_name
 from pewterring.storage.records import encode_record
 from tests.storage.simulated_disk import PowerLoss, SimulatedDisk
@@ -121,5 +121,5 @@
         Operation.REMOVE,
         Operation.SYNC_FOLDER,
     ]
-    with pytest.raises(StorageFailed):
+    with pytest.raises(StorageFailedError):
         disk.read("b")
--- a/tests/storage/test_log.py
+++ b/tests/storage/test_log.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from pewterring.storage.errors import CorruptLog, StorageFullError
+from pewterring.storage.errors import CorruptLogError, StorageFullError
 from pewterring.storage.log import SegmentedLog
 from pewterring.storage.records import HEADER_BYTES, encode_batch, encode_record, read_record
 from tests.storage.simulated_disk import PowerLoss, SimulatedDisk
@@ -86,7 +86,7 @@
         disk.damage(LAST_FILE, bytes(damaged))
         log = SegmentedLog(disk, "log")
         if position < last_start:
-            with pytest.raises(CorruptLog) as caught:
+            with pytest.raises(CorruptLogError) as caught:
                 read_all(log)
             assert caught.value.file == LAST_FILE
             assert caught.value.offset <= position
@@ -101,7 +101,7 @@
     for size in range(1, len(content)):
         disk, _ = two_segments()
         disk.damage(file, content[:size])
-        with pytest.raises(CorruptLog) as caught:
+        with pytest.raises(CorruptLogError) as caught:
             read_all(SegmentedLog(disk, "log"))
         assert (caught.value.file, caught.value.offset) == (file, 0)
 
@@ -113,7 +113,7 @@
     read_all(log)
     log.roll([b"third"])
     disk.remove(missing)
-    with pytest.raises(CorruptLog):
+    with pytest.raises(CorruptLogError):
         read_all(SegmentedLog(disk, "log"))
 
 
