--- a/pewterring/batch/members.py
+++ b/pewterring/batch/members.py
@@ -11,11 +11,11 @@
     """The stores of the table; those of zones in which no member stands come first."""
     stores = {node.member: node for node in nodes if node.program == STORE and node.member}
     members = {*membership.voters, *membership.learners}
-    zones = {store.zone for name, store in stores.items() if name in members and not store.retiring}
-    staying = [store for store in stores.values() if not store.retiring]
+    zones = {store.zone for name, store in stores.items() if name in members and not store.decommissioning}
+    staying = [store for store in stores.values() if not store.decommissioning]
     staying.sort(key=lambda store: (store.zone in zones, store.member))
     return Candidates(
         joining=tuple(store.member for store in staying),
         current_names={store.ip: store.member for store in stores.values()},
-        decommissioning=frozenset(name for name, store in stores.items() if store.retiring),
+        decommissioning=frozenset(name for name, store in stores.items() if store.decommissioning),
     )
--- a/pewterring/cli/cluster.py
+++ b/pewterring/cli/cluster.py
@@ -95,7 +95,7 @@
     counted = ", ".join(f"{count} {name}" for name, count in sorted(programs.items()))
     lines.append(f"processes      {counted or 'none'}")
     for node in sorted(status.nodes, key=lambda node: (node.program, node.node_id)):
-        retiring = "  retiring" if node.retiring else ""
+        retiring = "  retiring" if node.decommissioning else ""
         lines.append(f"  {node.program:<9}{node.node_id:<28}{node.ip:<16}{node.zone}{retiring}")
     lines.append(f"workers        {len(status.workers)}")
     for worker in sorted(status.workers, key=lambda worker: (worker.service, worker.id)):
--- a/pewterring/control/feed.py
+++ b/pewterring/control/feed.py
@@ -6,7 +6,7 @@
 from pewterring.control.leadership import GroupLeadership
 from pewterring.control.nodes import NodeTable
 from pewterring.control.publisher import FeedPublisher
-from pewterring.distribution.messages import Redirect, Renew, Renewed, Subscribe, TableChanges, WholeTables
+from pewterring.distribution.messages import CompleteTables, Redirect, Renew, Renewed, Subscribe, TableChanges
 from pewterring.transport.lines import Channel, MessageCodec
 
 
@@ -31,7 +31,7 @@
         self._channels: set[Channel] = set()
         self._publication_due = False
 
-    def subscribe(self, channel: Channel, message: Subscribe) -> WholeTables | Redirect:
+    def subscribe(self, channel: Channel, message: Subscribe) -> CompleteTables | Redirect:
         """Opens a session; the answer must be sent before this channel gets anything else."""
         if not self._leadership.has_lease:
             return Redirect(self._leader_elsewhere())
--- a/pewterring/control/publisher.py
+++ b/pewterring/control/publisher.py
@@ -10,12 +10,12 @@
 from pewterring.control.nodes import NodeTable
 from pewterring.control.state import NO_DOCUMENT, ControlState
 from pewterring.distribution.messages import (
+    CompleteTables,
     GroupStatus,
     NodeRecord,
     Renewed,
     TableChanges,
     TableVersions,
-    WholeTables,
 )
 
 
@@ -67,11 +67,11 @@
         """The newest report of each partition that made one after `moment`."""
         return {group: self._statuses[group] for group, came in self._reported.items() if came > moment}
 
-    def open(self, session: Hashable) -> WholeTables:
+    def open(self, session: Hashable) -> CompleteTables:
         """Adds a session. Changes that are due must have been published before."""
         self.sessions.add(session)
         state = self._state
-        return WholeTables(
+        return CompleteTables(
             versions=self._versions,
             configuration=state.document,
             workers=tuple(state.workers.values()),
@@ -159,7 +159,7 @@
     def _current_nodes(self) -> tuple[NodeRecord, ...]:
         is_retiring = self._state.is_retiring
         return tuple(
-            msgspec.structs.replace(node, retiring=True) if is_retiring(node) else node
+            msgspec.structs.replace(node, decommissioning=True) if is_retiring(node) else node
             for node in self._nodes.records.values()
         )
 
--- a/pewterring/control/state.py
+++ b/pewterring/control/state.py
@@ -30,8 +30,8 @@
 from pewterring.distribution.messages import (
     DRAINING,
     READY,
-    SILENT,
     STORE,
+    UNRESPONSIVE,
     NodeRecord,
     PlacementRecord,
     WorkerRecord,
@@ -285,7 +285,7 @@
         for worker_id in command.ids:
             worker = self._workers.get(worker_id)
             if worker is not None and worker.state == READY:
-                self._workers[worker_id] = msgspec.structs.replace(worker, state=SILENT)
+                self._workers[worker_id] = msgspec.structs.replace(worker, state=UNRESPONSIVE)
                 self._changes.workers.add(worker_id)
         return Accepted()
 
--- a/pewterring/distribution/messages.py
+++ b/pewterring/distribution/messages.py
@@ -5,7 +5,7 @@
 # States of a worker.
 READY = "ready"
 DRAINING = "draining"
-SILENT = "silent"  # control does not hear it; a gateway that it answers goes on sending to it
+UNRESPONSIVE = "silent"  # control does not hear it; a gateway that it answers goes on sending to it
 
 # Programs of nodes.
 GATEWAY_PROGRAM = "gateway"
@@ -20,7 +20,7 @@
     address: str  # IP:port
     zone: str
     capacity: int
-    state: str  # `READY`, `DRAINING` or `SILENT`
+    state: str  # `READY`, `DRAINING` or `UNRESPONSIVE`
     models: tuple[str, ...] = ()
 
 
@@ -31,9 +31,9 @@
     program: str  # `GATEWAY_PROGRAM`, `STORE` or "control"
     ip: str
     zone: str
-    life: str  # drawn at each start of the process
+    incarnation: str = msgspec.field(name="life")  # the wire's name; drawn at each start of the process
     member: str = ""  # name in a replicated group; a store's or control's
-    retiring: bool = False
+    decommissioning: bool = msgspec.field(default=False, name="retiring")  # the wire's name
 
 
 class PlacementRecord(msgspec.Struct, frozen=True):
@@ -66,7 +66,7 @@
 
 
 class Subscribe(msgspec.Struct, frozen=True, tag=True):
-    """Opens a session. The answer is `Redirect`, `Unavailable` or `WholeTables`."""
+    """Opens a session. The answer is `Redirect`, `Unavailable` or `CompleteTables`."""
 
     node: NodeRecord
 
@@ -77,7 +77,7 @@
     leader: str
 
 
-class WholeTables(msgspec.Struct, frozen=True, tag=True):
+class CompleteTables(msgspec.Struct, frozen=True, tag="WholeTables"):  # the wire's name
     """All tables. `configuration` is the operator's document as JSON, or null before the first."""
 
     versions: TableVersions
@@ -117,4 +117,4 @@
     versions: TableVersions
 
 
-FEED_MESSAGES = (Subscribe, Redirect, WholeTables, TableChanges, Renew, Renewed)
+FEED_MESSAGES = (Subscribe, Redirect, CompleteTables, TableChanges, Renew, Renewed)
--- a/pewterring/distribution/subscriber.py
+++ b/pewterring/distribution/subscriber.py
@@ -9,8 +9,8 @@
 
 from loguru import logger
 
-from pewterring.distribution.follower import FeedError, FeedGap, LateAnswer, TableFollower
 from pewterring.distribution.messages import (
+    CompleteTables,
     GroupStatus,
     NodeRecord,
     Redirect,
@@ -18,8 +18,8 @@
     Renewed,
     Subscribe,
     TableChanges,
-    WholeTables,
 )
+from pewterring.distribution.subscription import FeedError, FeedGapError, FeedSubscription, StaleAnswerError
 from pewterring.distribution.tables import Tables
 from pewterring.node.settings import NodeSettings
 from pewterring.transport.channel import PeerWarnings
@@ -57,7 +57,7 @@
         self._clock = clock
         # Warnings of all sessions are counted together: a seed of another cluster is asked again and again.
         self._open_channel = open_channel or partial(connect, warnings=PeerWarnings())
-        self._follower = TableFollower()
+        self._subscription = FeedSubscription()
         self._leader = ""
         self._stale = asyncio.Event()
         self._task: asyncio.Task[None] | None = None
@@ -65,11 +65,11 @@
     @property
     def tables(self) -> Tables:
         """The newest tables."""
-        return self._follower.tables
+        return self._subscription.tables
 
     def confirmed_age(self, now: float) -> float:
         """Seconds since the tables were known to be current; infinite before the first."""
-        return now - self._follower.confirmed_at
+        return now - self._subscription.confirmed_at
 
     async def start(self) -> None:
         """Starts following in the background."""
@@ -131,11 +131,11 @@
         if isinstance(answer, Redirect):
             self._leader = answer.leader
             return False
-        if not isinstance(answer, WholeTables):
+        if not isinstance(answer, CompleteTables):
             return False
         self._check_age(asked_at)
         old = self.tables
-        self._swap(old, self._follower.whole(answer, asked_at))
+        self._swap(old, self._subscription.replace_all(answer, asked_at))
         return True
 
     def _check_age(self, asked_at: float) -> None:
@@ -146,29 +146,29 @@
         """
         age_s = self._clock() - asked_at
         if age_s > self._settings.bounds.config_s:
-            raise LateAnswer(f"the tables were asked for {age_s:.1f} s ago")
+            raise StaleAnswerError(f"the tables were asked for {age_s:.1f} s ago")
 
     async def _renew(self, channel: Channel) -> None:
         while not channel.closed:
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(self._stale.wait(), RENEW_S)
             if self._stale.is_set():
-                raise FeedGap("a change was missed")
+                raise FeedGapError("a change was missed")
             sent_at = self._clock()
             answer = await channel.request(Renew(node=self._node_record(), status=self._status()), ANSWER_S)
             if isinstance(answer, Redirect):
                 self._leader = answer.leader
                 return
-            if not isinstance(answer, Renewed) or not self._follower.renewed(answer, sent_at):
-                raise FeedGap("the leader holds other tables")
+            if not isinstance(answer, Renewed) or not self._subscription.confirm(answer, sent_at):
+                raise FeedGapError("the leader holds other tables")
 
     def _pushed(self, channel: Channel, message: object) -> None:
         if not isinstance(message, TableChanges):
             return
         old = self.tables
         try:
-            self._swap(old, self._follower.change(message))
-        except FeedGap:
+            self._swap(old, self._subscription.apply_change(message))
+        except FeedGapError:
             self._stale.set()
 
     def _swap(self, old: Tables, new: Tables) -> None:
--- a/pewterring/distribution/follower.py
+++ b/pewterring/distribution/subscription.py
@@ -7,7 +7,7 @@
 from pewterring.configuration.errors import ConfigurationError
 from pewterring.configuration.model import Configuration
 from pewterring.configuration.reader import read_configuration
-from pewterring.distribution.messages import NodeRecord, Renewed, TableChanges, WholeTables
+from pewterring.distribution.messages import CompleteTables, NodeRecord, Renewed, TableChanges
 from pewterring.distribution.tables import Tables
 
 NO_DOCUMENT = b"null"
@@ -17,19 +17,19 @@
     """What a leader said is not taken; the tables must be read whole, from it or another."""
 
 
-class FeedGap(FeedError):
+class FeedGapError(FeedError):
     """A change does not follow on what is held."""
 
 
-class OldLeader(FeedError):
+class StaleLeaderError(FeedError):
     """The tables are of an earlier leadership than those held."""
 
 
-class LateAnswer(FeedError):
+class StaleAnswerError(FeedError):
     """The tables were asked for too long ago to count as current."""
 
 
-class TableFollower:
+class FeedSubscription:
     """Holds the newest tables of this process. Within its life neither a configuration goes back nor a
     leadership: the epoch is the leader's term, which only rises.
     """
@@ -38,8 +38,8 @@
         self.tables = Tables()
         self.confirmed_at = -math.inf  # steady clock; the tables were current then
 
-    def whole(self, message: WholeTables, asked_at: float) -> Tables:
-        """Takes all tables, asked for at `asked_at`; raises `OldLeader`."""
+    def replace_all(self, message: CompleteTables, asked_at: float) -> Tables:
+        """Takes all tables, asked for at `asked_at`; raises `StaleLeaderError`."""
         self._check_leadership(message.versions.epoch)
         self.tables = Tables(
             versions=message.versions,
@@ -59,13 +59,13 @@
         """
         held = self.tables.versions.epoch
         if epoch < held:
-            raise OldLeader(f"tables of term {epoch}, held are those of term {held}")
+            raise StaleLeaderError(f"tables of term {epoch}, held are those of term {held}")
 
-    def change(self, message: TableChanges) -> Tables:
-        """Takes one change; raises `FeedGap` where changes before it are missing."""
+    def apply_change(self, message: TableChanges) -> Tables:
+        """Takes one change; raises `FeedGapError` where changes before it are missing."""
         held = self.tables
         if message.base != held.versions:
-            raise FeedGap(f"change on {message.base}, held are {held.versions}")
+            raise FeedGapError(f"change on {message.base}, held are {held.versions}")
         workers = held.workers
         if message.workers or message.workers_gone:
             changed = dict(workers)
@@ -84,7 +84,7 @@
         )
         return self.tables
 
-    def renewed(self, message: Renewed, sent_at: float) -> bool:
+    def confirm(self, message: Renewed, sent_at: float) -> bool:
         """Takes a confirmation of a renewal sent at `sent_at`; False where the tables held are others."""
         if message.versions != self.tables.versions:
             return False
--- a/pewterring/registry/workers.py
+++ b/pewterring/registry/workers.py
@@ -8,7 +8,7 @@
 from collections.abc import Mapping, Set
 from dataclasses import dataclass
 
-from pewterring.distribution.messages import DRAINING, READY, SILENT, WorkerRecord
+from pewterring.distribution.messages import DRAINING, READY, UNRESPONSIVE, WorkerRecord
 from pewterring.durations import PAUSE_THRESHOLD_S
 from pewterring.registry.heartbeats import Heartbeat
 
@@ -93,7 +93,7 @@
         expired: list[str] = []
         for worker in self._committed.values():
             contact = self._contacts.setdefault(worker.id, Contact(now, 0))
-            timeout_s = self._removal_s if worker.state == SILENT else self._heartbeat_timeout_s
+            timeout_s = self._removal_s if worker.state == UNRESPONSIVE else self._heartbeat_timeout_s
             if now - contact.heard_at > timeout_s:
                 (newly if worker.state == READY else expired).append(worker.id)
         return UnresponsiveWorkers(tuple(newly), tuple(expired))
--- a/pewterring/routing/chooser.py
+++ b/pewterring/routing/chooser.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Collection, Iterable, Mapping, Sequence
 
 from pewterring.configuration.model import Configuration
-from pewterring.distribution.messages import READY, SILENT, WorkerRecord
+from pewterring.distribution.messages import READY, UNRESPONSIVE, WorkerRecord
 from pewterring.routing.prompt import Prompt
 from pewterring.routing.prompt_hints import worker_number
 from pewterring.routing.worker_state import WorkerState
@@ -74,7 +74,7 @@
         self._arrange()
         self._by_number = {worker_number(worker_id): state for worker_id, state in kept.items()}
         self._by_service = _by_service(kept.values(), READY)
-        self._silent = _by_service(kept.values(), SILENT)
+        self._silent = _by_service(kept.values(), UNRESPONSIVE)
 
     def take_place(self, place: float) -> None:
         """Where this process stands among those of its zone, from 0 to 1."""
--- a/tests/batch/test_program.py
+++ b/tests/batch/test_program.py
@@ -23,6 +23,7 @@
 from pewterring.batch.program import StoreProgram
 from pewterring.distribution.messages import (
     FEED_MESSAGES,
+    CompleteTables,
     GroupStatus,
     NodeRecord,
     PlacementRecord,
@@ -30,7 +31,6 @@
     Renewed,
     Subscribe,
     TableVersions,
-    WholeTables,
     WorkerRecord,
 )
 from pewterring.node.settings import NodeSettings
@@ -128,8 +128,8 @@
     def versions(self) -> TableVersions:
         return TableVersions(1, 1, 1, self.version)
 
-    def tables(self) -> WholeTables:
-        return WholeTables(
+    def tables(self) -> CompleteTables:
+        return CompleteTables(
             versions=self.versions(),
             configuration=msgspec.Raw(msgspec.json.encode(CONFIGURATION)),
             workers=(self.worker,),
--- a/tests/control/test_cut_off.py
+++ b/tests/control/test_cut_off.py
@@ -12,9 +12,9 @@
 from pewterring.control.errors import NotLeading
 from pewterring.control.leadership import GroupLeadership
 from pewterring.control.state import encode_command
-from pewterring.distribution.follower import OldLeader, TableFollower
-from pewterring.distribution.messages import Redirect, Subscribe, TableVersions, WholeTables
+from pewterring.distribution.messages import CompleteTables, Redirect, Subscribe, TableVersions
 from pewterring.distribution.subscriber import RETRY_S
+from pewterring.distribution.subscription import FeedSubscription, StaleLeaderError
 from pewterring.transport.lines import Channel
 from tests.configuration.documents import encoded
 from tests.consensus.virtual_time import VirtualTimeLoop, run
@@ -338,9 +338,9 @@
         taken: list[int] = []
         subscribe = leader.feed.subscribe
 
-        def answer_to_a_frozen_process(channel: Channel, message: Subscribe) -> WholeTables | Redirect:
+        def answer_to_a_frozen_process(channel: Channel, message: Subscribe) -> CompleteTables | Redirect:
             answer = subscribe(channel, message)
-            assert isinstance(answer, WholeTables)
+            assert isinstance(answer, CompleteTables)
             taken.append(answer.versions.configuration)
             if len(taken) == 1:
                 node.stood_still_s = CUT_S
@@ -368,7 +368,7 @@
         node = FeedNode(cluster, FAR, (leader.ip,))
         subscribe = leader.feed.subscribe
 
-        def answer_and_change(channel: Channel, message: Subscribe) -> WholeTables | Redirect:
+        def answer_and_change(channel: Channel, message: Subscribe) -> CompleteTables | Redirect:
             answer = subscribe(channel, message)
             if leader.state.version == 1:
                 leader.state.apply(0, encode_command(put(1, 2)))
@@ -386,38 +386,38 @@
 # Leaderships that are over.
 
 
-def tables_of(epoch: int, version: int) -> WholeTables:
+def tables_of(epoch: int, version: int) -> CompleteTables:
     document = msgspec.Raw(encoded(version=version))
-    return WholeTables(TableVersions(epoch, version, 1, 1), document, (), (), (), (), ())
+    return CompleteTables(TableVersions(epoch, version, 1, 1), document, (), (), (), (), ())
 
 
-def takes_an_old_leader(follower: TableFollower) -> bool:
-    follower.whole(tables_of(3, 5), 0.0)
+def takes_an_old_leader(subscription: FeedSubscription) -> bool:
+    subscription.replace_all(tables_of(3, 5), 0.0)
     try:
-        follower.whole(tables_of(2, 5), 1.0)
-    except OldLeader:
+        subscription.replace_all(tables_of(2, 5), 1.0)
+    except StaleLeaderError:
         return False
-    return follower.tables.versions.epoch == 2
+    return subscription.tables.versions.epoch == 2
 
 
 def test_tables_of_an_older_term_are_refused_for_life() -> None:
-    follower = TableFollower()
-    assert not takes_an_old_leader(follower)
-    assert follower.tables.versions.epoch == 3
-    assert follower.confirmed_at == 0.0
-    follower.whole(tables_of(3, 5), 2.0)
-    follower.whole(tables_of(4, 6), 3.0)
-    assert follower.tables.versions.epoch == 4
+    subscription = FeedSubscription()
+    assert not takes_an_old_leader(subscription)
+    assert subscription.tables.versions.epoch == 3
+    assert subscription.confirmed_at == 0.0
+    subscription.replace_all(tables_of(3, 5), 2.0)
+    subscription.replace_all(tables_of(4, 6), 3.0)
+    assert subscription.tables.versions.epoch == 4
 
 
-class TakesAnyLeader(TableFollower):
+class TakesAnyLeader(FeedSubscription):
     """Does not look at the epoch."""
 
     def _check_leadership(self, epoch: int) -> None:
         return
 
 
-def test_a_follower_that_takes_any_leader_is_caught() -> None:
+def test_a_subscription_that_takes_any_leader_is_caught() -> None:
     assert takes_an_old_leader(TakesAnyLeader())
 
 
--- a/tests/control/test_faults.py
+++ b/tests/control/test_faults.py
@@ -8,7 +8,7 @@
 
 from pewterring.configuration.digest import single_line
 from pewterring.control.calls import Answer, Call
-from pewterring.distribution.follower import TableFollower
+from pewterring.distribution.subscription import FeedSubscription
 from tests.configuration.documents import encoded
 from tests.consensus.virtual_time import run
 from tests.control.cluster import (
@@ -59,12 +59,12 @@
     await cluster.stop()
 
 
-async def told_by(machine: ControlMachine) -> TableFollower:
+async def told_by(machine: ControlMachine) -> FeedSubscription:
     """A node that begins a session now."""
     machine.publisher.state_changes()
-    follower = TableFollower()
-    follower.whole(machine.publisher.open("node"), 0.0)
-    return follower
+    subscription = FeedSubscription()
+    subscription.replace_all(machine.publisher.open("node"), 0.0)
+    return subscription
 
 
 @pytest.mark.parametrize("first", IPS)
--- a/tests/control/test_feed.py
+++ b/tests/control/test_feed.py
@@ -12,17 +12,17 @@
 from pewterring.control.nodes import NodeTable
 from pewterring.control.publisher import FeedPublisher
 from pewterring.control.state import ControlState
-from pewterring.distribution.follower import TableFollower
 from pewterring.distribution.messages import (
     FEED_MESSAGES,
+    CompleteTables,
     NodeRecord,
     Redirect,
     Renew,
     Renewed,
     Subscribe,
     TableChanges,
-    WholeTables,
 )
+from pewterring.distribution.subscription import FeedSubscription
 from pewterring.transport.lines import Channel, MessageCodec
 from tests.control.records import apply, gateway, put, status, store, worker
 
@@ -88,13 +88,13 @@
     def renew(self, channel: StandInChannel, message: Renew) -> msgspec.Struct:
         return self.server.renew(cast(Channel, channel), message)
 
-    def session(self, number: int = 1) -> tuple[StandInChannel, TableFollower]:
+    def session(self, number: int = 1) -> tuple[StandInChannel, FeedSubscription]:
         channel = StandInChannel()
         whole = self.subscribe(channel, gateway(number))
-        assert isinstance(whole, WholeTables)
-        follower = TableFollower()
-        follower.whole(whole, 0.0)
-        return channel, follower
+        assert isinstance(whole, CompleteTables)
+        subscription = FeedSubscription()
+        subscription.replace_all(whole, 0.0)
+        return channel, subscription
 
 
 def test_a_follower_names_the_leader() -> None:
@@ -117,26 +117,26 @@
 
 def test_what_changed_before_a_session_reaches_those_that_were_there() -> None:
     feed = Feed()
-    early, follower = feed.session(1)
+    early, subscription = feed.session(1)
     apply(feed.state, put(0, 5))
     _, late = feed.session(2)
     for change in early.pushed:
-        follower.change(change)
-    for tables in (follower.tables, late.tables):
+        subscription.apply_change(change)
+    for tables in (subscription.tables, late.tables):
         assert tables.configuration is not None
         assert tables.configuration.version == 5
 
 
 def test_a_renewal_confirms_only_what_was_pushed_before_it() -> None:
     feed = Feed()
-    channel, follower = feed.session()
+    channel, subscription = feed.session()
     apply(feed.state, PutWorker(worker("i-1")))
     answer = feed.renew(channel, Renew(gateway(1)))
     assert isinstance(answer, Renewed)
     assert len(channel.pushed) == 1
-    assert not follower.renewed(answer, 1.0), "the change has not been taken yet"
-    follower.change(channel.pushed[0])
-    assert follower.renewed(answer, 1.0)
+    assert not subscription.confirm(answer, 1.0), "the change has not been taken yet"
+    subscription.apply_change(channel.pushed[0])
+    assert subscription.confirm(answer, 1.0)
 
 
 def test_a_renewal_without_a_session_asks_for_a_new_one() -> None:
@@ -159,14 +159,14 @@
 def test_commands_that_are_applied_together_are_pushed_once() -> None:
     async def scenario() -> None:
         feed = Feed()
-        channel, follower = feed.session()
+        channel, subscription = feed.session()
         for number in range(5):
             apply(feed.state, PutWorker(worker(f"i-{number}", f"10.0.0.{number}:80")))
             feed.server.publish_soon()
         assert channel.pushed == []
         await asyncio.sleep(0)
         (change,) = channel.pushed
-        assert len(follower.change(change).workers) == 5
+        assert len(subscription.apply_change(change).workers) == 5
 
     asyncio.run(scenario())
 
@@ -194,8 +194,8 @@
 
 def test_a_store_that_leads_a_partition_reports_it_with_its_renewal() -> None:
     feed = Feed()
-    channel, follower = feed.session()
+    channel, subscription = feed.session()
     report = status([store(1), store(2), store(3)])
     feed.renew(channel, Renew(gateway(1), report))
     feed.server.publish_nodes()
-    assert follower.change(channel.pushed[0]).groups == (report,)
+    assert subscription.apply_change(channel.pushed[0]).groups == (report,)
--- a/tests/control/test_program.py
+++ b/tests/control/test_program.py
@@ -17,11 +17,11 @@
 from pewterring.control.program import MESSAGES, ControlProgram
 from pewterring.distribution.messages import (
     FEED_MESSAGES,
+    CompleteTables,
     NodeRecord,
     Redirect,
     Subscribe,
     TableVersions,
-    WholeTables,
 )
 from pewterring.distribution.subscriber import FeedSubscriber
 from pewterring.distribution.tables import Tables
@@ -230,7 +230,7 @@
     async def scenario() -> None:
         machines = Machines(tmp_path)
         node = Node(machines)
-        tables = WholeTables(TableVersions(1, 1), msgspec.Raw(encoded(version=1)), (), (), (), (), ())
+        tables = CompleteTables(TableVersions(1, 1), msgspec.Raw(encoded(version=1)), (), (), (), (), ())
         stranger = LineServer(MessageCodec(FEED_MESSAGES, "two"), lambda channel, message: tables)
         await stranger.start(IPS[0], machines.internal_port)
         with warnings_logged() as lines:
--- a/tests/control/test_publisher.py
+++ b/tests/control/test_publisher.py
@@ -7,40 +7,40 @@
 from pewterring.control.nodes import SILENCE_S, NodeTable
 from pewterring.control.publisher import FeedPublisher
 from pewterring.control.state import ControlState
-from pewterring.distribution.follower import TableFollower
 from pewterring.distribution.messages import FEED_MESSAGES, PlacementRecord, TableChanges
+from pewterring.distribution.subscription import FeedSubscription
 from pewterring.transport.lines import MessageCodec
 from tests.control.records import apply, gateway, put, status, store, worker
 
 
 class Feed:
-    """A publisher whose changes reach all followers at once."""
+    """A publisher whose changes reach all subscriptions at once."""
 
     def __init__(self) -> None:
         self.state = ControlState()
         self.nodes = NodeTable()
         self.publisher = FeedPublisher(self.state, self.nodes)
-        self.followers: list[TableFollower] = []
+        self.subscriptions: list[FeedSubscription] = []
         self.start(epoch=3)
 
     def start(self, epoch: int) -> None:
         self.nodes.start(0.0, self.state.nodes)
         self.publisher.start(epoch, ["10.0.0.2", "10.0.0.1"])
-        self.followers.clear()
+        self.subscriptions.clear()
 
-    def open(self) -> TableFollower:
+    def open(self) -> FeedSubscription:
         self.publish()
-        follower = TableFollower()
-        follower.whole(self.publisher.open(len(self.followers)), 0.0)
-        self.followers.append(follower)
-        return follower
+        subscription = FeedSubscription()
+        subscription.replace_all(self.publisher.open(len(self.subscriptions)), 0.0)
+        self.subscriptions.append(subscription)
+        return subscription
 
     def publish(self) -> list[TableChanges]:
         changes = [self.publisher.state_changes(), self.publisher.node_changes()]
         told = [change for change in changes if change is not None]
         for change in told:
-            for follower in self.followers:
-                follower.change(change)
+            for subscription in self.subscriptions:
+                subscription.apply_change(change)
         return told
 
 
@@ -55,8 +55,8 @@
     feed.nodes.hear(0.0, gateway(1))
     feed.publish()
     late = feed.open()
-    for follower in (early, late):
-        tables = follower.tables
+    for subscription in (early, late):
+        tables = subscription.tables
         assert set(tables.workers) == {"i-2"}
         assert tables.nodes == (gateway(1),)
         assert tables.placements[0].group == "batch-0"
@@ -81,20 +81,20 @@
 def test_a_session_opened_before_nodes_are_published_gets_the_next_change() -> None:
     feed = Feed()
     feed.nodes.hear(0.0, gateway(1))
-    follower = TableFollower()
-    follower.whole(feed.publisher.open("new"), 0.0)
-    feed.followers.append(follower)
-    assert not follower.tables.nodes
+    subscription = FeedSubscription()
+    subscription.replace_all(feed.publisher.open("new"), 0.0)
+    feed.subscriptions.append(subscription)
+    assert not subscription.tables.nodes
     feed.publish()
-    assert follower.tables.nodes == (gateway(1),)
+    assert subscription.tables.nodes == (gateway(1),)
 
 
 def test_a_change_of_nodes_tells_only_of_those_that_changed() -> None:
     feed = Feed()
     for number in range(1, 6):
         feed.nodes.hear(0.0, gateway(number))
-    follower = feed.open()
-    feed.nodes.hear(0.1, msgspec.structs.replace(gateway(2), life="restarted"))
+    subscription = feed.open()
+    feed.nodes.hear(0.1, msgspec.structs.replace(gateway(2), incarnation="restarted"))
     feed.nodes.hear(0.1, gateway(6))
     (change,) = feed.publish()
     assert [node.node_id for node in change.nodes] == ["edge-2", "edge-6"]
@@ -105,11 +105,11 @@
     (change,) = feed.publish()
     assert not change.nodes
     assert set(change.nodes_gone) == {f"edge-{number}" for number in (1, 3, 4, 5)}
-    assert {node.node_id: node.life for node in follower.tables.nodes} == {
+    assert {node.node_id: node.incarnation for node in subscription.tables.nodes} == {
         "edge-2": "restarted",
-        "edge-6": gateway(6).life,
+        "edge-6": gateway(6).incarnation,
     }
-    assert set(follower.tables.nodes) == set(feed.open().tables.nodes)
+    assert set(subscription.tables.nodes) == set(feed.open().tables.nodes)
 
 
 def test_a_renewal_confirms_the_published_versions_of_open_sessions() -> None:
@@ -126,15 +126,15 @@
 def test_a_retiring_store_is_marked() -> None:
     feed = Feed()
     feed.nodes.hear(0.0, store(1))
-    follower = feed.open()
+    subscription = feed.open()
     apply(feed.state, SetRetiring("store-1", store(1).member))
     feed.publish()
-    assert follower.tables.nodes[0].retiring
+    assert subscription.tables.nodes[0].decommissioning
 
 
 def test_progress_of_a_partition_alone_is_not_published() -> None:
     feed = Feed()
-    follower = feed.open()
+    subscription = feed.open()
     stores = [store(1), store(2), store(3)]
     feed.publisher.report(0.0, status(stores, commit=5))
     assert len(feed.publish()) == 1
@@ -144,7 +144,7 @@
     assert feed.publish() == []
     feed.publisher.report(0.0, status(stores[::-1], commit=6, term=2))
     feed.publish()
-    assert follower.tables.groups[0].leader == stores[2].member
+    assert subscription.tables.groups[0].leader == stores[2].member
 
 
 def test_a_new_leader_knows_the_committed_nodes_and_drops_sessions() -> None:
--- a/tests/distribution/test_redirects.py
+++ b/tests/distribution/test_redirects.py
@@ -8,14 +8,14 @@
 
 import msgspec
 
-from pewterring.distribution.messages import NodeRecord, Redirect, TableVersions, WholeTables
+from pewterring.distribution.messages import CompleteTables, NodeRecord, Redirect, TableVersions
 from pewterring.distribution.subscriber import MOST_REDIRECTS, RETRY_S, FeedSubscriber
 from pewterring.transport.lines import Channel, MessageCodec, MessageHandler
 from tests.consensus.virtual_time import VirtualTimeLoop
 from tests.node_settings import addresses, node_settings
 
 SEED, LEADER = "10.0.0.1", "10.0.0.2"
-TABLES = WholeTables(TableVersions(1), msgspec.Raw(b"null"), (), (), (), (), ())
+TABLES = CompleteTables(TableVersions(1), msgspec.Raw(b"null"), (), (), (), (), ())
 
 
 class Machine:
--- a/tests/gateway/gateway.py
+++ b/tests/gateway/gateway.py
@@ -98,7 +98,7 @@
 
     def age_tables(self) -> None:
         """From now on control has not confirmed the tables for ever."""
-        self.program._feed._follower.confirmed_at = -math.inf
+        self.program._feed._subscription.confirmed_at = -math.inf
 
     def take_room(self, service: str) -> None:
         """Takes all room that admission leaves for requests to a service."""
@@ -133,8 +133,8 @@
 
     def configure(self, limits: ClientLimits | None = None, engine: Engine | None = None) -> None:
         """Hands over the tables, as control does; they count as confirmed now."""
-        follower = self.program._feed._follower
-        old = follower.tables
+        subscription = self.program._feed._subscription
+        old = subscription.tables
         configuration = Configuration(
             1,
             self.routes,
@@ -142,9 +142,9 @@
             limits or ClientLimits(),
             b"",
         )
-        follower.tables = Tables(configuration=configuration, workers=self.workers)
-        follower.confirmed_at = now()
-        self.program._take_tables(old, follower.tables)
+        subscription.tables = Tables(configuration=configuration, workers=self.workers)
+        subscription.confirmed_at = now()
+        self.program._take_tables(old, subscription.tables)
 
     def _worker(self, behaviour: Behaviour) -> Behaviour:
         async def handle(request: ServerRequest, responder: Responder) -> None:
--- a/tests/gateway/test_silent_workers.py
+++ b/tests/gateway/test_silent_workers.py
@@ -15,13 +15,13 @@
 
 def mark(tier: Gateway, state: str, *names: str) -> None:
     """Control's word on workers comes with new tables."""
-    follower = tier.program._feed._follower
-    old = follower.tables
+    subscription = tier.program._feed._subscription
+    old = subscription.tables
     workers = dict(old.workers)
     for name in names:
         workers[name] = msgspec.structs.replace(workers[name], state=state)
-    follower.tables = Tables(configuration=old.configuration, workers=workers)
-    tier.program._take_tables(old, follower.tables)
+    subscription.tables = Tables(configuration=old.configuration, workers=workers)
+    tier.program._take_tables(old, subscription.tables)
 
 
 async def misdirected(request: ServerRequest, responder: Responder) -> None:
--- a/tests/golden/feed_messages.py
+++ b/tests/golden/feed_messages.py
@@ -6,12 +6,12 @@
 from pewterring.control.program import MESSAGES
 from pewterring.distribution.messages import (
     FEED_MESSAGES,
+    CompleteTables,
     Redirect,
     Renew,
     Renewed,
     Subscribe,
     TableChanges,
-    WholeTables,
 )
 from pewterring.transport.lines import MessageCodec
 from tests.golden.records import (
@@ -50,7 +50,7 @@
     ("Redirect-unknown", Redirect(leader="")),
     (
         "WholeTables-full",
-        WholeTables(
+        CompleteTables(
             versions=VERSIONS,
             configuration=raw(DOCUMENT),
             workers=(WORKER, OTHER_WORKER, PLAIN_WORKER),
@@ -62,7 +62,7 @@
     ),
     (
         "WholeTables-empty",
-        WholeTables(
+        CompleteTables(
             versions=PLAIN_VERSIONS,
             configuration=raw(b"null"),
             workers=(),
--- a/tests/golden/records.py
+++ b/tests/golden/records.py
@@ -62,12 +62,12 @@
     program=STORE,
     ip="10.0.1.1",
     zone="zone-a",
-    life="5f0c",
+    incarnation="5f0c",
     member=STORES[0],
-    retiring=True,
+    decommissioning=True,
 )
 GATEWAY_NODE = NodeRecord(
-    node_id="gateway-1", program=GATEWAY_PROGRAM, ip="10.0.3.1", zone="zone-b", life="77aa"
+    node_id="gateway-1", program=GATEWAY_PROGRAM, ip="10.0.3.1", zone="zone-b", incarnation="77aa"
 )
 PLACEMENT = PlacementRecord(group="batch-0", voters=STORES)
 GROUP_STATUS = GroupStatus(
--- a/tests/simulation/patches.py
+++ b/tests/simulation/patches.py
@@ -20,7 +20,7 @@
 from pewterring.consensus.raft_driver import RaftDriver
 from pewterring.consensus.types import RaftLimits, Save
 from pewterring.control import program as control_program
-from pewterring.distribution import follower, subscriber
+from pewterring.distribution import subscriber, subscription
 from pewterring.node.address import Address
 from pewterring.storage import identity
 from pewterring.storage.group import DiskGroupStorage
@@ -202,7 +202,7 @@
             partial(DiskGroupStorage, segment_bytes=SEGMENT_BYTES),
         ),
         (validation, "read_configuration", read_once),
-        (follower, "read_configuration", read_once),
+        (subscription, "read_configuration", read_once),
         (batch_partition, "FolderDisk", _disk_of(world)),
         (batch_partition, "ReplicatedGroup", partial(ObservedGroup, world)),
         (batch_partition, "DiskGroupStorage", partial(DiskGroupStorage, segment_bytes=SEGMENT_BYTES)),
--- a/tests/simulation/watch.py
+++ b/tests/simulation/watch.py
@@ -11,8 +11,8 @@
 from pewterring.consensus.membership import address_of, encode_membership
 from pewterring.consensus.messages import Entry, Membership
 from pewterring.control.program import GROUP
-from pewterring.distribution.follower import TableFollower
 from pewterring.distribution.messages import READY, WorkerRecord
+from pewterring.distribution.subscription import FeedSubscription
 from pewterring.registry.workers import WorkerRegistry
 from tests.simulation.schedule import On
 
@@ -163,11 +163,13 @@
             watch._judges_worker()
             return real(self, *arguments)
 
-        def whole(self: Any, message: Any, asked_at: float, real: Any = TableFollower.whole) -> Any:
+        def replace_all(
+            self: Any, message: Any, asked_at: float, real: Any = FeedSubscription.replace_all
+        ) -> Any:
             watch._confirmed(message.versions.configuration, iter(message.workers), asked_at)
             return real(self, message, asked_at)
 
-        def renewed(self: Any, message: Any, sent_at: float, real: Any = TableFollower.renewed) -> Any:
+        def confirm(self: Any, message: Any, sent_at: float, real: Any = FeedSubscription.confirm) -> Any:
             confirmed = real(self, message, sent_at)
             if confirmed:
                 workers = iter(self.tables.workers.values())
@@ -176,5 +178,5 @@
 
         yield mock.patch.object(LeaderRole, "__init__", begin)
         yield mock.patch.object(WorkerRegistry, "observe", observe)
-        yield mock.patch.object(TableFollower, "whole", whole)
-        yield mock.patch.object(TableFollower, "renewed", renewed)
+        yield mock.patch.object(FeedSubscription, "replace_all", replace_all)
+        yield mock.patch.object(FeedSubscription, "confirm", confirm)
