--- a/pewterring/storage/disk.py
+++ b/pewterring/storage/disk.py
@@ -1,7 +1,10 @@
-"""The files of one folder, as far as storage needs them.
+"""The files of one folder, as far as storage needs them, and the operating system's errors as this package's.
 
-Every operation that changes something is announced to a hook before it runs. The operations' numbers,
-counted from 1, are the fault points of tests.
+A full disk is `StorageFullError`: the same call may succeed later. Any other error is `StorageFailedError`,
+after which the content of the file is not known. Both name the file with its folder.
+
+Every operation that changes something is announced to a hook before it runs. The operations' numbers, counted
+from 1, are the fault points of tests.
 """
 
 import errno
@@ -14,7 +17,7 @@
 
 from pewterring.storage.errors import StorageError, StorageFailedError, StorageFullError
 
-FULL_ERRORS = frozenset({errno.ENOSPC, errno.EDQUOT, errno.EFBIG})
+FULL_ERRORS = frozenset({errno.ENOSPC, errno.EDQUOT, errno.EFBIG})  # each ends once somebody frees disk space
 
 
 class Operation(StrEnum):
@@ -33,38 +36,38 @@
 
 
 class DiskFile(Protocol):
-    """One open file. Errors are `StorageFullError` or `StorageFailedError`."""
+    """One open file. Each method but `close` may raise `StorageFullError` or `StorageFailedError`."""
 
     def write(self, data: bytes) -> None:
-        """Appends. After an error any part of `data` may be in the file."""
+        """Appends. After an error any beginning of `data` may be in the file."""
 
     def truncate(self, size: int) -> None:
-        """Cuts the file to `size` bytes; the next write goes there."""
+        """Truncates the file to `size` bytes; the next write goes there."""
 
     def sync(self) -> None:
-        """Returns when the content outlasts a loss of power."""
+        """Returns when the content outlasts a loss of power; the name needs `Disk.sync_folder`."""
 
     def close(self) -> None:
         """Closes the file without a sync."""
 
 
 class Disk(Protocol):
-    """One folder of files. Errors are `StorageFullError` or `StorageFailedError`."""
+    """One folder of files. Each method may raise `StorageFullError` or `StorageFailedError`."""
 
     def names(self) -> list[str]:
         """The names of all files, in no order."""
 
     def read(self, name: str) -> bytes:
-        """The whole content."""
+        """The complete content."""
 
     def size(self, name: str) -> int:
         """The length in bytes."""
 
     def create(self, name: str) -> DiskFile:
-        """Makes an empty file, in place of one of that name."""
+        """Makes an empty file, in place of an earlier one of that name."""
 
     def open(self, name: str) -> DiskFile:
-        """Opens a file that is there; writes go to its end."""
+        """Opens a file that exists; writes go to its end."""
 
     def rename(self, old: str, new: str) -> None:
         """Renames, in place of a file of the new name."""
@@ -77,17 +80,17 @@
 
 
 @contextmanager
-def _storage_errors(action: str, name: str) -> Iterator[None]:
+def _storage_errors(action: str, path: Path) -> Iterator[None]:
     """Turns errors of the operating system into those of this package."""
     try:
         yield
     except OSError as error:
         kind: type[StorageError] = StorageFullError if error.errno in FULL_ERRORS else StorageFailedError
-        raise kind(f"cannot {action} {name}: {error}") from error
+        raise kind(f"cannot {action} {path}: {error.strerror or error}") from error
 
 
 class _FaultPoints:
-    """Counts operations and announces them."""
+    """Counts operations and announces them to the hook, if there is one."""
 
     def __init__(self, hook: FaultHook | None) -> None:
         self._hook = hook
@@ -100,29 +103,30 @@
 
 
 class _FolderFile:
-    """A file open for appending."""
+    """A file open for appending; owns its descriptor until `close`."""
 
-    def __init__(self, name: str, descriptor: int, faults: _FaultPoints) -> None:
-        self._name = name
+    def __init__(self, path: Path, descriptor: int, faults: _FaultPoints) -> None:
+        self._path = path
+        self._name = path.name
         self._descriptor = descriptor
         self._faults = faults
 
     def write(self, data: bytes) -> None:
         self._faults.reach(Operation.WRITE, self._name)
-        rest = memoryview(data)
-        with _storage_errors("write", self._name):
-            while rest:
-                rest = rest[os.write(self._descriptor, rest) :]
+        remaining = memoryview(data)
+        with _storage_errors("write", self._path):
+            while remaining:
+                remaining = remaining[os.write(self._descriptor, remaining) :]
 
     def truncate(self, size: int) -> None:
         self._faults.reach(Operation.TRUNCATE, self._name)
-        with _storage_errors("truncate", self._name):
+        with _storage_errors("truncate", self._path):
             os.ftruncate(self._descriptor, size)
             os.lseek(self._descriptor, size, os.SEEK_SET)
 
     def sync(self) -> None:
         self._faults.reach(Operation.SYNC, self._name)
-        with _storage_errors("sync", self._name):
+        with _storage_errors("sync", self._path):
             os.fdatasync(self._descriptor)
 
     def close(self) -> None:
@@ -130,28 +134,34 @@
 
 
 class FolderDisk:
-    """A `Disk` on a folder of the file system; the folder is made where it is missing."""
+    """A `Disk` on a folder of the file system; the folder is made where it is missing.
+
+    Raises:
+        StorageError: the folder cannot be made.
+    """
 
     def __init__(self, folder: Path, on_operation: FaultHook | None = None) -> None:
         self._folder = folder
         self._faults = _FaultPoints(on_operation)
-        with _storage_errors("make", str(folder)):
+        with _storage_errors("make", folder):
             folder.mkdir(parents=True, exist_ok=True)
 
     def names(self) -> list[str]:
         """Part of `Disk`."""
-        with _storage_errors("list", str(self._folder)):
-            return os.listdir(self._folder)
+        with _storage_errors("list", self._folder):
+            return [path.name for path in self._folder.iterdir()]
 
     def read(self, name: str) -> bytes:
         """Part of `Disk`."""
-        with _storage_errors("read", name):
-            return (self._folder / name).read_bytes()
+        path = self._folder / name
+        with _storage_errors("read", path):
+            return path.read_bytes()
 
     def size(self, name: str) -> int:
         """Part of `Disk`."""
-        with _storage_errors("look at", name):
-            return os.stat(self._folder / name).st_size
+        path = self._folder / name
+        with _storage_errors("read the size of", path):
+            return path.stat().st_size
 
     def create(self, name: str) -> DiskFile:
         """Part of `Disk`."""
@@ -165,19 +175,21 @@
     def rename(self, old: str, new: str) -> None:
         """Part of `Disk`."""
         self._faults.reach(Operation.RENAME, old)
-        with _storage_errors("rename", old):
-            os.replace(self._folder / old, self._folder / new)
+        path = self._folder / old
+        with _storage_errors("rename", path):
+            path.replace(self._folder / new)
 
     def remove(self, name: str) -> None:
         """Part of `Disk`."""
         self._faults.reach(Operation.REMOVE, name)
-        with _storage_errors("remove", name):
-            os.remove(self._folder / name)
+        path = self._folder / name
+        with _storage_errors("remove", path):
+            path.unlink()
 
     def sync_folder(self) -> None:
         """Part of `Disk`."""
         self._faults.reach(Operation.SYNC_FOLDER, "")
-        with _storage_errors("sync", str(self._folder)):
+        with _storage_errors("sync", self._folder):
             descriptor = os.open(self._folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
             try:
                 os.fsync(descriptor)
@@ -185,7 +197,8 @@
                 os.close(descriptor)
 
     def _open(self, name: str, flags: int) -> DiskFile:
-        with _storage_errors("open", name):
-            descriptor = os.open(self._folder / name, os.O_WRONLY | os.O_CLOEXEC | flags, 0o644)
+        path = self._folder / name
+        with _storage_errors("open", path):
+            descriptor = os.open(path, os.O_WRONLY | os.O_CLOEXEC | flags, 0o644)
             os.lseek(descriptor, 0, os.SEEK_END)
-        return _FolderFile(name, descriptor, self._faults)
+        return _FolderFile(path, descriptor, self._faults)
--- a/pewterring/storage/formats.py
+++ b/pewterring/storage/formats.py
@@ -1,11 +1,15 @@
-"""The version of the files' content, which rises when an older program could not read it rightly."""
+"""The version of the files' content, which rises when an earlier program could not read it rightly."""
 
 from pewterring.storage.errors import UnknownFormatError
 
-FORMAT = 1
+FORMAT = 1  # of logs and snapshots; files without the field are of format 1
 
 
 def check_format(file: str, found: int) -> None:
-    """Refuses files of later versions: JSON that is read without the fields it has more is half taken."""
+    """Refuses files of later versions: read without its additional fields, a record would be taken by half.
+
+    Raises:
+        UnknownFormatError: `found` is later than `FORMAT`.
+    """
     if found > FORMAT:
         raise UnknownFormatError(file, found, FORMAT)
--- a/tests/consensus/test_catch_up.py
+++ b/tests/consensus/test_catch_up.py
@@ -173,7 +173,7 @@
         log_bytes = LOG_BYTES + 100_000  # and what came meanwhile
         assert longest < log_bytes + RETAINED_BYTES
         for name in group.running:
-            assert group.disks[name].most_bytes < 2 * (log_bytes * 1.1 + snapshot_bytes)
+            assert group.disks[name].peak_bytes < 2 * (log_bytes * 1.1 + snapshot_bytes)
         for name in list(group.running):
             await group.end(name)
             disk = group.disks[name]
--- a/tests/golden/tagged_types.py
+++ b/tests/golden/tagged_types.py
@@ -6,10 +6,10 @@
 
 import msgspec
 
-from pewterring.storage.group import DiskGroupStorage
+from pewterring.storage.group_records import EntryRecord
 from tests.golden.rows import tag_of
 
-STORAGE = DiskGroupStorage.__module__  # of the records of the log
+STORAGE = EntryRecord.__module__  # of the records of the log
 PACKAGES = ("batch", "consensus", "control", "distribution", "registry", "storage", "transport")
 
 
--- a/tests/simulation/machines.py
+++ b/tests/simulation/machines.py
@@ -8,7 +8,7 @@
 from pewterring.storage.errors import StorageError
 from tests.simulation.network import Network
 from tests.simulation.virtual_loop import BlockingHost, Process, VirtualLoop
-from tests.storage.simulated_disk import PowerLoss, SimulatedDisk
+from tests.storage.simulated_disk import PowerLossError, SimulatedDisk
 
 SAVE_S = ((0.0008, 0.004), (0.005, 0.025))  # disks that are fast or not, alike in one run
 SLOW_SAVE_S = (0.03, 0.25)
@@ -82,7 +82,7 @@
         work, self._work = self._work, None
         if work is not None:
             self.disk.lose_power_at(self._rng.randint(1, MOST_OPERATIONS))
-            with contextlib.suppress(PowerLoss, StorageError):
+            with contextlib.suppress(PowerLossError, StorageError):
                 work()
         self._network.process_ended(process, silent)
         for action in process.at_death:
--- a/tests/storage/model.py
+++ b/tests/storage/model.py
@@ -23,7 +23,7 @@
 
 def plain(entries: Sequence[Entry]) -> list[tuple[int, int, str, bytes]]:
     """Entries in a form that compares by content."""
-    return [(e.index, e.term, e.kind, bytes(e.data)) for e in entries]
+    return [(found.index, found.term, found.kind, bytes(found.data)) for found in entries]
 
 
 @dataclass
@@ -49,19 +49,19 @@
         if hard_state is not None:
             self.hard_state = hard_state
         if truncate_from is not None:
-            self.entries = [e for e in self.entries if e.index < truncate_from]
+            self.entries = [stored for stored in self.entries if stored.index < truncate_from]
         self.entries.extend(entries)
 
     def save_snapshot(self, index: int, term: int, membership: Membership, data: bytes) -> None:
-        holds = any(e.index == index and e.term == term for e in self.entries)
-        self.entries = [e for e in self.entries if e.index > index] if holds else []
+        contains_entry = any((stored.index, stored.term) == (index, term) for stored in self.entries)
+        self.entries = [stored for stored in self.entries if stored.index > index] if contains_entry else []
         self.snapshot_index = index
         self.snapshot_term = term
         self.membership = membership
         self.snapshot = data
 
     def term_at(self, index: int) -> int:
-        return next(e.term for e in self.entries if e.index == index)
+        return next(stored.term for stored in self.entries if stored.index == index)
 
     def matches(self, loaded: LoadedGroup) -> bool:
         state = loaded.state
@@ -86,7 +86,9 @@
         return lambda target: target.save(vote, None, ())
     if kind == "overwrite" and model.entries:
         start = rng.choice(model.entries).index
-        replacements = [entry(start + n, term + 1, rng.randrange(60)) for n in range(rng.randrange(3))]
+        replacements = [
+            entry(start + offset, term + 1, rng.randrange(60)) for offset in range(rng.randrange(3))
+        ]
         return lambda target: target.save(HardState(term + 1), start, replacements)
     if kind == "compact" and model.entries:
         chosen = rng.choice(model.entries)
@@ -96,7 +98,7 @@
         index = rng.randrange(model.snapshot_index + 1, model.last_index + 4)
         return lambda target: target.save_snapshot(index, term + 1, MEMBERS, b"installed %d" % index)
     start = model.last_index + 1
-    entries = [entry(start + n, term, rng.randrange(120)) for n in range(rng.randrange(1, 4))]
+    entries = [entry(start + offset, term, rng.randrange(120)) for offset in range(rng.randrange(1, 4))]
     return lambda target: target.save(None, None, entries)
 
 
--- a/tests/storage/simulated_disk.py
+++ b/tests/storage/simulated_disk.py
@@ -3,25 +3,45 @@
 import random
 from collections.abc import Callable
 from dataclasses import dataclass, field
+from enum import Enum, auto
+from typing import NamedTuple
 
 from pewterring.storage.disk import DiskFile, Operation
 from pewterring.storage.errors import StorageFailedError, StorageFullError
 
+UNLIMITED_BYTES = 1 << 60  # more than any test writes
+CLOSED = -1  # no incarnation of a disk
 
-class PowerLoss(Exception):
+
+class PowerLossError(Exception):
     """The machine lost power in the middle of an operation. Not a `StorageError`: nobody handles it."""
 
 
+class _Fate(Enum):
+    """What a loss of power does to a change that was not synced. The order decides what a seed draws."""
+
+    LOST = auto()
+    TORN = auto()
+    SURVIVES = auto()
+
+
+class _Change(NamedTuple):
+    """A write of `data` at an offset, or where it is None a truncation to that size."""
+
+    offset: int
+    data: bytes | None
+
+
 @dataclass
 class _Content:
     """One file: what is durable, and the changes since."""
 
     durable: bytes = b""
     current: bytearray = field(default_factory=bytearray)
-    changes: list[tuple[int, bytes | None]] = field(default_factory=list)  # (offset, data), or a truncation
+    changes: list[_Change] = field(default_factory=list)
 
     def change(self, offset: int, data: bytes | None) -> None:
-        self.changes.append((offset, data))
+        self.changes.append(_Change(offset, data))
         _apply(self.current, offset, data)
 
     def sync(self) -> None:
@@ -29,12 +49,13 @@
         self.changes.clear()
 
     def lose_power(self, rng: random.Random, lose_all: bool) -> None:
+        """Makes a state durable that a loss of power may leave: each change kept, torn or lost."""
         content = bytearray(self.durable)
         for offset, data in self.changes:
-            fate = "lost" if lose_all else rng.choice(("lost", "torn", "kept"))
-            if fate == "lost":
+            fate = _Fate.LOST if lose_all else rng.choice(list(_Fate))
+            if fate == _Fate.LOST:
                 continue
-            if fate == "torn" and data is not None:
+            if fate == _Fate.TORN and data is not None:
                 data = data[: rng.randrange(len(data) + 1)]
             _apply(content, offset, data)
         self.current = content
@@ -56,16 +77,16 @@
         self._disk = disk
         self._name = name
         self._content = content
-        self._life = disk.life
+        self._opened_in = disk.incarnation
 
     def write(self, data: bytes) -> None:
-        room = self._disk.room()
+        free_bytes = self._disk.free_bytes()
         offset = len(self._content.current)
-        self._content.change(offset, data[:room])
+        self._content.change(offset, data[:free_bytes])
         self._disk.bytes_written += len(data)
         self._reach(Operation.WRITE)
-        if room < len(data):
-            raise StorageFullError(f"no room for {self._name}")
+        if free_bytes < len(data):
+            raise StorageFullError(f"no free disk space for {self._name}")
 
     def truncate(self, size: int) -> None:
         self._content.change(size, None)
@@ -78,10 +99,12 @@
             self._disk.durable_names[self._name] = self._content
 
     def close(self) -> None:
-        self._life = -1
+        self._opened_in = CLOSED
 
     def _reach(self, operation: Operation) -> None:
-        assert self._life == self._disk.life, "the file was closed, or opened before the loss of power"
+        assert self._opened_in == self._disk.incarnation, (
+            "the file was closed, or opened before the loss of power"
+        )
         self._disk.reach(operation, self._name)
 
 
@@ -91,15 +114,15 @@
     At that point the operation has been done as far as it goes without a sync.
     """
 
-    def __init__(self, capacity: int | None = None) -> None:
+    def __init__(self, capacity_bytes: int | None = None) -> None:
         self.files: dict[str, _Content] = {}
         self.durable_names: dict[str, _Content] = {}
         self.on_operation: Callable[[int, Operation, str], None] | None = None
         self.operations = 0
         self.bytes_written = 0
-        self.most_bytes = 0  # that were in all files at the end of any operation
-        self.capacity = capacity
-        self.life = 0
+        self.peak_bytes = 0  # of all files together, at the end of any operation
+        self.capacity = capacity_bytes  # in bytes; None: unlimited
+        self.incarnation = 0  # of the process that uses it: files opened in an earlier one are closed
         self._name_changes: list[Callable[[dict[str, _Content]], object]] = []
 
     def names(self) -> list[str]:
@@ -144,29 +167,29 @@
 
     def reach(self, operation: Operation, name: str) -> None:
         self.operations += 1
-        self.most_bytes = max(self.most_bytes, sum(len(content.current) for content in self.files.values()))
+        self.peak_bytes = max(self.peak_bytes, sum(len(content.current) for content in self.files.values()))
         if self.on_operation is not None:
             self.on_operation(self.operations, operation, name)
 
-    def room(self) -> int:
+    def free_bytes(self) -> int:
         if self.capacity is None:
-            return 1 << 60
+            return UNLIMITED_BYTES
         return max(0, self.capacity - sum(len(content.current) for content in self.files.values()))
 
     def lose_power_at(self, number: int) -> None:
-        """Raises `PowerLoss` in the operation of that number, counted from now."""
+        """Raises `PowerLossError` in the operation of that number, counted from now."""
         last = self.operations + number
 
         def hook(count: int, operation: Operation, name: str) -> None:
             if count == last:
-                raise PowerLoss(f"{operation} {name}")
+                raise PowerLossError(f"{operation} {name}")
 
         self.on_operation = hook
 
     def kill(self) -> None:
         """Ends the process: its open files are gone, all that it wrote stays."""
         self.on_operation = None
-        self.life += 1
+        self.incarnation += 1
 
     def lose_power(self, rng: random.Random) -> None:
         """Keeps what was synced; the rest is kept, torn or lost, by the generator."""
--- a/tests/storage/test_bad_files.py
+++ b/tests/storage/test_bad_files.py
@@ -84,13 +84,13 @@
     assert len(DiskGroupStorage(disk, "group").load().state.entries) == 1
 
 
-def test_damage_of_what_was_synced_is_refused() -> None:
-    for name, error in ((LOG, CorruptLogError), (SNAPSHOT, CorruptSnapshotError)):
-        disk = written_disk()
-        damaged = bytearray(disk.read(name))
-        damaged[HEADER_BYTES + 1] ^= 1
-        disk.damage(name, bytes(damaged))
-        check_refused(disk, name, error)
+@pytest.mark.parametrize(("name", "error"), [(LOG, CorruptLogError), (SNAPSHOT, CorruptSnapshotError)])
+def test_damage_of_what_was_synced_is_refused(name: str, error: type[StorageError]) -> None:
+    disk = written_disk()
+    damaged = bytearray(disk.read(name))
+    damaged[HEADER_BYTES + 1] ^= 1
+    disk.damage(name, bytes(damaged))
+    check_refused(disk, name, error)
 
 
 def test_a_missing_segment_is_refused() -> None:
--- a/tests/storage/test_breakages.py
+++ b/tests/storage/test_breakages.py
@@ -6,7 +6,8 @@
 
 from pewterring.consensus.messages import Membership
 from pewterring.storage.errors import StorageError
-from pewterring.storage.group import _DECODER, DiskGroupStorage, _EntryRecord, _HardStateRecord
+from pewterring.storage.group import DiskGroupStorage
+from pewterring.storage.group_records import EntryRecord, HardStateRecord, decode_group_record
 from pewterring.storage.log import Position, SegmentedLog
 from pewterring.storage.snapshots import SnapshotStore
 from tests.storage import test_group
@@ -19,11 +20,11 @@
     """The log is replayed as if its first entry followed the snapshot."""
 
     def replay(self: DiskGroupStorage, position: Position, payload: bytes, entries: list[object]) -> None:
-        record = _DECODER.decode(payload)
-        if isinstance(record, _HardStateRecord):
+        record = decode_group_record(payload)
+        if isinstance(record, HardStateRecord):
             self._hard_state = type(self._hard_state)(record.term, record.vote)
-        elif isinstance(record, _EntryRecord):
-            self._note_index(position.segment, record.entry.index)
+        elif isinstance(record, EntryRecord):
+            self._segments.add(position.segment, record.entry.index)
             entries.append(record.entry)
         else:
             del entries[max(0, record.from_index - self._snapshot_index - 1) :]
@@ -33,13 +34,15 @@
 
 def segments_removed_too_far(monkeypatch: pytest.MonkeyPatch) -> None:
     """All segments but the newest go with a snapshot, entries after it and all."""
-    monkeypatch.setattr(DiskGroupStorage, "_first_needed", lambda self, index: self._log.last_segment)
+    monkeypatch.setattr(
+        DiskGroupStorage, "_first_needed_segment", lambda self, _index: self._log.last_segment
+    )
 
 
 def older_snapshot_over_newer(monkeypatch: pytest.MonkeyPatch) -> None:
     """The oldest of the snapshots in the folder counts."""
-    names = SnapshotStore._names
-    monkeypatch.setattr(SnapshotStore, "_names", lambda self: names(self)[::-1])
+    files = SnapshotStore.files
+    monkeypatch.setattr(SnapshotStore, "files", lambda self: files(self)[::-1])
 
 
 def log_removed_before_snapshot(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -60,9 +63,9 @@
 def vote_left_in_removed_segment(monkeypatch: pytest.MonkeyPatch) -> None:
     """A new segment does not begin with the term and the vote."""
 
-    def roll(self: SegmentedLog, payloads: list[bytes]) -> None:
-        self._check_usable()
-        self._cut_rest()
+    def roll(self: SegmentedLog, _payloads: list[bytes]) -> None:
+        self._fail_stop.check()
+        self._truncate_failed_write()
         self._start_segment(self.last_segment + 1, ())
 
     monkeypatch.setattr(SegmentedLog, "roll", roll)
@@ -81,5 +84,4 @@
 def test_broken_rule_is_caught(breakage: Breakage, monkeypatch: pytest.MonkeyPatch) -> None:
     breakage(monkeypatch)
     with pytest.raises((AssertionError, StorageError)):
-        for seed in range(SEEDS):
-            test_group.test_power_lost_in_each_operation_keeps_what_was_acknowledged(seed)
+        test_group.check_power_losses(range(SEEDS))
--- a/tests/storage/test_group.py
+++ b/tests/storage/test_group.py
@@ -2,39 +2,28 @@
 
 import contextlib
 import random
-from collections.abc import Iterator
+from collections.abc import Iterable, Iterator
 from pathlib import Path
 
 import pytest
-from hypothesis import settings
-from hypothesis import strategies as st
-from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from pewterring.consensus.messages import Membership
 from pewterring.consensus.persistent import GroupStorage, HardState
-from pewterring.storage.disk import Disk, FolderDisk
-from pewterring.storage.errors import CorruptLogError, CorruptSnapshotError, StorageError, StorageFullError
+from pewterring.storage.disk import FolderDisk
+from pewterring.storage.errors import (
+    CorruptLogError,
+    CorruptSnapshotError,
+    LogGapError,
+    StorageFullError,
+    StorageUnusableError,
+)
 from pewterring.storage.group import DiskGroupStorage
 from pewterring.storage.log import SegmentedLog
 from tests.storage.model import MEMBERS, Call, Model, after, entry, plain, random_call
-from tests.storage.simulated_disk import PowerLoss, SimulatedDisk
-
-SEGMENT_BYTES = 300
-CALLS = 12
+from tests.storage.simulated_disk import PowerLossError, SimulatedDisk
+from tests.storage.stored_group import SEGMENT_BYTES, loads_as, opened
 
-
-def opened(disk: Disk) -> DiskGroupStorage:
-    storage = DiskGroupStorage(disk, "group", SEGMENT_BYTES)
-    storage.load()
-    return storage
-
-
-def holds(disk: Disk, model: Model) -> bool:
-    storage = DiskGroupStorage(disk, "group", SEGMENT_BYTES)
-    try:
-        return model.matches(storage.load())
-    finally:
-        storage.close()
+CALLS = 12  # of one schedule
 
 
 def schedule(seed: int) -> Iterator[tuple[Model, Call, Model]]:
@@ -54,7 +43,7 @@
 
 
 def test_a_new_folder_is_empty() -> None:
-    assert holds(SimulatedDisk(), Model())
+    assert loads_as(SimulatedDisk(), Model())
 
 
 @pytest.mark.parametrize("seed", range(40))
@@ -63,7 +52,7 @@
     for _, call, changed in schedule(seed):
         call(storage)
         storage.close()
-        assert holds(FolderDisk(tmp_path), changed)
+        assert loads_as(FolderDisk(tmp_path), changed)
         storage = opened(FolderDisk(tmp_path))
     storage.close()
 
@@ -71,6 +60,16 @@
 @pytest.mark.parametrize("seed", range(12))
 def test_power_lost_in_each_operation_keeps_what_was_acknowledged(seed: int) -> None:
     """The state found is that before or after the interrupted call, and it is still there afterwards."""
+    check_power_losses([seed])
+
+
+def check_power_losses(seeds: Iterable[int]) -> None:
+    """Loses power once in each operation of the schedules of these seeds."""
+    for seed in seeds:
+        _check_power_losses(seed)
+
+
+def _check_power_losses(seed: int) -> None:
     number = 0
     interrupted = True
     while interrupted:
@@ -88,7 +87,7 @@
     for before, call, changed in schedule(seed):
         try:
             call(storage)
-        except PowerLoss:
+        except PowerLossError:
             _check_after_crash(disk, before, changed, rng)
             return True
     return False
@@ -99,21 +98,21 @@
         disk.kill()
     else:
         disk.lose_power(rng)
-    found = [model for model in (before, changed) if holds(disk, model)]
+    found = [model for model in (before, changed) if loads_as(disk, model)]
     assert found
     model = found[0]
     _crash_while_loading(disk, rng)
-    assert holds(disk, model)
+    assert loads_as(disk, model)
     storage = opened(disk)
     call = random_call(model, rng)
     call(storage)
     disk.lose_power(rng)
-    assert holds(disk, after(model, call))
+    assert loads_as(disk, after(model, call))
 
 
 def _crash_while_loading(disk: SimulatedDisk, rng: random.Random) -> None:
     disk.lose_power_at(rng.randrange(1, 5))
-    with contextlib.suppress(PowerLoss):
+    with contextlib.suppress(PowerLossError):
         opened(disk)
     disk.lose_power(rng)
 
@@ -121,12 +120,11 @@
 @pytest.mark.parametrize("forgotten", ["sync", "sync_folder"])
 def test_the_check_finds_a_sync_that_does_nothing(forgotten: str, monkeypatch: pytest.MonkeyPatch) -> None:
     if forgotten == "sync":
-        monkeypatch.setattr("tests.storage.simulated_disk.SimulatedFile.sync", lambda self: None)
+        monkeypatch.setattr("tests.storage.simulated_disk.SimulatedFile.sync", lambda _file: None)
     else:
-        monkeypatch.setattr(SimulatedDisk, "sync_folder", lambda self: None)
+        monkeypatch.setattr(SimulatedDisk, "sync_folder", lambda _disk: None)
     with pytest.raises((AssertionError, CorruptLogError)):
-        for seed in range(12):
-            test_power_lost_in_each_operation_keeps_what_was_acknowledged(seed)
+        check_power_losses(range(12))
 
 
 @pytest.mark.parametrize("seed", range(10))
@@ -144,15 +142,15 @@
         disk.capacity = None
         if rng.random() < 0.3:
             disk.lose_power(rng)
-            assert holds(disk, changed)
+            assert loads_as(disk, changed)
             storage = opened(disk)
-    assert holds(disk, changed)
+    assert loads_as(disk, changed)
 
 
-def test_a_new_group_that_found_no_room_is_loaded_and_begun_once_there_is_some() -> None:
+def test_a_new_group_on_a_full_disk_is_loaded_and_initialized_once_there_is_free_space() -> None:
     voters = Membership(("a", "b", "c"))
-    for room in range(400):
-        disk = SimulatedDisk(capacity=room)
+    for free_bytes in range(400):
+        disk = SimulatedDisk(capacity_bytes=free_bytes)
         storage = DiskGroupStorage(disk, "group", SEGMENT_BYTES)
         try:
             storage.load()
@@ -163,9 +161,9 @@
             storage.initialize(voters)
         storage.close()
         disk.capacity = None
-        disk.lose_power(random.Random(room))
+        disk.lose_power(random.Random(free_bytes))
         assert DiskGroupStorage(disk, "group", SEGMENT_BYTES).load().state.snapshot_membership == voters
-    assert room > disk.most_bytes, "the last ones found room"
+    assert free_bytes > disk.peak_bytes, "the last ones found enough free space"
 
 
 def test_segments_that_a_snapshot_covers_are_removed() -> None:
@@ -203,7 +201,7 @@
     assert (state.term, state.vote) == (7, "10.0.0.1#a")
 
 
-def test_first_voters_are_kept_and_given_once() -> None:
+def test_the_first_voters_of_a_group_are_durable_and_set_once() -> None:
     disk = SimulatedDisk()
     storage = opened(disk)
     storage.initialize(MEMBERS)
@@ -216,7 +214,7 @@
     assert loaded.snapshot is None
 
 
-def test_a_snapshot_ahead_of_the_log_takes_its_place_even_if_the_entries_come_later() -> None:
+def test_a_snapshot_ahead_of_the_log_replaces_it_even_if_the_entries_arrive_later() -> None:
     disk = SimulatedDisk()
     storage = opened(disk)
     storage.save(None, None, [entry(1, 1)])
@@ -236,7 +234,7 @@
 
 def test_a_gap_is_refused() -> None:
     storage = opened(SimulatedDisk())
-    with pytest.raises(StorageError):
+    with pytest.raises(LogGapError, match="log of group group: entry 2 was to be saved where 1 is next"):
         storage.save(None, None, [entry(2, 1)])
 
 
@@ -266,12 +264,12 @@
 def test_nothing_is_saved_before_loading_or_after_a_failure() -> None:
     disk = SimulatedDisk()
     storage = DiskGroupStorage(disk, "group")
-    with pytest.raises(StorageError):
+    with pytest.raises(StorageUnusableError, match="storage of group group"):
         storage.save(HardState(1), None, ())
     storage.load()
     disk.kill()
     storage.close()
-    with pytest.raises(StorageError):
+    with pytest.raises(StorageUnusableError, match="storage of group group"):
         storage.save(HardState(1), None, ())
 
 
@@ -292,67 +290,3 @@
 def test_a_group_must_be_able_to_name_files(group: str) -> None:
     with pytest.raises(ValueError, match="group"):
         DiskGroupStorage(SimulatedDisk(), group)
-
-
-class StorageMachine(RuleBasedStateMachine):
-    """Any sequence of calls, crashes, losses of power in the middle, and full disks."""
-
-    def __init__(self) -> None:
-        super().__init__()
-        self.disk = SimulatedDisk()
-        self.model = Model()
-        self.storage = opened(self.disk)
-
-    @rule(seed=st.integers(0, 10000))
-    def call(self, seed: int) -> None:
-        call = random_call(self.model, random.Random(seed))
-        call(self.storage)
-        self.model = after(self.model, call)
-
-    @rule(seed=st.integers(0, 10000), number=st.integers(1, 12))
-    def lose_power_within_a_call(self, seed: int, number: int) -> None:
-        call = random_call(self.model, random.Random(seed))
-        changed = after(self.model, call)
-        self.disk.lose_power_at(number)
-        try:
-            call(self.storage)
-            self.model = changed
-        except PowerLoss:
-            pass
-        self.disk.lose_power(random.Random(seed))
-        if holds(self.disk, changed):
-            self.model = changed
-        self.storage = opened(self.disk)
-
-    @rule(seed=st.integers(0, 10000), room=st.integers(0, 200))
-    def call_on_a_full_disk(self, seed: int, room: int) -> None:
-        call = random_call(self.model, random.Random(seed))
-        self.disk.capacity = sum(self.disk.size(name) for name in self.disk.names()) + room
-        try:
-            call(self.storage)
-            self.model = after(self.model, call)
-        except StorageFullError:
-            pass
-        self.disk.capacity = None
-
-    @rule()
-    def kill(self) -> None:
-        self.disk.kill()
-        self.storage = opened(self.disk)
-
-    @rule(seed=st.integers(0, 10000))
-    def lose_power(self, seed: int) -> None:
-        self.disk.lose_power(random.Random(seed))
-        self.storage = opened(self.disk)
-
-    @invariant()
-    def recovery_equals_the_model(self) -> None:
-        self.disk.kill()
-        assert holds(self.disk, self.model)
-        self.storage = opened(self.disk)
-
-
-StorageMachine.TestCase.settings = settings(
-    max_examples=60, stateful_step_count=25, deadline=None, derandomize=True, database=None
-)
-TestStorageMachine = StorageMachine.TestCase
--- a/tests/storage/test_identity.py
+++ b/tests/storage/test_identity.py
@@ -6,11 +6,10 @@
 
 import pytest
 
-from pewterring.storage.disk import FolderDisk, Operation
-from pewterring.storage.errors import StorageError, StorageFailedError, StorageFullError
+from pewterring.storage.errors import CorruptIdentityError, StorageError, StorageFullError
 from pewterring.storage.identity import member_name
 from pewterring.storage.records import encode_record
-from tests.storage.simulated_disk import PowerLoss, SimulatedDisk
+from tests.storage.simulated_disk import PowerLossError, SimulatedDisk
 
 FOLDER = Path("unused")
 IP = "10.0.0.1"
@@ -30,38 +29,38 @@
     assert member_name(FOLDER, IP, disk) == "10.0.0.1#first"
 
 
-def test_a_name_that_was_told_outlasts_a_loss_of_power() -> None:
+def test_a_name_that_was_returned_outlasts_a_loss_of_power() -> None:
     for seed in range(100):
         rng = random.Random(seed)
         disk = SimulatedDisk()
         disk.lose_power_at(rng.randrange(1, 6))
-        with contextlib.suppress(PowerLoss):
+        with contextlib.suppress(PowerLossError):
             member_name(FOLDER, IP, disk)
         if rng.random() < 0.5:
             disk.kill()
         else:
             disk.lose_power(rng)
-        told = member_name(FOLDER, IP, disk)
+        returned = member_name(FOLDER, IP, disk)
         disk.lose_power(rng)
-        assert member_name(FOLDER, IP, disk) == told
+        assert member_name(FOLDER, IP, disk) == returned
 
 
-def test_a_name_that_found_no_room_is_drawn_once_there_is_some() -> None:
-    for room in range(60):
-        disk = SimulatedDisk(capacity=room)
+def test_a_name_on_a_full_disk_is_drawn_once_there_is_free_space() -> None:
+    for free_bytes in range(60):
+        disk = SimulatedDisk(capacity_bytes=free_bytes)
         with contextlib.suppress(StorageFullError):
             member_name(FOLDER, IP, disk)
         disk.capacity = None
-        told = member_name(FOLDER, IP, disk)
-        disk.lose_power(random.Random(room))
-        assert member_name(FOLDER, IP, disk) == told
+        returned = member_name(FOLDER, IP, disk)
+        disk.lose_power(random.Random(free_bytes))
+        assert member_name(FOLDER, IP, disk) == returned
 
 
-def test_a_damaged_tag_is_reported() -> None:
+def test_a_damaged_identity_is_reported() -> None:
     disk = SimulatedDisk()
     member_name(FOLDER, IP, disk)
     disk.damage("identity", b"")
-    with pytest.raises(StorageError):
+    with pytest.raises(CorruptIdentityError, match="unused/identity is damaged"):
         member_name(FOLDER, IP, disk)
 
 
@@ -90,36 +89,3 @@
 def test_a_tag_must_fit_into_a_name() -> None:
     with pytest.raises(ValueError, match="tag"):
         member_name(FOLDER, IP, SimulatedDisk(), tag="a#b")
-
-
-def test_files_of_a_folder(tmp_path: Path) -> None:
-    seen: list[tuple[int, Operation]] = []
-    disk = FolderDisk(tmp_path, lambda number, operation, name: seen.append((number, operation)))
-    file = disk.create("a")
-    file.write(b"12345")
-    file.truncate(3)
-    file.write(b"x")
-    file.sync()
-    file.close()
-    again = disk.open("a")
-    again.write(b"y")
-    again.close()
-    disk.rename("a", "b")
-    assert disk.names() == ["b"]
-    assert (disk.read("b"), disk.size("b")) == (b"123xy", 5)
-    disk.remove("b")
-    disk.sync_folder()
-    assert [number for number, _ in seen] == list(range(1, 10))
-    assert [operation for _, operation in seen] == [
-        Operation.CREATE,
-        Operation.WRITE,
-        Operation.TRUNCATE,
-        Operation.WRITE,
-        Operation.SYNC,
-        Operation.WRITE,
-        Operation.RENAME,
-        Operation.REMOVE,
-        Operation.SYNC_FOLDER,
-    ]
-    with pytest.raises(StorageFailedError):
-        disk.read("b")
--- a/tests/storage/test_log.py
+++ b/tests/storage/test_log.py
@@ -1,4 +1,4 @@
-"""Records and the segmented log."""
+"""The segmented log: what it returns after crashes, damage and full disks."""
 
 import random
 
@@ -6,8 +6,8 @@
 
 from pewterring.storage.errors import CorruptLogError, StorageFullError
 from pewterring.storage.log import SegmentedLog
-from pewterring.storage.records import HEADER_BYTES, encode_batch, encode_record, read_record
-from tests.storage.simulated_disk import PowerLoss, SimulatedDisk
+from pewterring.storage.records import encode_batch
+from tests.storage.simulated_disk import PowerLossError, SimulatedDisk
 
 LAST_FILE = "log.00000002.log"
 
@@ -30,7 +30,7 @@
     return disk, batches
 
 
-def whole_batches(batches: list[list[bytes]], size: int) -> list[bytes]:
+def complete_batches(batches: list[list[bytes]], size: int) -> list[bytes]:
     """The payloads of the batches that fit into `size` bytes."""
     payloads: list[bytes] = []
     for batch in batches:
@@ -41,43 +41,23 @@
     return payloads
 
 
-def test_a_record_is_read_as_written() -> None:
-    data = encode_record(b'{"a":1}\n', 7, is_last=False)
-    record = read_record(b"??" + data, 2)
-    assert record is not None
-    assert (record.payload, record.batch, record.is_last) == (b'{"a":1}\n', 7, False)
-    assert record.end == 2 + len(data) == 2 + HEADER_BYTES + 8
-
-
-def test_any_flipped_bit_makes_a_record_invalid() -> None:
-    data = encode_record(b'{"a":1}\n', 7)
-    for position in range(len(data) * 8):
-        damaged = bytearray(data)
-        damaged[position // 8] ^= 1 << position % 8
-        assert read_record(bytes(damaged), 0) is None
-
-
-def test_zeros_are_no_record() -> None:
-    assert read_record(bytes(100), 0) is None
-
-
-def test_a_tear_at_any_byte_of_the_last_segment_keeps_the_whole_batches_before() -> None:
-    whole, batches = two_segments()
-    content = whole.read(LAST_FILE)
+def test_a_tear_at_any_byte_of_the_last_segment_keeps_the_complete_batches_before() -> None:
+    undamaged, batches = two_segments()
+    content = undamaged.read(LAST_FILE)
     for size in range(len(content)):
         disk, _ = two_segments()
         disk.damage(LAST_FILE, content[:size])
         log = SegmentedLog(disk, "log")
-        expected = [b"first", *whole_batches(batches, size)]
+        expected = [b"first", *complete_batches(batches, size)]
         assert read_all(log) == expected
         log.append([b"next"])
         disk.lose_power(random.Random(size))
         assert read_all(SegmentedLog(disk, "log")) == [*expected, b"next"]
 
 
-def test_a_flip_at_any_byte_of_the_last_batch_cuts_it_and_elsewhere_is_corruption() -> None:
-    whole, batches = two_segments()
-    content = whole.read(LAST_FILE)
+def test_a_flip_at_any_byte_of_the_last_batch_truncates_it_and_elsewhere_is_corruption() -> None:
+    undamaged, batches = two_segments()
+    content = undamaged.read(LAST_FILE)
     last_start = len(content) - len(encode_batch(batches[-1], 1))
     for position in range(len(content)):
         damaged = bytearray(content)
@@ -91,7 +71,7 @@
             assert caught.value.file == LAST_FILE
             assert caught.value.offset <= position
             continue
-        assert read_all(log) == [b"first", *whole_batches(batches, last_start)]
+        assert read_all(log) == [b"first", *complete_batches(batches, last_start)]
         assert disk.size(LAST_FILE) == last_start
 
 
@@ -134,7 +114,7 @@
     log = SegmentedLog(disk, "log")
     read_all(log)
     disk.lose_power_at(2)  # the sync of the append
-    with pytest.raises(PowerLoss):
+    with pytest.raises(PowerLossError):
         log.append([b"unsynced"])
     disk.kill()
     found = read_all(SegmentedLog(disk, "log"))
@@ -145,16 +125,16 @@
 
 
 def test_a_full_disk_leaves_the_log_usable() -> None:
-    for room in range(60):
+    for free_bytes in range(60):
         disk, _ = two_segments()
         log = SegmentedLog(disk, "log")
         before = read_all(log)
-        disk.capacity = sum(disk.size(name) for name in disk.names()) + room
+        disk.capacity = sum(disk.size(name) for name in disk.names()) + free_bytes
         with pytest.raises(StorageFullError):
             log.append([b"x" * 40, b"y" * 40])
         disk.capacity = None
         log.append([b"fits"])
-        disk.lose_power(random.Random(room))
+        disk.lose_power(random.Random(free_bytes))
         assert read_all(SegmentedLog(disk, "log")) == [*before, b"fits"]
 
 
@@ -169,7 +149,7 @@
         disk.capacity = None
         log.append([b"fits"])
         disk.lose_power_at(1)
-        with pytest.raises(PowerLoss):
+        with pytest.raises(PowerLossError):
             log.append([b"torn"])
         disk.lose_power(random.Random(seed))
         assert read_all(SegmentedLog(disk, "log"))[: len(before) + 1] == [*before, b"fits"]
