--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -37,7 +37,7 @@
 from pewterring.control.program import ControlProgram
 from pewterring.control.state import ControlState, encode_command
 from pewterring.distribution.messages import FEED_MESSAGES, NodeRecord, WorkerRecord
-from pewterring.distribution.subscriber import FeedSubscriber
+from pewterring.distribution.subscriber import FeedSubscriber, NodeReport
 from pewterring.distribution.tables import Tables
 from pewterring.node.address import Address
 from pewterring.node.settings import Bounds, NodeSettings
@@ -183,7 +183,7 @@
         settings = _settings(GATEWAY_IP, folder, ports, "gateway")
         self._changed = asyncio.Event()
         self._subscribers = [
-            FeedSubscriber(settings, codec, self._record(number), on_tables=self._on_tables)
+            FeedSubscriber(settings, codec, NodeReport(self._record(number)), self._on_tables)
             for number in range(count)
         ]
 
--- a/pewterring/batch/program.py
+++ b/pewterring/batch/program.py
@@ -25,7 +25,7 @@
 from pewterring.consensus.membership import address_of
 from pewterring.consensus.messages import CONSENSUS_MESSAGES, ConsensusMessage, Membership
 from pewterring.distribution.messages import FEED_MESSAGES, STORE, GroupStatus, NodeRecord
-from pewterring.distribution.subscriber import FeedSubscriber
+from pewterring.distribution.subscriber import FeedEnvironment, FeedSubscriber, NodeReport
 from pewterring.distribution.tables import Tables
 from pewterring.node.settings import NodeSettings
 from pewterring.routing.chooser import WorkerChooser
@@ -80,7 +80,11 @@
         )
         self._workers = WorkerPool()
         self.feed = FeedSubscriber(
-            settings, codec, self._node_record, self._status, self._on_tables, self._rng, clock
+            settings,
+            codec,
+            NodeReport(self._node_record, self._status),
+            self._on_tables,
+            FeedEnvironment(self._rng, clock),
         )
         self._chooser = WorkerChooser(settings.zone, self._rng, self._workers.is_connected)
         self._admissions = BatchAdmissions(self._rng)
--- a/pewterring/distribution/messages.py
+++ b/pewterring/distribution/messages.py
@@ -1,15 +1,20 @@
-"""Messages of the feed: from the control leader to gateways and stores, and their renewals, as JSON lines."""
+"""Messages of the feed: from the control leader to gateways and stores, and their renewals, as JSON lines.
+
+A node opens a session with `Subscribe`, is answered with `CompleteTables`, gets `TableChanges` pushed, and
+renews the session with `Renew`. Fields that a later version adds are ignored by earlier ones. Worker and node
+records are also entries of the control log and parts of its snapshots.
+"""
 
 import msgspec
 
-# States of a worker.
+# States of a worker. On the wire they are plain text: what a later version adds must not end a session.
 READY = "ready"
 DRAINING = "draining"
-UNRESPONSIVE = "silent"  # control does not hear it; a gateway that it answers goes on sending to it
+UNRESPONSIVE = "silent"  # the wire's name; no heartbeats, but a gateway that it answers goes on sending to it
 
-# Programs of nodes.
+# Programs of nodes; a control machine is "control".
 GATEWAY_PROGRAM = "gateway"
-STORE = "store"  # keeps batch partitions
+STORE = "store"  # a replica of batch partitions
 
 
 class WorkerRecord(msgspec.Struct, frozen=True):
@@ -25,7 +30,7 @@
 
 
 class NodeRecord(msgspec.Struct, frozen=True):
-    """One process of the tier that is there."""
+    """One running process of the tier."""
 
     node_id: str
     program: str  # `GATEWAY_PROGRAM`, `STORE` or "control"
@@ -37,7 +42,7 @@
 
 
 class PlacementRecord(msgspec.Struct, frozen=True):
-    """One batch partition: the group's name and its first voters. The group itself changes them later."""
+    """One batch partition: the group's name and its first voters, which the group itself changes later."""
 
     group: str
     voters: tuple[str, ...]
@@ -52,12 +57,15 @@
     leader: str  # member
     voters: tuple[str, ...]
     learners: tuple[str, ...]
-    complete: tuple[str, ...]  # voters that hold all that is committed
+    complete: tuple[str, ...]  # voters whose logs hold every committed entry
 
 
 class TableVersions(msgspec.Struct, frozen=True):
-    """The versions of all tables. `epoch` is the control leader's term: versions compare within one epoch
-    only, but for the configuration's, whose number is the operator's."""
+    """The versions of all tables.
+
+    `epoch` is the control leader's term: versions compare within one epoch only, but for the configuration's,
+    whose number is the operator's.
+    """
 
     epoch: int = 0
     configuration: int = 0
@@ -66,13 +74,13 @@
 
 
 class Subscribe(msgspec.Struct, frozen=True, tag=True):
-    """Opens a session. The answer is `Redirect`, `Unavailable` or `CompleteTables`."""
+    """Opens a session. The answer is `Redirect` or `CompleteTables`."""
 
     node: NodeRecord
 
 
 class Redirect(msgspec.Struct, frozen=True, tag=True):
-    """Not the leader; `leader` is its IP, or empty where none is known."""
+    """The answer of a machine that is not the leader; `leader` is the leader's IP, or empty if unknown."""
 
     leader: str
 
@@ -90,7 +98,7 @@
 
 
 class TableChanges(msgspec.Struct, frozen=True, tag=True):
-    """What changed between `base` and `versions`; parts that did not change are null or empty."""
+    """What changed between `base` and `versions`; tables that did not change are null or empty."""
 
     base: TableVersions
     versions: TableVersions
@@ -105,7 +113,7 @@
 
 
 class Renew(msgspec.Struct, frozen=True, tag=True):
-    """Keeps the session; asks for confirmation of the versions. Stores that lead add their group's status."""
+    """Renews the session and requests the current versions. A store that leads adds its group's status."""
 
     node: NodeRecord
     status: GroupStatus | None = None
--- a/pewterring/distribution/tables.py
+++ b/pewterring/distribution/tables.py
@@ -1,4 +1,4 @@
-"""What a node knows, as one immutable snapshot that is swapped whole."""
+"""What a node knows of the tier, as one immutable object that is replaced as a whole."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -13,17 +13,17 @@
     WorkerRecord,
 )
 
-NOTHING: Mapping[str, WorkerRecord] = MappingProxyType({})
+NO_WORKERS: Mapping[str, WorkerRecord] = MappingProxyType({})
 
 
 @dataclass(frozen=True, slots=True)
 class Tables:
-    """Configuration, workers and nodes at one moment."""
+    """Configuration, workers and nodes at one moment; empty before the first session."""
 
     versions: TableVersions = field(default_factory=TableVersions)
     configuration: Configuration | None = None
-    workers: Mapping[str, WorkerRecord] = field(default_factory=lambda: NOTHING)  # by id
+    workers: Mapping[str, WorkerRecord] = field(default_factory=lambda: NO_WORKERS)  # by id
     nodes: tuple[NodeRecord, ...] = ()
     placements: tuple[PlacementRecord, ...] = ()
     groups: tuple[GroupStatus, ...] = ()
-    controls: tuple[str, ...] = ()  # IPs
+    controls: tuple[str, ...] = ()  # IPs of the control machines
--- a/pewterring/gateway/program.py
+++ b/pewterring/gateway/program.py
@@ -19,7 +19,7 @@
 from pewterring.configuration.priority_ranks import PriorityRanks
 from pewterring.configuration.route_table import RouteTable
 from pewterring.distribution.messages import FEED_MESSAGES, GATEWAY_PROGRAM, NodeRecord
-from pewterring.distribution.subscriber import FeedSubscriber
+from pewterring.distribution.subscriber import FeedEnvironment, FeedSubscriber, NodeReport
 from pewterring.distribution.tables import Tables
 from pewterring.gateway.admissions import GatewayAdmissions
 from pewterring.gateway.answers import Answer, failure
@@ -85,7 +85,7 @@
         self._metrics = GatewayMetrics()
         codec = MessageCodec((*FEED_MESSAGES, *BATCH_MESSAGES), settings.cluster)
         self._feed = FeedSubscriber(
-            settings, codec, self._record, on_tables=self._take_tables, rng=self._rng, clock=clock
+            settings, codec, NodeReport(self._record), self._take_tables, FeedEnvironment(self._rng, clock)
         )
         links = LinkPool(codec, settings.internal_port, rng=self._rng, source_ip=settings.ip)
         self._links = links
--- a/tests/control/feed_path.py
+++ b/tests/control/feed_path.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from pewterring.distribution.messages import NodeRecord, Renew, Subscribe
-from pewterring.distribution.subscriber import FeedSubscriber
+from pewterring.distribution.subscriber import FeedEnvironment, FeedSubscriber, NodeReport
 from pewterring.transport.lines import Channel, MessageCodec, RequestNotSent, RequestTimeout
 from tests.control.cluster import FEED_CODEC, ControlCluster, ControlMachine
 from tests.node_settings import addresses, node_settings
@@ -91,10 +91,10 @@
         self.subscriber = FeedSubscriber(
             node_settings("edge", ip, seeds=addresses(seeds, 1)),
             FEED_CODEC,
-            lambda: record,
-            rng=random.Random(ip),
-            clock=lambda: self._loop.time() + self.stood_still_s,
-            open_channel=self._open_channel,
+            NodeReport(lambda: record),
+            environment=FeedEnvironment(
+                random.Random(ip), lambda: self._loop.time() + self.stood_still_s, self._open_channel
+            ),
         )
 
     @property
--- a/tests/control/test_cut_off.py
+++ b/tests/control/test_cut_off.py
@@ -12,9 +12,10 @@
 from pewterring.control.errors import NotLeading
 from pewterring.control.leadership import GroupLeadership
 from pewterring.control.state import encode_command
+from pewterring.distribution.errors import StaleLeaderError
 from pewterring.distribution.messages import CompleteTables, Redirect, Subscribe, TableVersions
-from pewterring.distribution.subscriber import RETRY_S
-from pewterring.distribution.subscription import FeedSubscription, StaleLeaderError
+from pewterring.distribution.subscriber import SEARCH_PAUSE_S
+from pewterring.distribution.subscription import FeedSubscription
 from pewterring.transport.lines import Channel
 from tests.configuration.documents import encoded
 from tests.consensus.virtual_time import VirtualTimeLoop, run
@@ -376,7 +377,9 @@
 
         leader.feed.subscribe = answer_and_change  # type: ignore[method-assign]
         await node.subscriber.start()
-        assert await node.has_version(2, RETRY_S * 1.5 + 0.05), "asked again only with the next renewal"
+        assert await node.has_version(2, SEARCH_PAUSE_S * 1.5 + 0.05), (
+            "asked again only with the next renewal"
+        )
         await node.subscriber.stop()
         await cluster.stop()
 
@@ -435,7 +438,7 @@
         liar.feed.subscribe = lambda channel, message: tables_of(0, 1)  # type: ignore[method-assign]
         leader.feed.end_sessions()
         assert (await cluster.call(put_call(1, encoded(version=2)), leader.ip)).status == 200
-        node.subscriber._leader = liar.ip
+        node.subscriber._leader_ip = liar.ip
         assert await node.has_version(2, CONFIG_S)
         assert set(epochs) == {leader.group.term}
         await node.subscriber.stop()
--- a/tests/control/test_program.py
+++ b/tests/control/test_program.py
@@ -23,7 +23,7 @@
     Subscribe,
     TableVersions,
 )
-from pewterring.distribution.subscriber import FeedSubscriber
+from pewterring.distribution.subscriber import FeedEnvironment, FeedSubscriber, NodeReport
 from pewterring.distribution.tables import Tables
 from pewterring.node.address import Address
 from pewterring.node.errors import SettingsError
@@ -125,9 +125,9 @@
         self.subscriber = FeedSubscriber(
             machines.settings(NODE_IP, program="gateway"),
             MessageCodec(FEED_MESSAGES),
-            lambda: NodeRecord("edge-1", "gateway", NODE_IP, "z", "x"),
-            on_tables=self._on_tables,
-            rng=random.Random(1),
+            NodeReport(lambda: NodeRecord("edge-1", "gateway", NODE_IP, "z", "x")),
+            self._on_tables,
+            FeedEnvironment(random.Random(1)),
         )
 
     def _on_tables(self, old: Tables, new: Tables) -> None:
@@ -235,7 +235,7 @@
         await stranger.start(IPS[0], machines.internal_port)
         with warnings_logged() as lines:
             for _ in range(5):
-                await node.subscriber._session(IPS[0])
+                await node.subscriber._run_session(IPS[0])
         assert len(lines) == 2
         assert all("cluster" in line for line in lines)
         assert node.subscriber.tables.configuration is None
--- a/tests/simulation/world.py
+++ b/tests/simulation/world.py
@@ -11,7 +11,7 @@
 from pewterring.consensus.group import ReplicatedGroup
 from pewterring.control.program import ControlProgram
 from pewterring.distribution.messages import FEED_MESSAGES, GroupStatus, NodeRecord
-from pewterring.distribution.subscriber import FeedSubscriber
+from pewterring.distribution.subscriber import FeedEnvironment, FeedSubscriber, NodeReport
 from pewterring.distribution.tables import Tables
 from pewterring.gateway.batch_calls import BatchCalls
 from pewterring.node.address import Address
@@ -294,11 +294,9 @@
         subscriber = node.subscriber = FeedSubscriber(
             self._settings(node.ip, False),
             CODEC,
-            lambda: record,
-            self._no_status,
+            NodeReport(lambda: record, self._no_status),
             lambda old, new: self._swapped(node, new),
-            random.Random(self.rng.random()),
-            lambda: process.steady(self.loop.time()),
+            FeedEnvironment(random.Random(self.rng.random()), lambda: process.steady(self.loop.time())),
         )
         self.loop.create_task(subscriber.start())
         links = LinkPool(BATCH_CODEC, INTERNAL_PORT, rng=random.Random(self.rng.random()))
