--- a/pewterring/control/state.py
+++ b/pewterring/control/state.py
@@ -28,12 +28,10 @@
     Untold,
 )
 from pewterring.distribution.messages import (
-    DRAINING,
-    READY,
     STORE,
-    UNRESPONSIVE,
     NodeRecord,
     PlacementRecord,
+    RegistrationState,
     WorkerRecord,
 )
 
@@ -264,7 +262,11 @@
         known = self._workers.get(worker.id)
         if known == worker or worker.id in self._departed:
             return Accepted(repeated=True)
-        if known is not None and known.state == DRAINING and worker.state != DRAINING:
+        if (
+            known is not None
+            and known.state == RegistrationState.DRAINING
+            and worker.state != RegistrationState.DRAINING
+        ):
             return Accepted(repeated=True)
         if known is not None and self._by_address.get(known.address) == known.id:
             del self._by_address[known.address]
@@ -284,15 +286,17 @@
     def _silence_workers(self, command: SilenceWorkers) -> Result:
         for worker_id in command.ids:
             worker = self._workers.get(worker_id)
-            if worker is not None and worker.state == READY:
-                self._workers[worker_id] = msgspec.structs.replace(worker, state=UNRESPONSIVE)
+            if worker is not None and worker.state == RegistrationState.READY:
+                self._workers[worker_id] = msgspec.structs.replace(
+                    worker, state=RegistrationState.UNRESPONSIVE
+                )
                 self._changes.workers.add(worker_id)
         return Accepted()
 
     def _remove_worker(self, worker_id: str, for_good: bool) -> None:
         """Removes a worker. One that was draining leaves for good: it has nothing left to come back for."""
         worker = self._workers.pop(worker_id, None)
-        if for_good or (worker is not None and worker.state == DRAINING):
+        if for_good or (worker is not None and worker.state == RegistrationState.DRAINING):
             self._departed[worker_id] = None
             _drop_oldest(self._departed, REMEMBERED_DEPARTURES)
         if worker is None:
--- a/pewterring/distribution/messages.py
+++ b/pewterring/distribution/messages.py
@@ -5,12 +5,21 @@
 records are also entries of the control log and parts of its snapshots.
 """
 
+from enum import StrEnum
+
 import msgspec
 
-# States of a worker. On the wire they are plain text: what a later version adds must not end a session.
-READY = "ready"
-DRAINING = "draining"
-UNRESPONSIVE = "silent"  # the wire's name; no heartbeats, but a gateway that it answers goes on sending to it
+
+class RegistrationState(StrEnum):
+    """What control knows of a worker.
+
+    Fields of records hold plain text, so that a state that a later version adds ends no session.
+    """
+
+    READY = "ready"
+    DRAINING = "draining"  # it answers what it has and takes nothing new
+    UNRESPONSIVE = "silent"  # the wire's name; a gateway that it answers goes on sending to it
+
 
 # Programs of nodes; a control machine is "control".
 GATEWAY_PROGRAM = "gateway"
@@ -25,7 +34,7 @@
     address: str  # IP:port
     zone: str
     capacity: int
-    state: str  # `READY`, `DRAINING` or `UNRESPONSIVE`
+    state: str  # a `RegistrationState`
     models: tuple[str, ...] = ()
 
 
--- a/pewterring/local/engine.py
+++ b/pewterring/local/engine.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from pewterring.distribution.messages import READY
+from pewterring.distribution.messages import RegistrationState
 from pewterring.registry.heartbeats import Heartbeat, LoadedModel
 from pewterring.transport.http_client import WorkerPool
 from pewterring.transport.http_exchange import REQUEST_ID, ExchangeError, SendRequest
@@ -140,7 +140,7 @@
             address=self._address,
             zone=self._zone,
             capacity=CAPACITY,
-            state=READY,
+            state=RegistrationState.READY,
             models=(LoadedModel(MODEL, 1),),
             sequence=self._sequence,
         )
--- a/pewterring/registry/heartbeats.py
+++ b/pewterring/registry/heartbeats.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from pewterring.distribution.messages import DRAINING, READY, WorkerRecord
+from pewterring.distribution.messages import RegistrationState, WorkerRecord
 
 MAX_CAPACITY = 1_000_000  # requests at once: more than any worker runs, and sums of it stay exact
 MAX_PORT = 65535
@@ -33,7 +33,7 @@
     zone: str = ""
     version: str = ""
     capacity: Annotated[int, msgspec.Meta(ge=0, le=MAX_CAPACITY)] = 1
-    state: str = READY
+    state: str = RegistrationState.READY
     warm_up_remaining_ms: float = msgspec.field(name="cold_remaining_ms", default=0.0)  # the wire's name
     stage: str = ""
     models: tuple[LoadedModel, ...] = ()
@@ -47,7 +47,9 @@
             address=self.address,
             zone=self.zone,
             capacity=self.capacity,
-            state=READY if self.state == READY else DRAINING,
+            state=RegistrationState.READY
+            if self.state == RegistrationState.READY
+            else RegistrationState.DRAINING,
             models=tuple(model.name for model in self.models),
         )
 
--- a/pewterring/registry/workers.py
+++ b/pewterring/registry/workers.py
@@ -8,7 +8,7 @@
 from collections.abc import Mapping, Set
 from dataclasses import dataclass
 
-from pewterring.distribution.messages import DRAINING, READY, UNRESPONSIVE, WorkerRecord
+from pewterring.distribution.messages import RegistrationState, WorkerRecord
 from pewterring.durations import PAUSE_THRESHOLD_S
 from pewterring.registry.heartbeats import Heartbeat
 
@@ -63,7 +63,7 @@
         if contact is None:
             contact = self._contacts[worker_id] = Contact(now, 0)
         overtaken = heartbeat.sequence < contact.sequence
-        if overtaken and heartbeat.state != DRAINING:
+        if overtaken and heartbeat.state != RegistrationState.DRAINING:
             return None
         contact.heard_at = now
         contact.sequence = max(contact.sequence, heartbeat.sequence)
@@ -74,7 +74,7 @@
         committed = self._committed.get(record.id)
         if committed is None:
             return record
-        if committed.state == DRAINING and record.state != DRAINING:
+        if committed.state == RegistrationState.DRAINING and record.state != RegistrationState.DRAINING:
             return None
         return None if record == committed else record
 
@@ -93,9 +93,13 @@
         expired: list[str] = []
         for worker in self._committed.values():
             contact = self._contacts.setdefault(worker.id, Contact(now, 0))
-            timeout_s = self._removal_s if worker.state == UNRESPONSIVE else self._heartbeat_timeout_s
+            timeout_s = (
+                self._removal_s
+                if worker.state == RegistrationState.UNRESPONSIVE
+                else self._heartbeat_timeout_s
+            )
             if now - contact.heard_at > timeout_s:
-                (newly if worker.state == READY else expired).append(worker.id)
+                (newly if worker.state == RegistrationState.READY else expired).append(worker.id)
         return UnresponsiveWorkers(tuple(newly), tuple(expired))
 
     def _forget_removed(self, now: float) -> None:
--- a/pewterring/routing/chooser.py
+++ b/pewterring/routing/chooser.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Collection, Iterable, Mapping, Sequence
 
 from pewterring.configuration.model import Configuration
-from pewterring.distribution.messages import READY, UNRESPONSIVE, WorkerRecord
+from pewterring.distribution.messages import RegistrationState, WorkerRecord
 from pewterring.routing.prompt import Prompt
 from pewterring.routing.prompt_hints import worker_number
 from pewterring.routing.worker_state import WorkerState
@@ -73,8 +73,8 @@
         self.workers = kept
         self._arrange()
         self._by_number = {worker_number(worker_id): state for worker_id, state in kept.items()}
-        self._by_service = _by_service(kept.values(), READY)
-        self._silent = _by_service(kept.values(), UNRESPONSIVE)
+        self._by_service = _by_service(kept.values(), RegistrationState.READY)
+        self._silent = _by_service(kept.values(), RegistrationState.UNRESPONSIVE)
 
     def take_place(self, place: float) -> None:
         """Where this process stands among those of its zone, from 0 to 1."""
--- a/tests/distribution/test_subscription.py
+++ b/tests/distribution/test_subscription.py
@@ -7,10 +7,10 @@
 
 from pewterring.distribution.errors import FeedGapError, StaleLeaderError
 from pewterring.distribution.messages import (
-    READY,
     CompleteTables,
     NodeRecord,
     PlacementRecord,
+    RegistrationState,
     Renewed,
     TableChanges,
     TableVersions,
@@ -25,7 +25,7 @@
 
 
 def worker(number: int) -> WorkerRecord:
-    return WorkerRecord(f"w-{number}", "search", f"10.0.2.{number}:80", "z", 4, READY)
+    return WorkerRecord(f"w-{number}", "search", f"10.0.2.{number}:80", "z", 4, RegistrationState.READY)
 
 
 def node(number: int) -> NodeRecord:
--- a/tests/golden/control_calls.py
+++ b/tests/golden/control_calls.py
@@ -13,7 +13,7 @@
 from pewterring.control.service import ACKNOWLEDGED, ControlService
 from pewterring.control.state import ControlState, Retirement, encode_command
 from pewterring.control.status import TierStatus, status_of
-from pewterring.distribution.messages import UNRESPONSIVE
+from pewterring.distribution.messages import RegistrationState
 from pewterring.registry.heartbeats import Heartbeat, LoadedModel, read_heartbeat
 from pewterring.registry.workers import WorkerRegistry
 from tests.golden.control_commands import COMMANDS
@@ -37,7 +37,7 @@
 STATUS = TierStatus(
     version=8,
     nodes=(STORE_NODE, GATEWAY_NODE),
-    workers=(msgspec.structs.replace(WORKER, state=UNRESPONSIVE),),
+    workers=(msgspec.structs.replace(WORKER, state=RegistrationState.UNRESPONSIVE),),
     placements=(PLACEMENT,),
     retirements=(
         Retirement(node_id="store-1", member="10.0.1.1#a1", ended=True),
--- a/tests/golden/records.py
+++ b/tests/golden/records.py
@@ -4,13 +4,12 @@
 
 from pewterring.configuration.validation import validate_configuration, validate_patch
 from pewterring.distribution.messages import (
-    DRAINING,
     GATEWAY_PROGRAM,
-    READY,
     STORE,
     GroupStatus,
     NodeRecord,
     PlacementRecord,
+    RegistrationState,
     TableVersions,
     WorkerRecord,
 )
@@ -42,7 +41,7 @@
     address="10.0.2.1:8080",
     zone="zone-a",
     capacity=48,
-    state=READY,
+    state=RegistrationState.READY,
     models=("small", "large"),
 )
 OTHER_WORKER = WorkerRecord(
@@ -51,11 +50,16 @@
     address="10.0.2.2:8080",
     zone="zone-b",
     capacity=4,
-    state=DRAINING,
+    state=RegistrationState.DRAINING,
     models=("small",),
 )
 PLAIN_WORKER = WorkerRecord(
-    id="w-3", service="search", address="10.0.2.3:8080", zone="zone-c", capacity=1, state=READY
+    id="w-3",
+    service="search",
+    address="10.0.2.3:8080",
+    zone="zone-c",
+    capacity=1,
+    state=RegistrationState.READY,
 )
 STORE_NODE = NodeRecord(
     node_id="store-1",
--- a/tests/golden/test_stored_data.py
+++ b/tests/golden/test_stored_data.py
@@ -14,7 +14,7 @@
 from pewterring.control.program import GROUP, open_storage
 from pewterring.control.state import ControlState, Retirement, encode_command
 from pewterring.control.stores import FIRST_GROUP
-from pewterring.distribution.messages import UNRESPONSIVE
+from pewterring.distribution.messages import RegistrationState
 from pewterring.storage.identity import member_name
 from pewterring.storage.records import read_record
 from tests.golden import state_snapshots
@@ -125,7 +125,7 @@
     assert state.has_taken(7, DOCUMENT_DIGEST)
     assert state.has_taken(8, PATCH_DIGEST)
     assert not state.has_taken(9, DOCUMENT_DIGEST)
-    assert state.workers == {"w-1": msgspec.structs.replace(WORKER, state=UNRESPONSIVE)}
+    assert state.workers == {"w-1": msgspec.structs.replace(WORKER, state=RegistrationState.UNRESPONSIVE)}
     assert list(state.departed) == ["w-2", "w-8"]
     assert state.nodes == {"store-1": STORE_NODE, "gateway-1": GATEWAY_NODE}
     assert state.stores == {"store-1": STORE_NODE}
--- a/tests/simulation/play.py
+++ b/tests/simulation/play.py
@@ -7,7 +7,7 @@
 
 from pewterring.control.program import GROUP
 from pewterring.control.stores import FIRST_GROUP
-from pewterring.distribution.messages import READY
+from pewterring.distribution.messages import RegistrationState
 from pewterring.distribution.tables import Tables
 from tests.simulation.adversary import Adversary
 from tests.simulation.batch import FINISH_S, BatchClient, Retirer
@@ -173,7 +173,10 @@
             if node.seen_version < promised:
                 self._failures.append(f"{node.ip} has version {node.seen_version}, not {promised}")
             for worker in tables.workers.values():
-                if worker.state == READY and world.watch.left.get(worker.id, settled) < settled:
+                if (
+                    worker.state == RegistrationState.READY
+                    and world.watch.left.get(worker.id, settled) < settled
+                ):
                     self._failures.append(f"{node.ip} takes {worker.id} for ready, which has left")
 
     def _finish_jobs(self, until: float) -> None:
--- a/tests/simulation/watch.py
+++ b/tests/simulation/watch.py
@@ -11,7 +11,7 @@
 from pewterring.consensus.membership import address_of, encode_membership
 from pewterring.consensus.messages import Entry, Membership
 from pewterring.control.program import GROUP
-from pewterring.distribution.messages import READY, WorkerRecord
+from pewterring.distribution.messages import RegistrationState, WorkerRecord
 from pewterring.distribution.subscription import FeedSubscription
 from pewterring.registry.workers import WorkerRegistry
 from tests.simulation.schedule import On
@@ -148,7 +148,7 @@
                 f"{promised} was acknowledged before"
             )
         for worker in workers:
-            if worker.state == READY and self.left.get(worker.id, moment) < moment:
+            if worker.state == RegistrationState.READY and self.left.get(worker.id, moment) < moment:
                 self.violation(f"{process.name} was told that {worker.id} is ready after its end was taken")
 
     def watchers(self) -> Iterator[Any]:
