--- a/pewterring/storage/fail_stop.py
+++ b/pewterring/storage/fail_stop.py
@@ -4,18 +4,24 @@
 on would acknowledge what it does not hold.
 """
 
-from collections.abc import Iterator
-from contextlib import contextmanager
+from types import TracebackType
 
 from pewterring.storage.errors import StorageError, StorageFullError, StorageUnusableError
 
 
 class FailStop:
-    """Whether files may be written. `files` names them in errors. Stopped until the first `reset`."""
+    """Whether files may be written. `files` names them in errors. Stopped until the first `reset`.
+
+    Blocks that change files run inside one of two context managers, which may be entered any number of times:
+    `stopping_on_error` stops at any `StorageError`; `stopping_unless_full` at any but `StorageFullError`,
+    after which the state of the files is known.
+    """
 
     def __init__(self, files: str) -> None:
         self._files = files
         self._stopped = True
+        self.stopping_on_error = _StopOnError(self, unless_full=False)
+        self.stopping_unless_full = _StopOnError(self, unless_full=True)
 
     def reset(self) -> None:
         """Allows writing: the files have been read."""
@@ -34,22 +40,22 @@
         if self._stopped:
             raise StorageUnusableError(self._files)
 
-    @contextmanager
-    def stopping_on_error(self) -> Iterator[None]:
-        """Stops at any `StorageError` in the block."""
-        try:
-            yield
-        except StorageError:
-            self._stopped = True
-            raise
-
-    @contextmanager
-    def stopping_unless_full(self) -> Iterator[None]:
-        """Stops at any `StorageError` in the block but `StorageFullError`, after which the state is known."""
-        try:
-            yield
-        except StorageFullError:
-            raise
-        except StorageError:
-            self._stopped = True
-            raise
+
+class _StopOnError:
+    """A class and no generator: each write enters it, and entries are written thousands of times a second."""
+
+    __slots__ = ("_fail_stop", "_unless_full")
+
+    def __init__(self, fail_stop: FailStop, unless_full: bool) -> None:
+        self._fail_stop = fail_stop
+        self._unless_full = unless_full
+
+    def __enter__(self) -> None:
+        pass
+
+    def __exit__(
+        self, _kind: type[BaseException] | None, error: BaseException | None, _trace: TracebackType | None
+    ) -> None:
+        is_known = self._unless_full and isinstance(error, StorageFullError)
+        if isinstance(error, StorageError) and not is_known:
+            self._fail_stop.stop()
--- a/pewterring/storage/group.py
+++ b/pewterring/storage/group.py
@@ -124,15 +124,13 @@
         elif isinstance(record, TruncateRecord):
             del entries[max(0, record.from_index - self._snapshot_index - 1) :]
         else:
-            self._replay_entry(position, record.entry, entries)
-
-    def _replay_entry(self, position: Position, entry: Entry, entries: list[Entry]) -> None:
-        self._segments.add(position.segment, entry.index)
-        if entry.index <= self._snapshot_index:
-            return
-        if entry.index != self._snapshot_index + len(entries) + 1:
-            raise CorruptLogError(position.file, position.offset)
-        entries.append(entry)
+            index = record.entry.index
+            self._segments.add(position.segment, index)
+            if index <= self._snapshot_index:
+                return
+            if index != self._snapshot_index + len(entries) + 1:
+                raise CorruptLogError(position.file, position.offset)
+            entries.append(record.entry)
 
     # Writing
 
@@ -161,7 +159,7 @@
         entries = [entry for entry in entries if entry.index > self._snapshot_index]
         truncate_from = self._effective_truncation(truncate_from, entries)
         self._check_no_gap(truncate_from, entries)
-        payloads = list(encode_changes(hard_state, truncate_from, entries))
+        payloads = encode_changes(hard_state, truncate_from, entries)
         if not payloads:
             return
         self._append(payloads)
@@ -178,7 +176,7 @@
         if self._has_snapshot and index <= self._snapshot_index:
             return
         keeps_entries = self._terms.contains(index, term)
-        with self._fail_stop.stopping_unless_full():
+        with self._fail_stop.stopping_unless_full:
             self._log.roll(self._segment_head())
         first_segment = self._first_needed_segment(index) if keeps_entries else self._log.last_segment
         self._write_snapshot(SnapshotHeader(index, term, membership, first_segment), data)
@@ -195,18 +193,18 @@
         self._log.close()
 
     def _append(self, payloads: list[bytes]) -> None:
-        with self._fail_stop.stopping_unless_full():
+        with self._fail_stop.stopping_unless_full:
             if self._log.last_segment_bytes >= self._segment_bytes:
                 self._log.roll(self._segment_head())
             self._log.append(payloads)
 
     def _write_snapshot(self, header: SnapshotHeader, data: bytes) -> None:
-        with self._fail_stop.stopping_unless_full():
+        with self._fail_stop.stopping_unless_full:
             self._snapshots.write(header, data)
         self._has_snapshot = True
 
     def _remove_needless(self, first_segment: int) -> None:
-        with self._fail_stop.stopping_unless_full():
+        with self._fail_stop.stopping_unless_full:
             self._snapshots.remove_older()
             self._log.remove_before(first_segment)
         self._segments.drop_before(first_segment)
--- a/pewterring/storage/group_records.py
+++ b/pewterring/storage/group_records.py
@@ -1,6 +1,6 @@
 """The records of a group's log: term and vote, truncations, entries; each one line of JSON."""
 
-from collections.abc import Iterable, Iterator
+from collections.abc import Iterable
 
 import msgspec
 
@@ -30,36 +30,24 @@
 
 
 GroupRecord = HardStateRecord | TruncateRecord | EntryRecord
-_ENCODER = msgspec.json.Encoder()
-_DECODER = msgspec.json.Decoder(GroupRecord)
-
-
-def encode_group_record(record: GroupRecord) -> bytes:
-    """The payload of a record of the log."""
-    return _ENCODER.encode(record) + b"\n"
-
-
-def decode_group_record(payload: bytes) -> GroupRecord:
-    """The record of a payload.
-
-    Raises:
-        msgspec.MsgspecError: it is none.
-    """
-    return _DECODER.decode(payload)
+_encode = msgspec.json.Encoder().encode
+# The record of a payload, or `msgspec.MsgspecError` where it is none; bound here: a load calls it per entry.
+decode_group_record = msgspec.json.Decoder(GroupRecord).decode
 
 
 def encode_hard_state(state: HardState) -> bytes:
     """The payload of a term and vote."""
-    return encode_group_record(HardStateRecord(state.term, state.vote))
+    return _encode(HardStateRecord(state.term, state.vote)) + b"\n"
 
 
 def encode_changes(
     hard_state: HardState | None, truncate_from: int | None, entries: Iterable[Entry]
-) -> Iterator[bytes]:
+) -> list[bytes]:
     """The payloads of one call of `GroupStorage.save`, in the order in which a load replays them."""
+    payloads: list[bytes] = []
     if hard_state is not None:
-        yield encode_hard_state(hard_state)
+        payloads.append(encode_hard_state(hard_state))
     if truncate_from is not None:
-        yield encode_group_record(TruncateRecord(truncate_from))
-    for entry in entries:
-        yield encode_group_record(EntryRecord(entry))
+        payloads.append(_encode(TruncateRecord(truncate_from)) + b"\n")
+    payloads.extend(_encode(EntryRecord(entry)) + b"\n" for entry in entries)
+    return payloads
--- a/pewterring/storage/log.py
+++ b/pewterring/storage/log.py
@@ -154,7 +154,7 @@
         self._truncate_failed_write()
         data = encode_batch(payloads, self._last_batch + 1)
         self._has_failed_write = True
-        with self._fail_stop.stopping_unless_full():
+        with self._fail_stop.stopping_unless_full:
             self._writable_file.write(data)
             self._writable_file.sync()
         self._has_failed_write = False
@@ -176,7 +176,7 @@
         self._fail_stop.check()
         for number in sorted(self._sizes):
             if number < segment:
-                with self._fail_stop.stopping_on_error():
+                with self._fail_stop.stopping_on_error:
                     self._disk.remove(self._segment_file(number))
                 del self._sizes[number]
 
@@ -204,7 +204,7 @@
 
     def _create_synced(self, name: str, data: bytes) -> DiskFile:
         """The open file of a new segment; its content and its name outlast a loss of power."""
-        with ExitStack() as on_error, self._fail_stop.stopping_unless_full():
+        with ExitStack() as on_error, self._fail_stop.stopping_unless_full:
             file = self._disk.create(name)
             on_error.callback(file.close)
             file.write(data)
@@ -215,7 +215,7 @@
 
     def _remove_unstarted(self, name: str) -> None:
         """Removes the file of a segment that could not be started, durably: it must not come back later."""
-        with self._fail_stop.stopping_on_error():
+        with self._fail_stop.stopping_on_error:
             if name in self._disk.names():
                 self._disk.remove(name)
             self._disk.sync_folder()
@@ -224,7 +224,7 @@
         """Removes what is left of a failed write, synced, before anything else is written."""
         if not self._has_failed_write:
             return
-        with self._fail_stop.stopping_on_error():
+        with self._fail_stop.stopping_on_error:
             self._writable_file.truncate(self.last_segment_bytes)
             self._writable_file.sync()
         self._has_failed_write = False
--- a/tests/storage/test_fail_stop.py
+++ b/tests/storage/test_fail_stop.py
@@ -24,7 +24,7 @@
 
 
 def test_a_failed_disk_stops_writing_until_the_files_are_read_again(fail_stop: FailStop) -> None:
-    with pytest.raises(StorageFailedError), fail_stop.stopping_unless_full():
+    with pytest.raises(StorageFailedError), fail_stop.stopping_unless_full:
         raise StorageFailedError("sync")
     check_stopped(fail_stop)
     fail_stop.reset()
@@ -32,9 +32,9 @@
 
 
 def test_a_full_disk_stops_writing_only_where_its_state_is_not_known(fail_stop: FailStop) -> None:
-    with pytest.raises(StorageFullError), fail_stop.stopping_unless_full():
+    with pytest.raises(StorageFullError), fail_stop.stopping_unless_full:
         raise StorageFullError("write")
     fail_stop.check()
-    with pytest.raises(StorageFullError), fail_stop.stopping_on_error():
+    with pytest.raises(StorageFullError), fail_stop.stopping_on_error:
         raise StorageFullError("remove")
     check_stopped(fail_stop)
