--- a/pewterring/distribution/subscriber.py
+++ b/pewterring/distribution/subscriber.py
@@ -32,10 +32,10 @@
 from pewterring.transport.channel import PeerWarnings
 from pewterring.transport.lines import Channel, MessageCodec, MessageHandler, TransportError, connect
 
-RENEWAL_INTERVAL_S = 0.4  # a leader that is one no longer says so within this time
+RENEWAL_INTERVAL_S = 0.4  # a machine that lost the leadership says so at the next renewal, at the latest
 ANSWER_TIMEOUT_S = 0.9  # an answer of the leader later than this counts as lost
 CONNECT_TIMEOUT_S = 0.5  # a machine that is down delays the search by no more
-SEARCH_PAUSE_S = 0.15  # between searches, once all known machines were asked: spares them while none leads
+SEARCH_PAUSE_S = 0.15  # between searches through all known machines: spares them while none leads
 MAX_REDIRECTS = 2  # that are followed without a pause: machines may name each other
 
 OpenChannel = Callable[[MessageCodec, str, int, float, MessageHandler], Awaitable[Channel]]
@@ -52,11 +52,11 @@
 
 @dataclass(frozen=True, slots=True)
 class FeedEnvironment:
-    """Chance, time and network below a subscriber; tests and simulations replace them."""
+    """Randomness, time and network below a subscriber; tests and simulations replace them."""
 
     rng: random.Random = field(default_factory=random.Random)
     clock: Callable[[], float] = time.monotonic  # seconds, steady
-    # Warnings of all sessions are counted together: a seed of another cluster is asked again and again.
+    # Warnings of all sessions are counted together: a seed of another cluster is contacted again and again.
     open_channel: OpenChannel = field(default_factory=lambda: partial(connect, warnings=PeerWarnings()))
 
 
@@ -113,13 +113,13 @@
                 await self._task
 
     def reload(self, settings: NodeSettings) -> None:
-        """Takes settings that have changed: other seeds are asked from the next search on."""
+        """Takes settings that have changed: other seeds are contacted from the next search on."""
         self._settings = settings
 
     async def _follow(self) -> None:
         """Searches the leader and follows it, until it is cancelled.
 
-        Symptom answered: after a restart of all, a leader was known for 0.2 s before gateways asked it.
+        Symptom answered: after a restart of all, a leader was known for 0.2 s before gateways contacted it.
         """
         redirects = 0
         while True:
--- a/pewterring/distribution/subscription.py
+++ b/pewterring/distribution/subscription.py
@@ -1,6 +1,6 @@
 """The state of a node's subscription to the feed, without I/O: its tables, and when they were last confirmed.
 
-Within the life of a process neither a configuration nor a leadership goes back. What may go wrong is a
+Within one incarnation of a process neither a configuration nor a leadership goes back. What may go wrong is a
 `FeedError`, after which the tables are as they were.
 """
 
--- a/pewterring/storage/errors.py
+++ b/pewterring/storage/errors.py
@@ -8,6 +8,7 @@
 from pewterring.consensus.errors import StorageError, StorageFullError
 
 __all__ = [
+    "CorruptFileError",
     "CorruptIdentityError",
     "CorruptLogError",
     "CorruptSnapshotError",
@@ -34,30 +35,29 @@
         self.files = files
 
 
-class CorruptLogError(StorageError):
-    """Records that had been synced are damaged or missing; the log cannot be trusted."""
+class CorruptFileError(StorageError):
+    """What had been synced is damaged or missing: nothing is read of it. Replace the content of the disk."""
 
-    def __init__(self, file: str, offset: int) -> None:
-        super().__init__(f"{file} is damaged at byte {offset}")
+    def __init__(self, file: str, where: str = "") -> None:
+        super().__init__(f"{file} is damaged{where}")
         self.file = file
+
+
+class CorruptLogError(CorruptFileError):
+    """Records of the log are damaged or missing from `offset` (bytes) on; the log cannot be trusted."""
+
+    def __init__(self, file: str, offset: int) -> None:
+        super().__init__(file, f" at byte {offset}")
         self.offset = offset
 
 
-class CorruptSnapshotError(StorageError):
+class CorruptSnapshotError(CorruptFileError):
     """The newest snapshot is damaged."""
 
-    def __init__(self, file: str) -> None:
-        super().__init__(f"{file} is damaged")
-        self.file = file
-
 
-class CorruptIdentityError(StorageError):
+class CorruptIdentityError(CorruptFileError):
     """The file of the member's tag is damaged: under which name its votes were given is not known."""
 
-    def __init__(self, file: str) -> None:
-        super().__init__(f"{file} is damaged")
-        self.file = file
-
 
 class ForeignIdentityError(StorageError):
     """The data folder is that of another machine; start with its own folder or with an empty one."""
--- a/tests/distribution/test_subscriber.py
+++ b/tests/distribution/test_subscriber.py
@@ -57,7 +57,7 @@
 
 
 class Network:
-    """The control machines by IP, and when which of them was asked, in virtual time."""
+    """The control machines by IP, and when which of them was contacted, in virtual time."""
 
     def __init__(self, answers: Mapping[str, tuple[msgspec.Struct, ...]]) -> None:
         self.loop = VirtualTimeLoop()
@@ -84,7 +84,7 @@
 
 
 def requests(answers: Mapping[str, tuple[msgspec.Struct, ...]], duration_s: float) -> list[tuple[float, str]]:
-    """When which machine was asked."""
+    """When which machine was contacted."""
     network = Network(answers)
 
     async def play() -> None:
--- a/tests/storage/simulated_disk.py
+++ b/tests/storage/simulated_disk.py
@@ -49,7 +49,7 @@
         self.changes.clear()
 
     def lose_power(self, rng: random.Random, lose_all: bool) -> None:
-        """Makes a state durable that a loss of power may leave: each change kept, torn or lost."""
+        """Makes a state durable that a loss of power may leave: each change is there, torn or lost."""
         content = bytearray(self.durable)
         for offset, data in self.changes:
             fate = _Fate.LOST if lose_all else rng.choice(list(_Fate))
@@ -192,7 +192,7 @@
         self.incarnation += 1
 
     def lose_power(self, rng: random.Random) -> None:
-        """Keeps what was synced; the rest is kept, torn or lost, by the generator."""
+        """What was synced stays; the rest is there, torn or lost, by the generator."""
         self.kill()
         lose_all = rng.random() < 0.25
         names = dict(self.durable_names)
