--- a/tests/batch/virtual_cluster.py
+++ b/tests/batch/virtual_cluster.py
@@ -10,12 +10,13 @@
 
 from pewterring.batch.admissions import BatchAdmissions
 from pewterring.batch.dispatch import AdmissionDispatcher
-from pewterring.batch.execution import EventHandler, ItemExecution
+from pewterring.batch.execution import EventHandler, ExecutionEnvironment, ItemExecution
 from pewterring.batch.group_log import GroupLog
-from pewterring.batch.messages import NotLeading, Unsure
+from pewterring.batch.messages import NotLeading, OutcomeUnknown
 from pewterring.batch.results import ResultCommitter
+from pewterring.batch.retention import RetentionLimits
 from pewterring.batch.scheduler import Failure, QueuedItem
-from pewterring.batch.service import BatchCall, BatchReply, BatchService
+from pewterring.batch.service import BatchCall, BatchReply, BatchService, ServiceEnvironment
 from pewterring.batch.state import BatchState
 from pewterring.configuration.model import Route
 from pewterring.consensus.group import ReplicatedGroup
@@ -23,6 +24,7 @@
 from pewterring.consensus.messages import ConsensusMessage, Entry
 from pewterring.consensus.persistent import HardState
 from pewterring.distribution.messages import WorkerRecord
+from pewterring.distribution.tables import Tables
 from pewterring.routing.chooser import WorkerChooser
 from tests.batch.stand_ins import route, tables, worker
 from tests.consensus.memory_storage import MemoryStorage
@@ -32,12 +34,12 @@
 EVENTS = 3  # of the answer to an item
 EVENT_PAUSE_S = 0.02
 CALL_S = 1.0  # a caller's patience with one store
-PAUSE_S = 0.03  # of a caller between tries
+RETRY_PAUSE_S = 0.03  # of a caller between attempts
 DOWN_S = 0.4  # how long a store that failed stays away
 GIVE_UP_S = 60.0  # virtual time after which a call counts as never answered
 
 
-class Points:
+class FaultPoints:
     """Counts the points that a scenario passes; at number `at` it calls `action` once."""
 
     def __init__(self, at: int = 0, action: Callable[[], None] | None = None) -> None:
@@ -54,7 +56,7 @@
 class Workers:
     """Runs items: some cannot be done, some fail once or always, the others give three events."""
 
-    def __init__(self, points: Points, event_pause_s: float) -> None:
+    def __init__(self, points: FaultPoints, event_pause_s: float) -> None:
         self._points = points
         self._event_pause_s = event_pause_s
         self.finished_at: dict[str, float] = {}  # when a whole answer was given first
@@ -62,7 +64,7 @@
         self.running: Counter[str] = Counter()
         self.most_at_once: Counter[str] = Counter()
 
-    async def run(self, queued: QueuedItem, place: WorkerRecord, on_event: EventHandler) -> Failure | None:
+    async def run(self, queued: QueuedItem, _worker: WorkerRecord, on_event: EventHandler) -> Failure | None:
         name = queued.spec.id
         self._points.reach()
         first = int(queued.last_event_id or 0) + 1
@@ -86,14 +88,14 @@
             self.running[name] -= 1
 
 
-def whole_text(name: str) -> str:
+def complete_text(name: str) -> str:
     return "\n".join(f"{name}.{number}" for number in range(1, EVENTS + 1))
 
 
 class CountingStorage(MemoryStorage):
     """Passes a point before and after each save."""
 
-    def __init__(self, points: Points) -> None:
+    def __init__(self, points: FaultPoints) -> None:
         super().__init__(NAMES)
         self._points = points
         self.lost = False  # what is saved now is lost with the power
@@ -106,7 +108,7 @@
 
 
 class Store:
-    """One life of one store."""
+    """One incarnation of one store."""
 
     def __init__(self, name: str, cluster: "VirtualCluster", storage: CountingStorage) -> None:
         loop = asyncio.get_running_loop()
@@ -114,43 +116,47 @@
         self.alive = True
         self.storage = storage
         self.state = cluster.state_type(loop.time)
-        self.group = ReplicatedGroup(
+        self.group = self._build_group(cluster)
+        known = tables(worker("w1", capacity=50), routes=(cluster.route,))
+        log = GroupLog(self.group)
+        self.execution = ItemExecution(
+            self.state, ResultCommitter(log), self._execution_environment(cluster, known)
+        )
+        service_environment = ServiceEnvironment(
+            lambda: known,
+            loop.time,
+            RetentionLimits(status_s=120, result_budget_bytes=0),
+            max_state_bytes=10**9,
+        )
+        self.service = BatchService(log, self.state, self.execution, service_environment)
+
+    def _build_group(self, cluster: "VirtualCluster") -> ReplicatedGroup:
+        return ReplicatedGroup(
             "batch-0",
-            name,
+            self.name,
             GroupEnvironment(
-                storage=storage,
+                storage=self.storage,
                 machine=self.state,
                 send=lambda message: cluster.send(self, message),
-                clock=loop.time,
-                rng=random.Random(name),
+                clock=asyncio.get_running_loop().time,
+                rng=random.Random(self.name),
                 executor=InlineExecutor(),
             ),
             callbacks=GroupCallbacks(on_leadership=lambda leads: self.service.leadership_changed(leads)),
         )
-        known = tables(worker("w1", capacity=50), routes=(cluster.route,))
-        chooser = WorkerChooser("z", random.Random(name))
+
+    def _execution_environment(self, cluster: "VirtualCluster", known: Tables) -> ExecutionEnvironment:
+        clock = asyncio.get_running_loop().time
+        chooser = WorkerChooser("z", random.Random(self.name))
         chooser.update(known.workers, known.configuration)
-        admissions = BatchAdmissions(random.Random(name))
-        admissions.update(loop.time(), known, chooser)
-        log = GroupLog(self.group)
-        self.execution = ItemExecution(
-            self.state,
-            AdmissionDispatcher(lambda: known, chooser, admissions, loop.time),
+        admissions = BatchAdmissions(random.Random(self.name))
+        admissions.update(clock(), known, chooser)
+        return ExecutionEnvironment(
+            AdmissionDispatcher(lambda: known, chooser, admissions, clock),
             cluster.workers,
-            ResultCommitter(log),
             lambda: known,
             lambda now: self.alive and self.group.has_lease(now),
-            loop.time,
-        )
-        self.service = BatchService(
-            log,
-            self.state,
-            self.execution,
-            lambda: known,
-            loop.time,
-            status_s=120,
-            result_budget_bytes=0,
-            most_state_bytes=10**9,
+            clock,
         )
 
 
@@ -159,7 +165,7 @@
 
     def __init__(
         self,
-        points: Points,
+        points: FaultPoints,
         limited: Route | None = None,
         event_pause_s: float = EVENT_PAUSE_S,
         state_type: type[BatchState] = BatchState,
@@ -243,7 +249,7 @@
                     reply = await self.ask(name, call)
                     if reply is not None:
                         return reply
-                await asyncio.sleep(PAUSE_S)
+                await asyncio.sleep(RETRY_PAUSE_S)
 
     async def ask(self, name: str, call: BatchCall) -> BatchReply | None:
         """One store's answer; None where it has none or it does not arrive."""
@@ -257,6 +263,6 @@
         except TimeoutError:
             return None
         self.points.reach()
-        if not store.alive or name in self.cut or isinstance(reply, NotLeading | Unsure):
+        if not store.alive or name in self.cut or isinstance(reply, NotLeading | OutcomeUnknown):
             return None
         return reply
