--- a/pewterring/registry/workers.py
+++ b/pewterring/registry/workers.py
@@ -5,6 +5,7 @@
 that was paused itself would take all workers for unresponsive, so after a pause all time-outs start anew.
 """
 
+import itertools
 from collections.abc import Mapping, Set
 from dataclasses import dataclass
 
@@ -89,18 +90,17 @@
             return UnresponsiveWorkers()
         self._checked_at = now
         self._forget_removed(now)
-        newly: list[str] = []
-        expired: list[str] = []
+        overdue: dict[str, list[str]] = {}  # by state: ids of one state stand together in the command
         for worker in self._committed.values():
             contact = self._contacts.setdefault(worker.id, Contact(now, 0))
-            timeout_s = (
-                self._removal_s
-                if worker.state == RegistrationState.UNRESPONSIVE
-                else self._heartbeat_timeout_s
-            )
-            if now - contact.heard_at > timeout_s:
-                (newly if worker.state == RegistrationState.READY else expired).append(worker.id)
-        return UnresponsiveWorkers(tuple(newly), tuple(expired))
+            if now - contact.heard_at > self._timeout_s(worker):
+                overdue.setdefault(worker.state, []).append(worker.id)
+        newly = overdue.pop(RegistrationState.READY, [])
+        return UnresponsiveWorkers(tuple(newly), tuple(itertools.chain.from_iterable(overdue.values())))
+
+    def _timeout_s(self, worker: WorkerRecord) -> float:
+        is_unresponsive = worker.state == RegistrationState.UNRESPONSIVE
+        return self._removal_s if is_unresponsive else self._heartbeat_timeout_s
 
     def _forget_removed(self, now: float) -> None:
         """Drops contacts of workers that are no longer committed, once overtaken heartbeats are past."""
--- a/tests/registry/test_workers.py
+++ b/tests/registry/test_workers.py
@@ -2,6 +2,7 @@
 
 from pewterring.control.commands import PutWorker, RemoveWorkers, SilenceWorkers
 from pewterring.control.state import ControlState, encode_command
+from pewterring.distribution.messages import WorkerRecord
 from pewterring.registry.heartbeats import Heartbeat
 from pewterring.registry.workers import UnresponsiveWorkers, WorkerRegistry
 
@@ -136,6 +137,19 @@
     assert fleet.run(0.0, 4.0) == UnresponsiveWorkers(expired=("i-1",))
 
 
+def test_ids_of_workers_to_remove_are_grouped_by_state() -> None:
+    states = {"i-1": "draining", "i-2": "silent", "i-3": "draining"}
+    committed = {
+        worker_id: WorkerRecord(worker_id, "search", "10.0.0.1:80", "a", 4, state)
+        for worker_id, state in states.items()
+    }
+    registry = WorkerRegistry(committed, frozenset(), PERIOD_S)
+    registry.restart_timeouts(0.0)
+    for step in range(int(50 * PERIOD_S / STEP_S) + 2):
+        unresponsive = registry.unresponsive_workers(step * STEP_S)
+    assert unresponsive == UnresponsiveWorkers(expired=("i-1", "i-3", "i-2"))
+
+
 def test_only_a_ready_worker_is_marked_unresponsive() -> None:
     """The mark may be committed after what the worker said meanwhile."""
     fleet = Fleet()
