--- a/pewterring/control/calls.py
+++ b/pewterring/control/calls.py
@@ -10,8 +10,8 @@
 REPLACE_PATH = "/v1/Config.Replace"
 UPDATE_PATH = "/v1/Config.Update"
 READ_PATH = "/v1/Config.Get"
-RETIRE_START_PATH = "/v1/Retire.Start/"
-RETIRE_GET_PATH = "/v1/Retire.Get/"
+DECOMMISSION_START_PATH = "/v1/Retire.Start/"
+DECOMMISSION_STATUS_PATH = "/v1/Retire.Get/"
 STATUS_PATH = "/v1/Tier.Status"
 
 # Versions have 20 digits at most (64 bits). Python refuses to convert numbers of thousands of digits.
@@ -42,17 +42,17 @@
     return int(match[1]) if match else None
 
 
-def refusal(status: int, reason: str) -> Answer:
+def error_answer(status: int, reason: str) -> Answer:
     """An answer that is not 2xx and says why."""
     return Answer(status, msgspec.json.encode({"error": reason}))
 
 
 def known_method(path: str) -> str | None:
     """The method that the path is called with, or None for an unknown path."""
-    if path in (READ_PATH, STATUS_PATH) or path.startswith(RETIRE_GET_PATH):
+    if path in (READ_PATH, STATUS_PATH) or path.startswith(DECOMMISSION_STATUS_PATH):
         return "GET"
     if path in (REPLACE_PATH, UPDATE_PATH) or path.startswith(
-        (HEARTBEAT_PATH, DEREGISTER_PATH, RETIRE_START_PATH)
+        (HEARTBEAT_PATH, DEREGISTER_PATH, DECOMMISSION_START_PATH)
     ):
         return "POST"
     return None
--- a/pewterring/control/http_server.py
+++ b/pewterring/control/http_server.py
@@ -12,9 +12,9 @@
 LIMITS = ServerLimits(
     max_header_bytes=64 * 1024, max_body_bytes=8 * 1024 * 1024, header_timeout_s=10.0, idle_timeout_s=30.0
 )
-CLOSING_S = 1.0  # that open calls get at the end
+OPEN_CALLS_GRACE_S = 1.0  # that open calls get at the end
 CLOSING_CHECK_INTERVAL_S = 0.01
-REBIND_S = 0.5  # before the address is tried again
+REBIND_INTERVAL_S = 0.5  # before the address is tried again
 
 
 class ApiServer:
@@ -38,14 +38,14 @@
                 await self._task
         self._server.begin_drain()
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(CLOSING_S):
+            async with asyncio.timeout(OPEN_CALLS_GRACE_S):
                 while self._server.requests_held:
                     await asyncio.sleep(CLOSING_CHECK_INTERVAL_S)
         await self._server.stop()
 
     async def _listen_in_the_end(self) -> None:
         while True:
-            await asyncio.sleep(REBIND_S)
+            await asyncio.sleep(REBIND_INTERVAL_S)
             if await self._listen():
                 return
 
--- a/pewterring/control/duties.py
+++ b/pewterring/control/leader_tasks.py
@@ -26,10 +26,10 @@
 )
 from pewterring.registry.workers import WorkerRegistry
 
-PLACEMENT_S = 1.0  # after the first store was seen, stores in different zones are no longer waited for
+ZONE_WAIT_S = 1.0  # after the first store was seen, stores in different zones are no longer waited for
 
 
-class LeaderDuties:
+class LeaderTasks:
     """Finds the commands and the change of membership that are due."""
 
     def __init__(
@@ -96,7 +96,7 @@
             return None
         if self._first_store_seen is None:
             self._first_store_seen = now
-        if zones_of(stores) < self._needed and now - self._first_store_seen < PLACEMENT_S:
+        if zones_of(stores) < self._needed and now - self._first_store_seen < ZONE_WAIT_S:
             return None
         placement = first_placement(stores, self._needed)
         return CreateGroup(placement) if placement is not None else None
@@ -111,12 +111,12 @@
                 yield EndRetirement(node_id)
 
 
-class DutyRunner:
+class LeaderTaskRunner:
     """Commits what is due, one thing after the other."""
 
     def __init__(
         self,
-        duties: LeaderDuties,
+        duties: LeaderTasks,
         planner: MembershipPlanner,
         joins: JoinRequests,
         group: ReplicatedGroup,
--- a/pewterring/control/leadership.py
+++ b/pewterring/control/leadership.py
@@ -10,7 +10,7 @@
 from pewterring.control.errors import CallTooOld, NotLeading, OutcomeUnsure
 from pewterring.control.state import encode_command
 
-BARRIER_S = 0.8  # a read that is not confirmed by then is given up
+READ_BARRIER_TIMEOUT_S = 0.8  # a read that is not confirmed by then is given up
 
 
 class Leadership(Protocol):
@@ -73,7 +73,7 @@
         if not self.ready:
             raise NotLeading
         try:
-            async with asyncio.timeout(BARRIER_S):
+            async with asyncio.timeout(READ_BARRIER_TIMEOUT_S):
                 await self._group.read_barrier()
         except (ConsensusError, TimeoutError) as error:
             raise NotLeading from error
--- a/pewterring/control/program.py
+++ b/pewterring/control/program.py
@@ -18,18 +18,18 @@
 from pewterring.consensus.planner import MembershipPlanner, voters_needed
 from pewterring.consensus.types import RaftTiming
 from pewterring.control.api import ControlApi
-from pewterring.control.duties import DutyRunner, LeaderDuties, controls_of
 from pewterring.control.feed import FeedServer
 from pewterring.control.http_server import ApiServer
+from pewterring.control.leader_tasks import LeaderTaskRunner, LeaderTasks, controls_of
 from pewterring.control.leadership import GroupLeadership
 from pewterring.control.membership import JoinRequests
 from pewterring.control.messages import CONTROL_MESSAGES, JoinGroup, RelayedCall
 from pewterring.control.nodes import NodeTable
+from pewterring.control.pause_detector import PauseDetector
 from pewterring.control.publisher import FeedPublisher
-from pewterring.control.relay import CallRouter, RelayFailed
+from pewterring.control.relay import CallRouter, RelayError
 from pewterring.control.retiring import RetirementDesk
 from pewterring.control.service import ControlService
-from pewterring.control.standstill import StandstillWatch
 from pewterring.control.state import ControlState
 from pewterring.distribution.messages import FEED_MESSAGES, Renew, Subscribe
 from pewterring.node.settings import NodeSettings, SettingsError
@@ -92,7 +92,7 @@
         )
         self._joins = JoinRequests()
         bounds = settings.bounds
-        self._duties = LeaderDuties(
+        self._duties = LeaderTasks(
             self._state,
             nodes,
             registry,
@@ -101,17 +101,17 @@
             needed,
             report_s=min(bounds.config_s, bounds.drain_s),
         )
-        self._runner = DutyRunner(self._duties, planner, self._joins, self._group, self._leadership)
+        self._runner = LeaderTaskRunner(self._duties, planner, self._joins, self._group, self._leadership)
         self._feed = FeedServer(publisher, nodes, self._leadership, codec, self._leader_ip, self._clock)
         service = ControlService(self._state, registry, desk, self._leadership, self._clock)
-        self._standstill = StandstillWatch(self._clock)
+        self._pauses = PauseDetector(self._clock)
         self._router = CallRouter(
             service.handle,
             self._leader_ip,
             self._request,
             settings.ip,
             self._leadership,
-            self._standstill.held_up,
+            self._pauses.was_paused,
         )
         self._http = ApiServer(ControlApi(self._router.answer), settings.control)
         self._duty: asyncio.Task[None] | None = None
@@ -122,7 +122,7 @@
         await self._lines.start(self._settings.ip, self._settings.internal_port)
         await self._group.start()
         await self._http.start()
-        duties = (self._standstill.run(), self._tick_forever(), self._join_forever())
+        duties = (self._pauses.run(), self._tick_forever(), self._join_forever())
         self._tasks = [asyncio.create_task(duty) for duty in duties]
         logger.info("control started as {}", self._member)
 
@@ -188,7 +188,7 @@
         try:
             return await self._links.request(ip, message, timeout_s)
         except TransportError as error:
-            raise RelayFailed from error
+            raise RelayError from error
 
     def _leader_ip(self) -> str:
         return address_of(self._group.leader or "")
--- a/pewterring/control/relay.py
+++ b/pewterring/control/relay.py
@@ -8,17 +8,17 @@
 import msgspec
 from loguru import logger
 
-from pewterring.control.calls import Answer, Call, known_method, refusal
+from pewterring.control.calls import Answer, Call, error_answer, known_method
 from pewterring.control.errors import CallTooOld, NotLeading, OutcomeUnsure
 from pewterring.control.messages import RelayedAnswer, RelayedCall
 
-ANSWER_S = 0.9  # a caller goes to another machine after a second
-PAUSE_S = 0.05  # before the leader is looked for again
+ANSWER_TIMEOUT_S = 0.9  # a caller goes to another machine after a second
+LEADER_RETRY_INTERVAL_S = 0.05  # before the leader is looked for again
 
 Request = Callable[[str, msgspec.Struct, float], Awaitable[msgspec.Struct]]
 
 
-class RelayFailed(Exception):
+class RelayError(Exception):
     """The leader did not answer; the call may have been handled."""
 
 
@@ -37,8 +37,8 @@
     """Tries calls until one is answered or the time is over. All calls may be handled more than once.
 
     `handle_here` raises `NotLeading` where this machine does not lead. `leader_ip` is empty where no leader
-    is known. `request` sends a message to a machine and waits for the reply, or raises `RelayFailed`.
-    `held_up` tells whether what is read now may have waited in the sockets of this process while it stood
+    is known. `request` sends a message to a machine and waits for the reply, or raises `RelayError`.
+    `was_paused` tells whether what is read now may have waited in the sockets of this process while it stood
     still.
     """
 
@@ -49,28 +49,28 @@
         request: Request,
         own_ip: str,
         rounds: HeartbeatRounds,
-        held_up: Callable[[], bool],
+        was_paused: Callable[[], bool],
     ) -> None:
         self._handle_here = handle_here
         self._leader_ip = leader_ip
         self._request = request
         self._own_ip = own_ip
         self._rounds = rounds
-        self._held_up = held_up
+        self._was_paused = was_paused
 
     async def answer(self, call: Call) -> Answer:
-        """Answers a call that came from outside, within `ANSWER_S`."""
+        """Answers a call that came from outside, within `ANSWER_TIMEOUT_S`."""
         method = known_method(call.path)
         if method is None:
-            return refusal(404, "no such path")
+            return error_answer(404, "no such path")
         if call.method != method:
-            return refusal(405, f"the method is {method}")
-        if self._held_up():
-            return refusal(503, "the call may have waited for too long")
+            return error_answer(405, f"the method is {method}")
+        if self._was_paused():
+            return error_answer(503, "the call may have waited for too long")
         try:
             return await _in_time(self._until_answered(call))
         except TimeoutError:
-            return refusal(503, "no leader answered in time")
+            return error_answer(503, "no leader answered in time")
 
     async def answer_relayed(self, message: RelayedCall) -> RelayedAnswer:
         """Answers a call that another machine passed on, as the leader.
@@ -88,18 +88,18 @@
             term, number = self._rounds.newest_round
             return RelayedAnswer(503, too_old=True, term=term, round=number)
         except (OutcomeUnsure, TimeoutError):
-            return RelayedAnswer(503, refusal(503, "the outcome is not known").body)
+            return RelayedAnswer(503, error_answer(503, "the outcome is not known").body)
         return RelayedAnswer(answer.status, answer.body)
 
     async def _until_answered(self, call: Call) -> Answer:
         while True:
-            with contextlib.suppress(NotLeading, OutcomeUnsure, RelayFailed):
+            with contextlib.suppress(NotLeading, OutcomeUnsure, RelayError):
                 leader = self._leader_ip()
                 if leader == self._own_ip:
                     return await self._handle_here(call)
                 if leader:
                     return await self._relay(leader, call)
-            await asyncio.sleep(PAUSE_S)
+            await asyncio.sleep(LEADER_RETRY_INTERVAL_S)
 
     async def _relay(self, leader: str, call: Call) -> Answer:
         """Passes a call on, and again with the leader's newest round where the one known here is too old.
@@ -109,10 +109,10 @@
         dated = self._rounds.newest_round
         while True:
             message = RelayedCall(call.method, call.path, call.base_version, call.body, *dated)
-            reply = await self._request(leader, message, ANSWER_S)
+            reply = await self._request(leader, message, ANSWER_TIMEOUT_S)
             if not isinstance(reply, RelayedAnswer):
                 logger.error("{} answered a relayed call with {}", leader, type(reply).__name__)
-                raise RelayFailed("not an answer")
+                raise RelayError("not an answer")
             if reply.not_leading:
                 raise NotLeading
             if not reply.too_old:
@@ -121,7 +121,7 @@
 
 
 async def _in_time(answering: Awaitable[Answer]) -> Answer:
-    """The answer, if it comes within `ANSWER_S`; raises `TimeoutError`.
+    """The answer, if it comes within `ANSWER_TIMEOUT_S`; raises `TimeoutError`.
 
     A process that stood still in the midst of a call finds the answer before the timer: hence the look at the
     clock behind it. Symptom answered: a call begun under a lease hands out, seconds later, what was current
@@ -129,8 +129,8 @@
     """
     clock = asyncio.get_running_loop().time
     began = clock()
-    async with asyncio.timeout(ANSWER_S):
+    async with asyncio.timeout(ANSWER_TIMEOUT_S):
         answer = await answering
-    if clock() - began > ANSWER_S:
+    if clock() - began > ANSWER_TIMEOUT_S:
         raise TimeoutError
     return answer
--- a/pewterring/control/service.py
+++ b/pewterring/control/service.py
@@ -7,18 +7,18 @@
 from pewterring.configuration.acceptance import Candidate, candidate, patch_candidate
 from pewterring.configuration.reader import InvalidConfiguration
 from pewterring.control.calls import (
+    DECOMMISSION_START_PATH,
+    DECOMMISSION_STATUS_PATH,
     DEREGISTER_PATH,
     HEARTBEAT_PATH,
     READ_PATH,
     REPLACE_PATH,
-    RETIRE_GET_PATH,
-    RETIRE_START_PATH,
     STATUS_PATH,
     UPDATE_PATH,
     Answer,
     Call,
+    error_answer,
     read_base_version,
-    refusal,
 )
 from pewterring.control.commands import (
     Command,
@@ -61,8 +61,8 @@
         self._named: tuple[tuple[str, Callable[[str, bytes], Awaitable[Answer]]], ...] = (
             (HEARTBEAT_PATH, self._heartbeat),
             (DEREGISTER_PATH, self._deregister),
-            (RETIRE_START_PATH, self._start_retirement),
-            (RETIRE_GET_PATH, self._retirement),
+            (DECOMMISSION_START_PATH, self._start_retirement),
+            (DECOMMISSION_STATUS_PATH, self._retirement),
         )
 
     async def handle(self, call: Call) -> Answer:
@@ -70,7 +70,7 @@
         for prefix, handler in self._named:
             if call.path.startswith(prefix):
                 name = call.path[len(prefix) :]
-                return await handler(name, call.body) if name else refusal(404, "no name in the path")
+                return await handler(name, call.body) if name else error_answer(404, "no name in the path")
         if call.path == REPLACE_PATH:
             return await self._change_configuration(call, candidate, _put)
         if call.path == UPDATE_PATH:
@@ -79,13 +79,13 @@
             return await self._read()
         if call.path == STATUS_PATH:
             return await self._status()
-        return refusal(404, "no such path")
+        return error_answer(404, "no such path")
 
     async def _heartbeat(self, worker_id: str, body: bytes) -> Answer:
         try:
             heartbeat = read_heartbeat(body)
         except InvalidHeartbeat as error:
-            return refusal(400, str(error))
+            return error_answer(400, str(error))
         self._leadership.check_lease()
         record = self._registry.observe(self._clock(), worker_id, heartbeat)
         if record is not None:
@@ -107,13 +107,13 @@
         """Takes an order in either form. A patch is judged against its base only when it is applied."""
         base = read_base_version(call.base_version)
         if base is None:
-            return refusal(400, "Base-Version is not a number")
+            return error_answer(400, "Base-Version is not a number")
         try:
             wanted = check(call.body)
         except InvalidConfiguration as error:
-            return refusal(400, str(error))
+            return error_answer(400, str(error))
         if wanted.version <= base:  # never taken, so this repeats no order, also where the document was taken
-            return refusal(400, f"version: not above Base-Version {base}")
+            return error_answer(400, f"version: not above Base-Version {base}")
         if self._state.has_taken(wanted.version, wanted.digest):  # the log need not hold the order again
             await self._leadership.read_barrier()
             return ACKNOWLEDGED
@@ -122,7 +122,7 @@
     async def _read(self) -> Answer:
         await self._leadership.read_barrier()
         if not self._state.version:
-            return refusal(404, "no configuration yet")
+            return error_answer(404, "no configuration yet")
         return Answer(200, bytes(self._state.document))
 
     async def _status(self) -> Answer:
@@ -133,14 +133,14 @@
         try:
             await self._retirements.start(self._clock(), node_id)
         except RetirementRefused as error:
-            return refusal(error.status, str(error))
+            return error_answer(error.status, str(error))
         return Answer(200, msgspec.json.encode({"state": self._retirements.progress(node_id)}))
 
     async def _retirement(self, node_id: str, body: bytes) -> Answer:
         await self._leadership.read_barrier()
         state = self._retirements.progress(node_id)
         if state is None:
-            return refusal(404, "no such retirement")
+            return error_answer(404, "no such retirement")
         return Answer(200, msgspec.json.encode({"state": state}))
 
 
@@ -154,11 +154,11 @@
 
 def _configuration_answer(result: Result) -> Answer:
     if isinstance(result, Conflict):
-        return refusal(412, f"version {result.current} is current")
+        return error_answer(412, f"version {result.current} is current")
     if isinstance(result, NotAbove):
-        return refusal(400, f"version: not above {result.current}")
+        return error_answer(400, f"version: not above {result.current}")
     if isinstance(result, Invalid):
-        return refusal(400, result.reason)
+        return error_answer(400, result.reason)
     if isinstance(result, Untold):
-        return refusal(503, "too old to tell whether it was taken")
+        return error_answer(503, "too old to tell whether it was taken")
     return ACKNOWLEDGED
--- a/tests/control/cluster.py
+++ b/tests/control/cluster.py
@@ -16,10 +16,10 @@
 from pewterring.consensus.membership import address_of
 from pewterring.consensus.messages import ConsensusMessage
 from pewterring.control.calls import (
+    DECOMMISSION_START_PATH,
     HEARTBEAT_PATH,
     READ_PATH,
     REPLACE_PATH,
-    RETIRE_START_PATH,
     Answer,
     Call,
 )
@@ -27,11 +27,11 @@
 from pewterring.control.leadership import GroupLeadership
 from pewterring.control.messages import RelayedCall
 from pewterring.control.nodes import NodeTable
+from pewterring.control.pause_detector import PauseDetector
 from pewterring.control.publisher import FeedPublisher
-from pewterring.control.relay import CallRouter, RelayFailed
+from pewterring.control.relay import CallRouter, RelayError
 from pewterring.control.retiring import RetirementDesk
 from pewterring.control.service import ControlService
-from pewterring.control.standstill import StandstillWatch
 from pewterring.control.state import ControlState
 from pewterring.distribution.messages import FEED_MESSAGES
 from pewterring.registry.workers import WorkerRegistry
@@ -72,9 +72,9 @@
         self.registry = WorkerRegistry(self.state.workers, self.state.departed, 1.0)
         desk = RetirementDesk(self.state, self.nodes, self.leadership, 3)
         service = ControlService(self.state, self.registry, desk, self.leadership, clock)
-        self.standstill = StandstillWatch(clock)
+        self.pauses = PauseDetector(clock)
         self.router = CallRouter(
-            service.handle, self._leader_ip, self._request, ip, self.leadership, self.standstill.held_up
+            service.handle, self._leader_ip, self._request, ip, self.leadership, self.pauses.was_paused
         )
         self.feed = FeedServer(
             self.publisher, self.nodes, self.leadership, FEED_CODEC, self._leader_ip, clock
@@ -121,7 +121,7 @@
     async def start(self) -> ControlMachine:
         for machine in self.machines.values():
             await machine.group.start()
-            self.in_background(machine.standstill.run())
+            self.in_background(machine.pauses.run())
         return await self.leader()
 
     async def stop(self) -> None:
@@ -191,7 +191,7 @@
         again = ControlMachine(self, machine.ip, machine.storage)
         self.machines[machine.ip] = again
         await again.group.start()
-        self.in_background(again.standstill.run())
+        self.in_background(again.pauses.run())
         return again
 
     # Messages.
@@ -213,17 +213,17 @@
         self._pass_point()
         machine = self.machines.get(ip)
         if machine is None or not isinstance(message, RelayedCall):
-            raise RelayFailed
+            raise RelayError
         if (origin, ip) in self.cuts:
             self.carry(origin, ip, lambda: self._answer_nobody(machine, message))
             await asyncio.sleep(timeout_s)
-            raise RelayFailed
+            raise RelayError
         reply: msgspec.Struct | None = await self._unless_it_dies(
             machine, machine.router.answer_relayed(message), timeout_s
         )
         self._pass_point()
         if reply is None or ip not in self.machines or (ip, origin) in self.cuts:
-            raise RelayFailed
+            raise RelayError
         return reply
 
     def _answer_nobody(self, machine: ControlMachine, message: RelayedCall) -> None:
@@ -270,7 +270,7 @@
 
 
 def retire_call(node_id: str) -> Call:
-    return Call("POST", f"{RETIRE_START_PATH}{node_id}")
+    return Call("POST", f"{DECOMMISSION_START_PATH}{node_id}")
 
 
 def read_call() -> Call:
--- a/tests/control/test_http_server.py
+++ b/tests/control/test_http_server.py
@@ -137,7 +137,7 @@
 
 
 def test_an_address_that_is_taken_is_tried_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(http_server, "REBIND_S", 0.0)
+    monkeypatch.setattr(http_server, "REBIND_INTERVAL_S", 0.0)
 
     async def run() -> None:
         control = Control()
--- a/tests/control/test_held_up.py
+++ b/tests/control/test_late_calls.py
@@ -8,7 +8,7 @@
 
 from pewterring.consensus.types import RaftTiming
 from pewterring.control.messages import RelayedCall
-from pewterring.control.standstill import SETTLE_S, STOOD_STILL_S, StandstillWatch
+from pewterring.control.pause_detector import PAUSE_GRACE_S, PAUSE_THRESHOLD_S, PauseDetector
 from tests.configuration.documents import encoded
 from tests.consensus.virtual_time import VirtualTimeLoop, run
 from tests.control.cluster import (
@@ -174,7 +174,7 @@
     loop.stand_still(CUT_S)
     waited = [machine.router.answer(GONE) for _ in range(3)]  # read before any timer
     assert [answer.status for answer in await asyncio.gather(*waited)] == [503] * 3
-    await asyncio.sleep(SETTLE_S / 2)  # of a connection that was accepted only now
+    await asyncio.sleep(PAUSE_GRACE_S / 2)  # of a connection that was accepted only now
     assert (await machine.router.answer(GONE)).status == 503
     await cluster.leader()
     assert all("i-9" not in each.state.workers for each in cluster.machines.values())
@@ -187,17 +187,17 @@
     run(read_after_a_standstill(leads))
 
 
-class NoticesNothing(StandstillWatch):
+class NoticesNothing(PauseDetector):
     """Takes all that it reads for new."""
 
-    def held_up(self) -> bool:
+    def was_paused(self) -> bool:
         return False
 
 
 @pytest.mark.parametrize("leads", [False, True])
 def test_a_watch_that_notices_nothing_is_caught(leads: bool) -> None:
     with (
-        patch("tests.control.cluster.StandstillWatch", NoticesNothing),
+        patch("tests.control.cluster.PauseDetector", NoticesNothing),
         pytest.raises(AssertionError, match="503"),
     ):
         run(read_after_a_standstill(leads))
@@ -205,15 +205,15 @@
 
 def test_a_standstill_is_noticed_and_over_once_it_has_settled() -> None:
     now = 5.0
-    watch = StandstillWatch(lambda: now)
-    for step, held_up in (
+    watch = PauseDetector(lambda: now)
+    for step, was_paused in (
         (0.0, False),
-        (STOOD_STILL_S - MARGIN_S, False),
-        (STOOD_STILL_S + MARGIN_S, True),
-        (SETTLE_S - MARGIN_S, True),
+        (PAUSE_THRESHOLD_S - MARGIN_S, False),
+        (PAUSE_THRESHOLD_S + MARGIN_S, True),
+        (PAUSE_GRACE_S - MARGIN_S, True),
         (2 * MARGIN_S, False),
         (CUT_S, True),
-        (STOOD_STILL_S - MARGIN_S, False),
+        (PAUSE_THRESHOLD_S - MARGIN_S, False),
     ):
         now += step
-        assert watch.held_up() == held_up, now
+        assert watch.was_paused() == was_paused, now
--- a/tests/control/test_duties.py
+++ b/tests/control/test_leader_tasks.py
@@ -2,7 +2,7 @@
 
 from pewterring.consensus.messages import Membership
 from pewterring.control.commands import Command, CreateGroup, EndRetirement, PutWorker, Result, SetRetiring
-from pewterring.control.duties import PLACEMENT_S, LeaderDuties
+from pewterring.control.leader_tasks import ZONE_WAIT_S, LeaderTasks
 from pewterring.control.nodes import NodeTable
 from pewterring.control.publisher import FeedPublisher
 from pewterring.control.retiring import RetirementDesk
@@ -27,7 +27,7 @@
         self.publisher = FeedPublisher(self.state, self.nodes)
         registry = WorkerRegistry(self.state.workers, self.state.departed, 1.0)
         desk = RetirementDesk(self.state, self.nodes, self, 3)
-        self.duties = LeaderDuties(self.state, self.nodes, registry, self.publisher, desk, 3, REPORT_S)
+        self.duties = LeaderTasks(self.state, self.nodes, registry, self.publisher, desk, 3, REPORT_S)
         self.duties.start(self.now, 1, MEMBERSHIP)
 
     async def propose(self, command: Command) -> Result:
@@ -66,7 +66,7 @@
 
 def test_stores_of_one_zone_are_placed_after_a_while() -> None:
     leader = Leader(store(1, "a"), store(2, "a"), store(3, "a"))
-    assert placements(leader.run(PLACEMENT_S)) == []
+    assert placements(leader.run(ZONE_WAIT_S)) == []
     assert len(placements(leader.run(STEP_S))) == 1
 
 
--- a/tests/control/test_leadership.py
+++ b/tests/control/test_leadership.py
@@ -16,9 +16,9 @@
 from pewterring.consensus.messages import Membership
 from pewterring.consensus.planner import Candidates, MembershipPlanner, PlannedGroup
 from pewterring.control.commands import Accepted, Command, PutNodes, RemoveWorkers
-from pewterring.control.duties import DutyRunner, LeaderDuties
 from pewterring.control.errors import NotLeading, OutcomeUnsure
-from pewterring.control.leadership import BARRIER_S, GroupLeadership
+from pewterring.control.leader_tasks import LeaderTaskRunner, LeaderTasks
+from pewterring.control.leadership import READ_BARRIER_TIMEOUT_S, GroupLeadership
 from pewterring.control.membership import JoinRequests
 from pewterring.control.state import encode_command
 from tests.consensus.virtual_time import run
@@ -91,9 +91,9 @@
     return group, leadership
 
 
-def runner(group: StandInGroup, leadership: GroupLeadership) -> DutyRunner:
-    return DutyRunner(
-        cast(LeaderDuties, StandInDuties()),
+def runner(group: StandInGroup, leadership: GroupLeadership) -> LeaderTaskRunner:
+    return LeaderTaskRunner(
+        cast(LeaderTasks, StandInDuties()),
         cast(MembershipPlanner, StandInPlanner()),
         JoinRequests(),
         cast(ReplicatedGroup, group),
@@ -147,7 +147,7 @@
             await leadership.read_barrier()
         return asyncio.get_running_loop().time() - began
 
-    assert run(scenario()) == pytest.approx(BARRIER_S)
+    assert run(scenario()) == pytest.approx(READ_BARRIER_TIMEOUT_S)
 
 
 def test_duties_are_done_in_order_and_then_one_change_of_membership() -> None:
--- a/tests/control/test_cut_off.py
+++ b/tests/control/test_network_partition.py
@@ -7,7 +7,13 @@
 import pytest
 
 from pewterring.configuration.digest import as_line
-from pewterring.control.calls import DEREGISTER_PATH, RETIRE_GET_PATH, RETIRE_START_PATH, Answer, Call
+from pewterring.control.calls import (
+    DECOMMISSION_START_PATH,
+    DECOMMISSION_STATUS_PATH,
+    DEREGISTER_PATH,
+    Answer,
+    Call,
+)
 from pewterring.control.commands import PutNodes
 from pewterring.control.errors import NotLeading
 from pewterring.control.leadership import GroupLeadership
@@ -26,8 +32,8 @@
     read_call,
     relayed_call,
 )
-from tests.control.feed_path import FeedNode
 from tests.control.records import put, store
+from tests.control.simulated_feed import FeedNode
 
 CUT_S = 20.0
 THREE = tuple(f"10.0.0.{number}" for number in range(1, 4))
@@ -70,8 +76,11 @@
             ("heartbeat", heartbeat_call("i-1", sequence=5)),
             ("drain", heartbeat_call("i-2", "draining", 5)),
             ("deregistration", Call("POST", f"{DEREGISTER_PATH}i-3")),
-            ("retirement of a store added since", Call("POST", f"{RETIRE_START_PATH}store-5", body=b"{}")),
-            ("state of a retirement", Call("GET", f"{RETIRE_GET_PATH}store-1")),
+            (
+                "retirement of a store added since",
+                Call("POST", f"{DECOMMISSION_START_PATH}store-5", body=b"{}"),
+            ),
+            ("state of a retirement", Call("GET", f"{DECOMMISSION_STATUS_PATH}store-1")),
         ]
 
     async def _probe(self, ip: str, name: str, call: Call) -> None:
@@ -125,7 +134,7 @@
     for worker in ("i-1", "i-2", "i-3"):
         assert (await cluster.call(heartbeat_call(worker))).status == 200
     await add_stores(leader, 1, 2, 3, 4)
-    assert (await cluster.call(Call("POST", f"{RETIRE_START_PATH}store-1", body=b"{}"))).status == 200
+    assert (await cluster.call(Call("POST", f"{DECOMMISSION_START_PATH}store-1", body=b"{}"))).status == 200
     return cluster, leader
 
 
@@ -290,7 +299,7 @@
 FROZEN_CALLS = {
     "read": read_call(),
     "heartbeat": heartbeat_call("i-1", sequence=9),
-    "retirement": Call("GET", f"{RETIRE_GET_PATH}store-9"),
+    "retirement": Call("GET", f"{DECOMMISSION_STATUS_PATH}store-9"),
 }
 
 
--- a/tests/control/test_service.py
+++ b/tests/control/test_service.py
@@ -12,7 +12,7 @@
 from pewterring.control.errors import CallTooOld, NotLeading, OutcomeUnsure
 from pewterring.control.messages import RelayedAnswer, RelayedCall
 from pewterring.control.nodes import NodeTable
-from pewterring.control.relay import CallRouter, RelayFailed
+from pewterring.control.relay import CallRouter, RelayError
 from pewterring.control.retiring import RetirementDesk
 from pewterring.control.service import ControlService
 from pewterring.control.state import ControlState
@@ -70,7 +70,7 @@
     async def request(self, ip: str, message: msgspec.Struct, timeout_s: float) -> msgspec.Struct:
         self.relayed += 1
         if self.other is None or not isinstance(message, RelayedCall):
-            raise RelayFailed
+            raise RelayError
         return await self.other.router.answer_relayed(message)
 
     def call(self, method: str, path: str, body: bytes = b"", **headers: str) -> Answer:
@@ -264,7 +264,7 @@
 
 
 def test_a_follower_looks_for_the_leader_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("pewterring.control.relay.PAUSE_S", 0.0)
+    monkeypatch.setattr("pewterring.control.relay.LEADER_RETRY_INTERVAL_S", 0.0)
     leader = Machine()
     leader.failure = NotLeading()
     follower = follower_of(leader)
@@ -285,7 +285,7 @@
 def test_without_an_answering_leader_nothing_is_promised(
     leader: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("pewterring.control.relay.ANSWER_S", 0.0)
+    monkeypatch.setattr("pewterring.control.relay.ANSWER_TIMEOUT_S", 0.0)
     machine = Machine("10.0.0.2")
     machine.leader = leader
     machine.failure = OutcomeUnsure()
--- a/tests/simulation/batch.py
+++ b/tests/simulation/batch.py
@@ -11,7 +11,7 @@
 
 from pewterring.batch.execution import EventHandler
 from pewterring.batch.scheduler import Failure, QueuedItem
-from pewterring.control.calls import RETIRE_GET_PATH, RETIRE_START_PATH, Answer, Call
+from pewterring.control.calls import DECOMMISSION_START_PATH, DECOMMISSION_STATUS_PATH, Answer, Call
 from pewterring.distribution.messages import WorkerRecord
 from pewterring.distribution.subscriber import FeedSubscriber
 from pewterring.gateway.batch_calls import BatchCalls, BatchRequest
@@ -228,7 +228,7 @@
     async def _start(self, node_id: str) -> bool:
         for _ in range(8):
             answer = await self._call(
-                Call("POST", f"{RETIRE_START_PATH}{node_id}", body=b'{"duration_s":10}')
+                Call("POST", f"{DECOMMISSION_START_PATH}{node_id}", body=b'{"duration_s":10}')
             )
             if answer is not None and answer.status < 500:
                 return answer.status == 200
@@ -238,7 +238,7 @@
     async def _wait(self, ip: str) -> None:
         while not self._world.stores[ip].gone:
             await asyncio.sleep(0.3)
-            answer = await self._call(Call("GET", f"{RETIRE_GET_PATH}node-{ip}"))
+            answer = await self._call(Call("GET", f"{DECOMMISSION_STATUS_PATH}node-{ip}"))
             if answer is not None and answer.status == 200 and b"succeeded" in answer.body:
                 self._remove(ip)
 
--- a/tests/simulation/breakages.py
+++ b/tests/simulation/breakages.py
@@ -20,7 +20,7 @@
 from pewterring.consensus.planner import Candidates, MembershipPlanner
 from pewterring.consensus.state import MemberState
 from pewterring.consensus.types import Snapshot
-from pewterring.control import duties
+from pewterring.control import leader_tasks
 from pewterring.control import program as control_program
 from pewterring.control.calls import READ_PATH, Answer, Call
 from pewterring.control.commands import (
@@ -189,7 +189,7 @@
 
 def retirement_ended_early() -> Any:
     """A store counts as empty as soon as somebody asks."""
-    return mock.patch.object(duties, "is_emptied", lambda *_: True)
+    return mock.patch.object(leader_tasks, "is_emptied", lambda *_: True)
 
 
 def relay_id_used_again() -> Any:
