--- a/benchmarks/redundancy.py
+++ b/benchmarks/redundancy.py
@@ -47,7 +47,7 @@
 from pewterring.consensus.planner import CHANGES_A_CHECK, Candidates, MembershipPlanner, voters_needed
 from pewterring.consensus.types import RaftLimits
 from pewterring.control.commands import PutConfiguration, PutWorker, RemoveWorkers
-from pewterring.control.program import TICK_S
+from pewterring.control.program import LEADER_CHECK_INTERVAL_S
 from pewterring.control.state import (
     REMEMBERED_DEPARTURES,
     REMEMBERED_VERSIONS,
@@ -175,7 +175,7 @@
     "batch": Kind(
         lambda: BatchState(time.monotonic), batch_commands_going_on, False, MEMBERS_PERIOD_S, TABLES_S
     ),
-    "control": Kind(ControlState, control_commands_going_on, True, TICK_S, 0.0),
+    "control": Kind(ControlState, control_commands_going_on, True, LEADER_CHECK_INTERVAL_S, 0.0),
 }
 STATES = {"batch": batch_state, "control": control_state}
 
--- a/pewterring/control/api.py
+++ b/pewterring/control/api.py
@@ -1,4 +1,7 @@
-"""The HTTP API of control: calls from requests, and answers as JSON."""
+"""The HTTP API of control: calls from requests, and answers as JSON.
+
+Translates only. Which calls there are is in `calls.py`, who answers them in `relay.py` and `service.py`.
+"""
 
 from collections.abc import Awaitable, Callable
 from urllib.parse import unquote
@@ -7,27 +10,27 @@
 from pewterring.transport.http_request import ServerRequest
 from pewterring.transport.http_responder import Responder
 
-BASE_VERSION = b"base-version"
-JSON = (b"Content-Type", b"application/json")
+BASE_VERSION_HEADER = b"base-version"
+JSON_CONTENT_TYPE = (b"Content-Type", b"application/json")
 
 
 class ControlApi:
-    """Reads calls and writes answers; what is answered is for `answer` to say."""
+    """The handler of control's HTTP server. `answer` decides what is answered."""
 
     def __init__(self, answer: Callable[[Call], Awaitable[Answer]]) -> None:
         self._answer = answer
 
     async def __call__(self, request: ServerRequest, responder: Responder) -> None:
-        """Answers one request that was read whole."""
+        """Answers one request that was read completely."""
         answer = await self._answer(read_call(request))
-        await responder.respond(answer.status, [JSON], answer.body)
+        await responder.respond(answer.status, [JSON_CONTENT_TYPE], answer.body)
 
 
 def read_call(request: ServerRequest) -> Call:
-    """The call that a request makes."""
+    """Returns the call that a request makes."""
     return Call(
         method=request.method,
         path=unquote(request.target.partition("?")[0]),
-        base_version=(request.get(BASE_VERSION) or b"").decode("latin-1").strip(),
+        base_version=(request.get(BASE_VERSION_HEADER) or b"").decode("latin-1").strip(),
         body=request.body,
     )
--- a/pewterring/control/calls.py
+++ b/pewterring/control/calls.py
@@ -1,7 +1,11 @@
-"""A call of the operator or a worker, and the answer, apart from how they are carried."""
+"""The calls of the operator and the workers, and their answers, apart from how they are carried.
+
+Owns the paths of the HTTP API and the methods that they are called with (docs/serving-tier.md).
+"""
 
 import re
 from dataclasses import dataclass, field
+from enum import Enum
 
 import msgspec
 
@@ -18,6 +22,24 @@
 _VERSION = re.compile("0*([0-9]{1,20})")
 
 
+class Endpoint(Enum):
+    """What can be called: the method, the path, and whether the path goes on with a name."""
+
+    HEARTBEAT = ("POST", HEARTBEAT_PATH, True)
+    DEREGISTER = ("POST", DEREGISTER_PATH, True)
+    REPLACE_CONFIGURATION = ("POST", REPLACE_PATH, False)
+    UPDATE_CONFIGURATION = ("POST", UPDATE_PATH, False)
+    READ_CONFIGURATION = ("GET", READ_PATH, False)
+    START_DECOMMISSIONING = ("POST", DECOMMISSION_START_PATH, True)
+    READ_DECOMMISSIONING = ("GET", DECOMMISSION_STATUS_PATH, True)
+    READ_STATUS = ("GET", STATUS_PATH, False)
+
+    def __init__(self, method: str, path: str, takes_name: bool) -> None:
+        self.method = method
+        self.path = path
+        self.takes_name = takes_name
+
+
 @dataclass(frozen=True, slots=True)
 class Call:
     """One call. `path` has no query; `base_version` is the header of that name."""
@@ -37,22 +59,22 @@
 
 
 def read_base_version(text: str) -> int | None:
-    """The number in a `Base-Version` header, or None where there is none."""
+    """Returns the number in a `Base-Version` header, or None where there is none."""
     match = _VERSION.fullmatch(text)
     return int(match[1]) if match else None
 
 
 def error_answer(status: int, reason: str) -> Answer:
-    """An answer that is not 2xx and says why."""
+    """Returns an answer that is not 2xx and says why."""
     return Answer(status, msgspec.json.encode({"error": reason}))
 
 
-def known_method(path: str) -> str | None:
-    """The method that the path is called with, or None for an unknown path."""
-    if path in (READ_PATH, STATUS_PATH) or path.startswith(DECOMMISSION_STATUS_PATH):
-        return "GET"
-    if path in (REPLACE_PATH, UPDATE_PATH) or path.startswith(
-        (HEARTBEAT_PATH, DEREGISTER_PATH, DECOMMISSION_START_PATH)
-    ):
-        return "POST"
+_ENDPOINTS = tuple(Endpoint)
+
+
+def endpoint_at(path: str) -> Endpoint | None:
+    """Returns the endpoint of a path, also where its name is missing; None for an unknown path."""
+    for endpoint in _ENDPOINTS:
+        if path.startswith(endpoint.path) if endpoint.takes_name else path == endpoint.path:
+            return endpoint
     return None
--- a/pewterring/control/feed.py
+++ b/pewterring/control/feed.py
@@ -1,4 +1,9 @@
-"""The leader's side of the feed over channels: answers nodes and pushes what changes."""
+"""The leader's side of the feed over channels: answers nodes and pushes what changes.
+
+Owns the channels of the sessions; `FeedPublisher` owns versions and content. What may go wrong: a node does
+not read, and its channel is aborted rather than let its backlog grow; the leadership ends, and with it all
+sessions.
+"""
 
 import asyncio
 from collections.abc import Callable
@@ -19,14 +24,12 @@
         nodes: NodeTable,
         leadership: GroupLeadership,
         codec: MessageCodec,
-        leader_ip: Callable[[], str],
         clock: Callable[[], float],
     ) -> None:
         self._publisher = publisher
         self._nodes = nodes
         self._leadership = leadership
         self._codec = codec
-        self._leader_ip = leader_ip
         self._clock = clock
         self._channels: set[Channel] = set()
         self._publication_due = False
@@ -34,26 +37,26 @@
     def subscribe(self, channel: Channel, message: Subscribe) -> WholeTables | Redirect:
         """Opens a session; the answer must be sent before this channel gets anything else."""
         if not self._leadership.has_lease:
-            return Redirect(self._leader_elsewhere())
+            return Redirect(self._other_leader_ip())
         self._nodes.hear(self._clock(), message.node)
         self.publish_state()
         if channel not in self._channels:
             self._channels.add(channel)
-            channel.on_close.append(self._closed)
+            channel.on_close.append(self._on_channel_close)
         return self._publisher.open(channel)
 
     def renew(self, channel: Channel, message: Renew) -> Renewed | Redirect:
         """Confirms the versions; a session that is not open is to be opened anew."""
         if not self._leadership.has_lease:
-            return Redirect(self._leader_elsewhere())
+            return Redirect(self._other_leader_ip())
         self._nodes.hear(self._clock(), message.node)
         if message.status is not None:
             self._publisher.report(self._clock(), message.status)
         self.publish_state()
-        return self._publisher.renew(channel) or Redirect(self._leader_ip())
+        return self._publisher.renew(channel) or Redirect(self._leadership.leader_ip)
 
     def publish_soon(self) -> None:
-        """Publishes changes of the state once the commands at hand are applied."""
+        """Publishes changes of the state once the commands that are committed by now are applied."""
         if not self._publication_due and self._leadership.ready:
             self._publication_due = True
             asyncio.get_running_loop().call_soon(self._publish_due)
@@ -79,15 +82,15 @@
     def _push(self, changes: TableChanges | None) -> None:
         if changes is None:
             return
-        line = self._codec.line(changes)
+        line = self._codec.line(changes)  # encoded once for all sessions
         for channel in tuple(self._channels):
             if not channel.send_line(line):
                 channel.abort()
 
-    def _closed(self, channel: Channel) -> None:
+    def _on_channel_close(self, channel: Channel) -> None:
         self._channels.discard(channel)
         self._publisher.close(channel)
 
-    def _leader_elsewhere(self) -> str:
-        """The leader's IP, or empty where it would be this machine: it is not sure of it."""
-        return "" if self._leadership.ready else self._leader_ip()
+    def _other_leader_ip(self) -> str:
+        """The leader's IP; empty where that would be this machine, which has no lease at the moment."""
+        return "" if self._leadership.ready else self._leadership.leader_ip
--- a/pewterring/control/leader_tasks.py
+++ b/pewterring/control/leader_tasks.py
@@ -1,22 +1,16 @@
-"""What the leader of the control group does by itself, again and again."""
+"""What the leader of the control group has to do by itself, found anew at each check and without I/O.
 
-from collections.abc import Iterator
+Decides which workers are unresponsive or gone, which nodes came or went, where the first partition is placed,
+and which stores are empty by now. What it finds is committed by `LeaderTaskRunner`; what was not committed is
+found again, so a lost leadership loses no task.
+"""
 
-from loguru import logger
+from collections.abc import Iterator
 
-from pewterring.consensus.errors import ConsensusError
-from pewterring.consensus.group import ReplicatedGroup
 from pewterring.consensus.membership import address_of
 from pewterring.consensus.messages import Membership
-from pewterring.consensus.planner import CHANGES_A_CHECK, MembershipPlanner
 from pewterring.control.commands import Command, CreateGroup, EndRetirement, RemoveWorkers, SilenceWorkers
-from pewterring.control.errors import ControlError
-from pewterring.control.leadership import GroupLeadership
-from pewterring.control.membership import JoinRequests
-from pewterring.control.nodes import NodeTable
-from pewterring.control.publisher import FeedPublisher
-from pewterring.control.retiring import RetirementDesk
-from pewterring.control.state import ControlState
+from pewterring.control.leader_state import LeaderState
 from pewterring.control.stores import (
     FIRST_GROUP,
     first_placement,
@@ -24,139 +18,85 @@
     live_stores,
     zones_of,
 )
-from pewterring.registry.workers import WorkerRegistry
 
 ZONE_WAIT_S = 1.0  # after the first store was seen, stores in different zones are no longer waited for
 
 
 class LeaderTasks:
-    """Finds the commands and the change of membership that are due."""
-
-    def __init__(
-        self,
-        state: ControlState,
-        nodes: NodeTable,
-        registry: WorkerRegistry,
-        publisher: FeedPublisher,
-        desk: RetirementDesk,
-        needed_stores: int,
-        report_s: float,
-    ) -> None:
-        """`report_s`: a retirement is judged by reports that came so long after it was committed. It is no
-        shorter than a store's leader plans with tables that were not confirmed; before, such a leader may
-        not know of the retirement and make a voter of the very store."""
-        self._state = state
-        self._nodes = nodes
-        self._registry = registry
-        self._publisher = publisher
-        self._desk = desk
-        self._needed = needed_stores
-        self._report_s = report_s
-        self._first_store_seen: float | None = None
-        self._retiring_since: dict[str, float] = {}
-
-    def start(self, now: float, epoch: int, membership: Membership) -> None:
+    """Finds the commands that are due. Lives as long as the process; `start` begins each leadership."""
+
+    def __init__(self, tables: LeaderState, needed_stores: int, report_delay_s: float) -> None:
+        """Keeps what it decides on.
+
+        Args:
+            tables: The replicated state and the leader's own tables.
+            needed_stores: How many stores a partition needs.
+            report_delay_s: A decommissioning is judged by reports that came so long after it was committed.
+                It is no shorter than a store's leader plans with tables that were not confirmed; before,
+                such a leader may not know of the decommissioning and make a voter of the very store.
+        """
+        self._tables = tables
+        self._needed_stores = needed_stores
+        self._report_delay_s = report_delay_s
+        self._first_store_seen_at: float | None = None
+        self._decommissioning_since: dict[str, float] = {}
+
+    def start(self, now: float, term: int, membership: Membership) -> None:
         """Begins a leadership, everything before it being applied."""
-        self._nodes.start(now, self._state.nodes)
-        self._registry.start(now)
-        self._publisher.start(epoch, controls_of(membership))
-        self._first_store_seen = None
-        self._retiring_since = {}
+        self._tables.start(now, term, control_ips(membership))
+        self._first_store_seen_at = None
+        self._decommissioning_since = {}
 
     def observe(self, now: float, membership: Membership) -> None:
-        """Brings soft state up to date."""
-        self._nodes.expire(now)
-        self._desk.watch(now)
-        self._publisher.set_controls(controls_of(membership))
+        """Brings the leader's own tables up to date."""
+        self._tables.nodes.expire(now)
+        self._tables.decommissioner.watch(now)
+        self._tables.publisher.set_controls(control_ips(membership))
 
     def due_commands(self, now: float) -> list[Command]:
-        """What is to be committed now."""
-        due: list[Command] = []
-        silent = self._registry.silent(now)
+        """The commands that are to be committed now, in this order."""
+        nodes = self._tables.nodes.uncommitted(self._tables.replicated.nodes)
+        placement = self._due_placement(now)
+        return [
+            *self._due_for_workers(now),
+            *([nodes] if nodes is not None else []),
+            *([placement] if placement is not None else []),
+            *self._finished_decommissionings(now),
+        ]
+
+    def _due_for_workers(self, now: float) -> Iterator[Command]:
+        silent = self._tables.workers.silent(now)
         if silent.fallen:
-            due.append(SilenceWorkers(silent.fallen))
+            yield SilenceWorkers(silent.fallen)
         if silent.gone:
-            due.append(RemoveWorkers(silent.gone))
-        nodes = self._nodes.uncommitted(self._state.nodes)
-        if nodes is not None:
-            due.append(nodes)
-        placement = self._due_placement(now)
-        if placement is not None:
-            due.append(placement)
-        due.extend(self._ended_retirements(now))
-        return due
+            yield RemoveWorkers(silent.gone)
 
     def _due_placement(self, now: float) -> CreateGroup | None:
-        if FIRST_GROUP in self._state.placements:
+        state = self._tables.replicated
+        if FIRST_GROUP in state.placements:
             return None
-        stores = [
-            store for store in live_stores(self._nodes.records.values()) if not self._state.is_retiring(store)
-        ]
+        live = live_stores(self._tables.nodes.records.values())
+        stores = [store for store in live if not state.is_retiring(store)]
         if not stores:
             return None
-        if self._first_store_seen is None:
-            self._first_store_seen = now
-        if zones_of(stores) < self._needed and now - self._first_store_seen < ZONE_WAIT_S:
+        if self._first_store_seen_at is None:
+            self._first_store_seen_at = now
+        if zones_of(stores) < self._needed_stores and now - self._first_store_seen_at < ZONE_WAIT_S:
             return None
-        placement = first_placement(stores, self._needed)
+        placement = first_placement(stores, self._needed_stores)
         return CreateGroup(placement) if placement is not None else None
 
-    def _ended_retirements(self, now: float) -> Iterator[EndRetirement]:
-        for node_id, retirement in self._state.retirements.items():
-            if retirement.ended:
+    def _finished_decommissionings(self, now: float) -> Iterator[EndRetirement]:
+        state = self._tables.replicated
+        for node_id, decommissioning in state.retirements.items():
+            if decommissioning.ended:
                 continue
-            since = self._retiring_since.setdefault(node_id, now)
-            reports = self._publisher.reports_since(since + self._report_s)
-            if is_emptied(retirement, self._state.placements.values(), reports, self._needed):
+            since = self._decommissioning_since.setdefault(node_id, now)
+            reports = self._tables.publisher.reports_since(since + self._report_delay_s)
+            if is_emptied(decommissioning, state.placements.values(), reports, self._needed_stores):
                 yield EndRetirement(node_id)
 
 
-class LeaderTaskRunner:
-    """Commits what is due, one thing after the other."""
-
-    def __init__(
-        self,
-        duties: LeaderTasks,
-        planner: MembershipPlanner,
-        joins: JoinRequests,
-        group: ReplicatedGroup,
-        leadership: GroupLeadership,
-    ) -> None:
-        self._duties = duties
-        self._planner = planner
-        self._joins = joins
-        self._group = group
-        self._leadership = leadership
-
-    def start(self, now: float) -> None:
-        """Begins a leadership, everything before it being applied."""
-        self._duties.start(now, self._group.term, self._group.membership)
-        self._planner.start(now, self._group)
-        self._joins.start()
-
-    async def run_once(self, now: float) -> None:
-        """Does all that is due at `now`; what fails is found due again."""
-        try:
-            for command in self._duties.due_commands(now):
-                await self._leadership.propose(command)
-        except (ControlError, ConsensusError) as error:
-            logger.info("a duty of the leader was not done: {!r}", error)
-        else:
-            await self.change_members(now)
-
-    async def change_members(self, now: float) -> None:
-        """Makes one change after the other until none is due, so that few checks make the group whole."""
-        try:
-            for _ in range(CHANGES_A_CHECK):
-                change = self._planner.plan(now, self._group, self._joins.candidates(now))
-                if change is None:
-                    return
-                logger.info("control group changes to {}", change)
-                await self._group.change_membership(change)
-        except ConsensusError as error:
-            logger.info("a change of the control group was not made: {!r}", error)
-
-
-def controls_of(membership: Membership) -> set[str]:
-    """The IPs of the members."""
+def control_ips(membership: Membership) -> set[str]:
+    """The IPs of the members of the control group, voters and learners."""
     return {address_of(member) for member in (*membership.voters, *membership.learners)}
--- a/pewterring/control/leadership.py
+++ b/pewterring/control/leadership.py
@@ -1,4 +1,9 @@
-"""The replicated group as the control layer uses it: typed commands, and this layer's own errors."""
+"""The replicated group as the control layer uses it: typed commands, and this layer's own errors.
+
+Owns the question whether this process leads and may answer. What may go wrong: the lease runs out between a
+check and what follows it (docs/safety.md says for each caller why that is harmless), or the outcome of a
+command stays unknown, which is an error of its own.
+"""
 
 import asyncio
 from collections.abc import Callable
@@ -6,11 +11,12 @@
 
 from pewterring.consensus.errors import ConsensusError, NotLeader, TooManyUncommitted
 from pewterring.consensus.group import ReplicatedGroup
+from pewterring.consensus.membership import address_of
 from pewterring.control.commands import Command, Result
 from pewterring.control.errors import CallTooOld, NotLeading, OutcomeUnsure
 from pewterring.control.state import encode_command
 
-READ_BARRIER_TIMEOUT_S = 0.8  # a read that is not confirmed by then is given up
+READ_BARRIER_TIMEOUT_S = 0.8  # below the 0.9 s of a call, so that another leader can be tried
 
 
 class Leadership(Protocol):
@@ -44,6 +50,11 @@
         if not self.has_lease:
             raise NotLeading
 
+    @property
+    def leader_ip(self) -> str:
+        """The IP of the leader that this member follows or is; empty where none is known."""
+        return address_of(self._group.leader or "")
+
     @property
     def newest_round(self) -> tuple[int, int]:
         """Term and number of the leader's newest heartbeat round that is known here."""
--- a/pewterring/control/relay.py
+++ b/pewterring/control/relay.py
@@ -1,4 +1,9 @@
-"""Has each call answered by the leader of the control group, here or at another machine."""
+"""Has each call answered by the leader of the control group, here or at another machine.
+
+Owns the time that a call may take, and the two guards against late calls (docs/safety.md, "Late calls"): a
+call that waited in a paused process is not begun, nor is one that was on the way to the leader for too long.
+What may go wrong: no leader is known or answers in time; the caller gets 503 and goes to another machine.
+"""
 
 import asyncio
 import contextlib
@@ -8,22 +13,27 @@
 import msgspec
 from loguru import logger
 
-from pewterring.control.calls import Answer, Call, error_answer, known_method
-from pewterring.control.errors import CallTooOld, NotLeading, OutcomeUnsure
+from pewterring.control.calls import Answer, Call, endpoint_at, error_answer
+from pewterring.control.errors import CallTooOld, ControlError, NotLeading, OutcomeUnsure
 from pewterring.control.messages import RelayedAnswer, RelayedCall
+from pewterring.transport.lines import TransportError
 
 ANSWER_TIMEOUT_S = 0.9  # a caller goes to another machine after a second
-LEADER_RETRY_INTERVAL_S = 0.05  # before the leader is looked for again
+LEADER_RETRY_INTERVAL_S = 0.05  # before the leader is looked for again: an election takes some 0.5 s
 
 Request = Callable[[str, msgspec.Struct, float], Awaitable[msgspec.Struct]]
 
 
-class RelayError(Exception):
-    """The leader did not answer; the call may have been handled."""
+class RelayError(ControlError):
+    """The leader did not answer a relayed call. It may have been handled; the same call may be repeated."""
+
 
+class LeaderView(Protocol):
+    """What this machine knows of the leader, and of the heartbeat rounds by which relayed calls are dated."""
 
-class HeartbeatRounds(Protocol):
-    """The rounds of the leader's heartbeats, by which relayed calls are dated."""
+    @property
+    def leader_ip(self) -> str:
+        """The leader's IP; empty where none is known."""
 
     @property
     def newest_round(self) -> tuple[int, int]:
@@ -34,37 +44,38 @@
 
 
 class CallRouter:
-    """Tries calls until one is answered or the time is over. All calls may be handled more than once.
-
-    `handle_here` raises `NotLeading` where this machine does not lead. `leader_ip` is empty where no leader
-    is known. `request` sends a message to a machine and waits for the reply, or raises `RelayError`.
-    `was_paused` tells whether what is read now may have waited in the sockets of this process while it stood
-    still.
+    """Repeats calls until one is answered or the time is over. All calls may be handled more than once.
+
+    Args:
+        handle_here: Answers a call as the leader; raises `NotLeading` where this machine does not lead.
+        leader: What is known here of the leader.
+        request: Sends a message to a machine and waits for the reply; raises `TransportError`.
+        own_ip: Of this machine.
+        was_paused: Whether what is read now may have waited in the sockets of this process while it was
+            paused.
     """
 
     def __init__(
         self,
         handle_here: Callable[[Call], Awaitable[Answer]],
-        leader_ip: Callable[[], str],
+        leader: LeaderView,
         request: Request,
         own_ip: str,
-        rounds: HeartbeatRounds,
         was_paused: Callable[[], bool],
     ) -> None:
         self._handle_here = handle_here
-        self._leader_ip = leader_ip
+        self._leader = leader
         self._request = request
         self._own_ip = own_ip
-        self._rounds = rounds
         self._was_paused = was_paused
 
     async def answer(self, call: Call) -> Answer:
         """Answers a call that came from outside, within `ANSWER_TIMEOUT_S`."""
-        method = known_method(call.path)
-        if method is None:
+        endpoint = endpoint_at(call.path)
+        if endpoint is None:
             return error_answer(404, "no such path")
-        if call.method != method:
-            return error_answer(405, f"the method is {method}")
+        if call.method != endpoint.method:
+            return error_answer(405, f"the method is {endpoint.method}")
         if self._was_paused():
             return error_answer(503, "the call may have waited for too long")
         try:
@@ -75,17 +86,17 @@
     async def answer_relayed(self, message: RelayedCall) -> RelayedAnswer:
         """Answers a call that another machine passed on, as the leader.
 
-        One that was held up on the way is not begun. Symptom answered: a cut or a freeze ends, and orders
-        whose callers were answered 503 long ago are carried out.
+        One that was delayed on the way is not begun. Symptom answered: a partition or a freeze ends, and
+        orders whose callers were answered 503 long ago are carried out.
         """
         call = Call(message.method, message.path, message.base_version, message.body)
         try:
-            self._rounds.check_round(message.term, message.round)
+            self._leader.check_round(message.term, message.round)
             answer = await _in_time(self._handle_here(call))
         except NotLeading:
             return RelayedAnswer(503, not_leading=True)
         except CallTooOld:
-            term, number = self._rounds.newest_round
+            term, number = self._leader.newest_round
             return RelayedAnswer(503, too_old=True, term=term, round=number)
         except (OutcomeUnsure, TimeoutError):
             return RelayedAnswer(503, error_answer(503, "the outcome is not known").body)
@@ -94,36 +105,49 @@
     async def _until_answered(self, call: Call) -> Answer:
         while True:
             with contextlib.suppress(NotLeading, OutcomeUnsure, RelayError):
-                leader = self._leader_ip()
-                if leader == self._own_ip:
+                leader_ip = self._leader.leader_ip
+                if leader_ip == self._own_ip:
                     return await self._handle_here(call)
-                if leader:
-                    return await self._relay(leader, call)
+                if leader_ip:
+                    return await self._relay(leader_ip, call)
             await asyncio.sleep(LEADER_RETRY_INTERVAL_S)
 
-    async def _relay(self, leader: str, call: Call) -> Answer:
+    async def _relay(self, leader_ip: str, call: Call) -> Answer:
         """Passes a call on, and again with the leader's newest round where the one known here is too old.
 
         A member whose heartbeats wait behind a snapshot knows old rounds alone.
         """
-        dated = self._rounds.newest_round
+        newest_round = self._leader.newest_round
         while True:
-            message = RelayedCall(call.method, call.path, call.base_version, call.body, *dated)
-            reply = await self._request(leader, message, ANSWER_TIMEOUT_S)
-            if not isinstance(reply, RelayedAnswer):
-                logger.error("{} answered a relayed call with {}", leader, type(reply).__name__)
-                raise RelayError("not an answer")
+            reply = await self._send(leader_ip, relayed_call(call, newest_round))
             if reply.not_leading:
                 raise NotLeading
             if not reply.too_old:
                 return Answer(reply.status, reply.body)
-            dated = (reply.term, reply.round)
+            newest_round = (reply.term, reply.round)
+
+    async def _send(self, leader_ip: str, message: RelayedCall) -> RelayedAnswer:
+        try:
+            reply = await self._request(leader_ip, message, ANSWER_TIMEOUT_S)
+        except TransportError as error:
+            raise RelayError(f"{leader_ip} did not answer a relayed call: {error}") from error
+        if not isinstance(reply, RelayedAnswer):
+            logger.bind(event="relay_reply_invalid", leader=leader_ip, reply=type(reply).__name__).error(
+                "A control machine answered a relayed call with another type of message."
+            )
+            raise RelayError(f"{leader_ip} answered a relayed call with {type(reply).__name__}")
+        return reply
+
+
+def relayed_call(call: Call, newest_round: tuple[int, int]) -> RelayedCall:
+    """Returns the message that passes a call on, dated by the term and number of a heartbeat round."""
+    return RelayedCall(call.method, call.path, call.base_version, call.body, *newest_round)
 
 
 async def _in_time(answering: Awaitable[Answer]) -> Answer:
-    """The answer, if it comes within `ANSWER_TIMEOUT_S`; raises `TimeoutError`.
+    """Returns the answer, if it comes within `ANSWER_TIMEOUT_S`; raises `TimeoutError`.
 
-    A process that stood still in the midst of a call finds the answer before the timer: hence the look at the
+    A process that was paused in the midst of a call finds the answer before the timer: hence the look at the
     clock behind it. Symptom answered: a call begun under a lease hands out, seconds later, what was current
     then.
     """
--- a/pewterring/transport/http_server.py
+++ b/pewterring/transport/http_server.py
@@ -123,7 +123,7 @@
 
     def answer_ended(self) -> None:
         self._responder = None
-        self._server.requests_held -= 1
+        self._server.request_ended()
         if not self._keep_alive:
             self._linger()
             return
@@ -246,7 +246,7 @@
     def _detach_responder(self) -> None:
         responder, self._responder = self._responder, None
         if responder is not None:
-            self._server.requests_held -= 1
+            self._server.request_ended()
             responder.detach()
 
     def close(self) -> None:
@@ -285,6 +285,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
         self._server: asyncio.Server | None = None
         self._all_closed: asyncio.Event = asyncio.Event()
+        self._all_answered: asyncio.Event = asyncio.Event()
 
     @property
     def open_connections(self) -> int:
@@ -308,6 +309,12 @@
         """From now on each answer closes its connection. Connections at rest stay for what is on its way."""
         self.draining = True
 
+    async def wait_until_idle(self) -> None:
+        """Returns once no request is held that was read whole and not answered."""
+        while self.requests_held:
+            self._all_answered.clear()
+            await self._all_answered.wait()
+
     async def stop(self) -> None:
         """Closes the listener and all connections, also those whose request is not answered."""
         if self._server is not None:
@@ -332,6 +339,12 @@
         if not self.connections:
             self._all_closed.set()
 
+    def request_ended(self) -> None:
+        """Called by a connection whose request was answered, or is given up."""
+        self.requests_held -= 1
+        if not self.requests_held:
+            self._all_answered.set()
+
     def handle(self, request: ServerRequest, responder: Responder) -> None:
         """Called by a connection that has read a request."""
         self.requests_held += 1
--- a/tests/consensus/planned_simulation.py
+++ b/tests/consensus/planned_simulation.py
@@ -14,7 +14,7 @@
 from pewterring.consensus.messages import ConsensusMessage, Leave
 from pewterring.consensus.planner import Candidates, MembershipPlanner, voters_needed
 from pewterring.consensus.raft import Raft
-from pewterring.control.program import TICK_S
+from pewterring.control.program import LEADER_CHECK_INTERVAL_S
 from tests.consensus.parts import TIMING, Member
 from tests.consensus.simulation import Simulation
 
@@ -44,7 +44,7 @@
         self.retiring: set[str] = set()
         self.written = 0
         self._keeps_spares = keeps_spares
-        self._interval_s = TICK_S if keeps_spares else MEMBERS_PERIOD_S
+        self._interval_s = LEADER_CHECK_INTERVAL_S if keeps_spares else MEMBERS_PERIOD_S
         self._planner_class = planner_class
         self._planners: dict[tuple[str, int, int], MembershipPlanner] = {}
         self._wipes = 0
--- a/tests/control/cluster.py
+++ b/tests/control/cluster.py
@@ -15,6 +15,7 @@
 from pewterring.consensus.group import SNAPSHOT_AFTER_BYTES, ReplicatedGroup
 from pewterring.consensus.membership import address_of
 from pewterring.consensus.messages import ConsensusMessage
+from pewterring.control import relay
 from pewterring.control.calls import (
     DECOMMISSION_START_PATH,
     HEARTBEAT_PATH,
@@ -24,18 +25,15 @@
     Call,
 )
 from pewterring.control.feed import FeedServer
+from pewterring.control.leader_state import LeaderState
 from pewterring.control.leadership import GroupLeadership
 from pewterring.control.messages import RelayedCall
-from pewterring.control.nodes import NodeTable
 from pewterring.control.pause_detector import PauseDetector
-from pewterring.control.publisher import FeedPublisher
-from pewterring.control.relay import CallRouter, RelayError
-from pewterring.control.retiring import RetirementDesk
+from pewterring.control.relay import CallRouter
 from pewterring.control.service import ControlService
 from pewterring.control.state import ControlState
 from pewterring.distribution.messages import FEED_MESSAGES
-from pewterring.registry.workers import WorkerRegistry
-from pewterring.transport.lines import MessageCodec
+from pewterring.transport.lines import MessageCodec, RequestNotSent, RequestTimeout
 from tests.consensus.memory_storage import MemoryStorage
 from tests.consensus.virtual_time import InlineExecutor
 
@@ -67,24 +65,14 @@
             snapshot_after_bytes=cluster.snapshot_after_bytes,
         )
         self.leadership = cluster.leadership_class(self.group, clock)
-        self.nodes = NodeTable()
-        self.publisher = FeedPublisher(self.state, self.nodes)
-        self.registry = WorkerRegistry(self.state.workers, self.state.departed, 1.0)
-        desk = RetirementDesk(self.state, self.nodes, self.leadership, 3)
-        service = ControlService(self.state, self.registry, desk, self.leadership, clock)
+        self.tables = LeaderState.of(self.state, self.leadership, needed_stores=3, heartbeat_s=1.0)
+        service = ControlService(self.tables, self.leadership, clock)
         self.pauses = PauseDetector(clock)
-        self.router = CallRouter(
-            service.handle, self._leader_ip, self._request, ip, self.leadership, self.pauses.was_paused
-        )
-        self.feed = FeedServer(
-            self.publisher, self.nodes, self.leadership, FEED_CODEC, self._leader_ip, clock
-        )
+        self.router = CallRouter(service.handle, self.leadership, self._request, ip, self.pauses.was_paused)
+        self.feed = FeedServer(self.tables.publisher, self.tables.nodes, self.leadership, FEED_CODEC, clock)
         self._cluster = cluster
         self._clock = clock
 
-    def _leader_ip(self) -> str:
-        return address_of(self.group.leader or "")
-
     async def _request(self, ip: str, message: msgspec.Struct, timeout_s: float) -> msgspec.Struct:
         return await self._cluster.request(self.ip, ip, message, timeout_s)
 
@@ -93,9 +81,7 @@
         if not leads:
             self.feed.end_sessions()
             return
-        self.nodes.start(self._clock(), self.state.nodes)
-        self.registry.start(self._clock())
-        self.publisher.start(self.group.term, self._cluster.ips)
+        self.tables.start(self._clock(), self.group.term, self._cluster.ips)
 
 
 class ControlCluster:
@@ -213,17 +199,17 @@
         self._pass_point()
         machine = self.machines.get(ip)
         if machine is None or not isinstance(message, RelayedCall):
-            raise RelayError
+            raise RequestNotSent(f"no connection with {ip}")
         if (origin, ip) in self.cuts:
             self.carry(origin, ip, lambda: self._answer_nobody(machine, message))
             await asyncio.sleep(timeout_s)
-            raise RelayError
+            raise RequestTimeout("no answer in time")
         reply: msgspec.Struct | None = await self._unless_it_dies(
             machine, machine.router.answer_relayed(message), timeout_s
         )
         self._pass_point()
         if reply is None or ip not in self.machines or (ip, origin) in self.cuts:
-            raise RelayError
+            raise RequestTimeout("no answer in time")
         return reply
 
     def _answer_nobody(self, machine: ControlMachine, message: RelayedCall) -> None:
@@ -261,8 +247,7 @@
 
 def relayed_call(call: Call, leader: ControlMachine) -> RelayedCall:
     """The call as a member passes it on that has just heard the leader."""
-    dated = leader.leadership.newest_round
-    return RelayedCall(call.method, call.path, call.base_version, call.body, *dated)
+    return relay.relayed_call(call, leader.leadership.newest_round)
 
 
 def put_call(base: int, document: bytes) -> Call:
--- a/tests/control/test_faults.py
+++ b/tests/control/test_faults.py
@@ -61,9 +61,9 @@
 
 async def told_by(machine: ControlMachine) -> TableFollower:
     """A node that begins a session now."""
-    machine.publisher.state_changes()
+    machine.tables.publisher.state_changes()
     follower = TableFollower()
-    follower.whole(machine.publisher.open("node"), 0.0)
+    follower.whole(machine.tables.publisher.open("node"), 0.0)
     return follower
 
 
--- a/tests/control/test_feed.py
+++ b/tests/control/test_feed.py
@@ -31,11 +31,12 @@
 
 
 class StandInLeadership:
-    """What the feed asks of the group."""
+    """What the feed needs of the leadership."""
 
     def __init__(self) -> None:
         self.ready = True
         self.has_lease = True
+        self.leader_ip = OTHER_LEADER
 
 
 class StandInChannel:
@@ -78,7 +79,6 @@
             self.nodes,
             cast(GroupLeadership, self.leadership),
             CODEC,
-            lambda: OTHER_LEADER,
             lambda: 5.0,
         )
 
@@ -97,7 +97,7 @@
         return channel, follower
 
 
-def test_a_follower_names_the_leader() -> None:
+def test_a_follower_redirects_to_the_leader() -> None:
     feed = Feed()
     feed.leadership.ready = feed.leadership.has_lease = False
     channel = StandInChannel()
@@ -107,7 +107,7 @@
     assert feed.nodes.records == {}
 
 
-def test_a_leader_without_a_lease_names_nobody_and_confirms_nothing() -> None:
+def test_a_leader_without_a_lease_redirects_to_nobody_and_confirms_nothing() -> None:
     feed = Feed()
     channel, _ = feed.session()
     feed.leadership.has_lease = False
@@ -139,12 +139,12 @@
     assert follower.renewed(answer, 1.0)
 
 
-def test_a_renewal_without_a_session_asks_for_a_new_one() -> None:
+def test_a_renewal_without_a_session_is_redirected_to_open_one() -> None:
     feed = Feed()
     assert feed.renew(StandInChannel(), Renew(gateway(1))) == Redirect(OTHER_LEADER)
 
 
-def test_a_session_that_does_not_read_is_ended_and_harms_no_other() -> None:
+def test_a_session_that_does_not_read_is_ended_and_affects_no_other() -> None:
     feed = Feed()
     stuck, _ = feed.session(1)
     good, _ = feed.session(2)
--- /dev/null
+++ b/tests/control/test_join_protocol.py
@@ -0,0 +1,100 @@
+"""Requests to join: who makes them, who notes them, and who forwards them."""
+
+import asyncio
+from typing import cast
+
+import msgspec
+import pytest
+
+from pewterring.consensus.group import ReplicatedGroup
+from pewterring.consensus.messages import Membership
+from pewterring.control.join_protocol import JOIN_INTERVAL_S, JoinProtocol
+from pewterring.control.leadership import GroupLeadership
+from pewterring.control.membership import JoinRequests
+from pewterring.control.messages import JoinGroup
+from pewterring.transport.lines import LinkPool
+from tests.consensus.virtual_time import run
+from tests.control.group_stand_in import StandInGroup
+from tests.node_settings import addresses, node_settings
+
+OWN_IP, LEADER_IP, SEED_IP = "10.0.0.1", "10.0.0.2", "10.0.0.9"
+OTHER = "10.0.0.4#d"
+
+
+class Links:
+    """Notes what is sent."""
+
+    def __init__(self) -> None:
+        self.sent: list[tuple[str, msgspec.Struct]] = []
+
+    def send(self, ip: str, message: msgspec.Struct) -> None:
+        self.sent.append((ip, message))
+
+
+class Joining:
+    """The protocol at one member of three."""
+
+    def __init__(self, leader: str | None, leads: bool = False) -> None:
+        self.group = StandInGroup()
+        self.group.leader = leader
+        self.links = Links()
+        self.requests = JoinRequests()
+        group = cast(ReplicatedGroup, self.group)
+        leadership = GroupLeadership(group, lambda: 1.0)
+        leadership.ready = leads
+        settings = node_settings("control", OWN_IP, seeds=addresses((SEED_IP,), 1))
+        self.protocol = JoinProtocol(settings, group, leadership, cast(LinkPool, self.links), self.requests)
+
+    def noted(self) -> tuple[str, ...]:
+        return tuple(self.requests.candidates(1.0).joining)
+
+
+def test_the_leader_notes_a_request() -> None:
+    joining = Joining(leader=f"{OWN_IP}#a", leads=True)
+    joining.protocol.receive(1.0, JoinGroup(OTHER))
+    assert joining.noted() == (OTHER,)
+    assert joining.links.sent == []
+
+
+@pytest.mark.parametrize(
+    ("leader", "forwarded", "sent"),
+    [
+        (f"{LEADER_IP}#b", False, [(LEADER_IP, JoinGroup(OTHER, forwarded=True))]),
+        (f"{LEADER_IP}#b", True, []),  # once is enough: it would go in circles between old views
+        (f"{OWN_IP}#a", False, []),  # a leader that has not applied all yet
+        (None, False, []),
+    ],
+)
+def test_a_follower_forwards_a_request_once(
+    leader: str | None, forwarded: bool, sent: list[tuple[str, JoinGroup]]
+) -> None:
+    joining = Joining(leader)
+    joining.protocol.receive(1.0, JoinGroup(OTHER, forwarded))
+    assert joining.noted() == ()
+    assert joining.links.sent == sent
+
+
+def test_a_member_that_is_no_voter_asks_all_known_machines_again_and_again() -> None:
+    async def scenario() -> None:
+        joining = Joining(leader=f"{LEADER_IP}#b")
+        joining.group.membership = Membership(("10.0.0.2#b", "10.0.0.3#c"))
+        run_forever = asyncio.create_task(joining.protocol.run())
+        await asyncio.sleep(1.5 * JOIN_INTERVAL_S)
+        expected = [(ip, JoinGroup(joining.group.member)) for ip in (LEADER_IP, "10.0.0.3", SEED_IP)]
+        assert joining.links.sent == 2 * expected
+        run_forever.cancel()
+
+    run(scenario())
+
+
+@pytest.mark.parametrize(("leader", "asks"), [(f"{LEADER_IP}#b", False), (None, True)])
+def test_a_voter_asks_only_while_it_hears_no_leader(leader: str | None, asks: bool) -> None:
+    async def scenario() -> None:
+        joining = Joining(leader)
+        run_forever = asyncio.create_task(joining.protocol.run())
+        await asyncio.sleep(0)
+        assert bool(joining.links.sent) == asks
+        assert joining.protocol.is_voter != asks
+        run_forever.cancel()
+
+    run(scenario())
--- a/tests/control/test_leader_tasks.py
+++ b/tests/control/test_leader_tasks.py
@@ -2,33 +2,28 @@
 
 from pewterring.consensus.messages import Membership
 from pewterring.control.commands import Command, CreateGroup, EndRetirement, PutWorker, Result, SetRetiring
+from pewterring.control.leader_state import LeaderState
 from pewterring.control.leader_tasks import ZONE_WAIT_S, LeaderTasks
-from pewterring.control.nodes import NodeTable
-from pewterring.control.publisher import FeedPublisher
-from pewterring.control.retiring import RetirementDesk
 from pewterring.control.state import ControlState
 from pewterring.distribution.messages import NodeRecord
-from pewterring.registry.workers import WorkerRegistry
 from tests.control.records import apply, status, store, worker
 
 MEMBERSHIP = Membership(("10.0.0.1#seed",))
 STEP_S = 0.25
-REPORT_S = 2.0
+REPORT_DELAY_S = 2.0
 
 
 class Leader:
-    """The duties of a leader whose commands are committed at once, with the nodes that are there."""
+    """The tasks of a leader whose commands are committed at once, with the nodes that are there."""
 
     def __init__(self, *live: NodeRecord) -> None:
         self.now = 0.0
         self.live = list(live)
         self.state = ControlState()
-        self.nodes = NodeTable()
-        self.publisher = FeedPublisher(self.state, self.nodes)
-        registry = WorkerRegistry(self.state.workers, self.state.departed, 1.0)
-        desk = RetirementDesk(self.state, self.nodes, self, 3)
-        self.duties = LeaderTasks(self.state, self.nodes, registry, self.publisher, desk, 3, REPORT_S)
-        self.duties.start(self.now, 1, MEMBERSHIP)
+        self.tables = LeaderState.of(self.state, self, needed_stores=3, heartbeat_s=1.0)
+        self.publisher = self.tables.publisher
+        self.tasks = LeaderTasks(self.tables, 3, REPORT_DELAY_S)
+        self.tasks.start(self.now, 1, MEMBERSHIP)
 
     async def propose(self, command: Command) -> Result:
         return apply(self.state, command)
@@ -44,9 +39,9 @@
         end = self.now + seconds
         while self.now < end:
             for node in self.live:
-                self.nodes.hear(self.now, node)
-            self.duties.observe(self.now, MEMBERSHIP)
-            commands = self.duties.due_commands(self.now)
+                self.tables.nodes.hear(self.now, node)
+            self.tasks.observe(self.now, MEMBERSHIP)
+            commands = self.tasks.due_commands(self.now)
             for command in commands:
                 apply(self.state, command)
             done += commands
@@ -64,7 +59,7 @@
     assert placements(leader.run(5.0)) == []
 
 
-def test_stores_of_one_zone_are_placed_after_a_while() -> None:
+def test_stores_of_one_zone_are_placed_once_other_zones_were_waited_for() -> None:
     leader = Leader(store(1, "a"), store(2, "a"), store(3, "a"))
     assert placements(leader.run(ZONE_WAIT_S)) == []
     assert len(placements(leader.run(STEP_S))) == 1
@@ -85,7 +80,7 @@
     assert set(leader.state.stores) == {"store-1", "store-2"}
 
 
-def test_a_silent_worker_is_marked_and_in_the_end_removed() -> None:
+def test_an_unresponsive_worker_is_marked_and_later_removed() -> None:
     leader = Leader()
     apply(leader.state, PutWorker(worker("i-1")))
     leader.run(3.5)
@@ -96,14 +91,14 @@
     assert not leader.state.workers
 
 
-def test_a_draining_worker_that_falls_silent_is_removed() -> None:
+def test_a_draining_worker_that_becomes_unresponsive_is_removed() -> None:
     leader = Leader()
     apply(leader.state, PutWorker(worker("i-1", state="draining")))
     leader.run(4.5)
     assert not leader.state.workers
 
 
-def test_a_retirement_ends_by_a_report_that_came_after_it() -> None:
+def test_a_decommissioning_ends_by_a_report_that_came_after_it() -> None:
     stores = [store(number) for number in (1, 2, 3, 4)]
     leader = Leader(*stores)
     leader.run(1.0)
@@ -118,13 +113,13 @@
     assert leader.run(1.0) == [EndRetirement("store-1")]
 
 
-def test_a_report_of_a_leader_that_may_not_know_of_the_retirement_does_not_end_it() -> None:
+def test_a_report_of_a_leader_that_may_not_know_of_the_decommissioning_does_not_end_it() -> None:
     """A store that is spare is in no report. Its leader could still make a voter of it."""
     stores = [store(number) for number in (1, 2, 3, 4)]
     leader = Leader(*stores)
     leader.run(1.0)
     apply(leader.state, SetRetiring("store-4", stores[3].member))
-    leader.run(REPORT_S)
+    leader.run(REPORT_DELAY_S)
     leader.publisher.report(leader.now - STEP_S, status(stores[:3], commit=5))
     assert leader.run(1.0) == []
     leader.publisher.report(leader.now, status(stores[:3], commit=5))
--- a/tests/control/test_network_partition.py
+++ b/tests/control/test_network_partition.py
@@ -140,7 +140,7 @@
 
 async def add_stores(leader: ControlMachine, *numbers: int) -> None:
     for number in numbers:
-        leader.nodes.hear(asyncio.get_running_loop().time(), store(number))
+        leader.tables.nodes.hear(asyncio.get_running_loop().time(), store(number))
     await leader.leadership.propose(PutNodes(tuple(store(number) for number in numbers)))
 
 
--- a/tests/control/test_program.py
+++ b/tests/control/test_program.py
@@ -76,7 +76,7 @@
         """The IP of the leader, asked until there is one."""
         while True:
             for ip, program in self.programs.items():
-                if program._leadership.has_lease:
+                if program.leadership.has_lease:
                     return ip
             await self.call("GET", "/v1/Config.Get")
 
@@ -188,10 +188,10 @@
             await machines.stop(lost)
             shutil.rmtree(tmp_path / lost)
             again = await machines.start(lost, bootstrap=False)
-            while not again._is_voter():
+            while not again.joining.is_voter:
                 await machines.read()
-            assert again._member.startswith(lost)
-            assert not again._member.endswith("#seed")
+            assert again.group.member.startswith(lost)
+            assert not again.group.member.endswith("#seed")
             await machines.stop(leader)
             assert await machines.read() == as_line(encoded(version=3))
 
@@ -254,7 +254,7 @@
         program = ControlProgram(settings)
         await program.start()
         subscribe = Subscribe(NodeRecord("store-x", "store", NODE_IP, "z", "life", f"{NODE_IP}#x"))
-        program._leadership.ready = True
+        program.leadership.ready = True
         try:
             for cluster in ("one", "two", ""):
                 codec = MessageCodec(MESSAGES, cluster)
--- a/tests/control/test_repeats.py
+++ b/tests/control/test_repeats.py
@@ -56,7 +56,7 @@
     leader = await cluster.start()
     await leader.leadership.propose(PutNodes(STORES))
     for node in STORES:
-        leader.nodes.hear(asyncio.get_running_loop().time(), node)
+        leader.tables.nodes.hear(asyncio.get_running_loop().time(), node)
     return leader
 
 
--- a/tests/control/test_service.py
+++ b/tests/control/test_service.py
@@ -10,20 +10,19 @@
 from pewterring.control.calls import Answer, Call
 from pewterring.control.commands import Command, EndRetirement, PutNodes, Result
 from pewterring.control.errors import CallTooOld, NotLeading, OutcomeUnsure
+from pewterring.control.leader_state import LeaderState
 from pewterring.control.messages import RelayedAnswer, RelayedCall
-from pewterring.control.nodes import NodeTable
-from pewterring.control.relay import CallRouter, RelayError
-from pewterring.control.retiring import RetirementDesk
+from pewterring.control.relay import CallRouter
 from pewterring.control.service import ControlService
 from pewterring.control.state import ControlState
-from pewterring.registry.workers import WorkerRegistry
 from pewterring.transport.http_request import ServerRequest
 from pewterring.transport.http_responder import Responder
+from pewterring.transport.lines import RequestNotSent
 from tests.configuration.documents import document, encoded, with_route
 from tests.control.records import apply, store
 from tests.transport.http_stand_ins import AnswerTaker
 
-BEAT = (
+HEARTBEAT = (
     b'{"backend":"huvo11a","address":"10.128.0.9:8080","zone":"z","capacity":48,"state":"ready","sequence":4}'
 )
 
@@ -33,18 +32,15 @@
 
     def __init__(self, ip: str = "10.0.0.1") -> None:
         self.state = ControlState()
-        self.nodes = NodeTable()
         self.proposals = 0
         self.failure: Exception | None = None
-        self.leader = ip
+        self.leader_ip = ip
         self.other: Machine | None = None
         self.relayed = 0
-        registry = WorkerRegistry(self.state.workers, self.state.departed, 1.0)
-        desk = RetirementDesk(self.state, self.nodes, self, 3)
-        self.service = ControlService(self.state, registry, desk, self, lambda: 0.0)
-        self.router = CallRouter(
-            self.service.handle, lambda: self.leader, self.request, ip, self, lambda: False
-        )
+        self._relays = asyncio.Event()
+        self.tables = LeaderState.of(self.state, self, needed_stores=3, heartbeat_s=1.0)
+        service = ControlService(self.tables, self, lambda: 0.0)
+        self.router = CallRouter(service.handle, self, self.request, ip, lambda: False)
 
     async def propose(self, command: Command) -> Result:
         self.check_lease()
@@ -69,10 +65,16 @@
 
     async def request(self, ip: str, message: msgspec.Struct, timeout_s: float) -> msgspec.Struct:
         self.relayed += 1
+        self._relays.set()
         if self.other is None or not isinstance(message, RelayedCall):
-            raise RelayError
+            raise RequestNotSent(f"no connection with {ip} for {timeout_s} s")
         return await self.other.router.answer_relayed(message)
 
+    async def has_relayed(self, count: int) -> None:
+        while self.relayed < count:
+            self._relays.clear()
+            await self._relays.wait()
+
     def call(self, method: str, path: str, body: bytes = b"", **headers: str) -> Answer:
         return asyncio.run(self.call_api(method, path, body, headers))
 
@@ -93,13 +95,13 @@
 def test_a_heartbeat_is_acknowledged_and_committed_once() -> None:
     machine = Machine()
     for _ in range(3):
-        answer = machine.call("POST", "/v1/Instances.Heartbeat/i-1", BEAT)
+        answer = machine.call("POST", "/v1/Instances.Heartbeat/i-1", HEARTBEAT)
         assert answer == Answer(200, b"{}")
     assert machine.proposals == 1
     assert machine.state.workers["i-1"].service == "huvo11a"
     assert machine.call("POST", "/v1/Instances.Deregister/i-1").status == 200
     assert machine.call("POST", "/v1/Instances.Deregister/i-1").status == 200
-    assert machine.call("POST", "/v1/Instances.Heartbeat/i-1", BEAT).status == 200
+    assert machine.call("POST", "/v1/Instances.Heartbeat/i-1", HEARTBEAT).status == 200
     assert not machine.state.workers
     assert machine.call("POST", "/v1/Instances.Heartbeat/i-1", b"{").status == 400
 
@@ -228,11 +230,11 @@
     assert machine.call("POST", "/v1/Instances.Heartbeat/").status == 404
 
 
-def test_a_retirement_is_started_and_read() -> None:
+def test_a_decommissioning_is_started_and_read() -> None:
     machine = Machine()
     stores = tuple(store(number) for number in (1, 2, 3, 4))
     for node in stores:
-        machine.nodes.hear(0.0, node)
+        machine.tables.nodes.hear(0.0, node)
     apply(machine.state, PutNodes(stores))
     assert machine.call("GET", "/v1/Retire.Get/store-1").status == 404
     assert machine.call("POST", "/v1/Retire.Start/store-1", b'{"duration_s":10}').status == 200
@@ -248,7 +250,7 @@
 
 def follower_of(leader: Machine) -> Machine:
     follower = Machine("10.0.0.2")
-    follower.leader = "10.0.0.1"
+    follower.leader_ip = "10.0.0.1"
     follower.other = leader
     return follower
 
@@ -271,23 +273,22 @@
 
     async def scenario() -> Answer:
         call = asyncio.create_task(
-            follower.router.answer(Call("POST", "/v1/Instances.Heartbeat/i-1", "", BEAT))
+            follower.router.answer(Call("POST", "/v1/Instances.Heartbeat/i-1", "", HEARTBEAT))
         )
-        while follower.relayed < 3:
-            await asyncio.sleep(0)
+        await follower.has_relayed(3)
         leader.failure = None
         return await call
 
     assert asyncio.run(scenario()).status == 200
 
 
-@pytest.mark.parametrize("leader", ["", "10.0.0.1", "10.0.0.2"])
-def test_without_an_answering_leader_nothing_is_promised(
-    leader: str, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("leader_ip", ["", "10.0.0.1", "10.0.0.2"])
+def test_without_an_answering_leader_nothing_is_acknowledged(
+    leader_ip: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("pewterring.control.relay.ANSWER_TIMEOUT_S", 0.0)
     machine = Machine("10.0.0.2")
-    machine.leader = leader
+    machine.leader_ip = leader_ip
     machine.failure = OutcomeUnsure()
     assert machine.replace(0, encoded()) == 503
 
--- a/tests/control/test_two_operators.py
+++ b/tests/control/test_two_operators.py
@@ -37,13 +37,11 @@
     Result,
 )
 from pewterring.control.errors import OutcomeUnsure
+from pewterring.control.leader_state import LeaderState
 from pewterring.control.messages import RelayedCall
-from pewterring.control.nodes import NodeTable
 from pewterring.control.relay import CallRouter
-from pewterring.control.retiring import RetirementDesk
 from pewterring.control.service import ControlService
 from pewterring.control.state import ControlState, encode_command
-from pewterring.registry.workers import WorkerRegistry
 from tests.configuration.documents import document, encoded
 from tests.consensus.virtual_time import VirtualTimeLoop
 
@@ -118,6 +116,7 @@
     def check_lease(self) -> None:
         pass
 
+    leader_ip = ""
     newest_round = (1, 1)
 
     def check_round(self, term: int, number: int) -> None:
@@ -214,10 +213,9 @@
 
     async def _answer(self, call: RelayedCall) -> int:
         state = self.group.state
-        registry = WorkerRegistry(state.workers, state.departed, 1.0)
-        desk = RetirementDesk(state, NodeTable(), self.group, 3)
-        service = ControlService(state, registry, desk, self.group, lambda: 0.0)
-        router = CallRouter(service.handle, str, self._no_relay, "10.0.0.1", self.group, bool)
+        tables = LeaderState.of(state, self.group, needed_stores=3, heartbeat_s=1.0)
+        service = ControlService(tables, self.group, lambda: 0.0)
+        router = CallRouter(service.handle, self.group, self._no_relay, "10.0.0.1", bool)
         return (await router.answer_relayed(call)).status
 
     async def _no_relay(self, ip: str, message: msgspec.Struct, timeout_s: float) -> msgspec.Struct:
--- a/tests/golden/control_calls.py
+++ b/tests/golden/control_calls.py
@@ -5,17 +5,15 @@
 
 import msgspec
 
-from pewterring.control.calls import Answer, Call, refusal
+from pewterring.control.calls import Answer, Call, error_answer
 from pewterring.control.commands import Command, Result
 from pewterring.control.errors import NotLeading
-from pewterring.control.nodes import NodeTable
-from pewterring.control.retiring import RetirementDesk
+from pewterring.control.leader_state import LeaderState
 from pewterring.control.service import ACKNOWLEDGED, ControlService
 from pewterring.control.state import ControlState, Retirement, encode_command
 from pewterring.control.status import TierStatus, status_of
 from pewterring.distribution.messages import SILENT
 from pewterring.registry.heartbeats import Heartbeat, LoadedModel, read_heartbeat
-from pewterring.registry.workers import WorkerRegistry
 from tests.golden.control_commands import COMMANDS
 from tests.golden.records import GATEWAY_NODE, PLACEMENT, STORE_NODE, WORKER
 from tests.golden.rows import Family, Row
@@ -72,9 +70,8 @@
     """What the leader with the golden state answers to a GET."""
     state = control_state()
     leader = _SureLeader()
-    registry = WorkerRegistry(state.workers, state.departed, 1.0)
-    desk = RetirementDesk(state, NodeTable(), leader, 3)
-    service = ControlService(state, registry, desk, leader, lambda: 0.0)
+    tables = LeaderState.of(state, leader, needed_stores=3, heartbeat_s=1.0)
+    service = ControlService(tables, leader, lambda: 0.0)
     return asyncio.run(service.handle(Call("GET", path)))
 
 
@@ -99,7 +96,7 @@
         _status_row("TierStatus-full", STATUS, control_state()),
         _status_row("TierStatus-empty", EMPTY_STATUS, ControlState()),
         _answer_row("acknowledged", lambda: ACKNOWLEDGED, {}),
-        _answer_row("refused", lambda: refusal(404, "no such path"), {"error": "no such path"}),
+        _answer_row("refused", lambda: error_answer(404, "no such path"), {"error": "no such path"}),
         _answer_row("retired", lambda: _answer("/v1/Retire.Get/store-1"), {"state": "succeeded"}),
         _answer_row("retiring", lambda: _answer("/v1/Retire.Get/store-2"), {"state": "running"}),
     ),
--- a/tests/golden/control_http_cases.py
+++ b/tests/golden/control_http_cases.py
@@ -77,7 +77,7 @@
     stores: tuple[NodeRecord, ...] = tuple(store(number) for number in range(1, STORES + 1))
     apply(machine.state, PutNodes(stores))
     for record in stores:
-        machine.nodes.hear(0.0, record)
+        machine.tables.nodes.hear(0.0, record)
     return machine
 
 
--- a/tests/golden/stored_data.py
+++ b/tests/golden/stored_data.py
@@ -18,7 +18,7 @@
 from pewterring.consensus.membership import encode_membership
 from pewterring.consensus.messages import Entry, Membership
 from pewterring.consensus.persistent import HardState
-from pewterring.control.program import GROUP, open_storage
+from pewterring.control.member_storage import GROUP, open_member_storage
 from pewterring.control.state import ControlState, encode_command
 from pewterring.control.stores import FIRST_GROUP
 from pewterring.storage.disk import FolderDisk
@@ -93,7 +93,7 @@
 
 def write_control_log(folder: Path) -> None:
     """A first member of control: its identity, the first voters, and a log of several segments."""
-    member, storage = open_storage(CONTROL_SETTINGS, folder)
+    member, storage = open_member_storage(CONTROL_SETTINGS, folder)
     storage.close()
     with opened(folder, GROUP) as storage:
         _save_log(storage, member, control_entries())
--- a/tests/golden/test_control_calls.py
+++ b/tests/golden/test_control_calls.py
@@ -3,7 +3,7 @@
 import pytest
 
 from pewterring.control.api import read_call
-from pewterring.control.calls import Call, known_method
+from pewterring.control.calls import Call, endpoint_at
 from pewterring.transport.http_request import ServerRequest
 from tests.golden.control_calls import FAMILY
 from tests.golden.rows import Row, check_complete, check_decoding, check_encoding, ids
@@ -36,7 +36,9 @@
 
 @pytest.mark.parametrize(("method", "path"), CALLS)
 def test_the_paths_that_are_called(method: str, path: str) -> None:
-    assert known_method(path) == method
+    endpoint = endpoint_at(path)
+    assert endpoint is not None
+    assert endpoint.method == method
 
 
 def test_the_header_with_the_base_version() -> None:
--- a/tests/golden/test_stored_data.py
+++ b/tests/golden/test_stored_data.py
@@ -11,7 +11,7 @@
 from pewterring.consensus.messages import Entry, Membership
 from pewterring.consensus.persistent import LoadedGroup, PersistentState
 from pewterring.control.commands import PutConfiguration, Untold
-from pewterring.control.program import GROUP, open_storage
+from pewterring.control.member_storage import GROUP, open_member_storage
 from pewterring.control.state import ControlState, Retirement, encode_command
 from pewterring.control.stores import FIRST_GROUP
 from pewterring.distribution.messages import SILENT
@@ -116,7 +116,7 @@
 
 @pytest.mark.parametrize("name", CONTROL_FOLDERS)
 def test_the_state_of_control(name: str, tmp_path: Path) -> None:
-    member, storage = open_storage(CONTROL_SETTINGS, copy_of(name, tmp_path))
+    member, storage = open_member_storage(CONTROL_SETTINGS, copy_of(name, tmp_path))
     assert member == MEMBERS[0]
     state = ControlState()
     apply_all(state, storage.load())
--- a/tests/simulation/breakages.py
+++ b/tests/simulation/breakages.py
@@ -20,8 +20,7 @@
 from pewterring.consensus.planner import Candidates, MembershipPlanner
 from pewterring.consensus.state import MemberState
 from pewterring.consensus.types import Snapshot
-from pewterring.control import leader_tasks
-from pewterring.control import program as control_program
+from pewterring.control import leader_tasks, member_storage
 from pewterring.control.calls import READ_PATH, Answer, Call
 from pewterring.control.commands import (
     Accepted,
@@ -142,9 +141,9 @@
     """A machine that lost its disk comes back under its old name, and votes with an empty log."""
 
     def same_name(data_dir: Any, ip: str, disk: Any, tag: str | None = None) -> str:
-        return member_name(data_dir, ip, disk, control_program.FIRST_TAG)
+        return member_name(data_dir, ip, disk, member_storage.FIRST_TAG)
 
-    return mock.patch.object(control_program, "member_name", same_name)
+    return mock.patch.object(member_storage, "member_name", same_name)
 
 
 def snapshot_over_newer() -> Any:
--- a/tests/simulation/patches.py
+++ b/tests/simulation/patches.py
@@ -16,6 +16,7 @@
 from pewterring.consensus.group import ReplicatedGroup
 from pewterring.consensus.messages import Entry, Membership
 from pewterring.consensus.types import RaftLimits, Save
+from pewterring.control import member_storage as control_storage
 from pewterring.control import program as control_program
 from pewterring.distribution import follower, subscriber
 from pewterring.node.settings import Address
@@ -165,11 +166,11 @@
     replaced: tuple[tuple[Any, str, Any], ...] = (
         (control_program, "time", clock),
         (control_program, "random", _Chance(world)),
-        (control_program, "FolderDisk", _disk_of(world)),
+        (control_storage, "FolderDisk", _disk_of(world)),
         (control_program, "ApiServer", partial(ApiServer, world)),
         (control_program, "ReplicatedGroup", partial(ObservedGroup, world)),
         (
-            control_program,
+            control_storage,
             "DiskGroupStorage",
             partial(DiskGroupStorage, segment_bytes=SEGMENT_BYTES),
         ),
--- a/tests/simulation/play.py
+++ b/tests/simulation/play.py
@@ -5,7 +5,7 @@
 import random
 from dataclasses import dataclass, field
 
-from pewterring.control.program import GROUP
+from pewterring.control.member_storage import GROUP
 from pewterring.control.stores import FIRST_GROUP
 from pewterring.distribution.messages import READY
 from pewterring.distribution.tables import Tables
--- a/tests/simulation/watch.py
+++ b/tests/simulation/watch.py
@@ -10,7 +10,7 @@
 from pewterring.consensus.leading import Leading
 from pewterring.consensus.membership import address_of, encode_membership
 from pewterring.consensus.messages import Entry, Membership
-from pewterring.control.program import GROUP
+from pewterring.control.member_storage import GROUP
 from pewterring.distribution.follower import TableFollower
 from pewterring.distribution.messages import READY, WorkerRecord
 from pewterring.registry.workers import WorkerRegistry
@@ -130,7 +130,7 @@
         """A leader takes a heartbeat: no other may have led after it."""
         process = self._world.process()
         program = self._world.machine_of(process).program
-        term = program._group._told_term if program is not None else None
+        term = program.group._told_term if program is not None else None
         newest, other = self._newest_leader
         if newest > (term or 0):
             self.violation(f"{process.name} answers a heartbeat in term {term}; {other} leads in {newest}")
--- a/tests/simulation/world.py
+++ b/tests/simulation/world.py
@@ -64,7 +64,7 @@
     @property
     def group(self) -> ReplicatedGroup | None:
         """The group of the process that runs now."""
-        return self.program._group if self.running and self.program is not None else None
+        return self.program.group if self.running and self.program is not None else None
 
 
 class StoreMachine(GroupMachine):
