--- a/tests/control/test_late_calls.py
+++ b/tests/control/test_late_calls.py
@@ -8,7 +8,7 @@
 
 from pewterring.consensus.types import RaftTiming
 from pewterring.control.messages import RelayedCall
-from pewterring.control.pause_detector import PAUSE_GRACE_S, PAUSE_THRESHOLD_S, PauseDetector
+from pewterring.control.pause_detector import PAUSE_GRACE_S, PauseDetector
 from tests.configuration.documents import encoded
 from tests.consensus.virtual_time import VirtualTimeLoop, run
 from tests.control.cluster import (
@@ -201,19 +201,3 @@
         pytest.raises(AssertionError, match="503"),
     ):
         run(read_after_a_pause(leads))
-
-
-def test_a_pause_is_detected_and_over_after_its_grace() -> None:
-    now = 5.0
-    detector = PauseDetector(lambda: now)
-    for step, was_paused in (
-        (0.0, False),
-        (PAUSE_THRESHOLD_S - MARGIN_S, False),
-        (PAUSE_THRESHOLD_S + MARGIN_S, True),
-        (PAUSE_GRACE_S - MARGIN_S, True),
-        (2 * MARGIN_S, False),
-        (PAUSE_S, True),
-        (PAUSE_THRESHOLD_S - MARGIN_S, False),
-    ):
-        now += step
-        assert detector.was_paused() == was_paused, now
--- a/tests/control/test_service.py
+++ b/tests/control/test_service.py
@@ -2,94 +2,16 @@
 
 import asyncio
 
-import msgspec
 import orjson
 import pytest
 
-from pewterring.control.api import ControlApi
-from pewterring.control.calls import Answer, Call
-from pewterring.control.commands import Command, EndRetirement, PutNodes, Result
-from pewterring.control.errors import CallTooOld, NotLeading, OutcomeUnsure
-from pewterring.control.leader_state import LeaderState
+from pewterring.control.calls import Answer
+from pewterring.control.commands import EndRetirement, PutNodes
+from pewterring.control.errors import NotLeading
 from pewterring.control.messages import RelayedAnswer, RelayedCall
-from pewterring.control.relay import CallRouter
-from pewterring.control.service import ControlService
-from pewterring.control.state import ControlState
-from pewterring.transport.http_request import ServerRequest
-from pewterring.transport.http_responder import Responder
-from pewterring.transport.lines import RequestNotSent
 from tests.configuration.documents import document, encoded, with_route
+from tests.control.api_machine import HEARTBEAT, Machine
 from tests.control.records import apply, store
-from tests.transport.http_stand_ins import AnswerTaker
-
-HEARTBEAT = (
-    b'{"backend":"huvo11a","address":"10.128.0.9:8080","zone":"z","capacity":48,"state":"ready","sequence":4}'
-)
-
-
-class Machine:
-    """One control machine; commands are committed at once unless `failure` says otherwise."""
-
-    def __init__(self, ip: str = "10.0.0.1") -> None:
-        self.state = ControlState()
-        self.proposals = 0
-        self.failure: Exception | None = None
-        self.leader_ip = ip
-        self.other: Machine | None = None
-        self.relayed = 0
-        self._relays = asyncio.Event()
-        self.tables = LeaderState.of(self.state, self, needed_stores=3, heartbeat_s=1.0)
-        service = ControlService(self.tables, self, lambda: 0.0)
-        self.router = CallRouter(service.handle, self, self.request, ip, lambda: False)
-
-    async def propose(self, command: Command) -> Result:
-        self.check_lease()
-        self.proposals += 1
-        return apply(self.state, command)
-
-    async def read_barrier(self) -> None:
-        self.check_lease()
-
-    def check_lease(self) -> None:
-        if self.failure is not None:
-            raise self.failure
-
-    @property
-    def newest_round(self) -> tuple[int, int]:
-        return (1, 1)
-
-    def check_round(self, term: int, number: int) -> None:
-        self.check_lease()
-        if (term, number) != (1, 1):
-            raise CallTooOld
-
-    async def request(self, ip: str, message: msgspec.Struct, timeout_s: float) -> msgspec.Struct:
-        self.relayed += 1
-        self._relays.set()
-        if self.other is None or not isinstance(message, RelayedCall):
-            raise RequestNotSent(f"no connection with {ip} for {timeout_s} s")
-        return await self.other.router.answer_relayed(message)
-
-    async def has_relayed(self, count: int) -> None:
-        while self.relayed < count:
-            self._relays.clear()
-            await self._relays.wait()
-
-    def call(self, method: str, path: str, body: bytes = b"", **headers: str) -> Answer:
-        return asyncio.run(self.call_api(method, path, body, headers))
-
-    async def call_api(self, method: str, path: str, body: bytes, headers: dict[str, str]) -> Answer:
-        fields = {key.replace("_", "-").encode(): value.encode() for key, value in headers.items()}
-        request = ServerRequest(method, path, list(fields.items()), fields, "h", body, 0.0, True, b"1.1")
-        caller = AnswerTaker()
-        await ControlApi(self.router.answer)(request, Responder(caller, request))
-        return Answer(int(caller.status), caller.body)
-
-    def update(self, base: int, patch: bytes) -> int:
-        return self.call("POST", "/v1/Config.Update", patch, base_version=str(base)).status
-
-    def replace(self, base: int, document: bytes) -> int:
-        return self.call("POST", "/v1/Config.Replace", document, base_version=str(base)).status
 
 
 def test_a_heartbeat_is_acknowledged_and_committed_once() -> None:
@@ -246,55 +168,3 @@
     again = machine.call("POST", "/v1/Retire.Start/store-1")
     assert again == Answer(200, b'{"state":"succeeded"}')
     assert machine.call("GET", "/v1/Retire.Get/store-1") == again
-
-
-def follower_of(leader: Machine) -> Machine:
-    follower = Machine("10.0.0.2")
-    follower.leader_ip = "10.0.0.1"
-    follower.other = leader
-    return follower
-
-
-def test_a_follower_answers_what_the_leader_says() -> None:
-    leader = Machine()
-    follower = follower_of(leader)
-    assert follower.replace(0, encoded(version=5)) == 200
-    assert follower.replace(0, encoded(version=6)) == 412
-    assert leader.state.version == 5
-    assert follower.state.version == 0
-    assert orjson.loads(follower.call("GET", "/v1/Config.Get").body)["version"] == 5
-
-
-def test_a_follower_looks_for_the_leader_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("pewterring.control.relay.LEADER_RETRY_INTERVAL_S", 0.0)
-    leader = Machine()
-    leader.failure = NotLeading()
-    follower = follower_of(leader)
-
-    async def scenario() -> Answer:
-        call = asyncio.create_task(
-            follower.router.answer(Call("POST", "/v1/Instances.Heartbeat/i-1", "", HEARTBEAT))
-        )
-        await follower.has_relayed(3)
-        leader.failure = None
-        return await call
-
-    assert asyncio.run(scenario()).status == 200
-
-
-@pytest.mark.parametrize("leader_ip", ["", "10.0.0.1", "10.0.0.2"])
-def test_without_an_answering_leader_nothing_is_acknowledged(
-    leader_ip: str, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    monkeypatch.setattr("pewterring.control.relay.ANSWER_TIMEOUT_S", 0.0)
-    machine = Machine("10.0.0.2")
-    machine.leader_ip = leader_ip
-    machine.failure = OutcomeUnsure()
-    assert machine.replace(0, encoded()) == 503
-
-
-def test_a_relayed_call_is_not_passed_on_again() -> None:
-    machine = Machine()
-    machine.failure = NotLeading()
-    answer = asyncio.run(machine.router.answer_relayed(RelayedCall("GET", "/v1/Config.Get")))
-    assert answer == RelayedAnswer(503, not_leading=True)
--- a/tests/golden/control_http_cases.py
+++ b/tests/golden/control_http_cases.py
@@ -11,8 +11,8 @@
 from pewterring.distribution.messages import NodeRecord
 from pewterring.transport.http_request import RequestReader
 from pewterring.transport.http_responder import Responder
+from tests.control.api_machine import Machine
 from tests.control.records import apply, store
-from tests.control.test_service import Machine
 from tests.golden.golden_files import DIRECTORY
 from tests.golden.http_transcripts import Transcript
 from tests.transport.http_stand_ins import AnswerTaker
