--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -28,6 +28,7 @@
 import orjson
 
 from pewterring.consensus.group import ReplicatedGroup
+from pewterring.consensus.group_environment import GroupCallbacks, GroupEnvironment
 from pewterring.consensus.messages import Entry, Membership
 from pewterring.consensus.persistent import HardState
 from pewterring.control.calls import HEARTBEAT_PATH, REPLACE_PATH
@@ -38,7 +39,8 @@
 from pewterring.distribution.messages import FEED_MESSAGES, NodeRecord, WorkerRecord
 from pewterring.distribution.subscriber import FeedSubscriber
 from pewterring.distribution.tables import Tables
-from pewterring.node.settings import Address, Bounds, NodeSettings
+from pewterring.node.address import Address
+from pewterring.node.settings import Bounds, NodeSettings
 from pewterring.storage.disk import FolderDisk
 from pewterring.storage.group import DiskGroupStorage
 from pewterring.transport.lines import LinkPool, MessageCodec, TransportError
@@ -282,10 +284,12 @@
     group = ReplicatedGroup(
         "control",
         member,
-        DiskGroupStorage(FolderDisk(folder), "control"),
-        ControlState(),
-        lambda message: None,
-        on_leadership=lambda _: leads.set(),
+        GroupEnvironment(
+            storage=DiskGroupStorage(FolderDisk(folder), "control"),
+            machine=ControlState(),
+            send=lambda message: None,
+        ),
+        callbacks=GroupCallbacks(on_leadership=lambda _: leads.set()),
     )
     began = time.monotonic()
     await group.start()
--- a/pewterring/batch/service.py
+++ b/pewterring/batch/service.py
@@ -31,13 +31,13 @@
 from pewterring.batch.retention import jobs_to_drop
 from pewterring.batch.state import BatchState, Clock, Job
 from pewterring.distribution.tables import Tables
-from pewterring.durations import MILLISECONDS_A_SECOND
+from pewterring.durations import MILLISECONDS_PER_SECOND
 
 BatchCall = SubmitJob | ReadResults | ReadItem | EndJob
 SubmitReply = JobAccepted | JobRefused | NotLeading | Unsure
 BatchReply = SubmitReply | ResultPage | ItemBody | JobEnded | Unknown
 
-FULL_RETRY_S = 0.5  # told to a client whose job does not fit now
+DISK_FULL_RETRY_S = 0.5  # told to a client whose job does not fit now
 NO_ROUTE_RETRY_S = 0.5
 NO_ROOM_RETRY_S = 1.0  # jobs are forgotten each few seconds
 DROP_PERIOD_S = 5.0
@@ -168,7 +168,7 @@
             return JobRefused(full=False, retry_after_s=NO_ROUTE_RETRY_S)
         tokens = sum(item.tokens for item in call.items)
         if not self._quota.fits(key, tokens, route.max_queued_tokens):
-            return JobRefused(full=True, retry_after_s=FULL_RETRY_S)
+            return JobRefused(full=True, retry_after_s=DISK_FULL_RETRY_S)
         if not self._has_room(call):
             logger.warning("job {} is refused: the partition holds as much as the store can carry", call.job)
             return JobRefused(full=False, retry_after_s=NO_ROOM_RETRY_S)
@@ -189,7 +189,8 @@
     async def _read_results(self, call: ReadResults) -> ResultPage | Unknown:
         if await self._known(call.job) is None:
             return Unknown()
-        await self._waiters.wait(call.job, call.wait_ms / MILLISECONDS_A_SECOND, lambda: self._has_news(call))
+        wait_s = call.wait_ms / MILLISECONDS_PER_SECOND
+        await self._waiters.wait(call.job, wait_s, lambda: self._has_news(call))
         await self._confirm_leading()
         job = self._state.job(call.job)
         return Unknown() if job is None else result_page(job, call.after)
--- a/pewterring/control/leader_state.py
+++ b/pewterring/control/leader_state.py
@@ -58,5 +58,5 @@
     def start(self, now: float, term: int, control_ips: Iterable[str]) -> None:
         """Begins a leadership in `term`, everything before it being applied."""
         self.nodes.start(now, self.replicated.nodes)
-        self.workers.start(now)
+        self.workers.restart_timeouts(now)
         self.publisher.start(term, control_ips)
--- a/pewterring/control/leader_task_runner.py
+++ b/pewterring/control/leader_task_runner.py
@@ -12,7 +12,7 @@
 
 from pewterring.consensus.errors import ConsensusError
 from pewterring.consensus.group import ReplicatedGroup
-from pewterring.consensus.planner import CHANGES_A_CHECK, MembershipPlanner
+from pewterring.consensus.membership_planner import MAX_CHANGES_PER_CHECK, MembershipPlanner
 from pewterring.control.errors import ControlError
 from pewterring.control.leader_tasks import LeaderTasks
 from pewterring.control.leadership import GroupLeadership
@@ -80,7 +80,7 @@
     async def change_members(self, now: float) -> None:
         """Makes one change after the other until none is due, so that few checks complete the group."""
         try:
-            for _ in range(CHANGES_A_CHECK):
+            for _ in range(MAX_CHANGES_PER_CHECK):
                 change = self._planner.plan(now, self._group, self._join_requests.candidates(now))
                 if change is None:
                     return
--- a/pewterring/control/leader_tasks.py
+++ b/pewterring/control/leader_tasks.py
@@ -65,11 +65,11 @@
         ]
 
     def _due_for_workers(self, now: float) -> Iterator[Command]:
-        silent = self._tables.workers.silent(now)
-        if silent.fallen:
-            yield SilenceWorkers(silent.fallen)
-        if silent.gone:
-            yield RemoveWorkers(silent.gone)
+        unresponsive = self._tables.workers.unresponsive_workers(now)
+        if unresponsive.newly:
+            yield SilenceWorkers(unresponsive.newly)
+        if unresponsive.expired:
+            yield RemoveWorkers(unresponsive.expired)
 
     def _due_placement(self, now: float) -> CreateGroup | None:
         state = self._tables.replicated
--- a/pewterring/control/membership.py
+++ b/pewterring/control/membership.py
@@ -1,7 +1,7 @@
 """Who wishes to join the control group, as its leader has heard."""
 
 from pewterring.consensus.membership import address_of
-from pewterring.consensus.planner import Candidates
+from pewterring.consensus.membership_view import Candidates
 
 ASKED_S = 2.0  # a wish to join is good for so long; it is repeated each half second
 
@@ -26,5 +26,5 @@
         """Who may join now."""
         self._asked = {member: asked for member, asked in self._asked.items() if now - asked < ASKED_S}
         return Candidates(
-            joining=tuple(self._asked), newest={address_of(member): member for member in self._asked}
+            joining=tuple(self._asked), current_names={address_of(member): member for member in self._asked}
         )
--- a/tests/consensus/scenarios.py
+++ b/tests/consensus/scenarios.py
@@ -1,21 +1,21 @@
 """Courses of events in which one broken rule does harm."""
 
-from pewterring.consensus.messages import AppendRequest, ConsensusMessage, SnapshotPart
+from pewterring.consensus.messages import AppendRequest, ConsensusMessage, SnapshotChunk
 from pewterring.consensus.raft import Raft
-from tests.consensus.parts import Violation, Weather
+from tests.consensus.simulated_members import SafetyViolationError, Weather, drops_nothing
 from tests.consensus.simulation import Simulation
 
 NEVER_S = 1000.0
 CUT_S = 20.0
-WHOLE_S = 5.0  # for a snapshot of which one part is lost
-SNAPSHOT_PARTS = 8  # at least, of those that members need here
+COMPLETE_S = 5.0  # for a snapshot of which one chunk is lost
+SNAPSHOT_CHUNKS = 8  # at least, of those that members need here
 AT_ONCE_S = 0.15  # far below the shortest election time-out
 
 
 def _settled(seed: int, voters: int, raft_class: type[Raft]) -> tuple[Simulation, str, list[str]]:
     """A group with a leader that has committed; the leader, and the others."""
     simulation = Simulation(seed, voters, raft_class)
-    simulation.run_until(lambda: simulation.leader() is not None and simulation.leader_raft().leads_committed)
+    simulation.run_until(lambda: simulation.leader() is not None and simulation.leader_raft().is_ready_leader)
     simulation.run(1.0)
     leader = simulation.leader()
     assert leader is not None
@@ -116,7 +116,7 @@
     simulation.run(0.5)
     simulation.crash(first)
     simulation.crash(second)
-    simulation.drops = lambda message: False
+    simulation.drops = drops_nothing
     simulation.start(later)
     simulation.start(fourth)
     _converges(simulation)
@@ -130,12 +130,12 @@
     """A member cut from the leader stands for election, and its voter starts again under the lease."""
     simulation, leader, (keeper, rival) = _settled(seed, 3, raft_class)
     simulation.cut(leader, rival)
-    _read_and_write(simulation, leader, 1.5)
+    read_and_write(simulation, leader, 1.5)
     if simulation.leader() == leader:
         simulation.crash(keeper)
         simulation.cut_off(leader)
         simulation.start(keeper)
-    _read_and_write(simulation, leader, 0.5)
+    read_and_write(simulation, leader, 0.5)
     simulation.check_converges()
 
 
@@ -156,7 +156,7 @@
 
 
 def _leads_anew(simulation: Simulation, old: str) -> bool:
-    return simulation.leader() != old and simulation.leader_raft().leads_committed
+    return simulation.leader() != old and simulation.leader_raft().is_ready_leader
 
 
 def wiped_voter_and_rival(seed: int, raft_class: type[Raft]) -> None:
@@ -188,11 +188,11 @@
         simulation.run(step_s)
         without_s += 0.0 if simulation.has_leader() else step_s
     if without_s > AT_ONCE_S:
-        raise Violation(f"nobody led for {without_s:.2f} s because one member came back")
+        raise SafetyViolationError(f"nobody led for {without_s:.2f} s because one member came back")
     simulation.check_converges()
 
 
-def _read_and_write(simulation: Simulation, reader: str, duration: float) -> None:
+def read_and_write(simulation: Simulation, reader: str, duration: float) -> None:
     """Reads at `reader`, and writes at another that leads after it."""
     end = simulation.now + duration
     while simulation.now < end:
@@ -212,54 +212,54 @@
 
 
 def late_snapshot(seed: int, raft_class: type[Raft]) -> None:
-    """The parts of a snapshot come once more after its member has gone on."""
+    """The chunks of a snapshot come once more after its member has gone on."""
     simulation, _, _, away = _needs_snapshot(seed, raft_class)
-    parts: list[SnapshotPart] = []
-    simulation.drops = lambda message: _record(message, parts)
+    chunks: list[SnapshotChunk] = []
+    simulation.drops = lambda message: _record(message, chunks)
     simulation.start(away)
     simulation.run(1.0)
-    simulation.drops = lambda message: False
+    simulation.drops = drops_nothing
     _propose_many(simulation, "after ")
-    for part in parts:
-        simulation.deliver_again(part)
+    for chunk in chunks:
+        simulation.deliver_again(chunk)
         simulation.run(0.01)
     simulation.check_converges()
 
 
-def _record(message: ConsensusMessage, parts: list[SnapshotPart]) -> bool:
-    if isinstance(message, SnapshotPart):
-        parts.append(message)
+def _record(message: ConsensusMessage, chunks: list[SnapshotChunk]) -> bool:
+    if isinstance(message, SnapshotChunk):
+        chunks.append(message)
     return False
 
 
 def leader_lost_amid_snapshot(seed: int, raft_class: type[Raft]) -> None:
-    """The leader goes when a member has the first parts of its snapshot; the next sends one of that index."""
+    """The leader ends when a member has the first chunks of a snapshot; the next sends one of that index."""
     simulation, leader, _, away = _needs_snapshot(seed, raft_class)
-    parts: list[SnapshotPart] = []
-    simulation.drops = lambda message: isinstance(message, SnapshotPart) and message.offset > 1000
+    chunks: list[SnapshotChunk] = []
+    simulation.drops = lambda message: isinstance(message, SnapshotChunk) and message.offset > 1000
     simulation.start(away)
     simulation.run(0.3)
-    simulation.drops = lambda message: _is_entry(message) or _record(message, parts)
+    simulation.drops = lambda message: _is_entry(message) or _record(message, chunks)
     simulation.crash(leader)
-    simulation.run_while(lambda: not parts, 5.0)
+    simulation.run_while(lambda: not chunks, 5.0)
     simulation.run(0.5)
-    simulation.drops = lambda message: False
+    simulation.drops = drops_nothing
     simulation.run(2.0)
     simulation.check_converges()
 
 
-def part_lost_amid_window(seed: int, raft_class: type[Raft]) -> None:
-    """One part of a snapshot is lost, while others are on the way behind it; each in its turn."""
-    for lost in range(SNAPSHOT_PARTS):
+def chunk_lost_amid_window(seed: int, raft_class: type[Raft]) -> None:
+    """One chunk of a snapshot is lost, while others are on the way behind it; each in its turn."""
+    for lost in range(SNAPSHOT_CHUNKS):
         simulation, _, _, away = _needs_snapshot(seed, raft_class)
-        parts: list[SnapshotPart] = []
-        simulation.drops = lambda message, parts=parts, lost=lost: (  # type: ignore[misc]
-            _record(message, parts) or (isinstance(message, SnapshotPart) and len(parts) == lost + 1)
+        chunks: list[SnapshotChunk] = []
+        simulation.drops = lambda message, chunks=chunks, lost=lost: (  # type: ignore[misc]
+            _record(message, chunks) or (isinstance(message, SnapshotChunk) and len(chunks) == lost + 1)
         )
         simulation.start(away)
         disk = simulation.members[away].disk
-        if not simulation.run_while(lambda disk=disk: disk.snapshot_index == 0, WHOLE_S):  # type: ignore[misc]
-            raise Violation(f"{away} has no snapshot {WHOLE_S} s after one part was lost")
+        if not simulation.run_while(lambda disk=disk: disk.snapshot_index == 0, COMPLETE_S):  # type: ignore[misc]
+            raise SafetyViolationError(f"{away} has no snapshot {COMPLETE_S} s after one chunk was lost")
         simulation.check_converges()
 
 
--- a/tests/consensus/test_catch_up.py
+++ b/tests/consensus/test_catch_up.py
@@ -7,10 +7,12 @@
 import msgspec
 import pytest
 
-from pewterring.consensus.group import SNAPSHOT_AFTER_BYTES, ReplicatedGroup
+from pewterring.consensus.group import ReplicatedGroup
+from pewterring.consensus.snapshot_schedule import SNAPSHOT_AFTER_BYTES
 from pewterring.control.commands import PutConfiguration, PutWorker, RemoveWorkers
 from pewterring.control.state import ControlState, encode_command
 from pewterring.distribution.messages import WorkerRecord
+from tests.consensus.raft_internals import log_of
 from tests.consensus.slow_members import SlowGroup
 from tests.consensus.virtual_time import run
 
@@ -63,7 +65,9 @@
 
 async def until_caught_up(group: SlowGroup, member: ReplicatedGroup, index: int) -> None:
     """Waits until the member has applied all up to `index`, and the leader knows it to be on its disk."""
-    while member.applied_index < index or (await group.leader()).match(member.member) < index:
+    while True:
+        if member.applied_index >= index and (await group.leader()).match(member.member) >= index:
+            return
         await asyncio.sleep(0.01)
 
 
@@ -73,7 +77,7 @@
     for name in ("a", "b", "c"):
         await group.start(name)
     await order(group, commands, 30)
-    away = next(name for name in group.lives if name != group.led[-1][0])
+    away = next(name for name in group.running if name != group.led[-1][0])
     await group.end(away)
     return group, away
 
@@ -109,13 +113,12 @@
             await group.start(name)
         commands = changes(LARGE_ROUTES)
         await order(group, commands, 30)
-        away = next(name for name in group.lives if name != (group.led[-1][0]))
-        held = group.lives[away].applied_index
+        away = next(name for name in group.running if name != (group.led[-1][0]))
+        held = group.running[away].applied_index
         await group.end(away)
         target = await order(group, commands, 60)
         leader = await group.leader()
-        assert leader._raft is not None
-        missed = leader._raft._state.log.bytes_after(held)
+        missed = log_of(leader).bytes_after(held)
         sent_before = group.sent_bytes[away]
         late = await group.start(away, SLOW_SYNC_S, SLOW_DISK_BYTES_PER_S, processor=2e6)
         await until_caught_up(group, late, target)
@@ -158,21 +161,20 @@
         commands = changes(routes=50)
         await order(group, commands, 10)
         leader = await group.leader()
-        away = next(name for name in group.lives if name != leader.member)
+        away = next(name for name in group.running if name != leader.member)
         await group.end(away)
         snapshot_bytes = longest = 0
         for _ in range(100):
             await order(group, commands, 100)
-            assert leader._raft is not None
-            longest = max(longest, leader._raft._state.log.size_bytes)
+            longest = max(longest, log_of(leader).size_bytes)
             snapshot_bytes = max(snapshot_bytes, len(group.machines[leader.member].snapshot()))
         assert leader.applied_index >= 10_000
         assert snapshot_bytes < SNAPSHOT_AFTER_BYTES
         log_bytes = LOG_BYTES + 100_000  # and what came meanwhile
         assert longest < log_bytes + KEPT_BYTES
-        for name in group.lives:
+        for name in group.running:
             assert group.disks[name].most_bytes < 2 * (log_bytes * 1.1 + snapshot_bytes)
-        for name in list(group.lives):
+        for name in list(group.running):
             await group.end(name)
             disk = group.disks[name]
             assert sum(disk.size(file) for file in disk.names()) < 2 * log_bytes * 1.1 + snapshot_bytes
--- a/tests/consensus/test_planner_breakages.py
+++ b/tests/consensus/test_membership_planner_breakages.py
@@ -2,9 +2,10 @@
 
 import pytest
 
+from pewterring.consensus.membership_planner import MembershipPlanner
+from pewterring.consensus.membership_view import Candidates, PlannedGroup
 from pewterring.consensus.messages import Membership
-from pewterring.consensus.planner import Candidates, MembershipPlanner, PlannedGroup
-from tests.consensus.test_planner import breaks_a_rule, every_group
+from tests.consensus.test_membership_planner import breaks_a_rule, every_group
 
 
 class _Flattering:
@@ -18,11 +19,11 @@
     def match(self, member: str) -> int:
         return self.commit_index
 
-    def silent_s(self, member: str, now: float) -> float:
-        return self._group.silent_s(member, now)
+    def seconds_since_contact(self, member: str, now: float) -> float:
+        return self._group.seconds_since_contact(member, now)
 
-    def is_leaving(self, member: str) -> bool:
-        return self._group.is_leaving(member)
+    def is_departing(self, member: str) -> bool:
+        return self._group.is_departing(member)
 
 
 class PromotesWithoutCatchUp(MembershipPlanner):
@@ -38,9 +39,14 @@
     def plan(self, now: float, group: PlannedGroup, candidates: Candidates) -> Membership | None:
         change = super().plan(now, group, candidates)
         membership = group.membership
-        retiring = [voter for voter in membership.voters if voter in candidates.retiring]
-        if change is None and membership.learners and retiring and retiring[0] != self._own_member:
-            staying = tuple(voter for voter in membership.voters if voter != retiring[0])
+        decommissioning = [voter for voter in membership.voters if voter in candidates.decommissioning]
+        if (
+            change is None
+            and membership.learners
+            and decommissioning
+            and decommissioning[0] != self._own_member
+        ):
+            staying = tuple(voter for voter in membership.voters if voter != decommissioning[0])
             return Membership(staying, membership.learners)
         return change
 
@@ -51,7 +57,11 @@
     def plan(self, now: float, group: PlannedGroup, candidates: Candidates) -> Membership | None:
         change = super().plan(now, group, candidates)
         membership = group.membership
-        silent = [voter for voter in membership.voters if group.silent_s(voter, now) >= self._lost_s]
+        silent = [
+            voter
+            for voter in membership.voters
+            if group.seconds_since_contact(voter, now) >= self._observer.lost_voter_s
+        ]
         if change is None and silent:
             return Membership(
                 tuple(voter for voter in membership.voters if voter != silent[0]), membership.learners
@@ -65,7 +75,11 @@
     def plan(self, now: float, group: PlannedGroup, candidates: Candidates) -> Membership | None:
         change = super().plan(now, group, candidates)
         membership = group.membership
-        silent = [voter for voter in membership.voters if group.silent_s(voter, now) >= self._lost_s]
+        silent = [
+            voter
+            for voter in membership.voters
+            if group.seconds_since_contact(voter, now) >= self._observer.lost_voter_s
+        ]
         if change is not None and silent and len(change.voters) > len(membership.voters):
             return Membership(
                 tuple(voter for voter in membership.voters if voter != silent[0]), membership.learners
--- a/tests/control/test_faults.py
+++ b/tests/control/test_faults.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from pewterring.configuration.digest import as_line
+from pewterring.configuration.digest import single_line
 from pewterring.control.calls import Answer, Call
 from pewterring.distribution.follower import TableFollower
 from tests.configuration.documents import encoded
@@ -74,7 +74,7 @@
         document = encoded(version=2)
         assert (await cluster.call(put_call(1, document), first)).status == 200
         await asyncio.sleep(2.0)
-        assert (await cluster.call(read_call(), first)).body == as_line(document)
+        assert (await cluster.call(read_call(), first)).body == single_line(document)
         assert (await cluster.call(put_call(1, document), first)).status == 200, "sent once more"
         assert (await cluster.call(put_call(1, encoded(version=3)), first)).status == 412
         configuration = (await tables_from(await cluster.leader())).tables.configuration
@@ -94,7 +94,7 @@
         assert sorted(answer.status for answer in answers) == [200, 412]
         winner = documents[[answer.status for answer in answers].index(200)]
         await asyncio.sleep(2.0)
-        assert (await cluster.call(read_call())).body == as_line(winner)
+        assert (await cluster.call(read_call())).body == single_line(winner)
 
     each_point(scenario)
 
@@ -121,7 +121,7 @@
         transfers: list[asyncio.Task[object]] = []
 
         def transfer() -> None:
-            transfers.append(cluster.in_background(leader.group.hand_over_leadership()))
+            transfers.append(cluster.in_background(leader.group.transfer_leadership()))
 
         cluster.at_point(point, transfer)
         answer = await cluster.machines[first].router.answer(put_call(0, encoded(version=1)))
--- a/tests/control/test_late_calls.py
+++ b/tests/control/test_late_calls.py
@@ -39,7 +39,7 @@
 
 def until_next_round(leader: ControlMachine) -> float:
     """How long it takes until the leader's next round."""
-    deadline = leader.group._running().next_deadline()  # noqa: SLF001 - the timer of the core is not public
+    deadline = leader.group._driver.running().next_deadline()  # noqa: SLF001 - the timer of the core is not public
     assert deadline is not None
     return deadline - asyncio.get_running_loop().time()
 
@@ -137,7 +137,7 @@
                 assert (await follower.router.answer(read_call())).status == 200
                 await asyncio.sleep(rng.uniform(0.0, 2 * TIMING.heartbeat_s))
             assert refused == []
-            await leader.group.hand_over_leadership()
+            await leader.group.transfer_leadership()
             while not (leaders := [each for each in cluster.machines.values() if each.group.is_leader]):  # noqa: ASYNC110 - in virtual time, to see the leader at once
                 await asyncio.sleep(0.001)
             leader = leaders[0]
@@ -154,7 +154,7 @@
         refused = count_too_old(leader)
         follower = follower_of(cluster, leader)
         await asyncio.sleep(PAUSE_S)
-        follower.group._running()._state.heard_round = 1  # noqa: SLF001 - no message brings an old round
+        follower.group._driver.running()._state.last_leader_round = 1  # noqa: SLF001 - no message brings an old round
         assert (await follower.router.answer(GONE)).status == 200
         assert [call.round for call in refused] == [1]
         assert "i-9" in leader.state.workers
--- a/tests/control/test_leader_task_runner.py
+++ b/tests/control/test_leader_task_runner.py
@@ -5,10 +5,11 @@
 
 import pytest
 
-from pewterring.consensus.errors import MembershipRefused, NotLeader, OutcomeUnknown
+from pewterring.consensus.errors import MembershipRejectedError, NotLeaderError, OutcomeUnknownError
 from pewterring.consensus.group import ReplicatedGroup
+from pewterring.consensus.membership_planner import MembershipPlanner
+from pewterring.consensus.membership_view import Candidates, PlannedGroup
 from pewterring.consensus.messages import Membership
-from pewterring.consensus.planner import Candidates, MembershipPlanner, PlannedGroup
 from pewterring.control.commands import Command, PutNodes, RemoveWorkers
 from pewterring.control.leader_task_runner import LeaderTaskRunner
 from pewterring.control.leader_tasks import LeaderTasks
@@ -64,7 +65,7 @@
 
 
 @pytest.mark.parametrize(
-    "error", [NotLeader(None), OutcomeUnknown("lost"), MembershipRefused("one at a time")]
+    "error", [NotLeaderError(None), OutcomeUnknownError("lost"), MembershipRejectedError("one at a time")]
 )
 def test_a_task_that_failed_is_found_due_again(error: Exception) -> None:
     group, leadership = leading_group()
--- a/tests/control/test_leadership.py
+++ b/tests/control/test_leadership.py
@@ -4,7 +4,12 @@
 
 import pytest
 
-from pewterring.consensus.errors import GroupFailed, NotLeader, OutcomeUnknown, TooManyUncommitted
+from pewterring.consensus.errors import (
+    GroupFailedError,
+    NotLeaderError,
+    OutcomeUnknownError,
+    TooManyUncommittedError,
+)
 from pewterring.control.commands import RemoveWorkers
 from pewterring.control.errors import NotLeading, OutcomeUnsure
 from pewterring.control.leadership import READ_BARRIER_TIMEOUT_S
@@ -35,10 +40,10 @@
 @pytest.mark.parametrize(
     ("error", "expected"),
     [
-        (NotLeader("b"), NotLeading),  # nothing was done
-        (TooManyUncommitted(1), NotLeading),  # nothing either
-        (OutcomeUnknown("lost"), OutcomeUnsure),  # may come into force yet
-        (GroupFailed("disk"), OutcomeUnsure),
+        (NotLeaderError("b"), NotLeading),  # nothing was done
+        (TooManyUncommittedError(1), NotLeading),  # nothing either
+        (OutcomeUnknownError("lost"), OutcomeUnsure),  # may come into force yet
+        (GroupFailedError("disk"), OutcomeUnsure),
     ],
 )
 def test_errors_of_the_group_say_whether_the_command_may_come_into_force(
--- a/tests/golden/member_messages.py
+++ b/tests/golden/member_messages.py
@@ -4,17 +4,17 @@
 
 import msgspec
 
-from pewterring.consensus.membership import MEMBERS as MEMBERSHIP_KIND
 from pewterring.consensus.membership import encode_membership
 from pewterring.consensus.messages import (
     CONSENSUS_MESSAGES,
+    ENTRY_MEMBERS,
     AppendReply,
     AppendRequest,
+    DepartureAck,
+    DepartureNotice,
     Entry,
-    Leave,
-    Left,
     Membership,
-    SnapshotPart,
+    SnapshotChunk,
     SnapshotReply,
     TimeoutNow,
     VoteReply,
@@ -31,14 +31,14 @@
 PLAIN_MEMBERSHIP = Membership(voters=MEMBERS)
 EMPTY_ENTRY = Entry(index=40, term=5, kind="empty")
 COMMAND_ENTRY = Entry(index=41, term=5, kind="command", data=raw(b'{"type":"DropJobs","jobs":["job-1"]}'))
-MEMBERSHIP_ENTRY = Entry(index=42, term=5, kind=MEMBERSHIP_KIND, data=encode_membership(MEMBERSHIP))
+MEMBERSHIP_ENTRY = Entry(index=42, term=5, kind=ENTRY_MEMBERS, data=encode_membership(MEMBERSHIP))
 
 _HEAD: dict[str, Any] = {"group": "control", "sender": MEMBERS[0], "target": MEMBERS[1], "term": 5}
 
 _MESSAGES: tuple[tuple[str, msgspec.Struct], ...] = (
     (
         "VoteRequest-full",
-        VoteRequest(**_HEAD, last_index=42, last_term=4, prevote=True, handed_over=True),
+        VoteRequest(**_HEAD, last_index=42, last_term=4, prevote=True, leadership_transferred=True),
     ),
     ("VoteRequest-defaults", VoteRequest(**_HEAD, last_index=42, last_term=4, prevote=False)),
     ("VoteReply-full", VoteReply(**_HEAD, granted=True, prevote=True)),
@@ -58,11 +58,11 @@
         "AppendRequest-defaults",
         AppendRequest(**_HEAD, previous_index=39, previous_term=4, commit=38, round=17),
     ),
-    ("AppendReply-full", AppendReply(**_HEAD, accepted=True, match=42, round=17, leaving=True)),
+    ("AppendReply-full", AppendReply(**_HEAD, accepted=True, match=42, round=17, departing=True)),
     ("AppendReply-defaults", AppendReply(**_HEAD, accepted=False, match=12, round=17)),
     (
         "SnapshotPart-full",
-        SnapshotPart(
+        SnapshotChunk(
             **_HEAD,
             last_index=30,
             last_term=4,
@@ -76,7 +76,7 @@
     ),
     (
         "SnapshotPart-first",
-        SnapshotPart(
+        SnapshotChunk(
             **_HEAD,
             last_index=30,
             last_term=4,
@@ -90,8 +90,8 @@
     ),
     ("SnapshotReply-full", SnapshotReply(**_HEAD, last_index=30, received=65536, round=17)),
     ("TimeoutNow-full", TimeoutNow(**_HEAD)),
-    ("Leave-full", Leave(**_HEAD, round=17)),
-    ("Left-full", Left(**_HEAD, round=17)),
+    ("Leave-full", DepartureNotice(**_HEAD, round=17)),
+    ("Left-full", DepartureAck(**_HEAD, round=17)),
 )
 
 
--- a/tests/simulation/world.py
+++ b/tests/simulation/world.py
@@ -14,7 +14,8 @@
 from pewterring.distribution.subscriber import FeedSubscriber
 from pewterring.distribution.tables import Tables
 from pewterring.gateway.batch_calls import BatchCalls
-from pewterring.node.settings import Address, NodeSettings
+from pewterring.node.address import Address
+from pewterring.node.settings import NodeSettings
 from pewterring.transport.lines import LinkPool, MessageCodec
 from tests.node_settings import addresses, node_settings
 from tests.simulation.batch import Items, answer_batch_call
@@ -104,7 +105,7 @@
         self.nodes: dict[str, Gateway] = {}
         self.items = Items(self)
         self.save_s = self.rng.choice(SAVE_S)
-        self.snapshot_part_bytes = self.rng.choice(SNAPSHOT_PART_BYTES)
+        self.snapshot_chunk_bytes = self.rng.choice(SNAPSHOT_PART_BYTES)
         self.hooks: list[Any] = []  # called with the name of each point and the machine that reached it
         self._last_ip = 0
         self._last_store_ip = 0
@@ -222,7 +223,7 @@
 
         async def end() -> None:
             group = machine.group
-            if isinstance(machine, ControlMachine | StoreMachine) and group is not None and group._raft:
+            if isinstance(machine, ControlMachine | StoreMachine) and group is not None and group.is_started:
                 assert machine.program is not None
                 await machine.program.drain()
                 await machine.program.stop()
