--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -32,10 +32,10 @@
 from pewterring.consensus.messages import Entry, Membership
 from pewterring.consensus.persistent import HardState
 from pewterring.control.calls import HEARTBEAT_PATH, REPLACE_PATH
-from pewterring.control.commands import PutWorker
+from pewterring.control.commands import PutWorker, encode_command
 from pewterring.control.messages import CONTROL_MESSAGES, RelayedAnswer, RelayedCall
 from pewterring.control.program import ControlProgram
-from pewterring.control.state import ControlState, encode_command
+from pewterring.control.state import ControlState
 from pewterring.distribution.messages import FEED_MESSAGES, NodeRecord, WorkerRecord
 from pewterring.distribution.subscriber import FeedSubscriber
 from pewterring.distribution.tables import Tables
--- a/benchmarks/history.py
+++ b/benchmarks/history.py
@@ -63,7 +63,7 @@
         )
         yield control_commands_encoded(control_commands.PutWorker(worker))
         if version > WORKERS:
-            gone = control_commands.RemoveWorkers((f"w-{version - WORKERS}",), for_good=True)
+            gone = control_commands.RemoveWorkers((f"w-{version - WORKERS}",), permanent=True)
             yield control_commands_encoded(gone)
 
 
--- a/benchmarks/patches.py
+++ b/benchmarks/patches.py
@@ -16,8 +16,14 @@
 
 from pewterring.configuration.reader import read_configuration
 from pewterring.configuration.validation import ValidatedDocument, validate_configuration, validate_patch
-from pewterring.control.commands import Accepted, Command, PatchConfiguration, PutConfiguration
-from pewterring.control.state import ControlState, encode_command
+from pewterring.control.commands import (
+    Accepted,
+    Command,
+    PatchConfiguration,
+    PutConfiguration,
+    encode_command,
+)
+from pewterring.control.state import ControlState
 
 SIZES = (500, 5000)
 REPEATS = 5
--- a/benchmarks/redundancy.py
+++ b/benchmarks/redundancy.py
@@ -49,13 +49,12 @@
 from pewterring.consensus.persistent import HardState
 from pewterring.consensus.state_machine import StateMachine
 from pewterring.consensus.types import RaftLimits
-from pewterring.control.commands import PutConfiguration, PutWorker, RemoveWorkers
+from pewterring.control.commands import PutConfiguration, PutWorker, RemoveWorkers, encode_command
 from pewterring.control.program import LEADER_CHECK_INTERVAL_S
 from pewterring.control.state import (
     REMEMBERED_DEPARTURES,
     REMEMBERED_VERSIONS,
     ControlState,
-    encode_command,
 )
 from pewterring.distribution.messages import WorkerRecord
 from pewterring.storage.group import DiskGroupStorage
@@ -168,7 +167,7 @@
     commands = [_configuration(version) for version in range(1, REMEMBERED_VERSIONS + 1)]
     commands += [_worker(number) for number in range(REMEMBERED_DEPARTURES + WORKERS)]
     gone = tuple(_worker_id(number) for number in range(REMEMBERED_DEPARTURES))
-    commands.append(encode_command(RemoveWorkers(gone, for_good=True)))
+    commands.append(encode_command(RemoveWorkers(gone, permanent=True)))
     for index, command in enumerate(commands, 1):
         state.apply(index, command)
     return state.snapshot()
--- a/pewterring/cli/cluster.py
+++ b/pewterring/cli/cluster.py
@@ -103,7 +103,7 @@
         lines.append(f"  {worker.service:<16}{worker.id:<20}{worker.address:<22}{worker.state:<10}{slots}")
     lines.append(f"partitions     {len(status.placements)}")
     lines += [f"  {place.group:<16}first voters {', '.join(place.voters)}" for place in status.placements]
-    for retirement in status.retirements:
+    for retirement in status.decommissionings:
         lines.append(f"retirement     {retirement.node_id}: {'ended' if retirement.ended else 'running'}")
     return lines
 
--- a/pewterring/control/commands.py
+++ b/pewterring/control/commands.py
@@ -1,16 +1,20 @@
-"""Commands of the control group's log, as JSON (msgspec structs tagged by class name), and their results.
+"""Commands of the control group's log, as JSON (msgspec structs with a tag each), and their results.
 
 A member that meets a command or a field that it doesn't know must stop: going on without it would let the
-members' states drift apart. Whoever adds a field to a record within a command therefore adds one to the
-command as well, or a new command: records, which the feed shares, are read leniently.
+members' states diverge. Whoever adds a field to a record within a command therefore adds one to the command
+as well, or a new command: records, which the feed shares, are read leniently.
 """
 
 from dataclasses import dataclass
 
 import msgspec
 
+from pewterring.control.errors import InvalidCommandError
 from pewterring.distribution.messages import NodeRecord, PlacementRecord, WorkerRecord
 
+# What msgspec's decoder raises: besides its own errors those of bad UTF-8 and of nesting that is too deep.
+UNDECODABLE = (msgspec.MsgspecError, ValueError, RecursionError)
+
 
 class _Command(msgspec.Struct, frozen=True, tag=True, forbid_unknown_fields=True):
     """What all commands have in common."""
@@ -41,14 +45,14 @@
 
 
 class RemoveWorkers(_Command, frozen=True):
-    """Removes workers. With `for_good` their ids never come back, also not by a late heartbeat."""
+    """Removes workers. With `permanent` their ids never come back, also not by a late heartbeat."""
 
     ids: tuple[str, ...]
-    for_good: bool = False
+    permanent: bool = msgspec.field(default=False, name="for_good")  # the wire's name
 
 
-class SilenceWorkers(_Command, frozen=True):
-    """Marks ready workers that control does not hear any more. A heartbeat makes them ready again."""
+class MarkWorkersUnresponsive(_Command, frozen=True, tag="SilenceWorkers"):  # the wire's name
+    """Marks ready workers whose heartbeats are overdue. A heartbeat makes them ready again."""
 
     ids: tuple[str, ...]
 
@@ -57,7 +61,7 @@
     """Adds, changes and removes processes of the tier."""
 
     nodes: tuple[NodeRecord, ...] = ()
-    gone: tuple[str, ...] = ()  # node ids
+    removed_ids: tuple[str, ...] = msgspec.field(default=(), name="gone")  # the wire's name
 
 
 class CreateGroup(_Command, frozen=True):
@@ -66,15 +70,15 @@
     placement: PlacementRecord
 
 
-class SetRetiring(_Command, frozen=True):
-    """Marks a store as to be emptied."""
+class StartDecommissioning(_Command, frozen=True, tag="SetRetiring"):  # the wire's name
+    """Marks a store as to be emptied: no partition may keep a replica on it."""
 
     node_id: str
     member: str
 
 
-class EndRetirement(_Command, frozen=True):
-    """Notes that a retiring store holds nothing any more."""
+class EndDecommissioning(_Command, frozen=True, tag="EndRetirement"):  # the wire's name
+    """Notes that a store that is decommissioned holds no replica any more."""
 
     node_id: str
 
@@ -84,14 +88,37 @@
     | PatchConfiguration
     | PutWorker
     | RemoveWorkers
-    | SilenceWorkers
+    | MarkWorkersUnresponsive
     | PutNodes
     | CreateGroup
-    | SetRetiring
-    | EndRetirement
+    | StartDecommissioning
+    | EndDecommissioning
 )
 
 
+_decoder: msgspec.json.Decoder[Command] = msgspec.json.Decoder(Command)
+_encoder = msgspec.json.Encoder()
+
+
+def encode_command(command: Command) -> bytes:
+    """The command as it is written to the log."""
+    return _encoder.encode(command)
+
+
+def decode_command(index: int, data: bytes) -> Command:
+    """Reads the command of the log's entry `index`.
+
+    Raises:
+        InvalidCommandError: It is no command that this version knows.
+    """
+    try:
+        return _decoder.decode(data)
+    except UNDECODABLE as error:
+        raise InvalidCommandError(
+            f"entry {index} of the log is no command that this version knows: {error}"
+        ) from error
+
+
 @dataclass(frozen=True, slots=True)
 class Accepted:
     """The command is in force, or was before (`repeated`)."""
@@ -114,7 +141,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Untold:
+class OutcomeUnknown:
     """The configuration is so old that whether it was taken is no longer known."""
 
 
@@ -125,4 +152,4 @@
     reason: str
 
 
-Result = Accepted | Conflict | NotAbove | Untold | Invalid
+Result = Accepted | Conflict | NotAbove | OutcomeUnknown | Invalid
--- a/pewterring/control/retiring.py
+++ b/pewterring/control/decommissioning.py
@@ -2,31 +2,21 @@
 
 import asyncio
 
-from pewterring.control.commands import Result, SetRetiring
+from pewterring.control.commands import Result, StartDecommissioning
+from pewterring.control.errors import StoresAbsentError, TooFewStoresError, UnknownStoreError
 from pewterring.control.leadership import Leadership
 from pewterring.control.nodes import NodeTable
+from pewterring.control.placement import live_stores
 from pewterring.control.state import ControlState
-from pewterring.control.stores import live_stores
 from pewterring.distribution.messages import STORE, NodeRecord
 
-UNKNOWN = 404
-TOO_FEW = 409
-TRY_AGAIN = 503
 RUNNING = "running"
 SUCCEEDED = "succeeded"
-SETTLED_S = 5.0  # after so long a leader knows which stores are gone and not just away for a moment
+ABSENCE_CONFIRMED_S = 5.0  # after so long a leader knows which stores are gone and not just away for a moment
 UNWATCHED_S = 2.0  # after so long without a look at the stores it must find that out anew
 
 
-class RetirementRefused(Exception):
-    """The store is not emptied; `status` is that of the HTTP answer."""
-
-    def __init__(self, status: int, reason: str) -> None:
-        super().__init__(reason)
-        self.status = status
-
-
-class RetirementDesk:
+class StoreDecommissioner:
     """Starts retirements one at a time, so that two cannot both count on the same remaining stores."""
 
     def __init__(
@@ -61,10 +51,10 @@
 
     def progress(self, node_id: str) -> str | None:
         """How far a retirement is, or None where there is none."""
-        retirement = self._state.retirements.get(node_id)
-        if retirement is None:
+        decommissioning = self._state.decommissionings.get(node_id)
+        if decommissioning is None:
             return None
-        return SUCCEEDED if retirement.ended else RUNNING
+        return SUCCEEDED if decommissioning.ended else RUNNING
 
     def watch(self, now: float) -> None:
         """Notes since when stores are missing; to be called again and again."""
@@ -78,17 +68,17 @@
         if self._proposal is not None and not self._proposal.done():
             await asyncio.wait((self._proposal,))
 
-    def _checked_wish(self, now: float, node_id: str) -> SetRetiring | None:
+    def _checked_wish(self, now: float, node_id: str) -> StartDecommissioning | None:
         """What is to be committed, or None where it has been before; raises `RetirementRefused`."""
         store = self._store(node_id)
-        if store is None and node_id in self._state.retirements:
+        if store is None and node_id in self._state.decommissionings:
             return None
         if store is None:
-            raise RetirementRefused(UNKNOWN, f"no store {node_id}")
-        if self._state.is_retiring(store):
+            raise UnknownStoreError(f"no store {node_id}")
+        if self._state.is_decommissioning(store):
             return None
         self._check_remaining(now, store)
-        return SetRetiring(node_id, store.member)
+        return StartDecommissioning(node_id, store.member)
 
     def _store(self, node_id: str) -> NodeRecord | None:
         live = self._nodes.records.get(node_id)
@@ -101,18 +91,18 @@
         others = [
             other
             for other in live_stores(self._nodes.records.values())
-            if other.node_id != store.node_id and not self._state.is_retiring(other)
+            if other.node_id != store.node_id and not self._state.is_decommissioning(other)
         ]
         if len(others) >= self._needed:
             return
         if len(others) + self._away_for_a_moment(now, store) >= self._needed:
-            raise RetirementRefused(TRY_AGAIN, "some stores are away")
-        raise RetirementRefused(TOO_FEW, f"only {len(others)} stores would remain")
+            raise StoresAbsentError("some stores are away")
+        raise TooFewStoresError(f"only {len(others)} stores would remain")
 
     def _away_for_a_moment(self, now: float, store: NodeRecord) -> int:
         """How many other stores went missing only just now."""
         return sum(
-            now - since < SETTLED_S
+            now - since < ABSENCE_CONFIRMED_S
             for node_id, since in self._missing_since.items()
-            if node_id != store.node_id and not self._state.is_retiring(self._state.stores[node_id])
+            if node_id != store.node_id and not self._state.is_decommissioning(self._state.stores[node_id])
         )
--- a/pewterring/control/feed.py
+++ b/pewterring/control/feed.py
@@ -38,7 +38,7 @@
         """Opens a session; the answer must be sent before this channel gets anything else."""
         if not self._leadership.has_lease:
             return Redirect(self._other_leader_ip())
-        self._nodes.hear(self._clock(), message.node)
+        self._nodes.observe(self._clock(), message.node)
         self.publish_state()
         if channel not in self._channels:
             self._channels.add(channel)
@@ -49,9 +49,9 @@
         """Confirms the versions; a session that is not open is to be opened anew."""
         if not self._leadership.has_lease:
             return Redirect(self._other_leader_ip())
-        self._nodes.hear(self._clock(), message.node)
+        self._nodes.observe(self._clock(), message.node)
         if message.status is not None:
-            self._publisher.report(self._clock(), message.status)
+            self._publisher.record_report(self._clock(), message.status)
         self.publish_state()
         return self._publisher.renew(channel) or Redirect(self._leadership.leader_ip)
 
@@ -63,11 +63,11 @@
 
     def publish_state(self) -> None:
         """Pushes what changed of configuration, workers and placements."""
-        self._push(self._publisher.state_changes())
+        self._push(self._publisher.take_state_changes())
 
     def publish_nodes(self) -> None:
         """Pushes what changed of nodes and groups."""
-        self._push(self._publisher.node_changes())
+        self._push(self._publisher.take_node_changes())
 
     def end_sessions(self) -> None:
         """Closes all sessions: their nodes look for the leader."""
--- a/pewterring/control/join_protocol.py
+++ b/pewterring/control/join_protocol.py
@@ -7,9 +7,9 @@
 import asyncio
 
 from pewterring.consensus.group import ReplicatedGroup
+from pewterring.control.join_requests import JoinRequests
 from pewterring.control.leader_tasks import control_ips
 from pewterring.control.leadership import GroupLeadership
-from pewterring.control.membership import JoinRequests
 from pewterring.control.messages import JoinGroup
 from pewterring.node.settings import NodeSettings
 from pewterring.transport.lines import LinkPool
@@ -53,7 +53,7 @@
     def receive(self, now: float, message: JoinGroup) -> None:
         """Notes another member's request as the leader, or forwards it to the leader, once."""
         if self._leadership.ready:
-            self._requests.ask(now, message.member)
+            self._requests.record(now, message.member)
         elif not message.forwarded and self._leadership.leader_ip not in ("", self.settings.ip):
             self._links.send(self._leadership.leader_ip, JoinGroup(message.member, forwarded=True))
 
--- a/pewterring/control/membership.py
+++ b/pewterring/control/join_requests.py
@@ -3,7 +3,7 @@
 from pewterring.consensus.membership import address_of
 from pewterring.consensus.membership_view import Candidates
 
-ASKED_S = 2.0  # a wish to join is good for so long; it is repeated each half second
+JOIN_REQUEST_TTL_S = 2.0  # a wish to join is good for so long; it is repeated each half second
 
 
 class JoinRequests:
@@ -16,7 +16,7 @@
         """Begins a leadership."""
         self._asked = {}
 
-    def ask(self, now: float, member: str) -> None:
+    def record(self, now: float, member: str) -> None:
         """Notes that the member wishes to join; what earlier names of its address wished is over."""
         ip = address_of(member)
         self._asked = {name: asked for name, asked in self._asked.items() if address_of(name) != ip}
@@ -24,7 +24,9 @@
 
     def candidates(self, now: float) -> Candidates:
         """Who may join now."""
-        self._asked = {member: asked for member, asked in self._asked.items() if now - asked < ASKED_S}
+        self._asked = {
+            member: asked for member, asked in self._asked.items() if now - asked < JOIN_REQUEST_TTL_S
+        }
         return Candidates(
             joining=tuple(self._asked), current_names={address_of(member): member for member in self._asked}
         )
--- a/pewterring/control/leader_state.py
+++ b/pewterring/control/leader_state.py
@@ -8,10 +8,10 @@
 from dataclasses import dataclass
 from typing import Self
 
+from pewterring.control.decommissioning import StoreDecommissioner
 from pewterring.control.leadership import Leadership
 from pewterring.control.nodes import NodeTable
 from pewterring.control.publisher import FeedPublisher
-from pewterring.control.retiring import RetirementDesk
 from pewterring.control.state import ControlState
 from pewterring.registry.workers import WorkerRegistry
 
@@ -32,7 +32,7 @@
     nodes: NodeTable
     workers: WorkerRegistry
     publisher: FeedPublisher
-    decommissioner: RetirementDesk
+    decommissioner: StoreDecommissioner
 
     @classmethod
     def of(
@@ -52,7 +52,7 @@
             nodes,
             WorkerRegistry(replicated.workers, replicated.departed, heartbeat_s),
             FeedPublisher(replicated, nodes),
-            RetirementDesk(replicated, nodes, leadership, needed_stores),
+            StoreDecommissioner(replicated, nodes, leadership, needed_stores),
         )
 
     def start(self, now: float, term: int, control_ips: Iterable[str]) -> None:
--- a/pewterring/control/leader_task_runner.py
+++ b/pewterring/control/leader_task_runner.py
@@ -14,9 +14,9 @@
 from pewterring.consensus.group import ReplicatedGroup
 from pewterring.consensus.membership_planner import MAX_CHANGES_PER_CHECK, MembershipPlanner
 from pewterring.control.errors import ControlError
+from pewterring.control.join_requests import JoinRequests
 from pewterring.control.leader_tasks import LeaderTasks
 from pewterring.control.leadership import GroupLeadership
-from pewterring.control.membership import JoinRequests
 
 
 class LeaderTaskRunner:
--- a/pewterring/control/leader_tasks.py
+++ b/pewterring/control/leader_tasks.py
@@ -9,14 +9,20 @@
 
 from pewterring.consensus.membership import address_of
 from pewterring.consensus.messages import Membership
-from pewterring.control.commands import Command, CreateGroup, EndRetirement, RemoveWorkers, SilenceWorkers
+from pewterring.control.commands import (
+    Command,
+    CreateGroup,
+    EndDecommissioning,
+    MarkWorkersUnresponsive,
+    RemoveWorkers,
+)
 from pewterring.control.leader_state import LeaderState
-from pewterring.control.stores import (
+from pewterring.control.placement import (
     FIRST_GROUP,
     first_placement,
-    is_emptied,
+    is_decommissioned,
     live_stores,
-    zones_of,
+    zone_count,
 )
 
 ZONE_WAIT_S = 1.0  # after the first store was seen, stores in different zones are no longer waited for
@@ -51,7 +57,7 @@
         """Brings the leader's own tables up to date."""
         self._tables.nodes.expire(now)
         self._tables.decommissioner.watch(now)
-        self._tables.publisher.set_controls(control_ips(membership))
+        self._tables.publisher.set_control_ips(control_ips(membership))
 
     def due_commands(self, now: float) -> list[Command]:
         """The commands that are to be committed now, in this order."""
@@ -67,7 +73,7 @@
     def _due_for_workers(self, now: float) -> Iterator[Command]:
         unresponsive = self._tables.workers.unresponsive_workers(now)
         if unresponsive.newly:
-            yield SilenceWorkers(unresponsive.newly)
+            yield MarkWorkersUnresponsive(unresponsive.newly)
         if unresponsive.expired:
             yield RemoveWorkers(unresponsive.expired)
 
@@ -76,25 +82,25 @@
         if FIRST_GROUP in state.placements:
             return None
         live = live_stores(self._tables.nodes.records.values())
-        stores = [store for store in live if not state.is_retiring(store)]
+        stores = [store for store in live if not state.is_decommissioning(store)]
         if not stores:
             return None
         if self._first_store_seen_at is None:
             self._first_store_seen_at = now
-        if zones_of(stores) < self._needed_stores and now - self._first_store_seen_at < ZONE_WAIT_S:
+        if zone_count(stores) < self._needed_stores and now - self._first_store_seen_at < ZONE_WAIT_S:
             return None
         placement = first_placement(stores, self._needed_stores)
         return CreateGroup(placement) if placement is not None else None
 
-    def _finished_decommissionings(self, now: float) -> Iterator[EndRetirement]:
+    def _finished_decommissionings(self, now: float) -> Iterator[EndDecommissioning]:
         state = self._tables.replicated
-        for node_id, decommissioning in state.retirements.items():
+        for node_id, decommissioning in state.decommissionings.items():
             if decommissioning.ended:
                 continue
             since = self._decommissioning_since.setdefault(node_id, now)
             reports = self._tables.publisher.reports_since(since + self._report_delay_s)
-            if is_emptied(decommissioning, state.placements.values(), reports, self._needed_stores):
-                yield EndRetirement(node_id)
+            if is_decommissioned(decommissioning, state.placements.values(), reports, self._needed_stores):
+                yield EndDecommissioning(node_id)
 
 
 def control_ips(membership: Membership) -> set[str]:
--- a/pewterring/control/leadership.py
+++ b/pewterring/control/leadership.py
@@ -12,9 +12,8 @@
 from pewterring.consensus.errors import ConsensusError, NotLeaderError, TooManyUncommittedError
 from pewterring.consensus.group import ReplicatedGroup
 from pewterring.consensus.membership import address_of
-from pewterring.control.commands import Command, Result
-from pewterring.control.errors import CallTooOld, NotLeading, OutcomeUnsure
-from pewterring.control.state import encode_command
+from pewterring.control.commands import Command, Result, encode_command
+from pewterring.control.errors import CommandOutcomeUnknownError, NotLeadingError, StaleCallError
 
 READ_BARRIER_TIMEOUT_S = 0.8  # below the 0.9 s of a call, so that another leader can be tried
 
@@ -48,7 +47,7 @@
     def check_lease(self) -> None:
         """Raises `NotLeading` without a lease."""
         if not self.has_lease:
-            raise NotLeading
+            raise NotLeadingError
 
     @property
     def leader_ip(self) -> str:
@@ -63,28 +62,28 @@
     def check_round(self, term: int, number: int) -> None:
         """Raises `CallTooOld` unless this leader sent that round a moment ago, else `NotLeading`."""
         if not self.ready:
-            raise NotLeading
+            raise NotLeadingError
         if not self._group.is_recent_round(term, number, self._clock()):
-            raise CallTooOld
+            raise StaleCallError
 
     async def propose(self, command: Command) -> Result:
         """Commits a command; raises `NotLeading` or `OutcomeUnsure`."""
         if not self.ready:
-            raise NotLeading
+            raise NotLeadingError
         try:
             result = await self._group.propose(encode_command(command))
         except (NotLeaderError, TooManyUncommittedError) as error:
-            raise NotLeading from error
+            raise NotLeadingError from error
         except ConsensusError as error:
-            raise OutcomeUnsure from error
+            raise CommandOutcomeUnknownError from error
         return cast(Result, result)
 
     async def read_barrier(self) -> None:
         """Waits until all that was committed before is applied; raises `NotLeading`."""
         if not self.ready:
-            raise NotLeading
+            raise NotLeadingError
         try:
             async with asyncio.timeout(READ_BARRIER_TIMEOUT_S):
                 await self._group.read_barrier()
         except (ConsensusError, TimeoutError) as error:
-            raise NotLeading from error
+            raise NotLeadingError from error
--- a/pewterring/control/nodes.py
+++ b/pewterring/control/nodes.py
@@ -6,7 +6,7 @@
 from pewterring.distribution.messages import NodeRecord
 from pewterring.durations import PAUSE_THRESHOLD_S
 
-SILENCE_S = 1.5  # a node that was not heard for longer leaves the table
+NODE_TIMEOUT_S = 1.5  # a node that was not heard for longer leaves the table
 
 
 class NodeTable:
@@ -28,7 +28,7 @@
         self._heard = dict.fromkeys(committed, now)
         self._checked = now
 
-    def hear(self, now: float, node: NodeRecord) -> bool:
+    def observe(self, now: float, node: NodeRecord) -> bool:
         """Takes a sign of life; says whether the table changed."""
         self._heard[node.node_id] = now
         if self._records.get(node.node_id) == node:
@@ -43,7 +43,7 @@
         if held_up:
             self._heard = dict.fromkeys(self._records, now)
             return False
-        silent = [node_id for node_id, heard in self._heard.items() if now - heard > SILENCE_S]
+        silent = [node_id for node_id, heard in self._heard.items() if now - heard > NODE_TIMEOUT_S]
         for node_id in silent:
             del self._heard[node_id]
             del self._records[node_id]
--- a/pewterring/control/stores.py
+++ b/pewterring/control/placement.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable, Mapping, Sequence
 
 from pewterring.consensus.membership import address_of
-from pewterring.control.state import Retirement
+from pewterring.control.state import Decommissioning
 from pewterring.distribution.messages import STORE, GroupStatus, NodeRecord, PlacementRecord
 
 FIRST_GROUP = "batch-0"
@@ -14,7 +14,7 @@
     return [node for node in nodes if node.program == STORE and node.member]
 
 
-def zones_of(stores: Iterable[NodeRecord]) -> int:
+def zone_count(stores: Iterable[NodeRecord]) -> int:
     """How many zones the stores stand in."""
     return len({store.zone for store in stores})
 
@@ -34,14 +34,14 @@
     return PlacementRecord(FIRST_GROUP, tuple(store.member for store in chosen))
 
 
-def is_emptied(
-    retirement: Retirement,
+def is_decommissioned(
+    decommissioning: Decommissioning,
     placements: Iterable[PlacementRecord],
     statuses: Mapping[str, GroupStatus],
     needed: int,
 ) -> bool:
     """Whether no partition uses the store's machine and enough voters hold all of each."""
-    ip = address_of(retirement.member)
+    ip = address_of(decommissioning.member)
     for placement in placements:
         status = statuses.get(placement.group)
         if status is None or len(status.complete) < needed:
--- a/pewterring/control/program.py
+++ b/pewterring/control/program.py
@@ -26,12 +26,12 @@
 from pewterring.control.feed import FeedServer
 from pewterring.control.http_server import ApiServer
 from pewterring.control.join_protocol import JoinProtocol
+from pewterring.control.join_requests import JoinRequests
 from pewterring.control.leader_state import LeaderState
 from pewterring.control.leader_task_runner import LeaderTaskRunner
 from pewterring.control.leader_tasks import LeaderTasks
 from pewterring.control.leadership import GroupLeadership
 from pewterring.control.member_storage import GROUP, open_member_storage
-from pewterring.control.membership import JoinRequests
 from pewterring.control.messages import CONTROL_MESSAGES, JoinGroup, RelayedCall
 from pewterring.control.pause_detector import PauseDetector
 from pewterring.control.relay import CallRouter
--- a/pewterring/control/publisher.py
+++ b/pewterring/control/publisher.py
@@ -51,12 +51,12 @@
         self._controls = tuple(sorted(controls))
         self._new_controls = None
 
-    def set_controls(self, controls: Iterable[str]) -> None:
+    def set_control_ips(self, controls: Iterable[str]) -> None:
         """Names the control machines anew."""
         told = tuple(sorted(controls))
         self._new_controls = None if told == self._controls else told
 
-    def report(self, now: float, status: GroupStatus) -> None:
+    def record_report(self, now: float, status: GroupStatus) -> None:
         """Takes a report of a partition's leader, unless a later one is known."""
         known = self._statuses.get(status.group)
         if known is None or (status.term, status.commit) >= (known.term, known.commit):
@@ -89,13 +89,13 @@
         """Confirms the published versions; None for a session that is not open."""
         return Renewed(self._versions) if session in self.sessions else None
 
-    def state_changes(self) -> TableChanges | None:
+    def take_state_changes(self) -> TableChanges | None:
         """Publishes what changed of configuration, workers and placements."""
         changes = self._state.take_changes()
         workers = self._state.workers
         new = tuple(workers[worker_id] for worker_id in changes.workers if worker_id in workers)
         gone = tuple(worker_id for worker_id in changes.workers if worker_id not in workers)
-        nodes, nodes_gone = self._changed_nodes() if changes.retirements else ((), ())
+        nodes, nodes_gone = self._changed_nodes() if changes.decommissionings else ((), ())
         placements = tuple(self._state.placements.values()) if changes.placements else None
         return self._publish(
             TableChanges(
@@ -110,7 +110,7 @@
             )
         )
 
-    def node_changes(self) -> TableChanges | None:
+    def take_node_changes(self) -> TableChanges | None:
         """Publishes what changed of nodes, leaders of partitions and control machines."""
         nodes, nodes_gone = self._changed_nodes()
         groups = self._new_groups()
@@ -157,9 +157,9 @@
         return changed, tuple(before)
 
     def _current_nodes(self) -> tuple[NodeRecord, ...]:
-        is_retiring = self._state.is_retiring
+        is_decommissioning = self._state.is_decommissioning
         return tuple(
-            msgspec.structs.replace(node, retiring=True) if is_retiring(node) else node
+            msgspec.structs.replace(node, retiring=True) if is_decommissioning(node) else node
             for node in self._nodes.records.values()
         )
 
--- a/pewterring/control/relay.py
+++ b/pewterring/control/relay.py
@@ -14,7 +14,12 @@
 from loguru import logger
 
 from pewterring.control.calls import Answer, Call, endpoint_at, error_answer
-from pewterring.control.errors import CallTooOld, ControlError, NotLeading, OutcomeUnsure
+from pewterring.control.errors import (
+    CommandOutcomeUnknownError,
+    ControlError,
+    NotLeadingError,
+    StaleCallError,
+)
 from pewterring.control.messages import RelayedAnswer, RelayedCall
 from pewterring.transport.lines import TransportError
 
@@ -93,18 +98,18 @@
         try:
             self._leader.check_round(message.term, message.round)
             answer = await _in_time(self._handle_here(call))
-        except NotLeading:
+        except NotLeadingError:
             return RelayedAnswer(503, not_leading=True)
-        except CallTooOld:
+        except StaleCallError:
             term, number = self._leader.newest_round
             return RelayedAnswer(503, too_old=True, term=term, round=number)
-        except (OutcomeUnsure, TimeoutError):
+        except (CommandOutcomeUnknownError, TimeoutError):
             return RelayedAnswer(503, error_answer(503, "the outcome is not known").body)
         return RelayedAnswer(answer.status, answer.body)
 
     async def _until_answered(self, call: Call) -> Answer:
         while True:
-            with contextlib.suppress(NotLeading, OutcomeUnsure, RelayError):
+            with contextlib.suppress(NotLeadingError, CommandOutcomeUnknownError, RelayError):
                 leader_ip = self._leader.leader_ip
                 if leader_ip == self._own_ip:
                     return await self._handle_here(call)
@@ -121,7 +126,7 @@
         while True:
             reply = await self._send(leader_ip, relayed_call(call, newest_round))
             if reply.not_leading:
-                raise NotLeading
+                raise NotLeadingError
             if not reply.too_old:
                 return Answer(reply.status, reply.body)
             newest_round = (reply.term, reply.round)
--- a/pewterring/control/service.py
+++ b/pewterring/control/service.py
@@ -17,17 +17,17 @@
     Conflict,
     Invalid,
     NotAbove,
+    OutcomeUnknown,
     PatchConfiguration,
     PutConfiguration,
     PutWorker,
     RemoveWorkers,
     Result,
-    Untold,
 )
+from pewterring.control.errors import DecommissioningRefusedError
 from pewterring.control.leader_state import LeaderState
 from pewterring.control.leadership import Leadership
-from pewterring.control.retiring import RetirementRefused
-from pewterring.control.status import status_of
+from pewterring.control.status import encode_status
 from pewterring.registry.heartbeats import InvalidHeartbeatError, read_heartbeat
 
 ACKNOWLEDGED = Answer(200)
@@ -94,7 +94,7 @@
     async def _deregister(self, worker_id: str) -> Answer:
         self._leadership.check_lease()
         if worker_id not in self._state.departed:
-            await self._leadership.propose(RemoveWorkers((worker_id,), for_good=True))
+            await self._leadership.propose(RemoveWorkers((worker_id,), permanent=True))
         return ACKNOWLEDGED
 
     async def _change_configuration(
@@ -113,7 +113,7 @@
             return error_answer(400, str(error))
         if order.version <= base:  # never accepted, so this repeats no order, also where its document was
             return error_answer(400, f"version: not above Base-Version {base}")
-        if self._state.has_taken(order.version, order.digest):  # a repeat: the log need not hold it again
+        if self._state.has_accepted(order.version, order.digest):  # a repeat: the log need not hold it again
             await self._leadership.read_barrier()
             return ACKNOWLEDGED
         return _configuration_answer(await self._leadership.propose(command_for(base, order)))
@@ -126,12 +126,12 @@
 
     async def _read_status(self) -> Answer:
         await self._leadership.read_barrier()
-        return Answer(200, status_of(self._state))
+        return Answer(200, encode_status(self._state))
 
     async def _start_decommissioning(self, node_id: str) -> Answer:
         try:
             await self._decommissioner.start(self._clock(), node_id)
-        except RetirementRefused as error:
+        except DecommissioningRefusedError as error:
             return error_answer(error.status, str(error))
         return Answer(200, msgspec.json.encode({"state": self._decommissioner.progress(node_id)}))
 
@@ -158,6 +158,6 @@
         return error_answer(400, f"version: not above {result.current}")
     if isinstance(result, Invalid):
         return error_answer(400, result.reason)
-    if isinstance(result, Untold):
+    if isinstance(result, OutcomeUnknown):
         return error_answer(503, "too old to tell whether it was taken")
     return ACKNOWLEDGED
--- a/pewterring/control/state.py
+++ b/pewterring/control/state.py
@@ -10,23 +10,25 @@
 from pewterring.configuration.errors import ConfigurationError
 from pewterring.configuration.patch import apply_patch, parse_patch
 from pewterring.control.commands import (
+    UNDECODABLE,
     Accepted,
-    Command,
     Conflict,
     CreateGroup,
-    EndRetirement,
+    EndDecommissioning,
     Invalid,
+    MarkWorkersUnresponsive,
     NotAbove,
+    OutcomeUnknown,
     PatchConfiguration,
     PutConfiguration,
     PutNodes,
     PutWorker,
     RemoveWorkers,
     Result,
-    SetRetiring,
-    SilenceWorkers,
-    Untold,
+    StartDecommissioning,
+    decode_command,
 )
+from pewterring.control.errors import InvalidSnapshotError
 from pewterring.distribution.messages import (
     DRAINING,
     READY,
@@ -44,15 +46,7 @@
 NO_DOCUMENT = msgspec.Raw(b"null")
 
 
-class InvalidSnapshot(Exception):
-    """The bytes are not a snapshot of the control state, or one of a later version."""
-
-
-class InvalidCommand(Exception):
-    """An entry of the log is not a command, or one of a later version."""
-
-
-class Retirement(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class Decommissioning(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """A store that is to be emptied."""
 
     node_id: str
@@ -71,7 +65,7 @@
     nodes: tuple[NodeRecord, ...]
     stores: tuple[NodeRecord, ...]
     placements: tuple[PlacementRecord, ...]
-    retirements: tuple[Retirement, ...]
+    decommissionings: tuple[Decommissioning, ...] = msgspec.field(name="retirements")  # the wire's name
     forgotten: int = 0  # the newest version that was taken and whose digest is no longer kept
 
 
@@ -82,22 +76,11 @@
     configuration: bool = False
     workers: set[str] = field(default_factory=set)  # ids, of removed ones too
     placements: bool = False
-    retirements: bool = False
+    decommissionings: bool = False
 
 
-_commands: msgspec.json.Decoder[Command] = msgspec.json.Decoder(Command)
 _snapshots = msgspec.json.Decoder(Snapshot)
 _encoder = msgspec.json.Encoder()
-_UNDECODABLE = (
-    msgspec.MsgspecError,
-    ValueError,
-    RecursionError,
-)  # what the decoder raises, also for bad UTF-8
-
-
-def encode_command(command: Command) -> bytes:
-    """The command as it stands in the log."""
-    return _encoder.encode(command)
 
 
 class ControlState:
@@ -115,18 +98,18 @@
         self._nodes: dict[str, NodeRecord] = {}
         self._stores: dict[str, NodeRecord] = {}
         self._placements: dict[str, PlacementRecord] = {}
-        self._retirements: dict[str, Retirement] = {}
+        self._retirements: dict[str, Decommissioning] = {}
         self._changes = StateChanges()
         self._handlers: dict[type, Callable[[Any], Result]] = {
             PutConfiguration: self._put_configuration,
             PatchConfiguration: self._patch_configuration,
             PutWorker: self._put_worker,
             RemoveWorkers: self._remove_workers,
-            SilenceWorkers: self._silence_workers,
+            MarkWorkersUnresponsive: self._silence_workers,
             PutNodes: self._put_nodes,
             CreateGroup: self._create_group,
-            SetRetiring: self._set_retiring,
-            EndRetirement: self._end_retirement,
+            StartDecommissioning: self._set_retiring,
+            EndDecommissioning: self._end_retirement,
         }
 
     @property
@@ -155,20 +138,20 @@
         return self._placements
 
     @property
-    def retirements(self) -> Mapping[str, Retirement]:
+    def decommissionings(self) -> Mapping[str, Decommissioning]:
         """Stores that are to be emptied, or were, by node id."""
         return self._retirements
 
-    def has_taken(self, version: int, digest: str) -> bool:
+    def has_accepted(self, version: int, digest: str) -> bool:
         """Whether exactly this configuration is or was in force, as far as that is remembered."""
         return self._taken.get(version) == digest
 
-    def is_retiring(self, node: NodeRecord) -> bool:
+    def is_decommissioning(self, node: NodeRecord) -> bool:
         """Whether a store is to be emptied. After the end only the same member still is."""
-        retirement = self._retirements.get(node.node_id)
-        if retirement is None:
+        decommissioning = self._retirements.get(node.node_id)
+        if decommissioning is None:
             return False
-        return not retirement.ended or retirement.member == node.member
+        return not decommissioning.ended or decommissioning.member == node.member
 
     def take_changes(self) -> StateChanges:
         """What changed since the last call."""
@@ -177,7 +160,7 @@
 
     def apply(self, index: int, data: bytes) -> Result:
         """Applies one committed command; `index` is its place in the log. Raises `InvalidCommand`."""
-        command = _decode_command(index, data)
+        command = decode_command(index, data)
         result = self._handlers[type(command)](command)
         if self._on_change is not None:
             self._on_change()
@@ -195,7 +178,7 @@
                 nodes=tuple(self._nodes.values()),
                 stores=tuple(self._stores.values()),
                 placements=tuple(self._placements.values()),
-                retirements=tuple(self._retirements.values()),
+                decommissionings=tuple(self._retirements.values()),
                 forgotten=self._forgotten,
             )
         )
@@ -214,7 +197,7 @@
         _refill(self._nodes, {node.node_id: node for node in snapshot.nodes})
         _refill(self._stores, {node.node_id: node for node in snapshot.stores})
         _refill(self._placements, {placement.group: placement for placement in snapshot.placements})
-        _refill(self._retirements, {each.node_id: each for each in snapshot.retirements})
+        _refill(self._retirements, {each.node_id: each for each in snapshot.decommissionings})
         self._changes = StateChanges(True, replaced_workers | set(self._workers), True, True)
         if self._on_change is not None:
             self._on_change()
@@ -237,10 +220,10 @@
 
     def _configuration_result(self, command: PutConfiguration | PatchConfiguration) -> Result | None:
         """What becomes of an order whatever it holds; None where it may come into force."""
-        if self.has_taken(command.version, command.digest):
+        if self.has_accepted(command.version, command.digest):
             return Accepted(repeated=True)
         if command.version <= self._forgotten:  # it may have been taken: a refusal could be wrong
-            return Untold()
+            return OutcomeUnknown()
         if command.base != self.version:
             return Conflict(self.version)
         if command.version <= self.version:
@@ -270,7 +253,7 @@
             del self._by_address[known.address]
         previous = self._by_address.get(worker.address)
         if previous is not None:
-            self._remove_worker(previous, for_good=False)
+            self._remove_worker(previous, permanent=False)
         self._workers[worker.id] = worker
         self._by_address[worker.address] = worker.id
         self._changes.workers.add(worker.id)
@@ -278,10 +261,10 @@
 
     def _remove_workers(self, command: RemoveWorkers) -> Result:
         for worker_id in command.ids:
-            self._remove_worker(worker_id, command.for_good)
+            self._remove_worker(worker_id, command.permanent)
         return Accepted()
 
-    def _silence_workers(self, command: SilenceWorkers) -> Result:
+    def _silence_workers(self, command: MarkWorkersUnresponsive) -> Result:
         for worker_id in command.ids:
             worker = self._workers.get(worker_id)
             if worker is not None and worker.state == READY:
@@ -289,10 +272,10 @@
                 self._changes.workers.add(worker_id)
         return Accepted()
 
-    def _remove_worker(self, worker_id: str, for_good: bool) -> None:
+    def _remove_worker(self, worker_id: str, permanent: bool) -> None:
         """Removes a worker. One that was draining leaves for good: it has nothing left to come back for."""
         worker = self._workers.pop(worker_id, None)
-        if for_good or (worker is not None and worker.state == DRAINING):
+        if permanent or (worker is not None and worker.state == DRAINING):
             self._departed[worker_id] = None
             _drop_oldest(self._departed, REMEMBERED_DEPARTURES)
         if worker is None:
@@ -304,7 +287,7 @@
     # Nodes, placements, retirements
 
     def _put_nodes(self, command: PutNodes) -> Result:
-        for node_id in command.gone:
+        for node_id in command.removed_ids:
             self._nodes.pop(node_id, None)
         for node in command.nodes:
             self._nodes[node.node_id] = node
@@ -319,37 +302,28 @@
         self._changes.placements = True
         return Accepted()
 
-    def _set_retiring(self, command: SetRetiring) -> Result:
+    def _set_retiring(self, command: StartDecommissioning) -> Result:
         known = self._retirements.get(command.node_id)
         if known is not None and (known.member == command.member or not known.ended):
             return Accepted(repeated=True)
-        self._retirements[command.node_id] = Retirement(command.node_id, command.member)
-        self._changes.retirements = True
+        self._retirements[command.node_id] = Decommissioning(command.node_id, command.member)
+        self._changes.decommissionings = True
         return Accepted()
 
-    def _end_retirement(self, command: EndRetirement) -> Result:
+    def _end_retirement(self, command: EndDecommissioning) -> Result:
         known = self._retirements.get(command.node_id)
         if known is None or known.ended:
             return Accepted(repeated=True)
         self._retirements[command.node_id] = msgspec.structs.replace(known, ended=True)
-        self._changes.retirements = True
+        self._changes.decommissionings = True
         return Accepted()
 
 
-def _decode_command(index: int, data: bytes) -> Command:
-    try:
-        return _commands.decode(data)
-    except _UNDECODABLE as error:
-        raise InvalidCommand(
-            f"entry {index} of the log is no command that this version knows: {error}"
-        ) from error
-
-
 def _decode_snapshot(data: bytes) -> Snapshot:
     try:
         return _snapshots.decode(data)
-    except _UNDECODABLE as error:
-        raise InvalidSnapshot(f"the snapshot is none that this version knows: {error}") from error
+    except UNDECODABLE as error:
+        raise InvalidSnapshotError(f"the snapshot is none that this version knows: {error}") from error
 
 
 def _refill(target: dict[Any, Any], content: dict[Any, Any]) -> None:
--- a/pewterring/control/status.py
+++ b/pewterring/control/status.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from pewterring.control.state import ControlState, Retirement
+from pewterring.control.state import ControlState, Decommissioning
 from pewterring.distribution.messages import NodeRecord, PlacementRecord, WorkerRecord
 
 
@@ -13,16 +13,16 @@
     nodes: tuple[NodeRecord, ...]
     workers: tuple[WorkerRecord, ...]
     placements: tuple[PlacementRecord, ...]
-    retirements: tuple[Retirement, ...]
+    decommissionings: tuple[Decommissioning, ...] = msgspec.field(name="retirements")  # the wire's name
 
 
-def status_of(state: ControlState) -> bytes:
+def encode_status(state: ControlState) -> bytes:
     """The tables of a state that is current."""
     status = TierStatus(
         version=state.version,
         nodes=tuple(state.nodes.values()),
         workers=tuple(state.workers.values()),
         placements=tuple(state.placements.values()),
-        retirements=tuple(state.retirements.values()),
+        decommissionings=tuple(state.decommissionings.values()),
     )
     return msgspec.json.encode(status)
--- a/tests/batch/test_status.py
+++ b/tests/batch/test_status.py
@@ -4,8 +4,8 @@
 
 from pewterring.batch.partition import status_of
 from pewterring.consensus.messages import Membership
-from pewterring.control.state import Retirement
-from pewterring.control.stores import is_emptied
+from pewterring.control.placement import is_decommissioned
+from pewterring.control.state import Decommissioning
 from pewterring.distribution.messages import GroupStatus, PlacementRecord
 from tests.batch.virtual_cluster import NAMES, Points, Store, VirtualCluster
 from tests.consensus.virtual_time import run
@@ -35,21 +35,21 @@
         await cluster.start()
         leader = await leader_with_lease(cluster)
         stays, leaves = (name for name in NAMES if name != leader.name)
-        retirement = Retirement("node", leaves)
+        decommissioning = Decommissioning("node", leaves)
         cluster.cut |= {stays, leaves}
         removal = asyncio.ensure_future(leader.group.change_membership(Membership((leader.name, stays))))
         await asyncio.sleep(0.05)
         early = report(leader)
         assert early is not None, "the lease still holds"
         assert leaves not in early.voters
-        assert not is_emptied(retirement, [PLACEMENT], {"batch-0": early}, ENOUGH)
+        assert not is_decommissioned(decommissioning, [PLACEMENT], {"batch-0": early}, ENOUGH)
         cluster.cut.clear()
         await removal
         await asyncio.sleep(0.2)
         late = report(leader)
         assert late is not None
         assert set(late.complete) == {leader.name, stays}
-        assert is_emptied(retirement, [PLACEMENT], {"batch-0": late}, ENOUGH)
+        assert is_decommissioned(decommissioning, [PLACEMENT], {"batch-0": late}, ENOUGH)
         await cluster.stop()
 
     run(scenario())
--- a/tests/cli/test_cluster.py
+++ b/tests/cli/test_cluster.py
@@ -10,9 +10,9 @@
 import pytest
 
 from pewterring.__main__ import main
-from pewterring.control.commands import Command, PutConfiguration, PutNodes, PutWorker
-from pewterring.control.state import ControlState, encode_command
-from pewterring.control.status import status_of
+from pewterring.control.commands import Command, PutConfiguration, PutNodes, PutWorker, encode_command
+from pewterring.control.state import ControlState
+from pewterring.control.status import encode_status
 from pewterring.distribution.messages import NodeRecord, WorkerRecord
 from tests.configuration.documents import encoded
 
@@ -74,7 +74,7 @@
 
 
 def test_the_tables_are_shown(control: Control, capsys: pytest.CaptureFixture[str]) -> None:
-    control.answers["/v1/Tier.Status"] = (200, status_of(state()))
+    control.answers["/v1/Tier.Status"] = (200, encode_status(state()))
     assert asked(control) == 0
     said = capsys.readouterr().out
     for words in ("version 7", "1 store", "store-1", "10.0.1.1:8080", "ready"):
--- a/tests/configuration/test_validation.py
+++ b/tests/configuration/test_validation.py
@@ -10,8 +10,8 @@
 from pewterring.configuration.errors import ConfigurationError
 from pewterring.configuration.reader import read_configuration
 from pewterring.configuration.validation import document_errors, validate_configuration
-from pewterring.control.commands import Accepted, PutConfiguration
-from pewterring.control.state import ControlState, encode_command
+from pewterring.control.commands import Accepted, PutConfiguration, encode_command
+from pewterring.control.state import ControlState
 from tests.configuration.documents import encoded, with_route
 
 
--- a/tests/consensus/test_catch_up.py
+++ b/tests/consensus/test_catch_up.py
@@ -9,8 +9,8 @@
 
 from pewterring.consensus.group import ReplicatedGroup
 from pewterring.consensus.snapshot_schedule import SNAPSHOT_AFTER_BYTES
-from pewterring.control.commands import PutConfiguration, PutWorker, RemoveWorkers
-from pewterring.control.state import ControlState, encode_command
+from pewterring.control.commands import PutConfiguration, PutWorker, RemoveWorkers, encode_command
+from pewterring.control.state import ControlState
 from pewterring.distribution.messages import WorkerRecord
 from tests.consensus.raft_internals import log_of
 from tests.consensus.slow_members import SlowGroup
@@ -45,7 +45,7 @@
         address = f"10.1.{version >> 8}.{version & 255}:80"
         yield encode_command(PutWorker(WorkerRecord(f"w-{version}", "s", address, "z", 8, "ready")))
         if version > WORKERS:
-            yield encode_command(RemoveWorkers((f"w-{version - WORKERS}",), for_good=True))
+            yield encode_command(RemoveWorkers((f"w-{version - WORKERS}",), permanent=True))
 
 
 async def order(group: SlowGroup, commands: Iterator[bytes], count: int) -> int:
--- a/tests/control/api_machine.py
+++ b/tests/control/api_machine.py
@@ -7,7 +7,7 @@
 from pewterring.control.api import ControlApi
 from pewterring.control.calls import Answer
 from pewterring.control.commands import Command, Result
-from pewterring.control.errors import CallTooOld
+from pewterring.control.errors import StaleCallError
 from pewterring.control.leader_state import LeaderState
 from pewterring.control.messages import RelayedCall
 from pewterring.control.relay import CallRouter
@@ -58,7 +58,7 @@
     def check_round(self, term: int, number: int) -> None:
         self.check_lease()
         if (term, number) != (1, 1):
-            raise CallTooOld
+            raise StaleCallError
 
     async def request(self, ip: str, message: msgspec.Struct, timeout_s: float) -> msgspec.Struct:
         self.relayed += 1
--- a/tests/control/records.py
+++ b/tests/control/records.py
@@ -3,8 +3,8 @@
 import msgspec
 
 from pewterring.configuration.digest import document_digest
-from pewterring.control.commands import Command, PutConfiguration, Result
-from pewterring.control.state import ControlState, encode_command
+from pewterring.control.commands import Command, PutConfiguration, Result, encode_command
+from pewterring.control.state import ControlState
 from pewterring.distribution.messages import GroupStatus, NodeRecord, WorkerRecord
 from tests.configuration.documents import encoded
 
--- a/tests/control/test_bad_input.py
+++ b/tests/control/test_bad_input.py
@@ -15,13 +15,15 @@
 from pewterring.control.commands import (
     Command,
     CreateGroup,
-    EndRetirement,
+    EndDecommissioning,
     PutNodes,
     PutWorker,
     RemoveWorkers,
-    SetRetiring,
+    StartDecommissioning,
+    encode_command,
 )
-from pewterring.control.state import ControlState, InvalidCommand, InvalidSnapshot, encode_command
+from pewterring.control.errors import InvalidCommandError, InvalidSnapshotError
+from pewterring.control.state import ControlState
 from pewterring.distribution.messages import PlacementRecord
 from tests.consensus.memory_storage import MemoryStorage
 from tests.consensus.virtual_time import InlineExecutor, run
@@ -30,11 +32,11 @@
 ONE_OF_EACH: list[Command] = [
     put(0, 5),
     PutWorker(worker("i-1")),
-    RemoveWorkers(("i-2",), for_good=True),
+    RemoveWorkers(("i-2",), permanent=True),
     PutNodes((store(1),)),
     CreateGroup(PlacementRecord("batch-0", ("a",))),
-    SetRetiring("store-1", "m"),
-    EndRetirement("store-1"),
+    StartDecommissioning("store-1", "m"),
+    EndDecommissioning("store-1"),
 ]
 NOT_COMMANDS = [
     b"",
@@ -62,7 +64,7 @@
 def test_an_entry_that_is_no_command_changes_nothing_and_is_named(data: bytes) -> None:
     state = whole_state()
     before = state.snapshot()
-    with pytest.raises(InvalidCommand, match="entry 17 of the log") as caught:
+    with pytest.raises(InvalidCommandError, match="entry 17 of the log") as caught:
         state.apply(17, data)
     assert "\n" not in str(caught.value)
     assert state.snapshot() == before
@@ -72,7 +74,7 @@
 def test_a_field_of_a_later_version_is_not_passed_over(command: Command) -> None:
     later = msgspec.json.decode(encode_command(command)) | {"later": 1}
     state = ControlState()
-    with pytest.raises(InvalidCommand):
+    with pytest.raises(InvalidCommandError):
         state.apply(1, msgspec.json.encode(later))
     assert state.snapshot() == ControlState().snapshot()
 
@@ -99,7 +101,7 @@
 def test_a_snapshot_that_does_not_decode_leaves_the_state_as_it_was(data: bytes) -> None:
     state = whole_state()
     before = state.snapshot()
-    with pytest.raises(InvalidSnapshot) as caught:
+    with pytest.raises(InvalidSnapshotError) as caught:
         state.restore(data)
     assert "\n" not in str(caught.value)
     assert state.snapshot() == before
--- a/tests/control/test_faults.py
+++ b/tests/control/test_faults.py
@@ -62,7 +62,7 @@
 
 async def tables_from(machine: ControlMachine) -> TableFollower:
     """A node that begins a session now."""
-    machine.tables.publisher.state_changes()
+    machine.tables.publisher.take_state_changes()
     follower = TableFollower()
     follower.whole(machine.tables.publisher.open("node"), 0.0)
     return follower
--- a/tests/control/test_join_protocol.py
+++ b/tests/control/test_join_protocol.py
@@ -9,8 +9,8 @@
 from pewterring.consensus.group import ReplicatedGroup
 from pewterring.consensus.messages import Membership
 from pewterring.control.join_protocol import JOIN_INTERVAL_S, JoinProtocol
+from pewterring.control.join_requests import JoinRequests
 from pewterring.control.leadership import GroupLeadership
-from pewterring.control.membership import JoinRequests
 from pewterring.control.messages import JoinGroup
 from pewterring.transport.lines import LinkPool
 from tests.consensus.virtual_time import run
--- a/tests/control/test_leader_task_runner.py
+++ b/tests/control/test_leader_task_runner.py
@@ -10,12 +10,11 @@
 from pewterring.consensus.membership_planner import MembershipPlanner
 from pewterring.consensus.membership_view import Candidates, PlannedGroup
 from pewterring.consensus.messages import Membership
-from pewterring.control.commands import Command, PutNodes, RemoveWorkers
+from pewterring.control.commands import Command, PutNodes, RemoveWorkers, encode_command
+from pewterring.control.join_requests import JoinRequests
 from pewterring.control.leader_task_runner import LeaderTaskRunner
 from pewterring.control.leader_tasks import LeaderTasks
 from pewterring.control.leadership import GroupLeadership
-from pewterring.control.membership import JoinRequests
-from pewterring.control.state import encode_command
 from tests.consensus.virtual_time import run
 from tests.control.group_stand_in import FIRST, StandInGroup, leading_group
 from tests.control.records import gateway
--- a/tests/control/test_leader_tasks.py
+++ b/tests/control/test_leader_tasks.py
@@ -1,7 +1,14 @@
 """What the leader finds to be committed by itself."""
 
 from pewterring.consensus.messages import Membership
-from pewterring.control.commands import Command, CreateGroup, EndRetirement, PutWorker, Result, SetRetiring
+from pewterring.control.commands import (
+    Command,
+    CreateGroup,
+    EndDecommissioning,
+    PutWorker,
+    Result,
+    StartDecommissioning,
+)
 from pewterring.control.leader_state import LeaderState
 from pewterring.control.leader_tasks import ZONE_WAIT_S, LeaderTasks
 from pewterring.control.state import ControlState
@@ -39,7 +46,7 @@
         end = self.now + seconds
         while self.now < end:
             for node in self.live:
-                self.tables.nodes.hear(self.now, node)
+                self.tables.nodes.observe(self.now, node)
             self.tasks.observe(self.now, MEMBERSHIP)
             commands = self.tasks.due_commands(self.now)
             for command in commands:
@@ -102,15 +109,15 @@
     stores = [store(number) for number in (1, 2, 3, 4)]
     leader = Leader(*stores)
     leader.run(1.0)
-    leader.publisher.report(leader.now, status(stores[1:], commit=5))
-    apply(leader.state, SetRetiring("store-1", stores[0].member))
+    leader.publisher.record_report(leader.now, status(stores[1:], commit=5))
+    apply(leader.state, StartDecommissioning("store-1", stores[0].member))
     assert leader.run(3.0) == []
-    leader.publisher.report(leader.now, status(stores[:3], commit=5))
+    leader.publisher.record_report(leader.now, status(stores[:3], commit=5))
     assert leader.run(1.0) == []
-    leader.publisher.report(leader.now, status(stores[1:], commit=6, complete=2))
+    leader.publisher.record_report(leader.now, status(stores[1:], commit=6, complete=2))
     assert leader.run(1.0) == []
-    leader.publisher.report(leader.now, status(stores[1:], commit=7))
-    assert leader.run(1.0) == [EndRetirement("store-1")]
+    leader.publisher.record_report(leader.now, status(stores[1:], commit=7))
+    assert leader.run(1.0) == [EndDecommissioning("store-1")]
 
 
 def test_a_report_of_a_leader_that_may_not_know_of_the_decommissioning_does_not_end_it() -> None:
@@ -118,9 +125,9 @@
     stores = [store(number) for number in (1, 2, 3, 4)]
     leader = Leader(*stores)
     leader.run(1.0)
-    apply(leader.state, SetRetiring("store-4", stores[3].member))
+    apply(leader.state, StartDecommissioning("store-4", stores[3].member))
     leader.run(REPORT_DELAY_S)
-    leader.publisher.report(leader.now - STEP_S, status(stores[:3], commit=5))
+    leader.publisher.record_report(leader.now - STEP_S, status(stores[:3], commit=5))
     assert leader.run(1.0) == []
-    leader.publisher.report(leader.now, status(stores[:3], commit=5))
-    assert leader.run(1.0) == [EndRetirement("store-4")]
+    leader.publisher.record_report(leader.now, status(stores[:3], commit=5))
+    assert leader.run(1.0) == [EndDecommissioning("store-4")]
--- a/tests/control/test_leadership.py
+++ b/tests/control/test_leadership.py
@@ -11,7 +11,7 @@
     TooManyUncommittedError,
 )
 from pewterring.control.commands import RemoveWorkers
-from pewterring.control.errors import NotLeading, OutcomeUnsure
+from pewterring.control.errors import CommandOutcomeUnknownError, NotLeadingError
 from pewterring.control.leadership import READ_BARRIER_TIMEOUT_S
 from tests.consensus.virtual_time import run
 from tests.control.group_stand_in import leading_group
@@ -24,7 +24,7 @@
     leadership.ready = False
     assert not leadership.has_lease
     for call in (leadership.propose(COMMAND), leadership.read_barrier()):
-        with pytest.raises(NotLeading):
+        with pytest.raises(NotLeadingError):
             run(call)
     assert group.proposed == []
 
@@ -33,17 +33,17 @@
     group, leadership = leading_group()
     leadership.check_lease()
     group.lease = False
-    with pytest.raises(NotLeading):
+    with pytest.raises(NotLeadingError):
         leadership.check_lease()
 
 
 @pytest.mark.parametrize(
     ("error", "expected"),
     [
-        (NotLeaderError("b"), NotLeading),  # nothing was done
-        (TooManyUncommittedError(1), NotLeading),  # nothing either
-        (OutcomeUnknownError("lost"), OutcomeUnsure),  # may come into force yet
-        (GroupFailedError("disk"), OutcomeUnsure),
+        (NotLeaderError("b"), NotLeadingError),  # nothing was done
+        (TooManyUncommittedError(1), NotLeadingError),  # nothing either
+        (OutcomeUnknownError("lost"), CommandOutcomeUnknownError),  # may come into force yet
+        (GroupFailedError("disk"), CommandOutcomeUnknownError),
     ],
 )
 def test_errors_of_the_group_say_whether_the_command_may_come_into_force(
@@ -61,7 +61,7 @@
 
     async def scenario() -> float:
         began = asyncio.get_running_loop().time()
-        with pytest.raises(NotLeading):
+        with pytest.raises(NotLeadingError):
             await leadership.read_barrier()
         return asyncio.get_running_loop().time() - began
 
--- a/tests/control/test_network_partition.py
+++ b/tests/control/test_network_partition.py
@@ -14,10 +14,9 @@
     Answer,
     Call,
 )
-from pewterring.control.commands import PutNodes
-from pewterring.control.errors import NotLeading
+from pewterring.control.commands import PutNodes, encode_command
+from pewterring.control.errors import NotLeadingError
 from pewterring.control.leadership import GroupLeadership
-from pewterring.control.state import encode_command
 from pewterring.distribution.follower import OldLeader, TableFollower
 from pewterring.distribution.messages import Redirect, Subscribe, TableVersions, WholeTables
 from pewterring.distribution.subscriber import RETRY_S
@@ -145,7 +144,7 @@
 
 async def add_stores(leader: ControlMachine, *numbers: int) -> None:
     for number in numbers:
-        leader.tables.nodes.hear(asyncio.get_running_loop().time(), store(number))
+        leader.tables.nodes.observe(asyncio.get_running_loop().time(), store(number))
     await leader.leadership.propose(PutNodes(tuple(store(number) for number in numbers)))
 
 
@@ -209,7 +208,7 @@
 
     async def read_barrier(self) -> None:
         if not self.ready:
-            raise NotLeading
+            raise NotLeadingError
 
 
 class ReadsAnywhere(GroupLeadership):
@@ -275,7 +274,7 @@
 def check_nothing_was_begun(leader: ControlMachine) -> None:
     """What the partition delayed was answered 503 long ago."""
     begun = []
-    if "store-5" in leader.state.retirements:
+    if "store-5" in leader.state.decommissionings:
         begun.append("retirement")
     if "i-3" in leader.state.departed:
         begun.append("deregistration")
@@ -289,7 +288,7 @@
 
     def check_round(self, term: int, number: int) -> None:  # noqa: ARG002 - it is what is broken
         if not self.ready:
-            raise NotLeading
+            raise NotLeadingError
 
 
 def test_a_leader_that_begins_what_a_partition_delayed_is_caught() -> None:
--- a/tests/control/test_program.py
+++ b/tests/control/test_program.py
@@ -12,7 +12,7 @@
 import pytest
 
 from pewterring.configuration.digest import single_line
-from pewterring.control.membership import JoinRequests
+from pewterring.control.join_requests import JoinRequests
 from pewterring.control.messages import JoinGroup
 from pewterring.control.program import MESSAGES, ControlProgram
 from pewterring.distribution.messages import (
@@ -248,7 +248,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     requested: list[str] = []
-    monkeypatch.setattr(JoinRequests, "ask", lambda _self, _now, member: requested.append(member))
+    monkeypatch.setattr(JoinRequests, "record", lambda _self, _now, member: requested.append(member))
 
     async def scenario() -> None:
         machines = Machines(tmp_path)
--- a/tests/control/test_publisher.py
+++ b/tests/control/test_publisher.py
@@ -3,8 +3,8 @@
 import msgspec
 import pytest
 
-from pewterring.control.commands import CreateGroup, PutWorker, RemoveWorkers, SetRetiring
-from pewterring.control.nodes import SILENCE_S, NodeTable
+from pewterring.control.commands import CreateGroup, PutWorker, RemoveWorkers, StartDecommissioning
+from pewterring.control.nodes import NODE_TIMEOUT_S, NodeTable
 from pewterring.control.publisher import FeedPublisher
 from pewterring.control.state import ControlState
 from pewterring.distribution.follower import TableFollower
@@ -36,7 +36,7 @@
         return follower
 
     def publish(self) -> list[TableChanges]:
-        changes = [self.publisher.state_changes(), self.publisher.node_changes()]
+        changes = [self.publisher.take_state_changes(), self.publisher.take_node_changes()]
         told = [change for change in changes if change is not None]
         for change in told:
             for follower in self.followers:
@@ -52,7 +52,7 @@
     apply(feed.state, PutWorker(worker("i-2", "10.0.0.2:80")))
     apply(feed.state, RemoveWorkers(("i-1",)))
     apply(feed.state, CreateGroup(PlacementRecord("batch-0", ("a",))))
-    feed.nodes.hear(0.0, gateway(1))
+    feed.nodes.observe(0.0, gateway(1))
     feed.publish()
     late = feed.open()
     for follower in (early, late):
@@ -71,16 +71,16 @@
     feed = Feed()
     feed.open()
     versions = feed.publisher.versions
-    feed.nodes.hear(0.0, gateway(1))
+    feed.nodes.observe(0.0, gateway(1))
     assert len(feed.publish()) == 1
-    feed.nodes.hear(0.1, gateway(1))
+    feed.nodes.observe(0.1, gateway(1))
     assert feed.publish() == []
     assert feed.publisher.versions.nodes == versions.nodes + 1
 
 
 def test_a_session_opened_before_nodes_are_published_gets_the_next_change() -> None:
     feed = Feed()
-    feed.nodes.hear(0.0, gateway(1))
+    feed.nodes.observe(0.0, gateway(1))
     follower = TableFollower()
     follower.whole(feed.publisher.open("new"), 0.0)
     feed.followers.append(follower)
@@ -92,15 +92,15 @@
 def test_a_change_of_nodes_tells_only_of_those_that_changed() -> None:
     feed = Feed()
     for number in range(1, 6):
-        feed.nodes.hear(0.0, gateway(number))
+        feed.nodes.observe(0.0, gateway(number))
     follower = feed.open()
-    feed.nodes.hear(0.1, msgspec.structs.replace(gateway(2), life="restarted"))
-    feed.nodes.hear(0.1, gateway(6))
+    feed.nodes.observe(0.1, msgspec.structs.replace(gateway(2), life="restarted"))
+    feed.nodes.observe(0.1, gateway(6))
     (change,) = feed.publish()
     assert [node.node_id for node in change.nodes] == ["edge-2", "edge-6"]
     assert not change.nodes_gone
     for now in (0.4, 0.8, 1.2, 1.6):
-        feed.nodes.hear(now, gateway(6))
+        feed.nodes.observe(now, gateway(6))
         feed.nodes.expire(now)
     (change,) = feed.publish()
     assert not change.nodes
@@ -125,9 +125,9 @@
 
 def test_a_retiring_store_is_marked() -> None:
     feed = Feed()
-    feed.nodes.hear(0.0, store(1))
+    feed.nodes.observe(0.0, store(1))
     follower = feed.open()
-    apply(feed.state, SetRetiring("store-1", store(1).member))
+    apply(feed.state, StartDecommissioning("store-1", store(1).member))
     feed.publish()
     assert follower.tables.nodes[0].retiring
 
@@ -136,13 +136,13 @@
     feed = Feed()
     follower = feed.open()
     stores = [store(1), store(2), store(3)]
-    feed.publisher.report(0.0, status(stores, commit=5))
+    feed.publisher.record_report(0.0, status(stores, commit=5))
     assert len(feed.publish()) == 1
-    feed.publisher.report(0.0, status(stores, commit=6))
+    feed.publisher.record_report(0.0, status(stores, commit=6))
     assert feed.publish() == []
-    feed.publisher.report(0.0, status(stores[::-1], commit=4))
+    feed.publisher.record_report(0.0, status(stores[::-1], commit=4))
     assert feed.publish() == []
-    feed.publisher.report(0.0, status(stores[::-1], commit=6, term=2))
+    feed.publisher.record_report(0.0, status(stores[::-1], commit=6, term=2))
     feed.publish()
     assert follower.tables.groups[0].leader == stores[2].member
 
@@ -150,7 +150,7 @@
 def test_a_new_leader_knows_the_committed_nodes_and_drops_sessions() -> None:
     feed = Feed()
     feed.open()
-    feed.nodes.hear(0.0, store(1))
+    feed.nodes.observe(0.0, store(1))
     command = feed.nodes.uncommitted(feed.state.nodes)
     assert command is not None
     apply(feed.state, command)
@@ -164,12 +164,12 @@
 def test_a_silent_node_leaves(last_heard: float, gone: bool) -> None:
     nodes = NodeTable()
     nodes.start(0.0, {})
-    nodes.hear(0.0, gateway(1))
+    nodes.observe(0.0, gateway(1))
     now = 0.0
-    while now < SILENCE_S:
+    while now < NODE_TIMEOUT_S:
         assert not nodes.expire(now)
         if now == last_heard:
-            nodes.hear(now, gateway(1))
+            nodes.observe(now, gateway(1))
         now += 0.25
     assert nodes.expire(now + 0.25) is gone
     assert (nodes.uncommitted({"edge-1": gateway(1)}) is not None) is gone
--- a/tests/control/test_relay.py
+++ b/tests/control/test_relay.py
@@ -7,7 +7,7 @@
 import pytest
 
 from pewterring.control.calls import Answer, Call
-from pewterring.control.errors import NotLeading, OutcomeUnsure
+from pewterring.control.errors import CommandOutcomeUnknownError, NotLeadingError
 from pewterring.control.messages import JoinGroup, RelayedAnswer, RelayedCall
 from tests.configuration.documents import encoded
 from tests.control.api_machine import HEARTBEAT, Machine
@@ -34,7 +34,7 @@
 def test_a_follower_looks_for_the_leader_again(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("pewterring.control.relay.LEADER_RETRY_INTERVAL_S", 0.0)
     leader = Machine()
-    leader.failure = NotLeading()
+    leader.failure = NotLeadingError()
     follower = follower_of(leader)
 
     async def scenario() -> Answer:
@@ -55,13 +55,13 @@
     monkeypatch.setattr("pewterring.control.relay.ANSWER_TIMEOUT_S", 0.0)
     machine = Machine("10.0.0.2")
     machine.leader_ip = leader_ip
-    machine.failure = OutcomeUnsure()
+    machine.failure = CommandOutcomeUnknownError()
     assert machine.replace(0, encoded()) == 503
 
 
 def test_a_relayed_call_is_not_passed_on_again() -> None:
     machine = Machine()
-    machine.failure = NotLeading()
+    machine.failure = NotLeadingError()
     answer = asyncio.run(machine.router.answer_relayed(RelayedCall("GET", "/v1/Config.Get")))
     assert answer == RelayedAnswer(503, not_leading=True)
 
--- a/tests/control/test_repeated_commands.py
+++ b/tests/control/test_repeated_commands.py
@@ -5,11 +5,11 @@
 from pewterring.control.commands import (
     Accepted,
     Command,
-    EndRetirement,
+    EndDecommissioning,
     PutNodes,
     PutWorker,
     RemoveWorkers,
-    SetRetiring,
+    StartDecommissioning,
 )
 from pewterring.control.state import ControlState
 from tests.control.records import apply, put, store, worker
@@ -20,9 +20,9 @@
     "store": PutNodes((STORE,)),
     "heartbeat": PutWorker(worker("w1")),
     "heartbeat that drains": PutWorker(worker("w1", state="draining")),
-    "deregistration": RemoveWorkers(("w1",), for_good=True),
-    "retirement": SetRetiring(STORE.node_id, STORE.member),
-    "end of the retirement": EndRetirement(STORE.node_id),
+    "deregistration": RemoveWorkers(("w1",), permanent=True),
+    "retirement": StartDecommissioning(STORE.node_id, STORE.member),
+    "end of the retirement": EndDecommissioning(STORE.node_id),
     "next configuration": put(5, 7),
 }
 RESENT = [name for name in HISTORY if name != "store"]  # the others come of calls, or of retries
--- a/tests/control/test_repeats.py
+++ b/tests/control/test_repeats.py
@@ -56,7 +56,7 @@
     leader = await cluster.start()
     await leader.leadership.propose(PutNodes(STORES))
     for node in STORES:
-        leader.tables.nodes.hear(asyncio.get_running_loop().time(), node)
+        leader.tables.nodes.observe(asyncio.get_running_loop().time(), node)
     return leader
 
 
@@ -91,7 +91,7 @@
             for name, status in zip(names, statuses, strict=True):
                 assert (await cluster.call(retire_call(name), first)).status == status
         await asyncio.sleep(2.0)
-        assert len((await cluster.leader()).state.retirements) == 1
+        assert len((await cluster.leader()).state.decommissionings) == 1
         await cluster.stop()
 
     for point in range(POINTS):
--- a/tests/control/test_service.py
+++ b/tests/control/test_service.py
@@ -6,8 +6,8 @@
 import pytest
 
 from pewterring.control.calls import Answer
-from pewterring.control.commands import EndRetirement, PutNodes
-from pewterring.control.errors import NotLeading
+from pewterring.control.commands import EndDecommissioning, PutNodes
+from pewterring.control.errors import NotLeadingError
 from pewterring.control.messages import RelayedAnswer, RelayedCall
 from tests.configuration.documents import document, encoded, with_route
 from tests.control.api_machine import HEARTBEAT, Machine
@@ -80,7 +80,7 @@
         assert machine.replace(0, encoded(version=5)) == 200
         assert machine.replace(5, encoded(version=6)) == 200
     assert machine.proposals == 2
-    machine.failure = NotLeading()
+    machine.failure = NotLeadingError()
     again = RelayedCall("POST", "/v1/Config.Replace", "5", encoded(version=6), 1, 1)
     assert asyncio.run(machine.router.answer_relayed(again)) == RelayedAnswer(503, not_leading=True)
 
@@ -156,7 +156,7 @@
     machine = Machine()
     stores = tuple(store(number) for number in (1, 2, 3, 4))
     for node in stores:
-        machine.tables.nodes.hear(0.0, node)
+        machine.tables.nodes.observe(0.0, node)
     apply(machine.state, PutNodes(stores))
     assert machine.call("GET", "/v1/Retire.Get/store-1").status == 404
     assert machine.call("POST", "/v1/Retire.Start/store-1", b'{"duration_s":10}').status == 200
@@ -164,7 +164,7 @@
     assert machine.call("POST", "/v1/Retire.Start/store-1").body == b'{"state":"running"}'
     assert machine.call("POST", "/v1/Retire.Start/store-9").status == 404
     assert machine.call("POST", "/v1/Retire.Start/store-2").status == 409
-    apply(machine.state, EndRetirement("store-1"))
+    apply(machine.state, EndDecommissioning("store-1"))
     again = machine.call("POST", "/v1/Retire.Start/store-1")
     assert again == Answer(200, b'{"state":"succeeded"}')
     assert machine.call("GET", "/v1/Retire.Get/store-1") == again
--- a/tests/control/test_state.py
+++ b/tests/control/test_state.py
@@ -10,15 +10,16 @@
     Command,
     Conflict,
     CreateGroup,
-    EndRetirement,
+    EndDecommissioning,
     NotAbove,
+    OutcomeUnknown,
     PutNodes,
     PutWorker,
     RemoveWorkers,
-    SetRetiring,
-    Untold,
+    StartDecommissioning,
 )
-from pewterring.control.state import ControlState, InvalidSnapshot
+from pewterring.control.errors import InvalidSnapshotError
+from pewterring.control.state import ControlState
 from pewterring.distribution.messages import PlacementRecord
 from tests.control.records import apply, gateway, put, store, worker
 
@@ -69,10 +70,10 @@
     restored.restore(state.snapshot())
     for each in (state, restored):
         for order in orders[:2]:
-            assert apply(each, order) == Untold()
+            assert apply(each, order) == OutcomeUnknown()
         for order in orders[2:]:
             assert apply(each, order) == Accepted(repeated=True)
-        assert apply(each, put(2, 4, limits={})) == Untold()
+        assert apply(each, put(2, 4, limits={})) == OutcomeUnknown()
         assert apply(each, put(4, 5)) == Conflict(10)
         assert apply(each, put(10, 8, limits={})) == NotAbove(10)
         assert each.version == 10
@@ -112,14 +113,14 @@
     state = ControlState()
     old = store(1)
     apply(state, PutNodes((old,)))
-    apply(state, SetRetiring("store-1", old.member))
-    apply(state, PutNodes(gone=("store-1",)))
+    apply(state, StartDecommissioning("store-1", old.member))
+    apply(state, PutNodes(removed_ids=("store-1",)))
     assert state.stores["store-1"] == old
     other = msgspec.structs.replace(old, member="10.1.0.1#other")
-    assert state.is_retiring(other)
-    apply(state, EndRetirement("store-1"))
-    assert state.is_retiring(old)
-    assert not state.is_retiring(other)
+    assert state.is_decommissioning(other)
+    apply(state, EndDecommissioning("store-1"))
+    assert state.is_decommissioning(old)
+    assert not state.is_decommissioning(other)
 
 
 def some_commands(rng: random.Random, count: int) -> list[Command]:
@@ -132,8 +133,8 @@
         lambda: RemoveWorkers((f"i-{rng.randrange(9)}",), rng.random() < 0.3),
         lambda: PutNodes((store(rng.randrange(5)),), (f"edge-{rng.randrange(3)}",)),
         lambda: PutNodes((gateway(rng.randrange(3)),)),
-        lambda: SetRetiring(f"store-{rng.randrange(5)}", "m"),
-        lambda: EndRetirement(f"store-{rng.randrange(5)}"),
+        lambda: StartDecommissioning(f"store-{rng.randrange(5)}", "m"),
+        lambda: EndDecommissioning(f"store-{rng.randrange(5)}"),
         lambda: put(rng.randrange(4), rng.randrange(5)),
         lambda: CreateGroup(PlacementRecord("batch-0", (str(rng.random()),))),
     )
@@ -156,5 +157,5 @@
 
 
 def test_a_damaged_snapshot_is_refused() -> None:
-    with pytest.raises(InvalidSnapshot):
+    with pytest.raises(InvalidSnapshotError):
         ControlState().restore(ControlState().snapshot()[:-5])
--- a/tests/control/test_stores.py
+++ b/tests/control/test_stores.py
@@ -4,12 +4,12 @@
 
 import pytest
 
-from pewterring.control.commands import Command, EndRetirement, PutNodes, Result, SetRetiring
-from pewterring.control.errors import NotLeading, OutcomeUnsure
+from pewterring.control.commands import Command, EndDecommissioning, PutNodes, Result, StartDecommissioning
+from pewterring.control.decommissioning import ABSENCE_CONFIRMED_S, StoreDecommissioner
+from pewterring.control.errors import CommandOutcomeUnknownError, DecommissioningRefusedError, NotLeadingError
 from pewterring.control.nodes import NodeTable
-from pewterring.control.retiring import SETTLED_S, RetirementDesk, RetirementRefused
-from pewterring.control.state import ControlState, Retirement
-from pewterring.control.stores import first_placement, is_emptied
+from pewterring.control.placement import first_placement, is_decommissioned
+from pewterring.control.state import ControlState, Decommissioning
 from pewterring.distribution.messages import GroupStatus, NodeRecord, PlacementRecord
 from tests.control.records import apply, gateway, status, store
 
@@ -42,9 +42,9 @@
     ],
 )
 def test_a_store_is_emptied_when_enough_others_hold_all(reports: list[GroupStatus], emptied: bool) -> None:
-    retirement = Retirement("store-1", "10.1.0.1#older")
+    decommissioning = Decommissioning("store-1", "10.1.0.1#older")
     statuses = {report.group: report for report in reports}
-    assert is_emptied(retirement, [PLACEMENT], statuses, 3) is emptied
+    assert is_decommissioned(decommissioning, [PLACEMENT], statuses, 3) is emptied
 
 
 class Desk:
@@ -54,13 +54,13 @@
         self.state = ControlState()
         self.nodes = NodeTable()
         self.nodes.start(0.0, {})
-        self.desk = RetirementDesk(self.state, self.nodes, self, needed_stores=3)
+        self.desk = StoreDecommissioner(self.state, self.nodes, self, needed_stores=3)
         self.commits = asyncio.Event()  # proposals wait for it
         self.commits.set()
         self.proposed: list[Command] = []
         self.leads = True
         for node in live:
-            self.nodes.hear(0.0, node)
+            self.nodes.observe(0.0, node)
         apply(self.state, PutNodes(live))
 
     async def propose(self, command: Command) -> Result:
@@ -73,7 +73,7 @@
 
     def check_lease(self) -> None:
         if not self.leads:
-            raise NotLeading
+            raise NotLeadingError
 
     def watch(self, begin: float, end: float) -> None:
         """What the leader's duties do again and again."""
@@ -89,7 +89,7 @@
     def start(self, node_id: str, now: float = 0.0) -> int:
         try:
             asyncio.run(self.desk.start(now, node_id))
-        except RetirementRefused as error:
+        except DecommissioningRefusedError as error:
             return error.status
         return 200
 
@@ -115,8 +115,8 @@
     desk = Desk(*STORES)
     desk.lose(10.0, STORES[3])
     assert desk.start("store-1", 10.5) == 503
-    desk.watch(10.5, 10.0 + SETTLED_S)
-    assert desk.start("store-1", 10.0 + SETTLED_S) == 409
+    desk.watch(10.5, 10.0 + ABSENCE_CONFIRMED_S)
+    assert desk.start("store-1", 10.0 + ABSENCE_CONFIRMED_S) == 409
 
 
 def test_a_leader_that_did_not_look_for_a_while_refuses_nothing_at_first() -> None:
@@ -124,8 +124,8 @@
     desk.lose(10.0, STORES[3])
     desk.watch(10.0, 12.0)
     assert desk.start("store-1", 20.0) == 503  # another led meanwhile: the store may just have been here
-    desk.watch(20.0, 20.0 + SETTLED_S)
-    assert desk.start("store-1", 20.0 + SETTLED_S) == 409
+    desk.watch(20.0, 20.0 + ABSENCE_CONFIRMED_S)
+    assert desk.start("store-1", 20.0 + ABSENCE_CONFIRMED_S) == 409
 
 
 def test_a_new_leader_refuses_nothing_before_its_first_look() -> None:
@@ -136,9 +136,9 @@
 
 def test_a_repeat_is_acknowledged_for_a_store_that_only_its_retirement_names() -> None:
     desk = Desk(*STORES[1:])
-    apply(desk.state, SetRetiring("store-1", STORES[0].member))
+    apply(desk.state, StartDecommissioning("store-1", STORES[0].member))
     assert desk.start("store-1") == 200
-    apply(desk.state, EndRetirement("store-1"))
+    apply(desk.state, EndDecommissioning("store-1"))
     assert desk.start("store-1") == 200
     assert desk.proposed == []
 
@@ -147,10 +147,10 @@
     desk = Desk(*STORES)
     assert desk.start("store-1") == 200
     desk.lose(0.0, STORES[1])
-    desk.watch(0.0, SETTLED_S)
-    assert desk.start("store-1", SETTLED_S) == 200
-    apply(desk.state, EndRetirement("store-1"))
-    assert desk.start("store-1", SETTLED_S) == 200
+    desk.watch(0.0, ABSENCE_CONFIRMED_S)
+    assert desk.start("store-1", ABSENCE_CONFIRMED_S) == 200
+    apply(desk.state, EndDecommissioning("store-1"))
+    assert desk.start("store-1", ABSENCE_CONFIRMED_S) == 200
     assert len(desk.proposed) == 1
 
 
@@ -176,13 +176,13 @@
         assert not second.done()
         assert not again.done()
         desk.commits.set()
-        with pytest.raises(RetirementRefused, match="2 stores would remain"):
+        with pytest.raises(DecommissioningRefusedError, match="2 stores would remain"):
             await second
         await again
 
     asyncio.run(scenario())
-    assert [command for command in desk.proposed if isinstance(command, SetRetiring)] == [
-        SetRetiring("store-1", STORES[0].member)
+    assert [command for command in desk.proposed if isinstance(command, StartDecommissioning)] == [
+        StartDecommissioning("store-1", STORES[0].member)
     ]
 
 
@@ -196,7 +196,7 @@
         await turns()
         desk.leads = False
         desk.commits.set()
-        with pytest.raises(NotLeading):
+        with pytest.raises(NotLeadingError):
             await second
         await first
 
@@ -207,15 +207,15 @@
     desk = Desk(*STORES)
 
     async def propose(command: Command) -> Result:
-        raise OutcomeUnsure
+        raise CommandOutcomeUnknownError
 
     desk.propose = propose  # type: ignore[method-assign]
     for _ in range(2):
-        with pytest.raises(OutcomeUnsure):
+        with pytest.raises(CommandOutcomeUnknownError):
             asyncio.run(desk.desk.start(0.0, "store-1"))
 
 
 def test_a_retirement_is_told_by_its_command_alone() -> None:
     desk = Desk()
-    apply(desk.state, SetRetiring("store-1", "m"))
+    apply(desk.state, StartDecommissioning("store-1", "m"))
     assert desk.desk.progress("store-1") == "running"
--- a/tests/control/test_two_operators.py
+++ b/tests/control/test_two_operators.py
@@ -35,13 +35,14 @@
     PatchConfiguration,
     PutConfiguration,
     Result,
+    encode_command,
 )
-from pewterring.control.errors import OutcomeUnsure
+from pewterring.control.errors import CommandOutcomeUnknownError
 from pewterring.control.leader_state import LeaderState
 from pewterring.control.messages import RelayedCall
 from pewterring.control.relay import CallRouter
 from pewterring.control.service import ControlService
-from pewterring.control.state import ControlState, encode_command
+from pewterring.control.state import ControlState
 from tests.configuration.documents import document, encoded
 from tests.consensus.virtual_time import VirtualTimeLoop
 
@@ -149,7 +150,7 @@
         """Another leader commits some of the proposals; nobody is told of any."""
         self.committed += [proposal.command for proposal in self.proposals[:kept]]
         for proposal in self.proposals:
-            proposal.outcome.set_exception(OutcomeUnsure())
+            proposal.outcome.set_exception(CommandOutcomeUnknownError())
         self.proposals.clear()
         self.leader = number
         self.catch_up(number)
@@ -409,8 +410,8 @@
 
 
 class PatchesAgain(ControlState):
-    def has_taken(self, version: int, digest: str) -> bool:
-        return not digest.startswith(PATCH_DIGEST_PREFIX) and super().has_taken(version, digest)
+    def has_accepted(self, version: int, digest: str) -> bool:
+        return not digest.startswith(PATCH_DIGEST_PREFIX) and super().has_accepted(version, digest)
 
 
 class JudgedOnArrival(Group):
@@ -427,7 +428,7 @@
     async def propose(self, command: Command) -> Result:
         try:
             return await super().propose(command)
-        except OutcomeUnsure:
+        except CommandOutcomeUnknownError:
             return Conflict(self.state.version)
 
 
@@ -435,7 +436,7 @@
     async def propose(self, command: Command) -> Result:
         try:
             return await super().propose(command)
-        except OutcomeUnsure:
+        except CommandOutcomeUnknownError:
             return Accepted()
 
 
--- a/tests/golden/command_line_cases.py
+++ b/tests/golden/command_line_cases.py
@@ -20,7 +20,7 @@
 from pewterring.consensus.membership import encode_membership
 from pewterring.consensus.messages import ENTRY_MEMBERS, Entry, Membership
 from pewterring.consensus.persistent import HardState
-from pewterring.control.state import Retirement
+from pewterring.control.state import Decommissioning
 from pewterring.control.status import TierStatus
 from pewterring.distribution.messages import NodeRecord, PlacementRecord, WorkerRecord
 from pewterring.storage.disk import FolderDisk
@@ -65,7 +65,7 @@
     ),
     workers=(WorkerRecord("w1", "large", "10.1.0.50:8080", "a", 48, "ready", ("m",)),),
     placements=(PlacementRecord("batch-0", ("10.1.0.40#tag", "10.1.0.41#tag")),),
-    retirements=(Retirement("store-a-1", "10.1.0.40#tag", True),),
+    decommissionings=(Decommissioning("store-a-1", "10.1.0.40#tag", True),),
 )
 
 
--- a/tests/golden/control_calls.py
+++ b/tests/golden/control_calls.py
@@ -6,12 +6,12 @@
 import msgspec
 
 from pewterring.control.calls import Answer, Call, error_answer
-from pewterring.control.commands import Command, Result
-from pewterring.control.errors import NotLeading
+from pewterring.control.commands import Command, Result, encode_command
+from pewterring.control.errors import NotLeadingError
 from pewterring.control.leader_state import LeaderState
 from pewterring.control.service import ACKNOWLEDGED, ControlService
-from pewterring.control.state import ControlState, Retirement, encode_command
-from pewterring.control.status import TierStatus, status_of
+from pewterring.control.state import ControlState, Decommissioning
+from pewterring.control.status import TierStatus, encode_status
 from pewterring.distribution.messages import SILENT
 from pewterring.registry.heartbeats import Heartbeat, LoadedModel, read_heartbeat
 from tests.golden.control_commands import COMMANDS
@@ -37,12 +37,12 @@
     nodes=(STORE_NODE, GATEWAY_NODE),
     workers=(msgspec.structs.replace(WORKER, state=SILENT),),
     placements=(PLACEMENT,),
-    retirements=(
-        Retirement(node_id="store-1", member="10.0.1.1#a1", ended=True),
-        Retirement(node_id="store-2", member="10.0.1.2#b2"),
+    decommissionings=(
+        Decommissioning(node_id="store-1", member="10.0.1.1#a1", ended=True),
+        Decommissioning(node_id="store-2", member="10.0.1.2#b2"),
     ),
 )
-EMPTY_STATUS = TierStatus(version=0, nodes=(), workers=(), placements=(), retirements=())
+EMPTY_STATUS = TierStatus(version=0, nodes=(), workers=(), placements=(), decommissionings=())
 
 
 def control_state() -> ControlState:
@@ -57,7 +57,7 @@
     """The leadership of a control machine that is alone; it commits nothing."""
 
     async def propose(self, command: Command) -> Result:
-        raise NotLeading(f"commits no {command}")
+        raise NotLeadingError(f"commits no {command}")
 
     async def read_barrier(self) -> None:
         pass
@@ -80,7 +80,7 @@
 
 
 def _status_row(name: str, status: TierStatus, state: ControlState) -> Row:
-    return Row(name, status, lambda: status_of(state), msgspec.json.Decoder(TierStatus).decode)
+    return Row(name, status, lambda: encode_status(state), msgspec.json.Decoder(TierStatus).decode)
 
 
 def _answer_row(name: str, answer: Callable[[], Answer], content: dict[str, str]) -> Row:
--- a/tests/golden/control_commands.py
+++ b/tests/golden/control_commands.py
@@ -7,16 +7,16 @@
 from pewterring.control.commands import (
     Command,
     CreateGroup,
-    EndRetirement,
+    EndDecommissioning,
+    MarkWorkersUnresponsive,
     PatchConfiguration,
     PutConfiguration,
     PutNodes,
     PutWorker,
     RemoveWorkers,
-    SetRetiring,
-    SilenceWorkers,
+    StartDecommissioning,
+    encode_command,
 )
-from pewterring.control.state import encode_command
 from tests.golden.records import (
     DOCUMENT,
     DOCUMENT_DIGEST,
@@ -39,15 +39,15 @@
     ("PutWorker-full", PutWorker(worker=WORKER)),
     ("PutWorker-other", PutWorker(worker=OTHER_WORKER)),
     ("PutWorker-defaults", PutWorker(worker=PLAIN_WORKER)),
-    ("SilenceWorkers-full", SilenceWorkers(ids=("w-1", "w-9"))),
-    ("RemoveWorkers-full", RemoveWorkers(ids=("w-2", "w-8"), for_good=True)),
+    ("SilenceWorkers-full", MarkWorkersUnresponsive(ids=("w-1", "w-9"))),
+    ("RemoveWorkers-full", RemoveWorkers(ids=("w-2", "w-8"), permanent=True)),
     ("RemoveWorkers-defaults", RemoveWorkers(ids=("w-3",))),
-    ("PutNodes-full", PutNodes(nodes=(STORE_NODE, GATEWAY_NODE), gone=("gateway-9",))),
+    ("PutNodes-full", PutNodes(nodes=(STORE_NODE, GATEWAY_NODE), removed_ids=("gateway-9",))),
     ("PutNodes-defaults", PutNodes()),
     ("CreateGroup-full", CreateGroup(placement=PLACEMENT)),
-    ("SetRetiring-full", SetRetiring(node_id="store-1", member="10.0.1.1#a1")),
-    ("EndRetirement-full", EndRetirement(node_id="store-1")),
-    ("SetRetiring-other", SetRetiring(node_id="store-2", member="10.0.1.2#b2")),
+    ("SetRetiring-full", StartDecommissioning(node_id="store-1", member="10.0.1.1#a1")),
+    ("EndRetirement-full", EndDecommissioning(node_id="store-1")),
+    ("SetRetiring-other", StartDecommissioning(node_id="store-2", member="10.0.1.2#b2")),
     # Refused when it is applied: it builds on another version than the current one.
     (
         "PutConfiguration-full",
--- a/tests/golden/control_http_cases.py
+++ b/tests/golden/control_http_cases.py
@@ -6,7 +6,7 @@
 import asyncio
 
 from pewterring.control.api import ControlApi
-from pewterring.control.commands import EndRetirement, PutNodes
+from pewterring.control.commands import EndDecommissioning, PutNodes
 from pewterring.control.http_server import LIMITS
 from pewterring.distribution.messages import NodeRecord
 from pewterring.transport.http_request import RequestReader
@@ -77,7 +77,7 @@
     stores: tuple[NodeRecord, ...] = tuple(store(number) for number in range(1, STORES + 1))
     apply(machine.state, PutNodes(stores))
     for record in stores:
-        machine.tables.nodes.hear(0.0, record)
+        machine.tables.nodes.observe(0.0, record)
     return machine
 
 
@@ -107,7 +107,7 @@
     machine = _machine()
     call = _call("GET /v1/Retire.Get/store-1")
     asyncio.run(_answer(machine, _call("POST /v1/Retire.Start/store-1")))
-    apply(machine.state, EndRetirement("store-1"))
+    apply(machine.state, EndDecommissioning("store-1"))
     transcript = Transcript()
     transcript.add("request", call)
     transcript.add("answer", asyncio.run(_answer(machine, call)))
--- a/tests/golden/state_snapshots.py
+++ b/tests/golden/state_snapshots.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from pewterring.batch.state import BatchState, Job
-from pewterring.control.state import ControlState, Retirement, Snapshot
+from pewterring.control.state import ControlState, Decommissioning, Snapshot
 from tests.golden.batch_commands import ITEMS, RESULTS
 from tests.golden.records import (
     DOCUMENT,
@@ -30,7 +30,7 @@
     nodes=(STORE_NODE, GATEWAY_NODE),
     stores=(STORE_NODE,),
     placements=(PLACEMENT,),
-    retirements=(Retirement(node_id="store-1", member=STORES[0], ended=True),),
+    decommissionings=(Decommissioning(node_id="store-1", member=STORES[0], ended=True),),
     forgotten=6,
 )
 EMPTY_CONTROL = Snapshot(
@@ -42,7 +42,7 @@
     nodes=(),
     stores=(),
     placements=(),
-    retirements=(),
+    decommissionings=(),
 )
 JOBS = [
     Job(
--- a/tests/golden/stored_data.py
+++ b/tests/golden/stored_data.py
@@ -17,9 +17,10 @@
 from pewterring.consensus.membership import encode_membership
 from pewterring.consensus.messages import ENTRY_MEMBERS, Entry, Membership
 from pewterring.consensus.persistent import HardState
+from pewterring.control.commands import encode_command
 from pewterring.control.member_storage import GROUP, open_member_storage
-from pewterring.control.state import ControlState, encode_command
-from pewterring.control.stores import FIRST_GROUP
+from pewterring.control.placement import FIRST_GROUP
+from pewterring.control.state import ControlState
 from pewterring.storage.disk import FolderDisk
 from pewterring.storage.group import DiskGroupStorage
 from pewterring.storage.identity import member_name
--- a/tests/golden/test_stored_data.py
+++ b/tests/golden/test_stored_data.py
@@ -10,10 +10,10 @@
 from pewterring.batch.state import BatchState, Job
 from pewterring.consensus.messages import Entry, Membership
 from pewterring.consensus.persistent import LoadedGroup, PersistentState
-from pewterring.control.commands import PutConfiguration, Untold
+from pewterring.control.commands import OutcomeUnknown, PutConfiguration, encode_command
 from pewterring.control.member_storage import GROUP, open_member_storage
-from pewterring.control.state import ControlState, Retirement, encode_command
-from pewterring.control.stores import FIRST_GROUP
+from pewterring.control.placement import FIRST_GROUP
+from pewterring.control.state import ControlState, Decommissioning
 from pewterring.distribution.messages import SILENT
 from pewterring.storage.identity import member_name
 from pewterring.storage.records import read_record
@@ -122,17 +122,17 @@
     apply_all(state, storage.load())
     storage.close()
     assert (state.version, bytes(state.document)) == (8, PATCHED)
-    assert state.has_taken(7, DOCUMENT_DIGEST)
-    assert state.has_taken(8, PATCH_DIGEST)
-    assert not state.has_taken(9, DOCUMENT_DIGEST)
+    assert state.has_accepted(7, DOCUMENT_DIGEST)
+    assert state.has_accepted(8, PATCH_DIGEST)
+    assert not state.has_accepted(9, DOCUMENT_DIGEST)
     assert state.workers == {"w-1": msgspec.structs.replace(WORKER, state=SILENT)}
     assert list(state.departed) == ["w-2", "w-8"]
     assert state.nodes == {"store-1": STORE_NODE, "gateway-1": GATEWAY_NODE}
     assert state.stores == {"store-1": STORE_NODE}
     assert state.placements == {"batch-0": PLACEMENT}
-    assert state.retirements == {
-        "store-1": Retirement(node_id="store-1", member=STORES[0], ended=True),
-        "store-2": Retirement(node_id="store-2", member=STORES[1]),
+    assert state.decommissionings == {
+        "store-1": Decommissioning(node_id="store-1", member=STORES[0], ended=True),
+        "store-2": Decommissioning(node_id="store-2", member=STORES[1]),
     }
 
 
@@ -195,4 +195,4 @@
     forgotten = PutConfiguration(
         base=0, version=state_snapshots.CONTROL.forgotten, digest="unknown", document=raw(b"{}")
     )
-    assert state.apply(1, encode_command(forgotten)) == Untold()
+    assert state.apply(1, encode_command(forgotten)) == OutcomeUnknown()
--- a/tests/registry/test_workers.py
+++ b/tests/registry/test_workers.py
@@ -1,7 +1,7 @@
 """What heartbeats and time-outs change of what is committed of workers."""
 
-from pewterring.control.commands import PutWorker, RemoveWorkers, SilenceWorkers
-from pewterring.control.state import ControlState, encode_command
+from pewterring.control.commands import MarkWorkersUnresponsive, PutWorker, RemoveWorkers, encode_command
+from pewterring.control.state import ControlState
 from pewterring.registry.heartbeats import Heartbeat
 from pewterring.registry.workers import UnresponsiveWorkers, WorkerRegistry
 
@@ -31,8 +31,8 @@
             self.state.apply(0, encode_command(PutWorker(record)))
         return record is not None
 
-    def remove(self, *ids: str, for_good: bool = False) -> None:
-        self.state.apply(0, encode_command(RemoveWorkers(ids, for_good)))
+    def remove(self, *ids: str, permanent: bool = False) -> None:
+        self.state.apply(0, encode_command(RemoveWorkers(ids, permanent)))
 
     def run(self, start: float, end: float) -> UnresponsiveWorkers:
         """Checks for unresponsive workers until there are some."""
@@ -45,7 +45,7 @@
         return UnresponsiveWorkers()
 
     def mark_unresponsive(self, *ids: str) -> None:
-        self.state.apply(0, encode_command(SilenceWorkers(ids)))
+        self.state.apply(0, encode_command(MarkWorkersUnresponsive(ids)))
 
 
 def test_only_changes_are_committed() -> None:
@@ -102,7 +102,7 @@
 def test_a_worker_that_deregistered_never_comes_back() -> None:
     fleet = Fleet()
     fleet.heartbeat(0.0, "i-1", 1)
-    fleet.remove("i-1", for_good=True)
+    fleet.remove("i-1", permanent=True)
     fleet.new_leader(1.0)
     assert not fleet.heartbeat(1.1, "i-1", 2)
     assert not fleet.state.workers
--- a/tests/simulation/breakages.py
+++ b/tests/simulation/breakages.py
@@ -30,7 +30,7 @@
     PutConfiguration,
     Result,
 )
-from pewterring.control.errors import OutcomeUnsure
+from pewterring.control.errors import CommandOutcomeUnknownError
 from pewterring.control.leadership import GroupLeadership
 from pewterring.control.relay import CallRouter
 from pewterring.control.state import ControlState
@@ -190,7 +190,7 @@
 
 def retirement_ended_early() -> Any:
     """A store counts as empty as soon as somebody asks."""
-    return mock.patch.object(leader_tasks, "is_emptied", lambda *_: True)
+    return mock.patch.object(leader_tasks, "is_decommissioned", lambda *_: True)
 
 
 def relay_id_used_again() -> Any:
@@ -238,7 +238,7 @@
     async def propose(self: GroupLeadership, command: Command) -> Result:
         try:
             return await real(self, command)
-        except OutcomeUnsure:
+        except CommandOutcomeUnknownError:
             return Conflict(0)
 
     return mock.patch.object(GroupLeadership, "propose", propose)
--- a/tests/simulation/play.py
+++ b/tests/simulation/play.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from pewterring.control.member_storage import GROUP
-from pewterring.control.stores import FIRST_GROUP
+from pewterring.control.placement import FIRST_GROUP
 from pewterring.distribution.messages import READY
 from pewterring.distribution.tables import Tables
 from tests.simulation.adversary import Adversary
