--- a/benchmarks/redundancy.py
+++ b/benchmarks/redundancy.py
@@ -50,12 +50,10 @@
 from pewterring.consensus.state_machine import StateMachine
 from pewterring.consensus.types import RaftLimits
 from pewterring.control.commands import PutConfiguration, PutWorker, RemoveWorkers, encode_command
+from pewterring.control.configuration_history import REMEMBERED_VERSIONS
 from pewterring.control.program import LEADER_CHECK_INTERVAL_S
-from pewterring.control.state import (
-    REMEMBERED_DEPARTURES,
-    REMEMBERED_VERSIONS,
-    ControlState,
-)
+from pewterring.control.state import ControlState
+from pewterring.control.worker_table import REMEMBERED_DEPARTURES
 from pewterring.distribution.messages import WorkerRecord
 from pewterring.storage.group import DiskGroupStorage
 from pewterring.transport.line_codec import MessageCodec
--- /dev/null
+++ b/pewterring/control/configuration_history.py
@@ -0,0 +1,88 @@
+"""The operator's configuration in force, and which versions were accepted before it.
+
+Owns the compare-and-set of configurations: of several orders on the same base version one is accepted, and a
+repeated order gets the answer that it had, as long as its digest is remembered. What may go wrong: an order
+whose digest is forgotten gets no clear answer (`OutcomeUnknown`), since a rejection could be wrong.
+"""
+
+import msgspec
+
+from pewterring.configuration.errors import ConfigurationError
+from pewterring.configuration.patch import apply_patch, parse_patch
+from pewterring.control.bounded_memory import drop_oldest
+from pewterring.control.commands import (
+    Accepted,
+    Conflict,
+    Invalid,
+    NotAbove,
+    OutcomeUnknown,
+    PatchConfiguration,
+    PutConfiguration,
+    Result,
+)
+from pewterring.control.snapshot import Snapshot
+from pewterring.control.state_changes import StateChanges
+
+REMEMBERED_VERSIONS = 2048  # accepted digests kept; the bound on what repeats cost in memory and snapshots
+NO_DOCUMENT = msgspec.Raw(b"null")  # before the first configuration
+
+
+class ConfigurationHistory:
+    """`version` and `document` are those in force; 0 and null before the first configuration."""
+
+    def __init__(self, changes: StateChanges) -> None:
+        self.version = 0
+        self.document = NO_DOCUMENT
+        self.accepted_digests: dict[int, str] = {}  # by version, oldest first
+        self.newest_forgotten_version = 0
+        self._changes = changes
+
+    def has_accepted(self, version: int, digest: str) -> bool:
+        """Whether exactly this configuration is or was in force, as far as that is remembered."""
+        return self.accepted_digests.get(version) == digest
+
+    def put(self, command: PutConfiguration) -> Result:
+        """Takes a complete configuration, if it builds on the current one."""
+        return self._result_by_version(command) or self._accept(command, command.document)
+
+    def patch(self, command: PatchConfiguration) -> Result:
+        """Applies a patch, if it builds on the current version.
+
+        Guards against a patch that was checked on arrival and meets another base in the log.
+        """
+        result = self._result_by_version(command)
+        if result is not None:
+            return result
+        try:
+            document = apply_patch(bytes(self.document), parse_patch(bytes(command.patch)))
+        except ConfigurationError as error:
+            return Invalid(str(error))
+        return self._accept(command, msgspec.Raw(document))
+
+    def restore(self, snapshot: Snapshot) -> None:
+        """Replaces everything by the snapshot's."""
+        self.version = snapshot.version
+        self.document = snapshot.document.copy()
+        self.accepted_digests = dict(snapshot.accepted_digests)
+        self.newest_forgotten_version = snapshot.newest_forgotten_version
+
+    def _result_by_version(self, command: PutConfiguration | PatchConfiguration) -> Result | None:
+        """The result that the versions alone decide, or None where the content may come into force."""
+        if self.has_accepted(command.version, command.digest):
+            return Accepted(repeated=True)
+        if command.version <= self.newest_forgotten_version:  # perhaps accepted: a rejection could be wrong
+            return OutcomeUnknown()
+        if command.base != self.version:
+            return Conflict(self.version)
+        if command.version <= self.version:
+            return NotAbove(self.version)
+        return None
+
+    def _accept(self, command: PutConfiguration | PatchConfiguration, document: msgspec.Raw) -> Result:
+        self.version = command.version
+        self.document = document.copy()
+        self.accepted_digests[command.version] = command.digest
+        forgotten = drop_oldest(self.accepted_digests, REMEMBERED_VERSIONS)
+        self.newest_forgotten_version = max((self.newest_forgotten_version, *forgotten))
+        self._changes.configuration = True
+        return Accepted()
--- a/pewterring/control/leader_tasks.py
+++ b/pewterring/control/leader_tasks.py
@@ -16,11 +16,11 @@
     MarkWorkersUnresponsive,
     RemoveWorkers,
 )
+from pewterring.control.decommissioning import is_decommissioned
 from pewterring.control.leader_state import LeaderState
 from pewterring.control.placement import (
     FIRST_GROUP,
     first_placement,
-    is_decommissioned,
     live_stores,
     zone_count,
 )
@@ -56,7 +56,7 @@
     def observe(self, now: float, membership: Membership) -> None:
         """Brings the leader's own tables up to date."""
         self._tables.nodes.expire(now)
-        self._tables.decommissioner.watch(now)
+        self._tables.decommissioner.observe_stores(now)
         self._tables.publisher.set_control_ips(control_ips(membership))
 
     def due_commands(self, now: float) -> list[Command]:
--- a/pewterring/control/nodes.py
+++ b/pewterring/control/nodes.py
@@ -1,4 +1,8 @@
-"""The leader's table of the processes that are there, by their sessions on the feed."""
+"""The leader's table of the processes that are there, by their sessions on the feed.
+
+Soft state: it begins with what is committed and goes ahead of it. What may go wrong: a leader whose process
+was paused has heard nobody meanwhile, so that it removes nobody at its first check.
+"""
 
 from collections.abc import Mapping
 
@@ -6,16 +10,16 @@
 from pewterring.distribution.messages import NodeRecord
 from pewterring.durations import PAUSE_THRESHOLD_S
 
-NODE_TIMEOUT_S = 1.5  # a node that was not heard for longer leaves the table
+NODE_TIMEOUT_S = 1.5  # without a renewal for longer a node leaves the table; it renews several times in it
 
 
 class NodeTable:
-    """Soft state of a leader; `start` takes over what the log knows, so that a new leader begins with all."""
+    """Owned by the leader; times are those of its monotonic clock, in seconds."""
 
     def __init__(self) -> None:
         self._records: dict[str, NodeRecord] = {}
-        self._heard: dict[str, float] = {}
-        self._checked = 0.0
+        self._last_contact: dict[str, float] = {}
+        self._checked_at = 0.0
 
     @property
     def records(self) -> Mapping[str, NodeRecord]:
@@ -23,34 +27,36 @@
         return self._records
 
     def start(self, now: float, committed: Mapping[str, NodeRecord]) -> None:
-        """Begins a leadership: every committed node gets its whole time anew."""
+        """Begins a leadership: every committed node gets its complete time-out anew."""
         self._records = dict(committed)
-        self._heard = dict.fromkeys(committed, now)
-        self._checked = now
+        self._last_contact = dict.fromkeys(committed, now)
+        self._checked_at = now
 
     def observe(self, now: float, node: NodeRecord) -> bool:
-        """Takes a sign of life; says whether the table changed."""
-        self._heard[node.node_id] = now
+        """Takes a session's opening or renewal; returns whether the table changed."""
+        self._last_contact[node.node_id] = now
         if self._records.get(node.node_id) == node:
             return False
         self._records[node.node_id] = node
         return True
 
     def expire(self, now: float) -> bool:
-        """Removes silent nodes; says whether the table changed."""
-        held_up = now - self._checked > PAUSE_THRESHOLD_S
-        self._checked = now
-        if held_up:
-            self._heard = dict.fromkeys(self._records, now)
+        """Removes nodes whose time-out is over; returns whether the table changed."""
+        was_paused = now - self._checked_at > PAUSE_THRESHOLD_S
+        self._checked_at = now
+        if was_paused:
+            self._last_contact = dict.fromkeys(self._records, now)
             return False
-        silent = [node_id for node_id, heard in self._heard.items() if now - heard > NODE_TIMEOUT_S]
-        for node_id in silent:
-            del self._heard[node_id]
+        expired = [
+            node_id for node_id, contact in self._last_contact.items() if now - contact > NODE_TIMEOUT_S
+        ]
+        for node_id in expired:
+            del self._last_contact[node_id]
             del self._records[node_id]
-        return bool(silent)
+        return bool(expired)
 
     def uncommitted(self, committed: Mapping[str, NodeRecord]) -> PutNodes | None:
-        """The command that brings the log's table up to this one, or None."""
-        new = tuple(node for node in self._records.values() if committed.get(node.node_id) != node)
-        gone = tuple(node_id for node_id in committed if node_id not in self._records)
-        return PutNodes(new, gone) if new or gone else None
+        """The command that brings the committed table up to this one, or None."""
+        changed = tuple(node for node in self._records.values() if committed.get(node.node_id) != node)
+        removed_ids = tuple(node_id for node_id in committed if node_id not in self._records)
+        return PutNodes(changed, removed_ids) if changed or removed_ids else None
--- a/pewterring/control/placement.py
+++ b/pewterring/control/placement.py
@@ -1,10 +1,8 @@
-"""Where the first batch partition goes, and when a store may be emptied or has been."""
+"""On which stores the first batch partition is placed."""
 
-from collections.abc import Iterable, Mapping, Sequence
+from collections.abc import Iterable, Sequence
 
-from pewterring.consensus.membership import address_of
-from pewterring.control.state import Decommissioning
-from pewterring.distribution.messages import STORE, GroupStatus, NodeRecord, PlacementRecord
+from pewterring.distribution.messages import STORE, NodeRecord, PlacementRecord
 
 FIRST_GROUP = "batch-0"
 
@@ -19,34 +17,15 @@
     return len({store.zone for store in stores})
 
 
-def first_placement(stores: Sequence[NodeRecord], needed: int) -> PlacementRecord | None:
+def first_placement(stores: Sequence[NodeRecord], needed_stores: int) -> PlacementRecord | None:
     """Places the first partition, in different zones where there are enough; None with too few stores."""
-    if len(stores) < needed:
+    if len(stores) < needed_stores:
         return None
-    ordered = sorted(stores, key=lambda store: store.node_id)
     used_zones: set[str] = set()
     first_of_zone: list[NodeRecord] = []
     others: list[NodeRecord] = []
-    for store in ordered:
+    for store in sorted(stores, key=lambda store: store.node_id):
         (others if store.zone in used_zones else first_of_zone).append(store)
         used_zones.add(store.zone)
-    chosen = (first_of_zone + others)[:needed]
+    chosen = (first_of_zone + others)[:needed_stores]
     return PlacementRecord(FIRST_GROUP, tuple(store.member for store in chosen))
-
-
-def is_decommissioned(
-    decommissioning: Decommissioning,
-    placements: Iterable[PlacementRecord],
-    statuses: Mapping[str, GroupStatus],
-    needed: int,
-) -> bool:
-    """Whether no partition uses the store's machine and enough voters hold all of each."""
-    ip = address_of(decommissioning.member)
-    for placement in placements:
-        status = statuses.get(placement.group)
-        if status is None or len(status.complete) < needed:
-            return False
-        members = (*status.voters, *status.learners)
-        if any(address_of(member) == ip for member in members):
-            return False
-    return True
--- a/pewterring/control/publisher.py
+++ b/pewterring/control/publisher.py
@@ -1,14 +1,18 @@
-"""The leader's side of the feed without I/O: sessions, tables with versions, whole tables and changes.
+"""The leader's side of the feed without I/O: sessions, versions of tables, complete tables and changes.
 
-What a new session is told is what was published last, so that the next change fits every session.
+A new session gets what was published last, so that the next change fits every session. Versions count up
+within one leadership (`epoch`); a session whose versions do not match the base of a change must be opened
+anew.
 """
 
 from collections.abc import Hashable, Iterable
+from typing import NamedTuple
 
 import msgspec
 
+from pewterring.control.configuration_history import NO_DOCUMENT
 from pewterring.control.nodes import NodeTable
-from pewterring.control.state import NO_DOCUMENT, ControlState
+from pewterring.control.state import ControlState
 from pewterring.distribution.messages import (
     GroupStatus,
     NodeRecord,
@@ -19,53 +23,98 @@
 )
 
 
+class NodeDifference(NamedTuple):
+    """What changed of the nodes since they were published."""
+
+    changed: tuple[NodeRecord, ...] = ()  # new ones too
+    removed_ids: tuple[str, ...] = ()
+
+
+class GroupLeader(NamedTuple):
+    """What is published of a partition's report; its progress is not."""
+
+    group: str
+    term: int
+    leader: str
+    voters: tuple[str, ...]
+    learners: tuple[str, ...]
+
+
+class PartitionReports:
+    """The newest report of each batch partition's leader in this leadership of control."""
+
+    def __init__(self) -> None:
+        self._statuses: dict[str, GroupStatus] = {}
+        self._received_at: dict[str, float] = {}
+
+    def clear(self) -> None:
+        """Begins a leadership."""
+        self._statuses.clear()
+        self._received_at.clear()
+
+    def record(self, now: float, status: GroupStatus) -> None:
+        """Takes a report, unless a later one is known."""
+        known = self._statuses.get(status.group)
+        if known is None or (status.term, status.commit) >= (known.term, known.commit):
+            self._statuses[status.group] = status
+            self._received_at[status.group] = now
+
+    def since(self, moment: float) -> dict[str, GroupStatus]:
+        """The newest report of each partition that made one after `moment`."""
+        return {
+            group: self._statuses[group]
+            for group, received_at in self._received_at.items()
+            if received_at > moment
+        }
+
+    def all(self) -> tuple[GroupStatus, ...]:
+        """The newest report of each partition."""
+        return tuple(self._statuses.values())
+
+
 class FeedPublisher:
-    """Publishes the control state to sessions. Versions count up within one leadership (`epoch`)."""
+    """Publishes the control state to sessions. Each `take_...` publishes what it returns.
+
+    Times are those of the leader's monotonic clock, in seconds.
+    """
 
     def __init__(self, state: ControlState, nodes: NodeTable) -> None:
         self.sessions: set[Hashable] = set()
         self._state = state
         self._nodes = nodes
+        self._reports = PartitionReports()
         self._versions = TableVersions()
         self._published_nodes: tuple[NodeRecord, ...] = ()
         self._published_groups: tuple[GroupStatus, ...] = ()
-        self._controls: tuple[str, ...] = ()
-        self._new_controls: tuple[str, ...] | None = None
-        self._statuses: dict[str, GroupStatus] = {}  # newest report of each partition in this leadership
-        self._reported: dict[str, float] = {}  # when it came
+        self._published_control_ips: tuple[str, ...] = ()
+        self._control_ips: tuple[str, ...] = ()
 
     @property
     def versions(self) -> TableVersions:
         """The versions last published."""
         return self._versions
 
-    def start(self, epoch: int, controls: Iterable[str]) -> None:
+    def start(self, epoch: int, control_ips: Iterable[str]) -> None:
         """Begins a leadership without sessions."""
         self.sessions.clear()
-        self._statuses.clear()
-        self._reported.clear()
+        self._reports.clear()
         self._state.take_changes()
         self._versions = TableVersions(epoch=epoch, configuration=self._state.version, workers=1, nodes=1)
         self._published_nodes = self._current_nodes()
         self._published_groups = ()
-        self._controls = tuple(sorted(controls))
-        self._new_controls = None
+        self._published_control_ips = self._control_ips = tuple(sorted(control_ips))
 
-    def set_control_ips(self, controls: Iterable[str]) -> None:
-        """Names the control machines anew."""
-        told = tuple(sorted(controls))
-        self._new_controls = None if told == self._controls else told
+    def set_control_ips(self, control_ips: Iterable[str]) -> None:
+        """Takes the IPs of the control group's members, to be published with the next change of nodes."""
+        self._control_ips = tuple(sorted(control_ips))
 
     def record_report(self, now: float, status: GroupStatus) -> None:
         """Takes a report of a partition's leader, unless a later one is known."""
-        known = self._statuses.get(status.group)
-        if known is None or (status.term, status.commit) >= (known.term, known.commit):
-            self._statuses[status.group] = status
-            self._reported[status.group] = now
+        self._reports.record(now, status)
 
     def reports_since(self, moment: float) -> dict[str, GroupStatus]:
         """The newest report of each partition that made one after `moment`."""
-        return {group: self._statuses[group] for group, came in self._reported.items() if came > moment}
+        return self._reports.since(moment)
 
     def open(self, session: Hashable) -> WholeTables:
         """Adds a session. Changes that are due must have been published before."""
@@ -78,11 +127,11 @@
             nodes=self._published_nodes,
             placements=tuple(state.placements.values()),
             groups=self._published_groups,
-            controls=self._controls,
+            controls=self._published_control_ips,
         )
 
     def close(self, session: Hashable) -> None:
-        """Drops a session. Its node stays in the table until it is silent for too long."""
+        """Drops a session. Its node stays in the table until its time-out."""
         self.sessions.discard(session)
 
     def renew(self, session: Hashable) -> Renewed | None:
@@ -90,50 +139,45 @@
         return Renewed(self._versions) if session in self.sessions else None
 
     def take_state_changes(self) -> TableChanges | None:
-        """Publishes what changed of configuration, workers and placements."""
+        """Publishes what changed of configuration, workers and placements, and which stores are marked."""
         changes = self._state.take_changes()
         workers = self._state.workers
-        new = tuple(workers[worker_id] for worker_id in changes.workers if worker_id in workers)
-        gone = tuple(worker_id for worker_id in changes.workers if worker_id not in workers)
-        nodes, nodes_gone = self._changed_nodes() if changes.decommissionings else ((), ())
-        placements = tuple(self._state.placements.values()) if changes.placements else None
+        nodes = self._take_node_difference() if changes.decommissionings else NodeDifference()
         return self._publish(
             TableChanges(
                 base=self._versions,
                 versions=self._versions,
                 configuration=self._state.document if changes.configuration else NO_DOCUMENT,
-                workers=new,
-                workers_gone=gone,
-                nodes=nodes,
-                nodes_gone=nodes_gone,
-                placements=placements,
+                workers=tuple(workers[each] for each in changes.worker_ids if each in workers),
+                workers_gone=tuple(each for each in changes.worker_ids if each not in workers),
+                nodes=nodes.changed,
+                nodes_gone=nodes.removed_ids,
+                placements=tuple(self._state.placements.values()) if changes.placements else None,
             )
         )
 
     def take_node_changes(self) -> TableChanges | None:
         """Publishes what changed of nodes, leaders of partitions and control machines."""
-        nodes, nodes_gone = self._changed_nodes()
-        groups = self._new_groups()
-        controls, self._new_controls = self._new_controls, None
-        if controls is not None:
-            self._controls = controls
+        nodes = self._take_node_difference()
         return self._publish(
             TableChanges(
                 base=self._versions,
                 versions=self._versions,
-                nodes=nodes,
-                nodes_gone=nodes_gone,
-                groups=groups,
-                controls=controls,
+                nodes=nodes.changed,
+                nodes_gone=nodes.removed_ids,
+                groups=self._take_new_groups(),
+                controls=self._take_new_control_ips(),
             )
         )
 
     def _publish(self, changes: TableChanges) -> TableChanges | None:
         """Gives the changes their versions; None where there are none."""
         base = self._versions
-        soft = (changes.placements, changes.groups, changes.controls)
+        optional = (changes.placements, changes.groups, changes.controls)
         workers_changed = bool(changes.workers or changes.workers_gone)
-        nodes_changed = bool(changes.nodes or changes.nodes_gone) or any(part is not None for part in soft)
+        nodes_changed = bool(changes.nodes or changes.nodes_gone) or any(
+            each is not None for each in optional
+        )
         configured = changes.configuration != NO_DOCUMENT
         self._versions = TableVersions(
             epoch=base.epoch,
@@ -145,16 +189,17 @@
             return None
         return msgspec.structs.replace(changes, versions=self._versions)
 
-    def _changed_nodes(self) -> tuple[tuple[NodeRecord, ...], tuple[str, ...]]:
-        """The nodes that are new or changed since they were published, and the ids of those gone.
+    def _take_node_difference(self) -> NodeDifference:
+        """The nodes that are new or changed since they were published, and the ids of those removed.
 
-        Symptom: with the whole table in each change, the bytes of a start of all grow as its square.
+        Differences alone: with the complete table in each change, the bytes sent while all nodes start grow
+        as the square of their number.
         """
-        before = {node.node_id: node for node in self._published_nodes}
+        published = {node.node_id: node for node in self._published_nodes}
         current = self._current_nodes()
         self._published_nodes = current
-        changed = tuple(node for node in current if before.pop(node.node_id, None) != node)
-        return changed, tuple(before)
+        changed = tuple(node for node in current if published.pop(node.node_id, None) != node)
+        return NodeDifference(changed, tuple(published))
 
     def _current_nodes(self) -> tuple[NodeRecord, ...]:
         is_decommissioning = self._state.is_decommissioning
@@ -163,14 +208,23 @@
             for node in self._nodes.records.values()
         )
 
-    def _new_groups(self) -> tuple[GroupStatus, ...] | None:
-        """The reports where a leader or member changed; progress alone is not published."""
-        current = tuple(self._statuses.values())
-        if [_shape(status) for status in current] == [_shape(status) for status in self._published_groups]:
+    def _take_new_groups(self) -> tuple[GroupStatus, ...] | None:
+        """All reports where a leader or member changed, else None."""
+        current = self._reports.all()
+        if [_leader_of(status) for status in current] == [
+            _leader_of(status) for status in self._published_groups
+        ]:
             return None
         self._published_groups = current
         return current
 
+    def _take_new_control_ips(self) -> tuple[str, ...] | None:
+        """The IPs of the control machines where they changed, else None."""
+        if self._control_ips == self._published_control_ips:
+            return None
+        self._published_control_ips = self._control_ips
+        return self._control_ips
+
 
-def _shape(status: GroupStatus) -> tuple[str, int, str, tuple[str, ...], tuple[str, ...]]:
-    return status.group, status.term, status.leader, status.voters, status.learners
+def _leader_of(status: GroupStatus) -> GroupLeader:
+    return GroupLeader(status.group, status.term, status.leader, status.voters, status.learners)
--- a/pewterring/control/status.py
+++ b/pewterring/control/status.py
@@ -1,8 +1,9 @@
-"""What control tells of the whole tier to an operator who asks."""
+"""The status of the tier as control has committed it, for the operator's `cluster status`."""
 
 import msgspec
 
-from pewterring.control.state import ControlState, Decommissioning
+from pewterring.control.snapshot import Decommissioning
+from pewterring.control.state import ControlState
 from pewterring.distribution.messages import NodeRecord, PlacementRecord, WorkerRecord
 
 
@@ -17,7 +18,7 @@
 
 
 def encode_status(state: ControlState) -> bytes:
-    """The tables of a state that is current."""
+    """The tables of a state that is current, that is, read after a read barrier."""
     status = TierStatus(
         version=state.version,
         nodes=tuple(state.nodes.values()),
--- /dev/null
+++ b/pewterring/control/store_tables.py
@@ -0,0 +1,122 @@
+"""What is committed of the tier's processes, of batch partitions and of stores that are decommissioned."""
+
+from collections.abc import Mapping
+
+import msgspec
+
+from pewterring.control.commands import (
+    Accepted,
+    CreateGroup,
+    EndDecommissioning,
+    PutNodes,
+    Result,
+    StartDecommissioning,
+)
+from pewterring.control.snapshot import Decommissioning, Snapshot
+from pewterring.control.state_changes import StateChanges
+from pewterring.distribution.messages import STORE, NodeRecord, PlacementRecord
+
+
+class CommittedNodes:
+    """The nodes that were there at the last commit, and all stores that were ever seen, by node id.
+
+    The leader's own table of live nodes (`NodeTable`) is ahead of this one.
+    """
+
+    def __init__(self) -> None:
+        self._records: dict[str, NodeRecord] = {}
+        self._stores: dict[str, NodeRecord] = {}
+
+    @property
+    def records(self) -> Mapping[str, NodeRecord]:
+        """Nodes by id."""
+        return self._records
+
+    @property
+    def stores(self) -> Mapping[str, NodeRecord]:
+        """The newest record of each store, also of those that are gone, by node id."""
+        return self._stores
+
+    def put(self, command: PutNodes) -> Result:
+        """Adds, changes and removes nodes."""
+        for node_id in command.removed_ids:
+            self._records.pop(node_id, None)
+        for node in command.nodes:
+            self._records[node.node_id] = node
+            if node.program == STORE:
+                self._stores[node.node_id] = node
+        return Accepted()
+
+    def restore(self, snapshot: Snapshot) -> None:
+        """Replaces everything by the snapshot's."""
+        self._records.clear()
+        self._records.update((node.node_id, node) for node in snapshot.nodes)
+        self._stores.clear()
+        self._stores.update((node.node_id, node) for node in snapshot.stores)
+
+
+class PlacementTable:
+    """The first members of each batch partition, by group name."""
+
+    def __init__(self, changes: StateChanges) -> None:
+        self._records: dict[str, PlacementRecord] = {}
+        self._changes = changes
+
+    @property
+    def records(self) -> Mapping[str, PlacementRecord]:
+        """Placements by group name."""
+        return self._records
+
+    def create(self, command: CreateGroup) -> Result:
+        """Places a partition, unless it has been placed."""
+        if command.placement.group in self._records:
+            return Accepted(repeated=True)
+        self._records[command.placement.group] = command.placement
+        self._changes.placements = True
+        return Accepted()
+
+    def restore(self, snapshot: Snapshot) -> None:
+        """Replaces everything by the snapshot's."""
+        self._records.clear()
+        self._records.update((placement.group, placement) for placement in snapshot.placements)
+
+
+class DecommissioningTable:
+    """The stores that are to be emptied, or have been, by node id."""
+
+    def __init__(self, changes: StateChanges) -> None:
+        self._records: dict[str, Decommissioning] = {}
+        self._changes = changes
+
+    @property
+    def records(self) -> Mapping[str, Decommissioning]:
+        """Decommissionings by node id."""
+        return self._records
+
+    def includes(self, node: NodeRecord) -> bool:
+        """Whether a store is to be emptied. After the end only the same member still is."""
+        known = self._records.get(node.node_id)
+        return known is not None and (not known.ended or known.member == node.member)
+
+    def start(self, command: StartDecommissioning) -> Result:
+        """Starts one, unless one is under way or has ended for the same member."""
+        known = self._records.get(command.node_id)
+        if known is not None and (known.member == command.member or not known.ended):
+            return Accepted(repeated=True)
+        self._records[command.node_id] = Decommissioning(command.node_id, command.member)
+        self._changes.decommissionings = True
+        return Accepted()
+
+    def end(self, command: EndDecommissioning) -> Result:
+        """Ends one that is under way."""
+        known = self._records.get(command.node_id)
+        if known is None or known.ended:
+            return Accepted(repeated=True)
+        self._records[command.node_id] = msgspec.structs.replace(known, ended=True)
+        self._changes.decommissionings = True
+        return Accepted()
+
+    def restore(self, snapshot: Snapshot) -> None:
+        """Replaces everything by the snapshot's."""
+        self._records.clear()
+        self._records.update((each.node_id, each) for each in snapshot.decommissionings)
--- a/tests/batch/test_status.py
+++ b/tests/batch/test_status.py
@@ -4,8 +4,8 @@
 
 from pewterring.batch.partition import status_of
 from pewterring.consensus.messages import Membership
-from pewterring.control.placement import is_decommissioned
-from pewterring.control.state import Decommissioning
+from pewterring.control.decommissioning import is_decommissioned
+from pewterring.control.snapshot import Decommissioning
 from pewterring.distribution.messages import GroupStatus, PlacementRecord
 from tests.batch.virtual_cluster import NAMES, Points, Store, VirtualCluster
 from tests.consensus.virtual_time import run
--- a/tests/control/test_service.py
+++ b/tests/control/test_service.py
@@ -136,7 +136,7 @@
 
 
 def test_an_order_too_old_to_be_remembered_gets_no_clear_answer(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("pewterring.control.state.REMEMBERED_VERSIONS", 2)
+    monkeypatch.setattr("pewterring.control.configuration_history.REMEMBERED_VERSIONS", 2)
     machine = Machine()
     for version in (1, 2, 3):
         assert machine.replace(version - 1, encoded(version=version)) == 200
--- a/tests/control/test_state.py
+++ b/tests/control/test_state.py
@@ -61,7 +61,7 @@
 def test_a_configuration_too_old_to_be_remembered_is_neither_taken_nor_refused(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr("pewterring.control.state.REMEMBERED_VERSIONS", 3)
+    monkeypatch.setattr("pewterring.control.configuration_history.REMEMBERED_VERSIONS", 3)
     state = ControlState()
     orders = [put(base, base + 2) for base in range(0, 10, 2)]
     for order in orders:
@@ -95,11 +95,11 @@
     apply(state, PutWorker(worker("i-1")))
     changes = state.take_changes()
     assert changes.configuration
-    assert changes.workers == {"i-1"}
+    assert changes.worker_ids == {"i-1"}
     apply(state, PutWorker(worker("i-1")))
     changes = state.take_changes()
     assert not changes.configuration
-    assert not changes.workers
+    assert not changes.worker_ids
 
 
 def test_a_placement_is_made_once() -> None:
--- a/tests/control/test_two_operators.py
+++ b/tests/control/test_two_operators.py
@@ -6,11 +6,12 @@
 """
 
 import asyncio
+import contextlib
 import itertools
 from collections.abc import Callable
 from dataclasses import dataclass, field
 from typing import Any
-from unittest.mock import patch
+from unittest import mock
 
 import msgspec
 import orjson
@@ -37,11 +38,13 @@
     Result,
     encode_command,
 )
+from pewterring.control.configuration_history import ConfigurationHistory
 from pewterring.control.errors import CommandOutcomeUnknownError
 from pewterring.control.leader_state import LeaderState
 from pewterring.control.messages import RelayedCall
 from pewterring.control.relay import CallRouter
 from pewterring.control.service import ControlService
+from pewterring.control.snapshot import Snapshot
 from pewterring.control.state import ControlState
 from tests.configuration.documents import document, encoded
 from tests.consensus.virtual_time import VirtualTimeLoop
@@ -99,9 +102,8 @@
 class Group:
     """The log of the group: what is committed, and what only the leader has."""
 
-    def __init__(self, make_state: type[ControlState]) -> None:
-        self.make_state = make_state
-        self.members = [Member(make_state()) for _ in range(MEMBERS)]
+    def __init__(self) -> None:
+        self.members = [Member(ControlState()) for _ in range(MEMBERS)]
         self.leader = 0
         self.committed: list[bytes] = []
         self.proposals: list[Proposal] = []
@@ -158,7 +160,7 @@
     def restore(self, number: int, source: int) -> None:
         """A member begins anew with the snapshot of another, as far as that one is."""
         snapshot = self.members[source].state.snapshot()
-        member = Member(self.make_state(), self.members[source].applied)
+        member = Member(ControlState(), self.members[source].applied)
         member.state.restore(snapshot)
         self.members[number] = member
         if number == self.leader:
@@ -188,23 +190,27 @@
     """Random orders, repeats and changes of the group."""
 
     def __init__(
-        self, make_state: type[ControlState] = ControlState, make_group: type[Group] = Group
+        self,
+        history_class: type[ConfigurationHistory] = ConfigurationHistory,
+        make_group: type[Group] = Group,
     ) -> None:
         super().__init__()
-        self.patched = patch("pewterring.control.state.REMEMBERED_VERSIONS", REMEMBERED)
-        self.patched.start()
+        self.patches = contextlib.ExitStack()
+        history = "pewterring.control.configuration_history.REMEMBERED_VERSIONS"
+        self.patches.enter_context(mock.patch(history, REMEMBERED))
+        self.patches.enter_context(mock.patch("pewterring.control.state.ConfigurationHistory", history_class))
         self.loop = VirtualTimeLoop()
-        self.group = make_group(make_state)
+        self.group = make_group()
         self.history = History()
         self.sent: list[Order] = []
         self.in_force: list[int] = [0]
-        self.follower = make_state()  # is never restored from a snapshot
+        self.follower = ControlState()  # is never restored from a snapshot
         self.versions: list[int] = [0]  # by how much of the log is applied
         self.calls: dict[asyncio.Task[int], Order] = {}
         self.variants = itertools.count()
 
     def teardown(self) -> None:
-        self.patched.stop()
+        self.patches.close()
         for call in self.calls:
             call.cancel()
         self.turn()
@@ -358,58 +364,58 @@
 # Deliberate breakages, which a day of the machine above must notice.
 
 
-class ForgetsDigestsAtASnapshot(ControlState):
-    def restore(self, data: bytes) -> None:
-        super().restore(data)
-        self._taken.clear()
+class ForgetsDigestsAtASnapshot(ConfigurationHistory):
+    def restore(self, snapshot: Snapshot) -> None:
+        super().restore(snapshot)
+        self.accepted_digests.clear()
 
 
-class RefusesWhatItForgot(ControlState):
-    def _put_configuration(self, command: PutConfiguration) -> Result:
-        self._forgotten = 0
-        return super()._put_configuration(command)
+class RefusesWhatItForgot(ConfigurationHistory):
+    def put(self, command: PutConfiguration) -> Result:
+        self.newest_forgotten_version = 0
+        return super().put(command)
 
 
-class ForgetsAtASnapshotThatItForgot(ControlState):
-    def restore(self, data: bytes) -> None:
-        super().restore(data)
-        self._forgotten = 0
+class ForgetsAtASnapshotThatItForgot(ConfigurationHistory):
+    def restore(self, snapshot: Snapshot) -> None:
+        super().restore(snapshot)
+        self.newest_forgotten_version = 0
 
 
-class IgnoresTheBase(ControlState):
-    def _put_configuration(self, command: PutConfiguration) -> Result:
-        return super()._put_configuration(msgspec.structs.replace(command, base=self.version))
+class IgnoresTheBase(ConfigurationHistory):
+    def put(self, command: PutConfiguration) -> Result:
+        return super().put(msgspec.structs.replace(command, base=self.version))
 
 
-class KnowsOrdersByNumberAlone(ControlState):
-    def _put_configuration(self, command: PutConfiguration) -> Result:
-        if command.version in self._taken:
+class KnowsOrdersByNumberAlone(ConfigurationHistory):
+    def put(self, command: PutConfiguration) -> Result:
+        if command.version in self.accepted_digests:
             return Accepted(repeated=True)
-        return super()._put_configuration(command)
+        return super().put(command)
 
 
-class ForgetsTheDigestOfTheLast(ControlState):
-    def _put_configuration(self, command: PutConfiguration) -> Result:
-        result = super()._put_configuration(command)
+class ForgetsTheDigestOfTheLast(ConfigurationHistory):
+    def put(self, command: PutConfiguration) -> Result:
+        result = super().put(command)
         if result == Accepted():
-            del self._taken[command.version]
+            del self.accepted_digests[command.version]
         return result
 
 
-class PatchesAnyBase(ControlState):
-    def _patch_configuration(self, command: PatchConfiguration) -> Result:
-        return super()._patch_configuration(msgspec.structs.replace(command, base=self.version))
+class PatchesAnyBase(ConfigurationHistory):
+    def patch(self, command: PatchConfiguration) -> Result:
+        return super().patch(msgspec.structs.replace(command, base=self.version))
 
 
-class KnowsPatchesByTheirResult(ControlState):
-    def _patch_configuration(self, command: PatchConfiguration) -> Result:
-        result = super()._patch_configuration(command)
+class KnowsPatchesByTheirResult(ConfigurationHistory):
+    def patch(self, command: PatchConfiguration) -> Result:
+        result = super().patch(command)
         if result == Accepted():
-            self._taken[command.version] = document_digest(bytes(self.document))
+            self.accepted_digests[command.version] = document_digest(bytes(self.document))
         return result
 
 
-class PatchesAgain(ControlState):
+class PatchesAgain(ConfigurationHistory):
     def has_accepted(self, version: int, digest: str) -> bool:
         return not digest.startswith(PATCH_DIGEST_PREFIX) and super().has_accepted(version, digest)
 
@@ -507,11 +513,11 @@
 
 
 def played(
-    make_state: type[ControlState] = ControlState,
+    history_class: type[ConfigurationHistory] = ConfigurationHistory,
     make_group: type[Group] = Group,
     plays: Callable[[TwoOperators], None] = a_day,
 ) -> TwoOperators:
-    day = TwoOperators(make_state, make_group)
+    day = TwoOperators(history_class, make_group)
     try:
         plays(day)
     finally:
@@ -536,9 +542,9 @@
         (KnowsOrdersByNumberAlone, "two documents under one number"),
     ],
 )
-def test_a_broken_state_is_noticed(broken: type[ControlState], noticed: str) -> None:
+def test_a_broken_state_is_noticed(broken: type[ConfigurationHistory], noticed: str) -> None:
     with pytest.raises(AssertionError, match=noticed):
-        played(make_state=broken)
+        played(history_class=broken)
 
 
 def test_a_day_of_patches_without_breakage() -> None:
@@ -562,9 +568,9 @@
         (PatchesAgain, "an acknowledged order was refused"),
     ],
 )
-def test_a_state_that_breaks_patches_is_noticed(broken: type[ControlState], noticed: str) -> None:
+def test_a_state_that_breaks_patches_is_noticed(broken: type[ConfigurationHistory], noticed: str) -> None:
     with pytest.raises(AssertionError, match=noticed):
-        played(make_state=broken, plays=a_day_of_patches)
+        played(history_class=broken, plays=a_day_of_patches)
 
 
 def test_patches_judged_on_arrival_are_noticed() -> None:
--- a/tests/golden/command_line_cases.py
+++ b/tests/golden/command_line_cases.py
@@ -20,7 +20,7 @@
 from pewterring.consensus.membership import encode_membership
 from pewterring.consensus.messages import ENTRY_MEMBERS, Entry, Membership
 from pewterring.consensus.persistent import HardState
-from pewterring.control.state import Decommissioning
+from pewterring.control.snapshot import Decommissioning
 from pewterring.control.status import TierStatus
 from pewterring.distribution.messages import NodeRecord, PlacementRecord, WorkerRecord
 from pewterring.storage.disk import FolderDisk
--- a/tests/golden/control_calls.py
+++ b/tests/golden/control_calls.py
@@ -10,7 +10,8 @@
 from pewterring.control.errors import NotLeadingError
 from pewterring.control.leader_state import LeaderState
 from pewterring.control.service import ACKNOWLEDGED, ControlService
-from pewterring.control.state import ControlState, Decommissioning
+from pewterring.control.snapshot import Decommissioning
+from pewterring.control.state import ControlState
 from pewterring.control.status import TierStatus, encode_status
 from pewterring.distribution.messages import SILENT
 from pewterring.registry.heartbeats import Heartbeat, LoadedModel, read_heartbeat
--- a/tests/golden/state_snapshots.py
+++ b/tests/golden/state_snapshots.py
@@ -5,7 +5,8 @@
 import msgspec
 
 from pewterring.batch.state import BatchState, Job
-from pewterring.control.state import ControlState, Decommissioning, Snapshot
+from pewterring.control.snapshot import Decommissioning, Snapshot
+from pewterring.control.state import ControlState
 from tests.golden.batch_commands import ITEMS, RESULTS
 from tests.golden.records import (
     DOCUMENT,
@@ -24,19 +25,19 @@
 CONTROL = Snapshot(
     version=7,
     document=raw(DOCUMENT),
-    taken={7: DOCUMENT_DIGEST},
+    accepted_digests={7: DOCUMENT_DIGEST},
     workers=(WORKER,),
     departed=("w-2",),
     nodes=(STORE_NODE, GATEWAY_NODE),
     stores=(STORE_NODE,),
     placements=(PLACEMENT,),
     decommissionings=(Decommissioning(node_id="store-1", member=STORES[0], ended=True),),
-    forgotten=6,
+    newest_forgotten_version=6,
 )
 EMPTY_CONTROL = Snapshot(
     version=0,
     document=raw(b"null"),
-    taken={},
+    accepted_digests={},
     workers=(),
     departed=(),
     nodes=(),
--- a/tests/golden/test_stored_data.py
+++ b/tests/golden/test_stored_data.py
@@ -13,7 +13,8 @@
 from pewterring.control.commands import OutcomeUnknown, PutConfiguration, encode_command
 from pewterring.control.member_storage import GROUP, open_member_storage
 from pewterring.control.placement import FIRST_GROUP
-from pewterring.control.state import ControlState, Decommissioning
+from pewterring.control.snapshot import Decommissioning
+from pewterring.control.state import ControlState
 from pewterring.distribution.messages import SILENT
 from pewterring.storage.identity import member_name
 from pewterring.storage.records import read_record
@@ -193,6 +194,9 @@
 def test_a_state_remembers_which_versions_it_forgot() -> None:
     state = state_snapshots.restored_control(state_snapshots.CONTROL)
     forgotten = PutConfiguration(
-        base=0, version=state_snapshots.CONTROL.forgotten, digest="unknown", document=raw(b"{}")
+        base=0,
+        version=state_snapshots.CONTROL.newest_forgotten_version,
+        digest="unknown",
+        document=raw(b"{}"),
     )
     assert state.apply(1, encode_command(forgotten)) == OutcomeUnknown()
--- a/tests/simulation/breakages.py
+++ b/tests/simulation/breakages.py
@@ -30,10 +30,12 @@
     PutConfiguration,
     Result,
 )
+from pewterring.control.configuration_history import ConfigurationHistory
 from pewterring.control.errors import CommandOutcomeUnknownError
 from pewterring.control.leadership import GroupLeadership
 from pewterring.control.relay import CallRouter
-from pewterring.control.state import ControlState
+from pewterring.control.snapshot import Snapshot as ControlSnapshot
+from pewterring.control.worker_table import WorkerTable
 from pewterring.storage.group import DiskGroupStorage
 from pewterring.storage.identity import member_name
 
@@ -118,25 +120,25 @@
 
 
 def digest_forgotten() -> Any:
-    """What was taken is not known any more after a snapshot, so that a resend is refused."""
-    real = ControlState.restore
+    """What was accepted is not known any more after a snapshot, so that a resend is refused."""
+    real = ConfigurationHistory.restore
 
-    def restore(self: ControlState, data: bytes) -> None:
-        real(self, data)
-        self._taken.clear()
+    def restore(self: ConfigurationHistory, snapshot: ControlSnapshot) -> None:
+        real(self, snapshot)
+        self.accepted_digests.clear()
 
-    return mock.patch.object(ControlState, "restore", restore)
+    return mock.patch.object(ConfigurationHistory, "restore", restore)
 
 
 def departed_forgotten() -> Any:
     """Workers that left for good are not known any more after a snapshot."""
-    real = ControlState.restore
+    real = WorkerTable.restore
 
-    def restore(self: ControlState, data: bytes) -> None:
-        real(self, data)
+    def restore(self: WorkerTable, snapshot: ControlSnapshot) -> None:
+        real(self, snapshot)
         self._departed.clear()
 
-    return mock.patch.object(ControlState, "restore", restore)
+    return mock.patch.object(WorkerTable, "restore", restore)
 
 
 def old_tag_votes() -> Any:
@@ -200,35 +202,35 @@
 
 def base_not_checked() -> Any:
     """A configuration is taken on whatever version it builds."""
-    real = ControlState._put_configuration
+    real = ConfigurationHistory.put
 
-    def put(self: ControlState, command: PutConfiguration) -> Result:
+    def put(self: ConfigurationHistory, command: PutConfiguration) -> Result:
         return real(self, msgspec.structs.replace(command, base=self.version))
 
-    return mock.patch.object(ControlState, "_put_configuration", put)
+    return mock.patch.object(ConfigurationHistory, "put", put)
 
 
 def patch_base_not_checked() -> Any:
     """A patch is applied to whatever version it meets."""
-    real = ControlState._patch_configuration
+    real = ConfigurationHistory.patch
 
-    def patched(self: ControlState, command: PatchConfiguration) -> Result:
+    def patched(self: ConfigurationHistory, command: PatchConfiguration) -> Result:
         return real(self, msgspec.structs.replace(command, base=self.version))
 
-    return mock.patch.object(ControlState, "_patch_configuration", patched)
+    return mock.patch.object(ConfigurationHistory, "patch", patched)
 
 
 def patch_known_by_its_result() -> Any:
     """What is remembered of a patch is the configuration that it made."""
-    real = ControlState._patch_configuration
+    real = ConfigurationHistory.patch
 
-    def patched(self: ControlState, command: PatchConfiguration) -> Result:
+    def patched(self: ConfigurationHistory, command: PatchConfiguration) -> Result:
         result = real(self, command)
         if result == Accepted():
-            self._taken[command.version] = document_digest(bytes(self.document))
+            self.accepted_digests[command.version] = document_digest(bytes(self.document))
         return result
 
-    return mock.patch.object(ControlState, "_patch_configuration", patched)
+    return mock.patch.object(ConfigurationHistory, "patch", patched)
 
 
 def unsure_refused() -> Any:
