--- a/tests/control/test_bad_input.py
+++ b/tests/control/test_bad_input.py
@@ -1,7 +1,8 @@
-"""Commands and snapshots that do not decode, as of a later version: a clear end, nothing half taken."""
+"""Commands and snapshots that do not decode, as of a later version: a clear end, nothing applied in part."""
 
 import asyncio
 import random
+from collections.abc import Callable
 from typing import Any
 
 import msgspec
@@ -53,7 +54,7 @@
 ]
 
 
-def whole_state() -> ControlState:
+def complete_state() -> ControlState:
     state = ControlState()
     for command in ONE_OF_EACH:
         apply(state, command)
@@ -62,7 +63,7 @@
 
 @pytest.mark.parametrize("data", NOT_COMMANDS, ids=range(len(NOT_COMMANDS)))
 def test_an_entry_that_is_no_command_changes_nothing_and_is_named(data: bytes) -> None:
-    state = whole_state()
+    state = complete_state()
     before = state.snapshot()
     with pytest.raises(InvalidCommandError, match="entry 17 of the log") as caught:
         state.apply(17, data)
@@ -71,7 +72,7 @@
 
 
 @pytest.mark.parametrize("command", ONE_OF_EACH, ids=lambda command: type(command).__name__)
-def test_a_field_of_a_later_version_is_not_passed_over(command: Command) -> None:
+def test_a_field_of_a_later_version_is_not_ignored(command: Command) -> None:
     later = msgspec.json.decode(encode_command(command)) | {"later": 1}
     state = ControlState()
     with pytest.raises(InvalidCommandError):
@@ -80,7 +81,7 @@
 
 
 def changed(**changes: Any) -> bytes:
-    return msgspec.json.encode(msgspec.json.decode(whole_state().snapshot()) | changes)
+    return msgspec.json.encode(msgspec.json.decode(complete_state().snapshot()) | changes)
 
 
 @pytest.mark.parametrize(
@@ -89,17 +90,17 @@
         b"",
         b"null",
         b"\xff",
-        whole_state().snapshot()[:-1],
+        complete_state().snapshot()[:-1],
         changed(later=1),
         changed(version="5"),
         changed(workers=[{"id": "i-1"}]),
         changed(retirements=[{"node_id": "store-1", "member": "m", "later": 1}]),
-        whole_state().snapshot().replace(b"i-2", b"i-\xff"),
+        complete_state().snapshot().replace(b"i-2", b"i-\xff"),
     ],
     ids=range(9),
 )
-def test_a_snapshot_that_does_not_decode_leaves_the_state_as_it_was(data: bytes) -> None:
-    state = whole_state()
+def test_a_snapshot_that_does_not_decode_changes_nothing(data: bytes) -> None:
+    state = complete_state()
     before = state.snapshot()
     with pytest.raises(InvalidSnapshotError) as caught:
         state.restore(data)
@@ -107,19 +108,21 @@
     assert state.snapshot() == before
 
 
-def member(storage: MemoryStorage, state: ControlState, failures: list[GroupFailedError]) -> ReplicatedGroup:
+def member(
+    storage: MemoryStorage, state: ControlState, on_failure: Callable[[GroupFailedError], None]
+) -> ReplicatedGroup:
     return ReplicatedGroup(
         "control",
         "10.0.0.1#seed",
         GroupEnvironment(
             storage=storage,
             machine=state,
-            send=lambda message: None,
+            send=lambda _: None,
             clock=asyncio.get_running_loop().time,
             rng=random.Random(1),
             executor=InlineExecutor(),
         ),
-        callbacks=GroupCallbacks(on_failure=failures.append),
+        callbacks=GroupCallbacks(on_failure=on_failure),
     )
 
 
@@ -132,18 +135,19 @@
     storage.entries = [
         Entry(index, 1, "command", msgspec.Raw(data)) for index, data in enumerate((known, later, after), 1)
     ]
-    state, failures = ControlState(), list[GroupFailedError]()
+    state = ControlState()
 
-    async def scenario() -> None:
-        group = member(storage, state, failures)
+    async def scenario() -> str:
+        failed: asyncio.Future[GroupFailedError] = asyncio.get_running_loop().create_future()
+        group = member(storage, state, failed.set_result)
         await group.start()
-        while not failures:
-            await asyncio.sleep(0.1)
+        failure = await failed
         await group.stop()
+        return str(failure)
 
-    run(scenario())
-    assert "entry 2 of the log is no command that this version knows" in str(failures[0])
-    assert "\n" not in str(failures[0])
+    text = run(scenario())
+    assert "entry 2 of the log is no command that this version knows" in text
+    assert "\n" not in text
     assert state.version == 5
 
 
@@ -153,7 +157,7 @@
     storage.snapshot = changed(later=1)
 
     async def scenario() -> None:
-        await member(storage, ControlState(), []).start()
+        await member(storage, ControlState(), lambda _: None).start()
 
     expected = "cannot start: the snapshot cannot be read: the snapshot is none that this version knows"
     with pytest.raises(GroupFailedError, match=expected) as caught:
--- a/tests/control/test_decommissioning.py
+++ b/tests/control/test_decommissioning.py
@@ -6,7 +6,12 @@
 
 from pewterring.control.commands import Command, EndDecommissioning, PutNodes, Result, StartDecommissioning
 from pewterring.control.decommissioning import ABSENCE_CONFIRMED_S, StoreDecommissioner, is_decommissioned
-from pewterring.control.errors import CommandOutcomeUnknownError, DecommissioningRefusedError, NotLeadingError
+from pewterring.control.errors import (
+    CommandOutcomeUnknownError,
+    ControlError,
+    DecommissioningRefusedError,
+    NotLeadingError,
+)
 from pewterring.control.nodes import NodeTable
 from pewterring.control.snapshot import Decommissioning
 from pewterring.control.state import ControlState
@@ -21,7 +26,7 @@
 
 
 @pytest.mark.parametrize(
-    ("reports", "emptied"),
+    ("reports", "decommissioned"),
     [
         ([], False),
         ([status(STORES[:3])], False),
@@ -30,10 +35,12 @@
         ([status([store(1), *STORES[1:3]])], False),
     ],
 )
-def test_a_store_is_emptied_when_enough_others_hold_all(reports: list[GroupStatus], emptied: bool) -> None:
+def test_a_store_is_decommissioned_when_enough_others_are_complete(
+    reports: list[GroupStatus], decommissioned: bool
+) -> None:
     decommissioning = Decommissioning("store-1", "10.1.0.1#older")
     statuses = {report.group: report for report in reports}
-    assert is_decommissioned(decommissioning, [PLACEMENT], statuses, 3) is emptied
+    assert is_decommissioned(decommissioning, [PLACEMENT], statuses, 3) is decommissioned
 
 
 class DecommissioningLeader:
@@ -48,6 +55,7 @@
         self.commits.set()
         self.proposed: list[Command] = []
         self.leads = True
+        self.failure: ControlError | None = None  # of each proposal
         for node in live:
             self.nodes.observe(0.0, node)
         apply(self.state, PutNodes(live))
@@ -55,6 +63,8 @@
     async def propose(self, command: Command) -> Result:
         self.proposed.append(command)
         await self.commits.wait()
+        if self.failure is not None:
+            raise self.failure
         return apply(self.state, command)
 
     async def read_barrier(self) -> None:
@@ -149,15 +159,17 @@
         await asyncio.sleep(0)
 
 
-@pytest.mark.parametrize("leaves", [False, True])
-def test_a_start_whose_outcome_is_unknown_is_waited_for_also_when_its_caller_left(leaves: bool) -> None:
+@pytest.mark.parametrize("caller_is_cancelled", [False, True])
+def test_a_start_whose_outcome_is_unknown_is_waited_for_also_when_its_caller_was_cancelled(
+    caller_is_cancelled: bool,
+) -> None:
     leader = DecommissioningLeader(*STORES)
 
     async def scenario() -> None:
         leader.commits.clear()
         first = asyncio.create_task(leader.decommissioner.start(0.0, "store-1"))
         await turns()
-        if leaves:
+        if caller_is_cancelled:
             first.cancel()
         second = asyncio.create_task(leader.decommissioner.start(0.0, "store-2"))
         again = asyncio.create_task(leader.decommissioner.start(0.0, "store-1"))
@@ -195,10 +207,7 @@
 def test_a_start_that_failed_does_not_block_the_next() -> None:
     leader = DecommissioningLeader(*STORES)
 
-    async def propose(command: Command) -> Result:
-        raise CommandOutcomeUnknownError
-
-    leader.propose = propose  # type: ignore[method-assign]
+    leader.failure = CommandOutcomeUnknownError()
     for _ in range(2):
         with pytest.raises(CommandOutcomeUnknownError):
             asyncio.run(leader.decommissioner.start(0.0, "store-1"))
--- a/tests/control/test_join_requests.py
+++ b/tests/control/test_join_requests.py
@@ -2,29 +2,29 @@
 
 from pewterring.control.join_requests import JOIN_REQUEST_TTL_S, JoinRequests
 
-C, C_EMPTY, D = "10.0.0.3#seed", "10.0.0.3#new", "10.0.0.4#x"
+FIRST, FIRST_WITH_NEW_DISK, OTHER = "10.0.0.3#seed", "10.0.0.3#new", "10.0.0.4#x"
 
 
-def test_the_newest_wish_of_an_address_counts() -> None:
+def test_the_newest_request_of_an_address_counts() -> None:
     joins = JoinRequests()
-    joins.record(0.0, C)
-    joins.record(0.5, C_EMPTY)
-    joins.record(0.5, D)
+    joins.record(0.0, FIRST)
+    joins.record(0.5, FIRST_WITH_NEW_DISK)
+    joins.record(0.5, OTHER)
     candidates = joins.candidates(1.0)
-    assert candidates.joining == (C_EMPTY, D)
-    assert candidates.current_names == {"10.0.0.3": C_EMPTY, "10.0.0.4": D}
+    assert candidates.joining == (FIRST_WITH_NEW_DISK, OTHER)
+    assert candidates.current_names == {"10.0.0.3": FIRST_WITH_NEW_DISK, "10.0.0.4": OTHER}
     assert not candidates.decommissioning
 
 
-def test_a_wish_that_is_not_repeated_is_forgotten() -> None:
+def test_a_request_that_is_not_repeated_expires() -> None:
     joins = JoinRequests()
-    joins.record(0.0, C)
-    joins.record(1.0, D)
-    assert joins.candidates(JOIN_REQUEST_TTL_S).joining == (D,)
+    joins.record(0.0, FIRST)
+    joins.record(1.0, OTHER)
+    assert joins.candidates(JOIN_REQUEST_TTL_S).joining == (OTHER,)
 
 
-def test_a_new_leader_begins_without_wishes() -> None:
+def test_a_new_leader_begins_without_requests() -> None:
     joins = JoinRequests()
-    joins.record(0.0, C)
+    joins.record(0.0, FIRST)
     joins.start()
     assert joins.candidates(0.0).joining == ()
--- a/tests/control/test_publisher.py
+++ b/tests/control/test_publisher.py
@@ -1,10 +1,9 @@
 """The leader's side of the feed, followed by the node's side."""
 
 import msgspec
-import pytest
 
 from pewterring.control.commands import CreateGroup, PutWorker, RemoveWorkers, StartDecommissioning
-from pewterring.control.nodes import NODE_TIMEOUT_S, NodeTable
+from pewterring.control.nodes import NodeTable
 from pewterring.control.publisher import FeedPublisher
 from pewterring.control.state import ControlState
 from pewterring.distribution.follower import TableFollower
@@ -37,14 +36,14 @@
 
     def publish(self) -> list[TableChanges]:
         changes = [self.publisher.take_state_changes(), self.publisher.take_node_changes()]
-        told = [change for change in changes if change is not None]
-        for change in told:
+        published = [change for change in changes if change is not None]
+        for change in published:
             for follower in self.followers:
                 follower.change(change)
-        return told
+        return published
 
 
-def test_a_session_is_told_all_tables_and_then_each_change() -> None:
+def test_a_session_gets_all_tables_and_then_each_change() -> None:
     feed = Feed()
     apply(feed.state, PutWorker(worker("i-1")))
     early = feed.open()
@@ -89,7 +88,7 @@
     assert follower.tables.nodes == (gateway(1),)
 
 
-def test_a_change_of_nodes_tells_only_of_those_that_changed() -> None:
+def test_a_change_of_nodes_lists_only_those_that_changed() -> None:
     feed = Feed()
     for number in range(1, 6):
         feed.nodes.observe(0.0, gateway(number))
@@ -123,7 +122,7 @@
     assert feed.publisher.renew("known") is None
 
 
-def test_a_retiring_store_is_marked() -> None:
+def test_a_store_that_is_decommissioned_is_flagged() -> None:
     feed = Feed()
     feed.nodes.observe(0.0, store(1))
     follower = feed.open()
@@ -160,28 +159,6 @@
     assert feed.open().tables.nodes == (store(1),)
 
 
-@pytest.mark.parametrize(("last_heard", "gone"), [(0.0, True), (1.0, False)])
-def test_a_silent_node_leaves(last_heard: float, gone: bool) -> None:
-    nodes = NodeTable()
-    nodes.start(0.0, {})
-    nodes.observe(0.0, gateway(1))
-    now = 0.0
-    while now < NODE_TIMEOUT_S:
-        assert not nodes.expire(now)
-        if now == last_heard:
-            nodes.observe(now, gateway(1))
-        now += 0.25
-    assert nodes.expire(now + 0.25) is gone
-    assert (nodes.uncommitted({"edge-1": gateway(1)}) is not None) is gone
-
-
-def test_a_leader_that_was_held_up_drops_no_node() -> None:
-    nodes = NodeTable()
-    nodes.start(0.0, {"edge-1": gateway(1)})
-    assert not nodes.expire(10.0)
-    assert not nodes.expire(10.4)
-
-
 def test_a_changed_configuration_passes_the_codec() -> None:
     feed = Feed()
     apply(feed.state, put(0, 5))
--- a/tests/control/test_repeats.py
+++ b/tests/control/test_repeats.py
@@ -18,7 +18,7 @@
 
 
 async def lead_with(cluster: ControlCluster, wanted: ControlMachine) -> None:
-    """Hands the leadership on until this machine has it."""
+    """Transfers the leadership until this machine has it."""
     for _ in range(20):
         leader = await cluster.leader()
         if leader is wanted:
@@ -27,26 +27,26 @@
     raise AssertionError("it was never elected")
 
 
-def test_every_order_is_known_to_a_member_that_was_away_and_leads_after_a_snapshot() -> None:
+def test_every_order_is_known_to_a_member_that_was_absent_and_leads_after_a_snapshot() -> None:
     async def scenario() -> None:
         cluster = ControlCluster(snapshot_after_bytes=SNAPSHOT_AFTER_BYTES)
         leader = await cluster.start()
-        away = next(machine for machine in cluster.machines.values() if machine is not leader)
-        cluster.kill(away.ip)
+        absent = next(machine for machine in cluster.machines.values() if machine is not leader)
+        cluster.kill(absent.ip)
         winners = [encoded(version=version) for version in range(1, ORDERS + 1)]
         losers = [encoded(version=version, limits={}) for version in range(1, ORDERS + 1)]
         for base, (winner, loser) in enumerate(zip(winners, losers, strict=True)):
             assert (await cluster.call(put_call(base, winner))).status == 200
             assert (await cluster.call(put_call(base, loser))).status == 412
-        again = await cluster.restart(away)
+        restarted = await cluster.restart(absent)
         await asyncio.sleep(3.0)
-        assert again.storage.snapshot is not None, "it caught up by a snapshot"
-        await lead_with(cluster, again)
+        assert restarted.storage.snapshot is not None, "it caught up by a snapshot"
+        await lead_with(cluster, restarted)
         for base, (winner, loser) in enumerate(zip(winners, losers, strict=True)):
             first = IPS[base % len(IPS)]
             assert (await cluster.call(put_call(base, winner), first)).status == 200
             assert (await cluster.call(put_call(base, loser), first)).status == 412
-        assert again.state.version == ORDERS
+        assert restarted.state.version == ORDERS
         await cluster.stop()
 
     run(scenario())
@@ -61,7 +61,7 @@
 
 
 @pytest.mark.parametrize("victim", ["leader", "follower", "all"])
-def test_of_two_wishes_that_leave_too_few_stores_one_is_taken_for_ever(victim: str) -> None:
+def test_of_two_decommissionings_that_leave_too_few_stores_one_is_accepted_for_ever(victim: str) -> None:
     """A machine dies at each point in turn; both operators call again until they get a clear answer."""
 
     async def at(point: int) -> None:
@@ -75,12 +75,12 @@
             for machine in lost:
                 await cluster.restart(machine)
 
-        def strike() -> None:
+        def crash() -> None:
             for machine in lost:
                 cluster.kill(machine.ip)
             cluster.in_background(come_back())
 
-        cluster.at_point(point, strike)
+        cluster.at_point(point, crash)
         names = [node.node_id for node in STORES[:2]]
         answers: list[Answer] = await asyncio.gather(
             *(cluster.call(retire_call(name), ip) for name, ip in zip(names, IPS[1:], strict=True))
--- a/tests/control/test_state.py
+++ b/tests/control/test_state.py
@@ -45,7 +45,7 @@
     assert bytes(state.document) == bytes(one.document)
 
 
-def test_a_configuration_that_was_taken_is_acknowledged_again() -> None:
+def test_a_configuration_that_was_accepted_is_acknowledged_again() -> None:
     state = ControlState()
     first, second = put(0, 5), put(5, 7)
     apply(state, first)
@@ -58,7 +58,7 @@
     assert apply(restored, first) == Accepted(repeated=True)
 
 
-def test_a_configuration_too_old_to_be_remembered_is_neither_taken_nor_refused(
+def test_a_configuration_too_old_to_be_remembered_is_neither_accepted_nor_rejected(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr("pewterring.control.configuration_history.REMEMBERED_VERSIONS", 3)
@@ -89,7 +89,7 @@
     assert restored.snapshot() == state.snapshot()
 
 
-def test_changes_are_told_once() -> None:
+def test_changes_are_returned_once() -> None:
     state = ControlState()
     apply(state, put(0, 5))
     apply(state, PutWorker(worker("i-1")))
@@ -109,7 +109,7 @@
     assert state.placements["batch-0"].voters == ("a",)
 
 
-def test_a_store_that_comes_back_with_another_disk_still_retires_until_the_end() -> None:
+def test_a_store_that_comes_back_with_another_disk_is_decommissioned_until_the_end() -> None:
     state = ControlState()
     old = store(1)
     apply(state, PutNodes((old,)))
--- a/tests/control/test_two_operators.py
+++ b/tests/control/test_two_operators.py
@@ -1,8 +1,8 @@
-"""Two operators against the service and the replicated state: any number of orders under one number, answers
-that are lost, changes of leader, snapshots and restarts, with few digests remembered.
+"""Two operators against the service and the replicated state, as a model of random orders.
 
-Only what callers were answered and what is in force is judged. An answer that was lost is an order that is
-sent again, so any order may come again at any time, whatever was answered before.
+Any number of orders under one version, lost answers, changes of leader, snapshots and restarts, with few
+digests remembered. Only what callers were answered and what is in force is checked. An answer that was lost
+is an order that is sent again, so any order may come again at any time, whatever was answered before.
 """
 
 import asyncio
@@ -10,6 +10,7 @@
 import itertools
 from collections.abc import Callable
 from dataclasses import dataclass, field
+from enum import Enum, auto
 from typing import Any
 from unittest import mock
 
@@ -53,8 +54,16 @@
 REMEMBERED = 3  # digests
 TURNS = 8  # of the loop, after which all calls that can go on have
 
-TAKEN, REFUSED, UNKNOWN = "taken", "refused", "unknown"
-ANSWERS = {200: TAKEN, 400: REFUSED, 412: REFUSED, 503: UNKNOWN}
+
+class Outcome(Enum):
+    """What the caller of an order knows by its answer."""
+
+    ACCEPTED = auto()
+    REJECTED = auto()
+    UNKNOWN = auto()
+
+
+OUTCOMES = {200: Outcome.ACCEPTED, 400: Outcome.REJECTED, 412: Outcome.REJECTED, 503: Outcome.UNKNOWN}
 
 
 @dataclass(frozen=True)
@@ -122,7 +131,7 @@
     leader_ip = ""
     newest_round = (1, 1)
 
-    def check_round(self, term: int, number: int) -> None:
+    def check_round(self, *_: int) -> None:
         pass
 
     @property
@@ -131,7 +140,7 @@
         return self.members[self.leader].state
 
     def commit(self, count: int) -> None:
-        """The oldest proposals are committed and applied by the leader, and their callers told."""
+        """The oldest proposals are committed and applied by the leader, and their callers answered."""
         for proposal in self.proposals[:count]:
             self.committed.append(proposal.command)
             result = self.catch_up(self.leader)
@@ -148,9 +157,9 @@
         member.applied = len(self.committed)
         return result
 
-    def elect(self, number: int, kept: int) -> None:
-        """Another leader commits some of the proposals; nobody is told of any."""
-        self.committed += [proposal.command for proposal in self.proposals[:kept]]
+    def elect(self, number: int, committed: int) -> None:
+        """Another leader commits some of the proposals; no caller gets a clear answer."""
+        self.committed += [proposal.command for proposal in self.proposals[:committed]]
         for proposal in self.proposals:
             proposal.outcome.set_exception(CommandOutcomeUnknownError())
         self.proposals.clear()
@@ -171,19 +180,19 @@
 class History:
     """What callers were answered."""
 
-    taken: dict[int, Order] = field(default_factory=dict)  # by version
-    refused: set[Order] = field(default_factory=set)
-    bases: dict[int, Order] = field(default_factory=dict)  # of those taken
+    accepted: dict[int, Order] = field(default_factory=dict)  # by version
+    rejected: set[Order] = field(default_factory=set)
+    bases: dict[int, Order] = field(default_factory=dict)  # of those accepted
 
     def answered(self, order: Order, status: int) -> None:
-        answer = ANSWERS[status]
-        if answer == TAKEN:
-            assert order not in self.refused, "a loser was acknowledged"
-            assert self.taken.setdefault(order.version, order) == order, "two documents under one number"
+        outcome = OUTCOMES[status]
+        if outcome is Outcome.ACCEPTED:
+            assert order not in self.rejected, "a loser was acknowledged"
+            assert self.accepted.setdefault(order.version, order) == order, "two documents under one number"
             assert self.bases.setdefault(order.base, order) == order, "two changes on one version"
-        elif answer == REFUSED:
-            assert self.taken.get(order.version) != order, "an acknowledged order was refused"
-            self.refused.add(order)
+        elif outcome is Outcome.REJECTED:
+            assert self.accepted.get(order.version) != order, "an acknowledged order was refused"
+            self.rejected.add(order)
 
 
 class TwoOperators(RuleBasedStateMachine):
@@ -225,7 +234,7 @@
         router = CallRouter(service.handle, self.group, self._no_relay, "10.0.0.1", bool)
         return (await router.answer_relayed(call)).status
 
-    async def _no_relay(self, ip: str, message: msgspec.Struct, timeout_s: float) -> msgspec.Struct:
+    async def _no_relay(self, *_: object) -> msgspec.Struct:
         raise AssertionError("the leader passes nothing on")
 
     def send(self, order: Order) -> asyncio.Task[int]:
@@ -235,7 +244,7 @@
         return call
 
     def turn(self) -> None:
-        """Lets calls go on, and notes what was answered."""
+        """Lets calls go on, and records what was answered."""
         for _ in range(TURNS):
             self.loop.run_until_complete(asyncio.sleep(0))
         for call in [call for call in self.calls if call.done()]:
@@ -260,7 +269,7 @@
         self._order(self.in_force[-1], [step, step], patches)
 
     def _order(self, base: int, steps: list[int], patches: int) -> None:
-        """`patches` says by its bits which of the orders are patches; the first configuration is whole."""
+        """`patches` says by its bits which of the orders are patches; the first configuration is complete."""
         for number, step in enumerate(steps):
             self._send_new(base, max(0, base + step), bool(patches >> number & 1))
 
@@ -275,18 +284,18 @@
         base = max(order.version for order in self.calls.values())
         self._send_new(base, base + 1, True)
 
-    @rule(number=st.integers(0, 1000), which=st.sampled_from(["any", "oldest taken", "newest taken"]))
+    @rule(number=st.integers(0, 1000), which=st.sampled_from(["any", "oldest accepted", "newest accepted"]))
     @precondition(lambda self: self.sent)
     def sends_again(self, number: int, which: str) -> None:
-        taken = self.history.taken
-        if which == "any" or not taken:
+        accepted = self.history.accepted
+        if which == "any" or not accepted:
             self.send(self.sent[number % len(self.sent)])
         else:
-            self.send(taken[min(taken) if which == "oldest taken" else max(taken)])
+            self.send(accepted[min(accepted) if which == "oldest accepted" else max(accepted)])
 
     @rule(is_patch=st.booleans())
     @precondition(lambda self: not self.group.proposals)
-    def a_proper_order_alone_is_taken(self, is_patch: bool = False) -> None:
+    def a_proper_order_alone_is_accepted(self, is_patch: bool = False) -> None:
         base = self.in_force[-1]
         call = self._send_new(base, base + 1, is_patch)
         self.group.commit(1)
@@ -298,9 +307,9 @@
         self.group.commit(count)
         self.turn()
 
-    @rule(number=st.integers(0, MEMBERS - 1), kept=st.integers(0, 3))
-    def is_elected(self, number: int, kept: int) -> None:
-        self.group.elect(number, kept)
+    @rule(number=st.integers(0, MEMBERS - 1), committed=st.integers(0, 3))
+    def is_elected(self, number: int, committed: int) -> None:
+        self.group.elect(number, committed)
         self.turn()
 
     @rule(number=st.integers(0, MEMBERS - 1))
@@ -312,30 +321,32 @@
         """A member that lags, or one that restarts, begins with the leader's snapshot."""
         self.group.restore(number, self.group.leader)
 
-    @rule(number=st.integers(0, MEMBERS - 1), kept=st.integers(0, 3))
-    def is_elected_after_a_snapshot(self, number: int, kept: int) -> None:
+    @rule(number=st.integers(0, MEMBERS - 1), committed=st.integers(0, 3))
+    def is_elected_after_a_snapshot(self, number: int, committed: int) -> None:
         self.group.restore(number, number)
-        self.is_elected(number, kept)
+        self.is_elected(number, committed)
 
     # Judgement
 
     @invariant()
-    def what_is_in_force_was_ordered_and_not_refused(self) -> None:
+    def what_is_in_force_was_ordered_and_not_rejected(self) -> None:
         state = self.group.state
         assert state.version >= self.in_force[-1], "the leader went back"
         if state.version > self.in_force[-1]:
             self.in_force.append(state.version)
-        assert state.version >= max(self.history.taken, default=0), "an acknowledged version was lost"
+        assert state.version >= max(self.history.accepted, default=0), "an acknowledged version was lost"
         if state.version:
             order = self._order_of(bytes(state.document))
             assert order.version == state.version
-            assert order not in self.history.refused, "a loser is in force"
-            assert self.history.taken.get(order.version, order) == order, "other than what was acknowledged"
+            assert order not in self.history.rejected, "a loser is in force"
+            assert self.history.accepted.get(order.version, order) == order, (
+                "other than what was acknowledged"
+            )
             self._check_content(orjson.loads(bytes(state.document)))
 
     def _order_of(self, content: bytes) -> Order:
-        (note,) = orjson.loads(content)["notes"]
-        return next(order for order in self.sent if order.variant == note["variant"])
+        (item,) = orjson.loads(content)["notes"]
+        return next(order for order in self.sent if order.variant == item["variant"])
 
     def _check_content(self, content: dict[str, Any]) -> None:
         """A patch that was applied to another base than its own leaves that one's service behind."""
@@ -347,7 +358,7 @@
         }, "fields were lost"
 
     @invariant()
-    def members_hold_what_was_committed_in_this_order(self) -> None:
+    def members_applied_what_was_committed_in_this_order(self) -> None:
         for command in self.group.committed[len(self.versions) - 1 :]:
             self.follower.apply(len(self.versions), command)
             self.versions.append(self.follower.version)
@@ -361,7 +372,7 @@
 TestTwoOperators = TwoOperators.TestCase
 
 
-# Deliberate breakages, which a day of the machine above must notice.
+# Deliberate breakages, which a scenario played on the model above must notice.
 
 
 class ForgetsDigestsAtASnapshot(ConfigurationHistory):
@@ -370,7 +381,7 @@
         self.accepted_digests.clear()
 
 
-class RefusesWhatItForgot(ConfigurationHistory):
+class RejectsWhatItForgot(ConfigurationHistory):
     def put(self, command: PutConfiguration) -> Result:
         self.newest_forgotten_version = 0
         return super().put(command)
@@ -387,7 +398,7 @@
         return super().put(msgspec.structs.replace(command, base=self.version))
 
 
-class KnowsOrdersByNumberAlone(ConfigurationHistory):
+class IdentifiesOrdersByVersionAlone(ConfigurationHistory):
     def put(self, command: PutConfiguration) -> Result:
         if command.version in self.accepted_digests:
             return Accepted(repeated=True)
@@ -407,7 +418,7 @@
         return super().patch(msgspec.structs.replace(command, base=self.version))
 
 
-class KnowsPatchesByTheirResult(ConfigurationHistory):
+class IdentifiesPatchesByTheirResult(ConfigurationHistory):
     def patch(self, command: PatchConfiguration) -> Result:
         result = super().patch(command)
         if result == Accepted():
@@ -421,7 +432,7 @@
 
 
 class JudgedOnArrival(Group):
-    """Makes a whole configuration of each patch as it arrives, on what is in force then."""
+    """Makes a complete configuration of each patch as it arrives, on what is in force then."""
 
     async def propose(self, command: Command) -> Result:
         if isinstance(command, PatchConfiguration):
@@ -430,7 +441,7 @@
         return await super().propose(command)
 
 
-class RefusesWhatItDoesNotKnow(Group):
+class RejectsUnknownOutcomes(Group):
     async def propose(self, command: Command) -> Result:
         try:
             return await super().propose(command)
@@ -438,7 +449,7 @@
             return Conflict(self.state.version)
 
 
-class AcknowledgesWhatItDoesNotKnow(Group):
+class AcknowledgesUnknownOutcomes(Group):
     async def propose(self, command: Command) -> Result:
         try:
             return await super().propose(command)
@@ -446,100 +457,101 @@
             return Accepted()
 
 
-def a_day(day: TwoOperators) -> None:
+def scenario_of_puts(model: TwoOperators) -> None:
     """All that the rules above do, once and in a fixed order."""
-    plays: list[Callable[[], object]] = [
-        lambda: day.both_order_under_one_number(1),
-        lambda: day.commits(2),
-        lambda: day.sends_again(0, "any"),
-        lambda: day.sends_again(1, "any"),
-        lambda: day.commits(2),
-        lambda: day.orders(0, [1, 2]),  # no answer: the next leader has the first of them, not the second
-        lambda: day.is_elected(1, 1),
-        lambda: day.sends_again(2, "any"),
-        lambda: day.sends_again(3, "any"),
-        lambda: day.commits(2),
-        lambda: day.orders(1, [4]),  # on a version that is no longer current
-        lambda: day.commits(1),
-        lambda: day.sends_again(0, "oldest taken"),
-        lambda: day.commits(1),
-        lambda: day.is_elected_after_a_snapshot(2, 0),
-        lambda: day.sends_again(0, "newest taken"),
-        lambda: day.sends_again(0, "oldest taken"),
-        lambda: day.commits(2),
-        *[day.a_proper_order_alone_is_taken] * REMEMBERED,
-        lambda: day.sends_again(0, "oldest taken"),
-        lambda: day.commits(1),
-        lambda: day.gets_a_snapshot(0),
-        lambda: day.is_elected(0, 0),
-        lambda: day.sends_again(0, "newest taken"),
-        lambda: day.sends_again(0, "oldest taken"),
-        lambda: day.commits(2),
+    steps: list[Callable[[], object]] = [
+        lambda: model.both_order_under_one_number(1),
+        lambda: model.commits(2),
+        lambda: model.sends_again(0, "any"),
+        lambda: model.sends_again(1, "any"),
+        lambda: model.commits(2),
+        lambda: model.orders(0, [1, 2]),  # no answer: the next leader has the first of them, not the second
+        lambda: model.is_elected(1, 1),
+        lambda: model.sends_again(2, "any"),
+        lambda: model.sends_again(3, "any"),
+        lambda: model.commits(2),
+        lambda: model.orders(1, [4]),  # on a version that is no longer current
+        lambda: model.commits(1),
+        lambda: model.sends_again(0, "oldest accepted"),
+        lambda: model.commits(1),
+        lambda: model.is_elected_after_a_snapshot(2, 0),
+        lambda: model.sends_again(0, "newest accepted"),
+        lambda: model.sends_again(0, "oldest accepted"),
+        lambda: model.commits(2),
+        *[model.a_proper_order_alone_is_accepted] * REMEMBERED,
+        lambda: model.sends_again(0, "oldest accepted"),
+        lambda: model.commits(1),
+        lambda: model.gets_a_snapshot(0),
+        lambda: model.is_elected(0, 0),
+        lambda: model.sends_again(0, "newest accepted"),
+        lambda: model.sends_again(0, "oldest accepted"),
+        lambda: model.commits(2),
     ]
-    for play in plays:
-        play()
-        day.what_is_in_force_was_ordered_and_not_refused()
-        day.members_hold_what_was_committed_in_this_order()
+    for step in steps:
+        step()
+        model.what_is_in_force_was_ordered_and_not_rejected()
+        model.members_applied_what_was_committed_in_this_order()
+
 
+def scenario_of_patches(model: TwoOperators) -> None:
+    """Patches beside complete configurations.
 
-def a_day_of_patches(day: TwoOperators) -> None:
-    """Patches beside whole configurations: on one base, sent again after others, on an older base, and one
-    that arrives before its base is committed.
+    On one base, sent again after others, on an older base, and one that arrives before its base is committed.
     """
-    plays: list[Callable[[], object]] = [
-        day.a_proper_order_alone_is_taken,
-        lambda: day.both_order_under_one_number(1, 0b01),
-        lambda: day.commits(2),
-        lambda: day.both_order_under_one_number(1, 0b10),
-        lambda: day.commits(2),
-        lambda: day.sends_again(1, "any"),  # the patch that was taken, after another order
-        lambda: day.commits(1),
-        lambda: day.orders(1, [3], 0b1),  # a patch of a version that is no longer current
-        lambda: day.commits(1),
-        lambda: day.a_proper_order_alone_is_taken(True),
-        lambda: day.sends_again(0, "newest taken"),
-        lambda: day.commits(1),
-        lambda: day.orders(0, [1]),
-        day.sends_a_patch_of_what_is_not_committed,
-        lambda: day.commits(2),
-        lambda: day.is_elected_after_a_snapshot(1, 0),
-        lambda: day.sends_again(0, "newest taken"),
-        lambda: day.commits(1),
+    steps: list[Callable[[], object]] = [
+        model.a_proper_order_alone_is_accepted,
+        lambda: model.both_order_under_one_number(1, 0b01),
+        lambda: model.commits(2),
+        lambda: model.both_order_under_one_number(1, 0b10),
+        lambda: model.commits(2),
+        lambda: model.sends_again(1, "any"),  # the patch that was accepted, after another order
+        lambda: model.commits(1),
+        lambda: model.orders(1, [3], 0b1),  # a patch of a version that is no longer current
+        lambda: model.commits(1),
+        lambda: model.a_proper_order_alone_is_accepted(True),
+        lambda: model.sends_again(0, "newest accepted"),
+        lambda: model.commits(1),
+        lambda: model.orders(0, [1]),
+        model.sends_a_patch_of_what_is_not_committed,
+        lambda: model.commits(2),
+        lambda: model.is_elected_after_a_snapshot(1, 0),
+        lambda: model.sends_again(0, "newest accepted"),
+        lambda: model.commits(1),
     ]
-    for play in plays:
-        play()
-        day.what_is_in_force_was_ordered_and_not_refused()
-        day.members_hold_what_was_committed_in_this_order()
+    for step in steps:
+        step()
+        model.what_is_in_force_was_ordered_and_not_rejected()
+        model.members_applied_what_was_committed_in_this_order()
 
 
 def played(
     history_class: type[ConfigurationHistory] = ConfigurationHistory,
     make_group: type[Group] = Group,
-    plays: Callable[[TwoOperators], None] = a_day,
+    steps: Callable[[TwoOperators], None] = scenario_of_puts,
 ) -> TwoOperators:
-    day = TwoOperators(history_class, make_group)
+    model = TwoOperators(history_class, make_group)
     try:
-        plays(day)
+        steps(model)
     finally:
-        day.teardown()
-    return day
+        model.teardown()
+    return model
 
 
-def test_a_day_without_breakage() -> None:
-    day = played()
-    assert sorted(day.history.taken) == [1, 2, 3, 4, 5]
-    assert len(day.history.refused) == 3
+def test_the_scenario_of_puts_without_breakage() -> None:
+    model = played()
+    assert sorted(model.history.accepted) == [1, 2, 3, 4, 5]
+    assert len(model.history.rejected) == 3
 
 
 @pytest.mark.parametrize(
     ("broken", "noticed"),
     [
         (ForgetsDigestsAtASnapshot, "an acknowledged order was refused"),
-        (RefusesWhatItForgot, "an acknowledged order was refused"),
+        (RejectsWhatItForgot, "an acknowledged order was refused"),
         (ForgetsAtASnapshotThatItForgot, "an acknowledged order was refused"),
         (ForgetsTheDigestOfTheLast, "an acknowledged order was refused"),
         (IgnoresTheBase, "two changes on one version"),
-        (KnowsOrdersByNumberAlone, "two documents under one number"),
+        (IdentifiesOrdersByVersionAlone, "two documents under one number"),
     ],
 )
 def test_a_broken_state_is_noticed(broken: type[ConfigurationHistory], noticed: str) -> None:
@@ -547,9 +559,9 @@
         played(history_class=broken)
 
 
-def test_a_day_of_patches_without_breakage() -> None:
-    day = played(plays=a_day_of_patches)
-    assert [order.is_patch for _, order in sorted(day.history.taken.items())] == [
+def test_the_scenario_of_patches_without_breakage() -> None:
+    model = played(steps=scenario_of_patches)
+    assert [order.is_patch for _, order in sorted(model.history.accepted.items())] == [
         False,
         True,
         False,
@@ -557,32 +569,32 @@
         False,
         True,
     ]
-    assert [order.is_patch for order in day.history.refused].count(True) == 2
+    assert [order.is_patch for order in model.history.rejected].count(True) == 2
 
 
 @pytest.mark.parametrize(
     ("broken", "noticed"),
     [
         (PatchesAnyBase, "two changes on one version"),
-        (KnowsPatchesByTheirResult, "an acknowledged order was refused"),
+        (IdentifiesPatchesByTheirResult, "an acknowledged order was refused"),
         (PatchesAgain, "an acknowledged order was refused"),
     ],
 )
 def test_a_state_that_breaks_patches_is_noticed(broken: type[ConfigurationHistory], noticed: str) -> None:
     with pytest.raises(AssertionError, match=noticed):
-        played(history_class=broken, plays=a_day_of_patches)
+        played(history_class=broken, steps=scenario_of_patches)
 
 
 def test_patches_judged_on_arrival_are_noticed() -> None:
     with pytest.raises(AssertionError, match="a patch of another base"):
-        played(make_group=JudgedOnArrival, plays=a_day_of_patches)
+        played(make_group=JudgedOnArrival, steps=scenario_of_patches)
 
 
 @pytest.mark.parametrize(
     ("broken", "noticed"),
     [
-        (RefusesWhatItDoesNotKnow, "a loser is in force"),
-        (AcknowledgesWhatItDoesNotKnow, "two changes on one version"),
+        (RejectsUnknownOutcomes, "a loser is in force"),
+        (AcknowledgesUnknownOutcomes, "two changes on one version"),
     ],
 )
 def test_a_wrong_answer_to_an_unknown_outcome_is_noticed(broken: type[Group], noticed: str) -> None:
