--- a/pewterring/control/messages.py
+++ b/pewterring/control/messages.py
@@ -1,13 +1,13 @@
-"""Messages between control machines, besides those of consensus and of the feed."""
+"""Messages between control machines, besides those of consensus and of the feed, as JSON lines."""
 
 import msgspec
 
 
 class JoinGroup(msgspec.Struct, frozen=True, tag=True):
-    """Asks to be admitted to the control group; sent again until the member is a voter."""
+    """Requests to be admitted to the control group; sent again until the member is a voter."""
 
     member: str
-    forwarded: bool = False  # by a follower; it is not passed on again
+    forwarded: bool = False  # by a follower; it is not forwarded again
 
 
 class RelayedCall(msgspec.Struct, frozen=True, tag=True):
@@ -26,10 +26,11 @@
 
 
 class RelayedAnswer(msgspec.Struct, frozen=True, tag=True):
-    """Answers `RelayedCall`. With `not_leading` nothing was done, and another machine is to be asked.
+    """Answers `RelayedCall`; `body` is base64.
 
-    With `too_old` nothing was done either: the call may have been on the way for too long. `term` and `round`
-    are then the leader's newest, with which it may be sent anew.
+    With `not_leading` nothing was done, and the call is to be sent to another machine. With `too_old` nothing
+    was done either: the call may have been on the way for too long. `term` and `round` are then the leader's
+    newest, with which it may be sent anew.
     """
 
     status: int
--- a/pewterring/control/publisher.py
+++ b/pewterring/control/publisher.py
@@ -12,6 +12,7 @@
 
 from pewterring.control.configuration_history import NO_DOCUMENT
 from pewterring.control.nodes import NodeTable
+from pewterring.control.partition_reports import PartitionReports
 from pewterring.control.state import ControlState
 from pewterring.distribution.messages import (
     GroupStatus,
@@ -40,38 +41,6 @@
     learners: tuple[str, ...]
 
 
-class PartitionReports:
-    """The newest report of each batch partition's leader in this leadership of control."""
-
-    def __init__(self) -> None:
-        self._statuses: dict[str, GroupStatus] = {}
-        self._received_at: dict[str, float] = {}
-
-    def clear(self) -> None:
-        """Begins a leadership."""
-        self._statuses.clear()
-        self._received_at.clear()
-
-    def record(self, now: float, status: GroupStatus) -> None:
-        """Takes a report, unless a later one is known."""
-        known = self._statuses.get(status.group)
-        if known is None or (status.term, status.commit) >= (known.term, known.commit):
-            self._statuses[status.group] = status
-            self._received_at[status.group] = now
-
-    def since(self, moment: float) -> dict[str, GroupStatus]:
-        """The newest report of each partition that made one after `moment`."""
-        return {
-            group: self._statuses[group]
-            for group, received_at in self._received_at.items()
-            if received_at > moment
-        }
-
-    def all(self) -> tuple[GroupStatus, ...]:
-        """The newest report of each partition."""
-        return tuple(self._statuses.values())
-
-
 class FeedPublisher:
     """Publishes the control state to sessions. Each `take_...` publishes what it returns.
 
