--- /dev/null
+++ b/tests/control/test_configuration_history.py
@@ -0,0 +1,62 @@
+"""Which configurations come into force, and what a repeated one is answered."""
+
+import pytest
+
+from pewterring.control.commands import Accepted, Conflict, NotAbove, OutcomeUnknown
+from pewterring.control.state import ControlState
+from tests.control.records import apply, put
+
+
+def test_configurations_build_on_the_current_one() -> None:
+    state = ControlState()
+    assert apply(state, put(0, 5)) == Accepted()
+    assert apply(state, put(5, 7)) == Accepted()
+    assert apply(state, put(5, 9)) == Conflict(7)
+    assert apply(state, put(0, 1)) == Conflict(7)
+    assert apply(state, put(7, 7, limits={"max_header_bytes": 9})) == NotAbove(7)
+    assert apply(state, put(7, 6)) == NotAbove(7)
+    assert state.version == 7
+
+
+def test_of_two_changes_on_the_same_version_one_wins() -> None:
+    state = ControlState()
+    apply(state, put(0, 5))
+    one = put(5, 7, limits={"max_header_bytes": 1000})
+    other = put(5, 7, limits={"max_header_bytes": 2000})
+    assert apply(state, one) == Accepted()
+    assert apply(state, other) == Conflict(7)
+    assert bytes(state.document) == bytes(one.document)
+
+
+def test_a_configuration_that_was_accepted_is_acknowledged_again() -> None:
+    state = ControlState()
+    first, second = put(0, 5), put(5, 7)
+    apply(state, first)
+    assert apply(state, first) == Accepted(repeated=True)
+    apply(state, second)
+    assert apply(state, first) == Accepted(repeated=True)
+    assert state.version == 7
+    restored = ControlState()
+    restored.restore(state.snapshot())
+    assert apply(restored, first) == Accepted(repeated=True)
+
+
+def test_a_configuration_too_old_to_be_remembered_is_neither_accepted_nor_rejected(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    monkeypatch.setattr("pewterring.control.configuration_history.REMEMBERED_VERSIONS", 3)
+    state = ControlState()
+    orders = [put(base, base + 2) for base in range(0, 10, 2)]
+    for order in orders:
+        assert apply(state, order) == Accepted()
+    restored = ControlState()
+    restored.restore(state.snapshot())
+    for each in (state, restored):
+        for order in orders[:2]:
+            assert apply(each, order) == OutcomeUnknown()
+        for order in orders[2:]:
+            assert apply(each, order) == Accepted(repeated=True)
+        assert apply(each, put(2, 4, limits={})) == OutcomeUnknown()
+        assert apply(each, put(4, 5)) == Conflict(10)
+        assert apply(each, put(10, 8, limits={})) == NotAbove(10)
+        assert each.version == 10
