--- a/pewterring/control/leader_state.py
+++ b/pewterring/control/leader_state.py
@@ -23,7 +23,7 @@
     Attributes:
         replicated: The state machine of the control group, the same at all members.
         nodes: The processes that are there, by their sessions on the feed.
-        workers: When each worker was last heard.
+        workers: When each worker last sent a heartbeat.
         publisher: Versions and sessions of the feed, and the reports of partitions.
         decommissioner: Starts the emptying of stores, and knows which of them are away.
     """
--- a/pewterring/control/partition_reports.py
+++ b/pewterring/control/partition_reports.py
@@ -1,4 +1,4 @@
-"""What the leaders of batch partitions report of their groups, as control's leader has heard it."""
+"""What the leaders of batch partitions report of their groups, as received by the leader of control."""
 
 from pewterring.distribution.messages import GroupStatus
 
--- a/pewterring/control/state_changes.py
+++ b/pewterring/control/state_changes.py
@@ -1,4 +1,4 @@
-"""What of the control state changed since the feed was last told: which tables, and which workers."""
+"""What of the control state changed since the feed last published: which tables, and which workers."""
 
 from dataclasses import dataclass, field
 
--- a/tests/control/cluster.py
+++ b/tests/control/cluster.py
@@ -258,7 +258,7 @@
     return Call("POST", REPLACE_PATH, str(base), document)
 
 
-def retire_call(node_id: str) -> Call:
+def decommission_call(node_id: str) -> Call:
     return Call("POST", f"{DECOMMISSION_START_PATH}{node_id}")
 
 
--- a/tests/control/test_repeated_calls.py
+++ b/tests/control/test_repeated_calls.py
@@ -8,7 +8,7 @@
 from pewterring.control.commands import PutNodes
 from tests.configuration.documents import encoded
 from tests.consensus.virtual_time import run
-from tests.control.cluster import IPS, ControlCluster, ControlMachine, put_call, retire_call
+from tests.control.cluster import IPS, ControlCluster, ControlMachine, decommission_call, put_call
 from tests.control.records import store
 
 ORDERS = 40
@@ -83,13 +83,13 @@
         cluster.at_point(point, crash)
         names = [node.node_id for node in STORES[:2]]
         answers: list[Answer] = await asyncio.gather(
-            *(cluster.call(retire_call(name), ip) for name, ip in zip(names, IPS[1:], strict=True))
+            *(cluster.call(decommission_call(name), ip) for name, ip in zip(names, IPS[1:], strict=True))
         )
         statuses = [answer.status for answer in answers]
         assert sorted(statuses) == [200, 409]
         for first in IPS:
             for name, status in zip(names, statuses, strict=True):
-                assert (await cluster.call(retire_call(name), first)).status == status
+                assert (await cluster.call(decommission_call(name), first)).status == status
         await asyncio.sleep(2.0)
         assert len((await cluster.leader()).state.decommissionings) == 1
         await cluster.stop()
--- a/tests/control/test_repeated_commands.py
+++ b/tests/control/test_repeated_commands.py
@@ -21,8 +21,8 @@
     "heartbeat": PutWorker(worker("w1")),
     "heartbeat that drains": PutWorker(worker("w1", state="draining")),
     "deregistration": RemoveWorkers(("w1",), permanent=True),
-    "retirement": StartDecommissioning(STORE.node_id, STORE.member),
-    "end of the retirement": EndDecommissioning(STORE.node_id),
+    "decommissioning": StartDecommissioning(STORE.node_id, STORE.member),
+    "end of the decommissioning": EndDecommissioning(STORE.node_id),
     "next configuration": put(5, 7),
 }
 RESENT = [name for name in HISTORY if name != "store"]  # the others come of calls, or of retries
