--- a/pewterring/control/program.py
+++ b/pewterring/control/program.py
@@ -15,13 +15,13 @@
 
 from loguru import logger
 
+from pewterring.consensus.departure import DEPARTURE_TIMEOUT_FRACTION
 from pewterring.consensus.errors import ConsensusError
-from pewterring.consensus.farewell import LEAVE_PART
 from pewterring.consensus.group import ReplicatedGroup
-from pewterring.consensus.membership import address_of
+from pewterring.consensus.group_environment import GroupCallbacks, GroupEnvironment
+from pewterring.consensus.membership import address_of, voters_needed
+from pewterring.consensus.membership_planner import MembershipPlanner
 from pewterring.consensus.messages import CONSENSUS_MESSAGES, ConsensusMessage
-from pewterring.consensus.planner import MembershipPlanner, voters_needed
-from pewterring.consensus.types import RaftTiming
 from pewterring.control.api import ControlApi
 from pewterring.control.feed import FeedServer
 from pewterring.control.http_server import ApiServer
@@ -86,17 +86,20 @@
 
     def _make_group(self, member: str, storage: DiskGroupStorage) -> ReplicatedGroup:
         return ReplicatedGroup(
-            group=GROUP,
-            member=member,
-            storage=storage,
-            machine=self._state,
-            send=self._send,
-            timing=RaftTiming(),
-            rng=random.Random(),
-            clock=self._clock,
-            on_leadership=self._on_leadership,
-            on_farewell=self._on_departure,
-            on_failure=self._on_group_failure,
+            GROUP,
+            member,
+            GroupEnvironment(
+                storage=storage,
+                machine=self._state,
+                send=self._send,
+                clock=self._clock,
+                rng=random.Random(),
+            ),
+            callbacks=GroupCallbacks(
+                on_leadership=self._on_leadership,
+                on_departure=self._on_departure,
+                on_failure=self._on_group_failure,
+            ),
         )
 
     def _make_task_runner(
@@ -105,7 +108,7 @@
         bounds = self._settings.bounds
         tasks = LeaderTasks(tables, needed_stores, report_delay_s=min(bounds.config_s, bounds.drain_s))
         planner = MembershipPlanner(
-            self.group.member, self._settings.tolerated_machines, bounds.catch_up_s, keeps_spares=True
+            self.group.member, self._settings.tolerated_machines, bounds.catch_up_s, keeps_spare_learners=True
         )
         return LeaderTaskRunner(tasks, planner, join_requests, self.group, self.leadership)
 
@@ -150,9 +153,9 @@
                 "A planned stop: the leadership is transferred."
             )
         with contextlib.suppress(ConsensusError):
-            await self.group.hand_over_leadership()
+            await self.group.transfer_leadership()
             if self.group.membership.learners:
-                await self.group.leave(LEAVE_PART * self._settings.bounds.grace_s)
+                await self.group.depart(DEPARTURE_TIMEOUT_FRACTION * self._settings.bounds.grace_s)
 
     async def stop(self) -> None:
         """Ends calls that are open, then all parts."""
--- a/tests/consensus/test_losses.py
+++ b/tests/consensus/test_losses.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from tests.consensus.parts import Violation
 from tests.consensus.planned_simulation import CATCH_UP_S, PlannedSimulation
+from tests.consensus.simulated_members import SafetyViolationError
 
 HALF_S = CATCH_UP_S / 2
 ROUNDS = 4
@@ -118,13 +118,13 @@
         simulation = started(seed, tolerated, spares_kept, spares=1)
         others = [name for name in simulation.oldest(5) if name != simulation.leader()]
         simulation.freeze(others[0])
-        simulation.retiring = {others[1]}
+        simulation.decommissioning = {others[1]}
         simulation.write(1.0)
         simulation.thaw(others[0])
         while not simulation.is_whole():
             simulation.write(0.02)
         simulation.lose_for_good(others[1])
-        simulation.retiring = set()
+        simulation.decommissioning = set()
         simulation.wipe(*simulation.oldest(tolerated))
         assert simulation.until_whole() < HALF_S
         simulation.check_converges()
@@ -157,5 +157,5 @@
     """The check itself: where the second loss comes too early, the group does not come back."""
     simulation = started(1, 1, False)
     simulation.wipe(*simulation.oldest(2))
-    with pytest.raises(Violation):
+    with pytest.raises(SafetyViolationError):
         simulation.check_converges()
--- a/tests/control/test_faults.py
+++ b/tests/control/test_faults.py
@@ -121,7 +121,7 @@
         transfers: list[asyncio.Task[object]] = []
 
         def transfer() -> None:
-            transfers.append(cluster.in_background(leader.group.hand_over_leadership()))
+            transfers.append(cluster.in_background(leader.group.transfer_leadership()))
 
         cluster.at_point(point, transfer)
         answer = await cluster.machines[first].router.answer(put_call(0, encoded(version=1)))
--- a/tests/golden/command_line_cases.py
+++ b/tests/golden/command_line_cases.py
@@ -17,8 +17,8 @@
 from pewterring.__main__ import main
 from pewterring.cli import cluster, errors
 from pewterring.cli.parser import COMMANDS, make_parser
-from pewterring.consensus.membership import MEMBERS, encode_membership
-from pewterring.consensus.messages import Entry, Membership
+from pewterring.consensus.membership import encode_membership
+from pewterring.consensus.messages import ENTRY_MEMBERS, Entry, Membership
 from pewterring.consensus.persistent import HardState
 from pewterring.control.state import Retirement
 from pewterring.control.status import TierStatus
@@ -81,7 +81,7 @@
     storage = DiskGroupStorage(disk, "batch-0")
     storage.load()
     storage.initialize(first)
-    changed = Entry(5, 3, MEMBERS, encode_membership(second))
+    changed = Entry(5, 3, ENTRY_MEMBERS, encode_membership(second))
     storage.save(HardState(3, "10.0.0.1#a"), None, [*commands, changed])
     storage.save_snapshot(2, 3, first, b'{"jobs":[1,2]}')
     storage.close()
--- a/tests/simulation/watch.py
+++ b/tests/simulation/watch.py
@@ -7,7 +7,7 @@
 from unittest import mock
 
 from pewterring.consensus.group import ReplicatedGroup
-from pewterring.consensus.leading import Leading
+from pewterring.consensus.leader import LeaderRole
 from pewterring.consensus.membership import address_of, encode_membership
 from pewterring.consensus.messages import Entry, Membership
 from pewterring.control.member_storage import GROUP
@@ -130,7 +130,7 @@
         """A leader takes a heartbeat: no other may have led after it."""
         process = self._world.process()
         program = self._world.machine_of(process).program
-        term = program.group._told_term if program is not None else None
+        term = program.group.led_term if program is not None else None
         newest, other = self._newest_leader
         if newest > (term or 0):
             self.violation(f"{process.name} answers a heartbeat in term {term}; {other} leads in {newest}")
@@ -155,7 +155,7 @@
         """Replacements of methods that tell this object."""
         watch = self
 
-        def begin(self: Leading, state: Any, now: float, real: Any = Leading.__init__) -> None:
+        def begin(self: LeaderRole, state: Any, now: float, real: Any = LeaderRole.__init__) -> None:
             watch.elected(state.group, state.member, state.term)
             real(self, state, now)
 
@@ -174,7 +174,7 @@
                 watch._confirmed(message.versions.configuration, workers, sent_at)
             return confirmed
 
-        yield mock.patch.object(Leading, "__init__", begin)
+        yield mock.patch.object(LeaderRole, "__init__", begin)
         yield mock.patch.object(WorkerRegistry, "observe", observe)
         yield mock.patch.object(TableFollower, "whole", whole)
         yield mock.patch.object(TableFollower, "renewed", renewed)
