--- a/pewterring/control/program.py
+++ b/pewterring/control/program.py
@@ -38,7 +38,9 @@
 from pewterring.control.service import ControlService
 from pewterring.control.state import ControlState
 from pewterring.distribution.messages import FEED_MESSAGES, Renew, Subscribe
-from pewterring.node.settings import Address, NodeSettings, SettingsError
+from pewterring.node.address import Address
+from pewterring.node.errors import SettingsError
+from pewterring.node.settings import NodeSettings
 from pewterring.storage.group import DiskGroupStorage
 from pewterring.transport.channel import Answer
 from pewterring.transport.lines import Channel, LineServer, LinkPool, Message, MessageCodec
--- a/pewterring/control/service.py
+++ b/pewterring/control/service.py
@@ -9,8 +9,8 @@
 
 import msgspec
 
-from pewterring.configuration.acceptance import Candidate, candidate, patch_candidate
-from pewterring.configuration.reader import InvalidConfiguration
+from pewterring.configuration.errors import ConfigurationError
+from pewterring.configuration.validation import ValidatedDocument, validate_configuration, validate_patch
 from pewterring.control.calls import Answer, Call, Endpoint, endpoint_at, error_answer, read_base_version
 from pewterring.control.commands import (
     Command,
@@ -28,7 +28,7 @@
 from pewterring.control.leadership import Leadership
 from pewterring.control.retiring import RetirementRefused
 from pewterring.control.status import status_of
-from pewterring.registry.heartbeats import InvalidHeartbeat, read_heartbeat
+from pewterring.registry.heartbeats import InvalidHeartbeatError, read_heartbeat
 
 ACKNOWLEDGED = Answer(200)
 _NO_NAME = error_answer(404, "no name in the path")
@@ -72,9 +72,9 @@
     async def _handle_unnamed(self, endpoint: Endpoint, call: Call) -> Answer:
         match endpoint:
             case Endpoint.REPLACE_CONFIGURATION:
-                return await self._change_configuration(call, candidate, _replace_command)
+                return await self._change_configuration(call, validate_configuration, _replace_command)
             case Endpoint.UPDATE_CONFIGURATION:
-                return await self._change_configuration(call, patch_candidate, _patch_command)
+                return await self._change_configuration(call, validate_patch, _patch_command)
             case Endpoint.READ_CONFIGURATION:
                 return await self._read_configuration()
             case _:
@@ -83,7 +83,7 @@
     async def _heartbeat(self, worker_id: str, body: bytes) -> Answer:
         try:
             heartbeat = read_heartbeat(body)
-        except InvalidHeartbeat as error:
+        except InvalidHeartbeatError as error:
             return error_answer(400, str(error))
         self._leadership.check_lease()
         record = self._workers.observe(self._clock(), worker_id, heartbeat)
@@ -100,8 +100,8 @@
     async def _change_configuration(
         self,
         call: Call,
-        check: Callable[[bytes], Candidate],
-        command_for: Callable[[int, Candidate], Command],
+        check: Callable[[bytes], ValidatedDocument],
+        command_for: Callable[[int, ValidatedDocument], Command],
     ) -> Answer:
         """Takes an order in either form. A patch is checked against its base only when it is applied."""
         base = read_base_version(call.base_version)
@@ -109,7 +109,7 @@
             return error_answer(400, "Base-Version is not a number")
         try:
             order = check(call.body)
-        except InvalidConfiguration as error:
+        except ConfigurationError as error:
             return error_answer(400, str(error))
         if order.version <= base:  # never accepted, so this repeats no order, also where its document was
             return error_answer(400, f"version: not above Base-Version {base}")
@@ -143,11 +143,11 @@
         return Answer(200, msgspec.json.encode({"state": state}))
 
 
-def _replace_command(base: int, order: Candidate) -> Command:
+def _replace_command(base: int, order: ValidatedDocument) -> Command:
     return PutConfiguration(base, order.version, order.digest, msgspec.Raw(order.document))
 
 
-def _patch_command(base: int, order: Candidate) -> Command:
+def _patch_command(base: int, order: ValidatedDocument) -> Command:
     return PatchConfiguration(base, order.version, order.digest, msgspec.Raw(order.document))
 
 
--- a/tests/gateway/gateway.py
+++ b/tests/gateway/gateway.py
@@ -20,7 +20,8 @@
 from pewterring.distribution.tables import Tables
 from pewterring.gateway.batch_calls import BatchCalls
 from pewterring.gateway.program import GatewayProgram
-from pewterring.node.settings import Address, Bounds, NodeSettings
+from pewterring.node.address import Address
+from pewterring.node.settings import Bounds, NodeSettings
 from pewterring.routing.prompt import Prompt
 from pewterring.transport.http_client import WorkerPool
 from pewterring.transport.http_exchange import SendRequest
@@ -45,7 +46,9 @@
 def route(
     kind: RouteType = RouteType.IDEMPOTENT, prefix: str = "/p/", timeout_ms: float = 5000, **changed: object
 ) -> Route:
-    made = Route("r", "h", prefix, kind, (WeightedService("s", 1.0),), timeout_ms, 200, 0, 2, gap_aim_ms=250)
+    made = Route(
+        "r", "h", prefix, kind, (WeightedService("s", 1.0),), timeout_ms, 200, 0, 2, token_gap_target_ms=250
+    )
     return replace(made, **changed)  # type: ignore[arg-type]
 
 
--- a/tests/golden/settings_cases.py
+++ b/tests/golden/settings_cases.py
@@ -11,8 +11,9 @@
 
 import orjson
 
-from pewterring.configuration import model, patch, reader
+from pewterring.configuration import model, patch, reader, schema
 from pewterring.node import keys, settings
+from pewterring.node.address import Address
 from pewterring.standalone import config as standalone
 from pewterring.standalone.network.connection import Address as StandaloneAddress
 from pewterring.standalone.network.discovery import Entry, Listing
@@ -37,11 +38,11 @@
     ip="10.1.0.35",
     zone="a",
     region="r",
-    front=settings.Address("10.1.0.35", 8144),
-    ready=settings.Address("10.1.0.35", 8140),
-    control=settings.Address("10.1.0.35", 8146),
+    front=Address("10.1.0.35", 8144),
+    ready=Address("10.1.0.35", 8140),
+    control=Address("10.1.0.35", 8146),
     internal_port=7660,
-    seeds=(settings.Address("10.1.0.38", 8146), settings.Address("10.2.0.31", 8146)),
+    seeds=(Address("10.1.0.38", 8146), Address("10.2.0.31", 8146)),
     bootstrap=True,
     data_dir=Path("/data/pewterring"),
     heartbeat_s=1.2,
@@ -100,10 +101,10 @@
             max_attempts=2,
             session_affinity=True,
             resumable=True,
-            gap_aim_ms=250.0,
+            token_gap_target_ms=250.0,
             max_queued_tokens=1400000,
-            run_aim_ms=10000.0,
-            keep_s=60.0,
+            completion_target_ms=10000.0,
+            job_ttl_s=60.0,
         ),
         _least_route("/jobs/", model.RouteType.BATCH_JOB, "large"),
         _least_route("/once/", model.RouteType.NON_IDEMPOTENT, "large"),
@@ -162,7 +163,7 @@
 
 def read_node_settings(name: str) -> settings.NodeSettings:
     """Reads one of the golden node.conf files."""
-    return settings.read_settings((INPUTS / name).read_text(encoding="utf-8"))
+    return settings.read_report((INPUTS / name).read_text(encoding="utf-8")).settings
 
 
 def read_configuration() -> model.Configuration:
@@ -214,7 +215,7 @@
 
 def configuration_keys() -> str:
     """Each key of a configuration with its kind, the kinds of routes, and the keys of a patch."""
-    lines = list(_schema_keys(reader.configuration_schema().fields))
+    lines = list(_schema_keys(schema.configuration_schema().fields))
     lines += [f"routes.route_type value {kind.value}" for kind in model.RouteType]
     lines += [f"patch {key}" for key in patch.PATCH_FIELDS]
     return sorted_lines(lines)
--- a/tests/simulation/patches.py
+++ b/tests/simulation/patches.py
@@ -12,7 +12,7 @@
 
 from pewterring.batch import partition as batch_partition
 from pewterring.batch import program as batch_program
-from pewterring.configuration import acceptance
+from pewterring.configuration import validation
 from pewterring.configuration.reader import read_configuration
 from pewterring.consensus.group import ReplicatedGroup
 from pewterring.consensus.group_environment import GroupCallbacks, GroupEnvironment, GroupOptions
@@ -22,7 +22,7 @@
 from pewterring.control import member_storage as control_storage
 from pewterring.control import program as control_program
 from pewterring.distribution import follower, subscriber
-from pewterring.node.settings import Address
+from pewterring.node.address import Address
 from pewterring.storage import identity
 from pewterring.storage.group import DiskGroupStorage
 from pewterring.transport import link_pool
@@ -202,7 +202,7 @@
             "DiskGroupStorage",
             partial(DiskGroupStorage, segment_bytes=SEGMENT_BYTES),
         ),
-        (acceptance, "read_configuration", read_once),
+        (validation, "read_configuration", read_once),
         (follower, "read_configuration", read_once),
         (batch_partition, "FolderDisk", _disk_of(world)),
         (batch_partition, "ReplicatedGroup", partial(ObservedGroup, world)),
