--- a/pewterring/control/publisher.py
+++ b/pewterring/control/publisher.py
@@ -15,12 +15,12 @@
 from pewterring.control.partition_reports import PartitionReports
 from pewterring.control.state import ControlState
 from pewterring.distribution.messages import (
+    CompleteTables,
     GroupStatus,
     NodeRecord,
     Renewed,
     TableChanges,
     TableVersions,
-    WholeTables,
 )
 
 
@@ -85,11 +85,11 @@
         """The newest report of each partition that made one after `moment`."""
         return self._reports.since(moment)
 
-    def open(self, session: Hashable) -> WholeTables:
+    def open(self, session: Hashable) -> CompleteTables:
         """Adds a session. Changes that are due must have been published before."""
         self.sessions.add(session)
         state = self._state
-        return WholeTables(
+        return CompleteTables(
             versions=self._versions,
             configuration=state.document,
             workers=tuple(state.workers.values()),
@@ -173,7 +173,7 @@
     def _current_nodes(self) -> tuple[NodeRecord, ...]:
         is_decommissioning = self._state.is_decommissioning
         return tuple(
-            msgspec.structs.replace(node, retiring=True) if is_decommissioning(node) else node
+            msgspec.structs.replace(node, decommissioning=True) if is_decommissioning(node) else node
             for node in self._nodes.records.values()
         )
 
--- a/pewterring/control/worker_table.py
+++ b/pewterring/control/worker_table.py
@@ -12,7 +12,7 @@
 from pewterring.control.commands import Accepted, MarkWorkersUnresponsive, PutWorker, RemoveWorkers, Result
 from pewterring.control.snapshot import Snapshot
 from pewterring.control.state_changes import StateChanges
-from pewterring.distribution.messages import DRAINING, READY, SILENT, WorkerRecord
+from pewterring.distribution.messages import RegistrationState, WorkerRecord
 
 REMEMBERED_DEPARTURES = 8192  # ids kept: the bound on what departures cost in memory and snapshots
 
@@ -42,7 +42,11 @@
         known = self._records.get(worker.id)
         if known == worker or worker.id in self._departed:
             return Accepted(repeated=True)
-        if known is not None and known.state == DRAINING and worker.state != DRAINING:
+        if (
+            known is not None
+            and known.state == RegistrationState.DRAINING
+            and worker.state != RegistrationState.DRAINING
+        ):
             return Accepted(repeated=True)
         if known is not None:
             self._release_address(known)
@@ -64,8 +68,10 @@
         """Marks those of the workers that are ready."""
         for worker_id in command.ids:
             worker = self._records.get(worker_id)
-            if worker is not None and worker.state == READY:
-                self._records[worker_id] = msgspec.structs.replace(worker, state=SILENT)
+            if worker is not None and worker.state == RegistrationState.READY:
+                self._records[worker_id] = msgspec.structs.replace(
+                    worker, state=RegistrationState.UNRESPONSIVE
+                )
                 self._changes.worker_ids.add(worker_id)
         return Accepted()
 
@@ -80,7 +86,7 @@
     def _remove(self, worker_id: str, permanent: bool) -> None:
         """Removes a worker. One that was draining departs: it has nothing left to come back for."""
         worker = self._records.pop(worker_id, None)
-        if permanent or (worker is not None and worker.state == DRAINING):
+        if permanent or (worker is not None and worker.state == RegistrationState.DRAINING):
             self._departed[worker_id] = None
             drop_oldest(self._departed, REMEMBERED_DEPARTURES)
         if worker is None:
--- a/tests/control/simulated_feed.py
+++ b/tests/control/simulated_feed.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from pewterring.distribution.messages import NodeRecord, Renew, Subscribe
-from pewterring.distribution.subscriber import FeedSubscriber
+from pewterring.distribution.subscriber import FeedEnvironment, FeedSubscriber, NodeReport
 from pewterring.distribution.tables import Tables
 from pewterring.transport.lines import Channel, MessageCodec, RequestNotSent, RequestTimeout
 from tests.control.cluster import FEED_CODEC, ControlCluster, ControlMachine
@@ -93,11 +93,11 @@
         self.subscriber = FeedSubscriber(
             node_settings("edge", ip, seeds=addresses(seeds, 1)),
             FEED_CODEC,
-            lambda: record,
+            NodeReport(lambda: record),
             on_tables=lambda old, new: self.on_tables(old, new),
-            rng=random.Random(ip),
-            clock=lambda: self._loop.time() + self.paused_s,
-            open_channel=self._open_channel,
+            environment=FeedEnvironment(
+                random.Random(ip), lambda: self._loop.time() + self.paused_s, self._open_channel
+            ),
         )
 
     @property
--- a/tests/control/test_faults.py
+++ b/tests/control/test_faults.py
@@ -8,7 +8,7 @@
 
 from pewterring.configuration.digest import single_line
 from pewterring.control.calls import Answer, Call
-from pewterring.distribution.follower import TableFollower
+from pewterring.distribution.subscription import FeedSubscription
 from tests.configuration.documents import encoded
 from tests.consensus.virtual_time import run
 from tests.control.cluster import (
@@ -23,12 +23,12 @@
 
 POINTS = 8  # messages of one call and a little more
 Scenario = Callable[[ControlCluster], Coroutine[Any, Any, None]]
-VICTIMS = ("leader", "follower", "all")
+VICTIMS = ("leader", "subscription", "all")
 
 
 def victims(cluster: ControlCluster, leader: ControlMachine, which: str) -> list[ControlMachine]:
     others = [machine for machine in cluster.machines.values() if machine is not leader]
-    return {"leader": [leader], "follower": others[:1], "all": [leader, *others]}[which]
+    return {"leader": [leader], "subscription": others[:1], "all": [leader, *others]}[which]
 
 
 def each_point(scenario: Scenario) -> None:
@@ -60,12 +60,12 @@
     await cluster.stop()
 
 
-async def tables_from(machine: ControlMachine) -> TableFollower:
+async def tables_from(machine: ControlMachine) -> FeedSubscription:
     """A node that begins a session now."""
     machine.tables.publisher.take_state_changes()
-    follower = TableFollower()
-    follower.whole(machine.tables.publisher.open("node"), 0.0)
-    return follower
+    subscription = FeedSubscription()
+    subscription.replace_all(machine.tables.publisher.open("node"), 0.0)
+    return subscription
 
 
 @pytest.mark.parametrize("first", IPS)
--- a/tests/control/test_network_partition.py
+++ b/tests/control/test_network_partition.py
@@ -17,9 +17,10 @@
 from pewterring.control.commands import PutNodes, encode_command
 from pewterring.control.errors import NotLeadingError
 from pewterring.control.leadership import GroupLeadership
-from pewterring.distribution.follower import OldLeader, TableFollower
-from pewterring.distribution.messages import Redirect, Subscribe, TableVersions, WholeTables
-from pewterring.distribution.subscriber import RETRY_S
+from pewterring.distribution.errors import StaleLeaderError
+from pewterring.distribution.messages import CompleteTables, Redirect, Subscribe, TableVersions
+from pewterring.distribution.subscriber import SEARCH_PAUSE_S
+from pewterring.distribution.subscription import FeedSubscription
 from pewterring.transport.lines import Channel
 from tests.configuration.documents import encoded
 from tests.consensus.virtual_time import VirtualTimeLoop, run
@@ -351,9 +352,9 @@
         taken: list[int] = []
         subscribe = leader.feed.subscribe
 
-        def answer_to_a_frozen_process(channel: Channel, message: Subscribe) -> WholeTables | Redirect:
+        def answer_to_a_frozen_process(channel: Channel, message: Subscribe) -> CompleteTables | Redirect:
             answer = subscribe(channel, message)
-            assert isinstance(answer, WholeTables)
+            assert isinstance(answer, CompleteTables)
             taken.append(answer.versions.configuration)
             if len(taken) == 1:
                 node.paused_s = PARTITION_S
@@ -381,7 +382,7 @@
         node = FeedNode(cluster, FAR, (leader.ip,))
         subscribe = leader.feed.subscribe
 
-        def answer_and_change(channel: Channel, message: Subscribe) -> WholeTables | Redirect:
+        def answer_and_change(channel: Channel, message: Subscribe) -> CompleteTables | Redirect:
             answer = subscribe(channel, message)
             if leader.state.version == 1:
                 leader.state.apply(0, encode_command(put(1, 2)))
@@ -389,7 +390,9 @@
 
         leader.feed.subscribe = answer_and_change  # type: ignore[method-assign]  # of this object alone
         await node.subscriber.start()
-        assert await node.has_version(2, RETRY_S * 1.5 + 0.05), "subscribed again only with the next renewal"
+        assert await node.has_version(2, SEARCH_PAUSE_S * 1.5 + 0.05), (
+            "subscribed again only with the next renewal"
+        )
         await node.subscriber.stop()
         await cluster.stop()
 
@@ -399,38 +402,38 @@
 # Leaderships that are over.
 
 
-def tables_of(epoch: int, version: int) -> WholeTables:
+def tables_of(epoch: int, version: int) -> CompleteTables:
     document = msgspec.Raw(encoded(version=version))
-    return WholeTables(TableVersions(epoch, version, 1, 1), document, (), (), (), (), ())
+    return CompleteTables(TableVersions(epoch, version, 1, 1), document, (), (), (), (), ())
 
 
-def takes_an_old_leader(follower: TableFollower) -> bool:
-    follower.whole(tables_of(3, 5), 0.0)
+def takes_an_old_leader(subscription: FeedSubscription) -> bool:
+    subscription.replace_all(tables_of(3, 5), 0.0)
     try:
-        follower.whole(tables_of(2, 5), 1.0)
-    except OldLeader:
+        subscription.replace_all(tables_of(2, 5), 1.0)
+    except StaleLeaderError:
         return False
-    return follower.tables.versions.epoch == 2
+    return subscription.tables.versions.epoch == 2
 
 
 def test_tables_of_an_older_term_are_refused_by_an_incarnation() -> None:
-    follower = TableFollower()
+    follower = FeedSubscription()
     assert not takes_an_old_leader(follower)
     assert follower.tables.versions.epoch == 3
     assert follower.confirmed_at == 0.0
-    follower.whole(tables_of(3, 5), 2.0)
-    follower.whole(tables_of(4, 6), 3.0)
+    follower.replace_all(tables_of(3, 5), 2.0)
+    follower.replace_all(tables_of(4, 6), 3.0)
     assert follower.tables.versions.epoch == 4
 
 
-class TakesAnyLeader(TableFollower):
+class TakesAnyLeader(FeedSubscription):
     """Does not look at the epoch."""
 
     def _check_leadership(self, epoch: int) -> None:  # noqa: ARG002 - it is what is broken
         return
 
 
-def test_a_follower_that_takes_any_leader_is_caught() -> None:
+def test_a_subscription_that_takes_any_leader_is_caught() -> None:
     assert takes_an_old_leader(TakesAnyLeader())
 
 
@@ -448,7 +451,7 @@
         liar.feed.subscribe = lambda *_: tables_of(0, 1)  # type: ignore[method-assign]  # of this object alone
         leader.feed.end_sessions()
         assert (await cluster.call(put_call(1, encoded(version=2)), leader.ip)).status == 200
-        node.subscriber._leader = liar.ip  # noqa: SLF001 - no redirect leads to one that does not lead
+        node.subscriber._leader_ip = liar.ip  # noqa: SLF001 - no redirect leads to one that does not lead
         assert await node.has_version(2, CONFIG_S)
         assert set(epochs) == {leader.group.term}
         await node.subscriber.stop()
--- a/tests/control/test_program.py
+++ b/tests/control/test_program.py
@@ -17,13 +17,13 @@
 from pewterring.control.program import MESSAGES, ControlProgram
 from pewterring.distribution.messages import (
     FEED_MESSAGES,
+    CompleteTables,
     NodeRecord,
     Redirect,
     Subscribe,
     TableVersions,
-    WholeTables,
 )
-from pewterring.distribution.subscriber import FeedSubscriber
+from pewterring.distribution.subscriber import FeedEnvironment, FeedSubscriber, NodeReport
 from pewterring.distribution.tables import Tables
 from pewterring.node.address import Address
 from pewterring.node.errors import SettingsError
@@ -125,9 +125,9 @@
         self.subscriber = FeedSubscriber(
             machines.settings(NODE_IP, program="gateway"),
             MessageCodec(FEED_MESSAGES),
-            lambda: NodeRecord("edge-1", "gateway", NODE_IP, "z", "x"),
-            on_tables=self._on_tables,
-            rng=random.Random(1),
+            NodeReport(lambda: NodeRecord("edge-1", "gateway", NODE_IP, "z", "x")),
+            self._on_tables,
+            FeedEnvironment(random.Random(1)),
         )
 
     def _on_tables(self, _old: Tables, _new: Tables) -> None:
@@ -230,12 +230,12 @@
     async def scenario() -> None:
         machines = Machines(tmp_path)
         node = Node(machines)
-        tables = WholeTables(TableVersions(1, 1), msgspec.Raw(encoded(version=1)), (), (), (), (), ())
+        tables = CompleteTables(TableVersions(1, 1), msgspec.Raw(encoded(version=1)), (), (), (), (), ())
         stranger = LineServer(MessageCodec(FEED_MESSAGES, "two"), lambda _channel, _message: tables)
         await stranger.start(IPS[0], machines.internal_port)
         with warnings_logged() as warnings:
             for _ in range(5):
-                await node.subscriber._session(IPS[0])  # noqa: SLF001 - one session, without the pauses between
+                await node.subscriber._run_session(IPS[0])  # noqa: SLF001 - one session, without the pauses between
         assert len(warnings) == 2
         assert all("cluster" in warning for warning in warnings)
         assert node.subscriber.tables.configuration is None
--- a/tests/golden/control_calls.py
+++ b/tests/golden/control_calls.py
@@ -13,7 +13,7 @@
 from pewterring.control.snapshot import Decommissioning
 from pewterring.control.state import ControlState
 from pewterring.control.status import TierStatus, encode_status
-from pewterring.distribution.messages import SILENT
+from pewterring.distribution.messages import RegistrationState
 from pewterring.registry.heartbeats import Heartbeat, LoadedModel, read_heartbeat
 from tests.golden.control_commands import COMMANDS
 from tests.golden.records import GATEWAY_NODE, PLACEMENT, STORE_NODE, WORKER
@@ -36,7 +36,7 @@
 STATUS = TierStatus(
     version=8,
     nodes=(STORE_NODE, GATEWAY_NODE),
-    workers=(msgspec.structs.replace(WORKER, state=SILENT),),
+    workers=(msgspec.structs.replace(WORKER, state=RegistrationState.UNRESPONSIVE),),
     placements=(PLACEMENT,),
     decommissionings=(
         Decommissioning(node_id="store-1", member="10.0.1.1#a1", ended=True),
--- a/tests/golden/records.py
+++ b/tests/golden/records.py
@@ -4,13 +4,12 @@
 
 from pewterring.configuration.validation import validate_configuration, validate_patch
 from pewterring.distribution.messages import (
-    DRAINING,
     GATEWAY_PROGRAM,
-    READY,
     STORE,
     GroupStatus,
     NodeRecord,
     PlacementRecord,
+    RegistrationState,
     TableVersions,
     WorkerRecord,
 )
@@ -42,7 +41,7 @@
     address="10.0.2.1:8080",
     zone="zone-a",
     capacity=48,
-    state=READY,
+    state=RegistrationState.READY,
     models=("small", "large"),
 )
 OTHER_WORKER = WorkerRecord(
@@ -51,23 +50,28 @@
     address="10.0.2.2:8080",
     zone="zone-b",
     capacity=4,
-    state=DRAINING,
+    state=RegistrationState.DRAINING,
     models=("small",),
 )
 PLAIN_WORKER = WorkerRecord(
-    id="w-3", service="search", address="10.0.2.3:8080", zone="zone-c", capacity=1, state=READY
+    id="w-3",
+    service="search",
+    address="10.0.2.3:8080",
+    zone="zone-c",
+    capacity=1,
+    state=RegistrationState.READY,
 )
 STORE_NODE = NodeRecord(
     node_id="store-1",
     program=STORE,
     ip="10.0.1.1",
     zone="zone-a",
-    life="5f0c",
+    incarnation="5f0c",
     member=STORES[0],
-    retiring=True,
+    decommissioning=True,
 )
 GATEWAY_NODE = NodeRecord(
-    node_id="gateway-1", program=GATEWAY_PROGRAM, ip="10.0.3.1", zone="zone-b", life="77aa"
+    node_id="gateway-1", program=GATEWAY_PROGRAM, ip="10.0.3.1", zone="zone-b", incarnation="77aa"
 )
 PLACEMENT = PlacementRecord(group="batch-0", voters=STORES)
 GROUP_STATUS = GroupStatus(
