--- a/pewterring/control/leadership.py
+++ b/pewterring/control/leadership.py
@@ -1,4 +1,9 @@
-"""The replicated group as the control layer uses it: typed commands, and this layer's own errors."""
+"""The replicated group as the control layer uses it: typed commands, and this layer's own errors.
+
+Owns the question whether this process leads and may answer. What may go wrong: the lease runs out between a
+check and what follows it (docs/safety.md says for each caller why that is harmless), or the outcome of a
+command stays unknown, which is an error of its own.
+"""
 
 import asyncio
 from collections.abc import Callable
@@ -6,11 +11,11 @@
 
 from pewterring.consensus.errors import ConsensusError, NotLeaderError, TooManyUncommittedError
 from pewterring.consensus.group import ReplicatedGroup
-from pewterring.control.commands import Command, Result
-from pewterring.control.errors import CallTooOld, NotLeading, OutcomeUnsure
-from pewterring.control.state import encode_command
+from pewterring.consensus.membership import address_of
+from pewterring.control.commands import Command, Result, encode_command
+from pewterring.control.errors import CommandOutcomeUnknownError, NotLeadingError, StaleCallError
 
-BARRIER_S = 0.8  # a read that is not confirmed by then is given up
+READ_BARRIER_TIMEOUT_S = 0.8  # below the 0.9 s of a call, so that another leader can be tried
 
 
 class Leadership(Protocol):
@@ -42,7 +47,12 @@
     def check_lease(self) -> None:
         """Raises `NotLeading` without a lease."""
         if not self.has_lease:
-            raise NotLeading
+            raise NotLeadingError
+
+    @property
+    def leader_ip(self) -> str:
+        """The IP of the leader that this member follows or is; empty where none is known."""
+        return address_of(self._group.leader or "")
 
     @property
     def newest_round(self) -> tuple[int, int]:
@@ -52,28 +62,28 @@
     def check_round(self, term: int, number: int) -> None:
         """Raises `CallTooOld` unless this leader sent that round a moment ago, else `NotLeading`."""
         if not self.ready:
-            raise NotLeading
+            raise NotLeadingError
         if not self._group.is_recent_round(term, number, self._clock()):
-            raise CallTooOld
+            raise StaleCallError
 
     async def propose(self, command: Command) -> Result:
         """Commits a command; raises `NotLeading` or `OutcomeUnsure`."""
         if not self.ready:
-            raise NotLeading
+            raise NotLeadingError
         try:
             result = await self._group.propose(encode_command(command))
         except (NotLeaderError, TooManyUncommittedError) as error:
-            raise NotLeading from error
+            raise NotLeadingError from error
         except ConsensusError as error:
-            raise OutcomeUnsure from error
+            raise CommandOutcomeUnknownError from error
         return cast(Result, result)
 
     async def read_barrier(self) -> None:
         """Waits until all that was committed before is applied; raises `NotLeading`."""
         if not self.ready:
-            raise NotLeading
+            raise NotLeadingError
         try:
-            async with asyncio.timeout(BARRIER_S):
+            async with asyncio.timeout(READ_BARRIER_TIMEOUT_S):
                 await self._group.read_barrier()
         except (ConsensusError, TimeoutError) as error:
-            raise NotLeading from error
+            raise NotLeadingError from error
--- a/pewterring/control/status.py
+++ b/pewterring/control/status.py
@@ -1,8 +1,9 @@
-"""What control tells of the whole tier to an operator who asks."""
+"""The status of the tier as control has committed it, for the operator's `cluster status`."""
 
 import msgspec
 
-from pewterring.control.state import ControlState, Retirement
+from pewterring.control.snapshot import Decommissioning
+from pewterring.control.state import ControlState
 from pewterring.distribution.messages import NodeRecord, PlacementRecord, WorkerRecord
 
 
@@ -13,16 +14,16 @@
     nodes: tuple[NodeRecord, ...]
     workers: tuple[WorkerRecord, ...]
     placements: tuple[PlacementRecord, ...]
-    retirements: tuple[Retirement, ...]
+    decommissionings: tuple[Decommissioning, ...] = msgspec.field(name="retirements")  # the wire's name
 
 
-def status_of(state: ControlState) -> bytes:
-    """The tables of a state that is current."""
+def encode_status(state: ControlState) -> bytes:
+    """The tables of a state that is current, that is, read after a read barrier."""
     status = TierStatus(
         version=state.version,
         nodes=tuple(state.nodes.values()),
         workers=tuple(state.workers.values()),
         placements=tuple(state.placements.values()),
-        retirements=tuple(state.retirements.values()),
+        decommissionings=tuple(state.decommissionings.values()),
     )
     return msgspec.json.encode(status)
--- a/tests/batch/test_status.py
+++ b/tests/batch/test_status.py
@@ -4,8 +4,8 @@
 
 from pewterring.batch.status import status_of
 from pewterring.consensus.messages import Membership
-from pewterring.control.state import Retirement
-from pewterring.control.stores import is_emptied
+from pewterring.control.decommissioning import is_decommissioned
+from pewterring.control.snapshot import Decommissioning
 from pewterring.distribution.messages import GroupStatus, PlacementRecord
 from tests.batch.virtual_cluster import NAMES, FaultPoints, Store, VirtualCluster
 from tests.consensus.virtual_time import run
@@ -35,21 +35,21 @@
         await cluster.start()
         leader = await leader_with_lease(cluster)
         stays, leaving = (name for name in NAMES if name != leader.name)
-        retirement = Retirement("node", leaving)
+        decommissioning = Decommissioning("node", leaving)
         cluster.isolated |= {stays, leaving}
         removal = asyncio.ensure_future(leader.group.change_membership(Membership((leader.name, stays))))
         await asyncio.sleep(0.05)
         early = report(leader)
         assert early is not None, "the lease still holds"
         assert leaving not in early.voters
-        assert not is_emptied(retirement, [PLACEMENT], {"batch-0": early}, ENOUGH)
+        assert not is_decommissioned(decommissioning, [PLACEMENT], {"batch-0": early}, ENOUGH)
         cluster.isolated.clear()
         await removal
         await asyncio.sleep(0.2)
         late = report(leader)
         assert late is not None
         assert set(late.complete) == {leader.name, stays}
-        assert is_emptied(retirement, [PLACEMENT], {"batch-0": late}, ENOUGH)
+        assert is_decommissioned(decommissioning, [PLACEMENT], {"batch-0": late}, ENOUGH)
         await cluster.stop()
 
     run(scenario())
--- a/tests/consensus/planned_simulation.py
+++ b/tests/consensus/planned_simulation.py
@@ -15,7 +15,7 @@
 from pewterring.consensus.membership_view import Candidates
 from pewterring.consensus.messages import ConsensusMessage, DepartureNotice
 from pewterring.consensus.raft import Raft
-from pewterring.control.program import TICK_S
+from pewterring.control.program import LEADER_CHECK_INTERVAL_S
 from tests.consensus.simulated_members import TIMING, Member
 from tests.consensus.simulation import Simulation
 
@@ -44,7 +44,7 @@
         self.decommissioning: set[str] = set()
         self.written = 0
         self._keeps_spare_learners = keeps_spare_learners
-        self._interval_s = TICK_S if keeps_spare_learners else MEMBERSHIP_CHECK_PERIOD_S
+        self._interval_s = LEADER_CHECK_INTERVAL_S if keeps_spare_learners else MEMBERSHIP_CHECK_PERIOD_S
         self._planners: dict[tuple[str, int, int], MembershipPlanner] = {}
         self._wipes = 0
         self._disk_since = dict.fromkeys(self.members, 0.0)
--- a/tests/control/cluster.py
+++ b/tests/control/cluster.py
@@ -1,8 +1,8 @@
-"""Three control machines in one event loop and in virtual time, with callers that ask again.
+"""Three control machines in one event loop and in virtual time, with callers that retry.
 
 Consensus messages and relayed calls take one turn of the loop. A machine that dies neither sends nor
 receives from that moment on; its disk stays. `at_point` has something happen at the n-th message from now.
-What is sent into a cut comes when the cut ends, as from the buffers of a connection.
+What is sent into a partition comes when it ends, as from the buffers of a connection.
 """
 
 import asyncio
@@ -17,27 +17,25 @@
 from pewterring.consensus.membership import address_of
 from pewterring.consensus.messages import ConsensusMessage
 from pewterring.consensus.snapshot_schedule import SNAPSHOT_AFTER_BYTES
+from pewterring.control import relay
 from pewterring.control.calls import (
+    DECOMMISSION_START_PATH,
     HEARTBEAT_PATH,
     READ_PATH,
     REPLACE_PATH,
-    RETIRE_START_PATH,
     Answer,
     Call,
 )
 from pewterring.control.feed import FeedServer
+from pewterring.control.leader_state import LeaderState
 from pewterring.control.leadership import GroupLeadership
 from pewterring.control.messages import RelayedCall
-from pewterring.control.nodes import NodeTable
-from pewterring.control.publisher import FeedPublisher
-from pewterring.control.relay import CallRouter, RelayFailed
-from pewterring.control.retiring import RetirementDesk
+from pewterring.control.pause_detector import PauseDetector
+from pewterring.control.relay import CallRouter
 from pewterring.control.service import ControlService
-from pewterring.control.standstill import StandstillWatch
 from pewterring.control.state import ControlState
 from pewterring.distribution.messages import FEED_MESSAGES
-from pewterring.registry.workers import WorkerRegistry
-from pewterring.transport.lines import MessageCodec
+from pewterring.transport.lines import MessageCodec, RequestNotSent, RequestTimeout
 from tests.consensus.memory_storage import MemoryStorage
 from tests.consensus.virtual_time import InlineExecutor
 
@@ -71,24 +69,14 @@
             GroupCallbacks(on_leadership=self._on_leadership),
         )
         self.leadership = cluster.leadership_class(self.group, clock)
-        self.nodes = NodeTable()
-        self.publisher = FeedPublisher(self.state, self.nodes)
-        self.registry = WorkerRegistry(self.state.workers, self.state.departed, 1.0)
-        desk = RetirementDesk(self.state, self.nodes, self.leadership, 3)
-        service = ControlService(self.state, self.registry, desk, self.leadership, clock)
-        self.standstill = StandstillWatch(clock)
-        self.router = CallRouter(
-            service.handle, self._leader_ip, self._request, ip, self.leadership, self.standstill.held_up
-        )
-        self.feed = FeedServer(
-            self.publisher, self.nodes, self.leadership, FEED_CODEC, self._leader_ip, clock
-        )
+        self.tables = LeaderState.of(self.state, self.leadership, needed_stores=3, heartbeat_s=1.0)
+        service = ControlService(self.tables, self.leadership, clock)
+        self.pauses = PauseDetector(clock)
+        self.router = CallRouter(service.handle, self.leadership, self._request, ip, self.pauses.was_paused)
+        self.feed = FeedServer(self.tables.publisher, self.tables.nodes, self.leadership, FEED_CODEC, clock)
         self._cluster = cluster
         self._clock = clock
 
-    def _leader_ip(self) -> str:
-        return address_of(self.group.leader or "")
-
     async def _request(self, ip: str, message: msgspec.Struct, timeout_s: float) -> msgspec.Struct:
         return await self._cluster.request(self.ip, ip, message, timeout_s)
 
@@ -97,9 +85,7 @@
         if not leads:
             self.feed.end_sessions()
             return
-        self.nodes.start(self._clock(), self.state.nodes)
-        self.registry.restart_timeouts(self._clock())
-        self.publisher.start(self.group.term, self._cluster.ips)
+        self.tables.start(self._clock(), self.group.term, self._cluster.ips)
 
 
 class ControlCluster:
@@ -115,8 +101,8 @@
         self.snapshot_after_bytes = snapshot_after_bytes
         self.leadership_class = leadership_class
         members = tuple(f"{ip}#seed" for ip in ips)
-        self.cuts: set[tuple[str, str]] = set()  # (sender, target), by IP
-        self._held: list[Callable[[], None]] = []
+        self.partitions: set[tuple[str, str]] = set()  # (sender, target), by IP
+        self._delayed: list[Callable[[], None]] = []
         self.machines = {ip: ControlMachine(self, ip, MemoryStorage(members)) for ip in ips}
         self._background: list[asyncio.Task[object]] = []
         self._points_left = 0
@@ -125,7 +111,7 @@
     async def start(self) -> ControlMachine:
         for machine in self.machines.values():
             await machine.group.start()
-            self.in_background(machine.standstill.run())
+            self.in_background(machine.pauses.run())
         return await self.leader()
 
     async def stop(self) -> None:
@@ -166,21 +152,21 @@
         machine.died.set_result(None)
         self.in_background(machine.group.stop())
 
-    def cut(self, senders: Collection[str], targets: Collection[str]) -> None:
+    def partition(self, senders: Collection[str], targets: Collection[str]) -> None:
         """Nothing passes from the ones to the others."""
-        self.cuts |= {(sender, target) for sender in senders for target in targets}
+        self.partitions |= {(sender, target) for sender in senders for target in targets}
 
     def heal(self) -> None:
-        """The cuts end, and what they held up comes."""
-        self.cuts.clear()
-        held, self._held = self._held, []
-        for action in held:
+        """The partitions end, and what they delayed comes."""
+        self.partitions.clear()
+        delayed, self._delayed = self._delayed, []
+        for action in delayed:
             asyncio.get_running_loop().call_soon(action)
 
     def carry(self, sender: str, target: str, action: Callable[[], None]) -> None:
         """Has `action` done at the target's side, once what is sent gets there."""
-        if (sender, target) in self.cuts:
-            self._held.append(action)
+        if (sender, target) in self.partitions:
+            self._delayed.append(action)
         else:
             asyncio.get_running_loop().call_soon(action)
 
@@ -195,7 +181,7 @@
         again = ControlMachine(self, machine.ip, machine.storage)
         self.machines[machine.ip] = again
         await again.group.start()
-        self.in_background(again.standstill.run())
+        self.in_background(again.pauses.run())
         return again
 
     # Messages.
@@ -217,21 +203,21 @@
         self._pass_point()
         machine = self.machines.get(ip)
         if machine is None or not isinstance(message, RelayedCall):
-            raise RelayFailed
-        if (origin, ip) in self.cuts:
+            raise RequestNotSent(f"no connection with {ip}")
+        if (origin, ip) in self.partitions:
             self.carry(origin, ip, lambda: self._answer_nobody(machine, message))
             await asyncio.sleep(timeout_s)
-            raise RelayFailed
+            raise RequestTimeout("no answer in time")
         reply: msgspec.Struct | None = await self._unless_it_dies(
             machine, machine.router.answer_relayed(message), timeout_s
         )
         self._pass_point()
-        if reply is None or ip not in self.machines or (ip, origin) in self.cuts:
-            raise RelayFailed
+        if reply is None or ip not in self.machines or (ip, origin) in self.partitions:
+            raise RequestTimeout("no answer in time")
         return reply
 
     def _answer_nobody(self, machine: ControlMachine, message: RelayedCall) -> None:
-        """A call that a cut held up is handled though nobody waits for its answer any more."""
+        """A call that a partition delayed is handled though nobody waits for its answer any more."""
         self.in_background(machine.router.answer_relayed(message))
 
     # Callers.
@@ -265,16 +251,15 @@
 
 def relayed_call(call: Call, leader: ControlMachine) -> RelayedCall:
     """The call as a member passes it on that has just heard the leader."""
-    dated = leader.leadership.newest_round
-    return RelayedCall(call.method, call.path, call.base_version, call.body, *dated)
+    return relay.relayed_call(call, leader.leadership.newest_round)
 
 
 def put_call(base: int, document: bytes) -> Call:
     return Call("POST", REPLACE_PATH, str(base), document)
 
 
-def retire_call(node_id: str) -> Call:
-    return Call("POST", f"{RETIRE_START_PATH}{node_id}")
+def decommission_call(node_id: str) -> Call:
+    return Call("POST", f"{DECOMMISSION_START_PATH}{node_id}")
 
 
 def read_call() -> Call:
--- a/tests/golden/control_calls.py
+++ b/tests/golden/control_calls.py
@@ -5,17 +5,16 @@
 
 import msgspec
 
-from pewterring.control.calls import Answer, Call, refusal
-from pewterring.control.commands import Command, Result
-from pewterring.control.errors import NotLeading
-from pewterring.control.nodes import NodeTable
-from pewterring.control.retiring import RetirementDesk
+from pewterring.control.calls import Answer, Call, error_answer
+from pewterring.control.commands import Command, Result, encode_command
+from pewterring.control.errors import NotLeadingError
+from pewterring.control.leader_state import LeaderState
 from pewterring.control.service import ACKNOWLEDGED, ControlService
-from pewterring.control.state import ControlState, Retirement, encode_command
-from pewterring.control.status import TierStatus, status_of
+from pewterring.control.snapshot import Decommissioning
+from pewterring.control.state import ControlState
+from pewterring.control.status import TierStatus, encode_status
 from pewterring.distribution.messages import RegistrationState
 from pewterring.registry.heartbeats import Heartbeat, LoadedModel, read_heartbeat
-from pewterring.registry.workers import WorkerRegistry
 from tests.golden.control_commands import COMMANDS
 from tests.golden.records import GATEWAY_NODE, PLACEMENT, STORE_NODE, WORKER
 from tests.golden.rows import Family, Row
@@ -39,12 +38,12 @@
     nodes=(STORE_NODE, GATEWAY_NODE),
     workers=(msgspec.structs.replace(WORKER, state=RegistrationState.UNRESPONSIVE),),
     placements=(PLACEMENT,),
-    retirements=(
-        Retirement(node_id="store-1", member="10.0.1.1#a1", ended=True),
-        Retirement(node_id="store-2", member="10.0.1.2#b2"),
+    decommissionings=(
+        Decommissioning(node_id="store-1", member="10.0.1.1#a1", ended=True),
+        Decommissioning(node_id="store-2", member="10.0.1.2#b2"),
     ),
 )
-EMPTY_STATUS = TierStatus(version=0, nodes=(), workers=(), placements=(), retirements=())
+EMPTY_STATUS = TierStatus(version=0, nodes=(), workers=(), placements=(), decommissionings=())
 
 
 def control_state() -> ControlState:
@@ -59,7 +58,7 @@
     """The leadership of a control machine that is alone; it commits nothing."""
 
     async def propose(self, command: Command) -> Result:
-        raise NotLeading(f"commits no {command}")
+        raise NotLeadingError(f"commits no {command}")
 
     async def read_barrier(self) -> None:
         pass
@@ -72,9 +71,8 @@
     """What the leader with the golden state answers to a GET."""
     state = control_state()
     leader = _SureLeader()
-    registry = WorkerRegistry(state.workers, state.departed, 1.0)
-    desk = RetirementDesk(state, NodeTable(), leader, 3)
-    service = ControlService(state, registry, desk, leader, lambda: 0.0)
+    tables = LeaderState.of(state, leader, needed_stores=3, heartbeat_s=1.0)
+    service = ControlService(tables, leader, lambda: 0.0)
     return asyncio.run(service.handle(Call("GET", path)))
 
 
@@ -83,7 +81,7 @@
 
 
 def _status_row(name: str, status: TierStatus, state: ControlState) -> Row:
-    return Row(name, status, lambda: status_of(state), msgspec.json.Decoder(TierStatus).decode)
+    return Row(name, status, lambda: encode_status(state), msgspec.json.Decoder(TierStatus).decode)
 
 
 def _answer_row(name: str, answer: Callable[[], Answer], content: dict[str, str]) -> Row:
@@ -99,7 +97,7 @@
         _status_row("TierStatus-full", STATUS, control_state()),
         _status_row("TierStatus-empty", EMPTY_STATUS, ControlState()),
         _answer_row("acknowledged", lambda: ACKNOWLEDGED, {}),
-        _answer_row("refused", lambda: refusal(404, "no such path"), {"error": "no such path"}),
+        _answer_row("refused", lambda: error_answer(404, "no such path"), {"error": "no such path"}),
         _answer_row("retired", lambda: _answer("/v1/Retire.Get/store-1"), {"state": "succeeded"}),
         _answer_row("retiring", lambda: _answer("/v1/Retire.Get/store-2"), {"state": "running"}),
     ),
--- a/tests/simulation/patches.py
+++ b/tests/simulation/patches.py
@@ -21,6 +21,7 @@
 from pewterring.consensus.messages import Entry, Membership
 from pewterring.consensus.raft_driver import RaftDriver
 from pewterring.consensus.types import RaftLimits, Save
+from pewterring.control import member_storage as control_storage
 from pewterring.control import program as control_program
 from pewterring.distribution import subscriber, subscription
 from pewterring.node.address import Address
@@ -195,11 +196,11 @@
     replaced: tuple[tuple[Any, str, Any], ...] = (
         (control_program, "time", clock),
         (control_program, "random", _Chance(world)),
-        (control_program, "FolderDisk", _disk_of(world)),
+        (control_storage, "FolderDisk", _disk_of(world)),
         (control_program, "ApiServer", partial(ApiServer, world)),
         (control_program, "ReplicatedGroup", partial(ObservedGroup, world)),
         (
-            control_program,
+            control_storage,
             "DiskGroupStorage",
             partial(DiskGroupStorage, segment_bytes=SEGMENT_BYTES),
         ),
--- a/tests/simulation/play.py
+++ b/tests/simulation/play.py
@@ -5,8 +5,8 @@
 import random
 from dataclasses import dataclass, field
 
-from pewterring.control.program import GROUP
-from pewterring.control.stores import FIRST_GROUP
+from pewterring.control.member_storage import GROUP
+from pewterring.control.placement import FIRST_GROUP
 from pewterring.distribution.messages import RegistrationState
 from pewterring.distribution.tables import Tables
 from tests.simulation.adversary import Adversary
--- a/tests/simulation/watch.py
+++ b/tests/simulation/watch.py
@@ -10,7 +10,7 @@
 from pewterring.consensus.leader import LeaderRole
 from pewterring.consensus.membership import address_of, encode_membership
 from pewterring.consensus.messages import Entry, Membership
-from pewterring.control.program import GROUP
+from pewterring.control.member_storage import GROUP
 from pewterring.distribution.messages import RegistrationState, WorkerRecord
 from pewterring.distribution.subscription import FeedSubscription
 from pewterring.registry.workers import WorkerRegistry
@@ -130,7 +130,7 @@
         """A leader takes a heartbeat: no other may have led after it."""
         process = self._world.process()
         program = self._world.machine_of(process).program
-        term = program._group.led_term if program is not None else None
+        term = program.group.led_term if program is not None else None
         newest, other = self._newest_leader
         if newest > (term or 0):
             self.violation(f"{process.name} answers a heartbeat in term {term}; {other} leads in {newest}")
