--- a/pewterring/gateway/admissions.py
+++ b/pewterring/gateway/admissions.py
@@ -1,4 +1,4 @@
-"""Admission of live requests to all services at one gateway."""
+"""Admission of live requests at one gateway: for each service how many may be in flight, whose come first."""
 
 import random
 
@@ -7,7 +7,7 @@
 
 
 class GatewayAdmissions(Admissions[ServiceAdmission]):
-    """One `ServiceAdmission` a service."""
+    """Owns one `ServiceAdmission` for each service."""
 
     def __init__(self, rng: random.Random) -> None:
         super().__init__(ServiceAdmission, rng)
--- /dev/null
+++ b/pewterring/gateway/live_attempt.py
@@ -0,0 +1,322 @@
+"""One attempt of a live request at one worker: sent, watched, and its answer passed to the client.
+
+Owns what the attempt counts at the worker (requests in flight, tokens to read) and its place among the
+attempts that are watched for stalls; both are given back however it ends. What other attempts of the same
+request must know is in `Progress`.
+"""
+
+import math
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from enum import Enum, auto
+
+from pewterring.admission.service import ServiceAdmission
+from pewterring.configuration.model import Route
+from pewterring.gateway.drain import Drain
+from pewterring.gateway.metrics import Limit
+from pewterring.gateway.request_trace import AttemptStart, RequestTrace
+from pewterring.gateway.stall_detector import (
+    TOKEN_GAP_FRACTION,
+    StallDetector,
+    WatchedAttempt,
+    WorkerUnresponsiveError,
+)
+from pewterring.gateway.worker_protocol import (
+    Verdict,
+    client_headers,
+    is_event_stream,
+    is_misdirected,
+    judge,
+    read_load,
+)
+from pewterring.routing.chooser import WorkerChooser
+from pewterring.routing.prompt import Prompt
+from pewterring.routing.worker_state import WorkerState
+from pewterring.standalone.policy.interface import RequestClass
+from pewterring.transport.http_answer import AnswerHead
+from pewterring.transport.http_client import AnswerBroken, ExchangeError, StaleConnection, WorkerPool
+from pewterring.transport.http_fetch import AnswerStream
+from pewterring.transport.http_request import ServerRequest
+from pewterring.transport.http_responder import Responder
+from pewterring.transport.sse import EventSplitter, StreamEvent
+
+FIRST_BYTE_TIMEOUT_FACTOR = 1.5  # times the expected time to the first byte, before silence begins to count
+MAX_SAMPLE_WAIT_FRACTION = 0.25  # of the expected time: behind a longer wait a sample says little of prefill
+MIN_EXPECTED_S = 1e-4  # a floor for what is divided by
+
+
+class AttemptEnd(Enum):
+    """How an attempt ended."""
+
+    DONE = auto()  # the client has its answer
+    NOT_RUN = auto()
+    MAY_HAVE_RUN = auto()
+
+
+@dataclass(slots=True)
+class WorkerFailure:
+    """A worker's own failure, kept as the answer if no further attempt does better."""
+
+    head: AnswerHead
+    body: bytes
+
+
+@dataclass(frozen=True, slots=True)
+class LiveContext:
+    """What all live requests of a gateway share."""
+
+    pool: WorkerPool
+    chooser: WorkerChooser
+    stalls: StallDetector
+    announce_prompt: Callable[[WorkerState, int, Prompt], None]  # a worker was given so many tokens to read
+    drain: Drain = field(default_factory=Drain)
+
+
+@dataclass(slots=True)
+class AdmittedRequest:
+    """A request with its place in admission, which who admitted it gives back."""
+
+    request: ServerRequest
+    responder: Responder
+    route: Route
+    service: str
+    prompt: Prompt
+    deadline: float  # of the steady clock
+    admission: ServiceAdmission
+    max_connections: int  # to one worker
+    trace: RequestTrace | None = None
+
+
+@dataclass(slots=True)
+class Progress:
+    """How far the attempts of one request have come."""
+
+    runs: int = 0  # attempts that may have run
+    begun: bool = False  # the client has the head of an answer
+    last_event_id: int | None = None  # of the events that the client has
+    failure: WorkerFailure | None = None
+    limit: Limit | None = None  # what keeps the request from a worker's answer
+
+    @property
+    def resume_after(self) -> int | None:
+        """The event behind which the next attempt goes on; None where it begins at the beginning."""
+        return self.last_event_id if self.begun else None
+
+
+class LiveAttempt:
+    """One attempt. `stream` is the answer, requested already."""
+
+    __slots__ = (
+        "_admitted",
+        "_context",
+        "_first_byte_received",
+        "_is_clean_sample",
+        "_now",
+        "_pending_tokens",
+        "_progress",
+        "_resume_after",
+        "_sent_at",
+        "_stream",
+        "_tokens",
+        "_wait_s",
+        "_watched",
+        "_worker",
+    )
+
+    def __init__(
+        self,
+        context: LiveContext,
+        admitted: AdmittedRequest,
+        progress: Progress,
+        worker: WorkerState,
+        stream: AnswerStream,
+    ) -> None:
+        self._context = context
+        self._admitted = admitted
+        self._progress = progress
+        self._worker = worker
+        self._stream = stream
+        self._now = context.pool.now
+        self._resume_after = progress.resume_after
+        self._first_byte_received = False
+
+    def _start(self) -> None:
+        """Counts the attempt at its worker, and has it watched."""
+        worker, admitted = self._worker, self._admitted
+        self._sent_at = now = self._now()
+        self._tokens = self._pending_tokens = tokens = worker.uncached(admitted.prompt)
+        times = self._context.chooser.times_of(admitted.service)
+        self._wait_s = wait_s = self._context.chooser.wait_s(now, worker, times)  # for prompts sent before
+        prefill_s = times.per_token_s * tokens
+        if admitted.trace is not None:
+            admitted.trace.sent(AttemptStart(now, worker.record.id, tokens, prefill_s, wait_s, worker.out))
+        worker.out += 1
+        worker.pending_tokens += tokens
+        worker.expect_reading(now, prefill_s)
+        expected_s = times.expected(tokens)
+        self._watched = self._watch(now, expected_s + wait_s)
+        self._is_clean_sample = wait_s < MAX_SAMPLE_WAIT_FRACTION * expected_s and not worker.congested_s(now)
+        self._context.stalls.add(self._watched)
+
+    def _watch(self, now: float, expected_s: float) -> WatchedAttempt:
+        worker, route = self._worker, self._admitted.route
+        prefill_s = worker.reading_after(now)  # which the detector allows for
+        first_byte_s = max(0.0, FIRST_BYTE_TIMEOUT_FACTOR * expected_s - prefill_s)
+        timeout_s = first_byte_s + self._silence_timeout_s() + worker.congested_s(now)
+        may_retry = route.is_idempotent and self._progress.runs + 1 < route.max_attempts
+        return WatchedAttempt(worker, self._stream, timeout_s, now, may_retry, expected_s)
+
+    def _silence_timeout_s(self) -> float:
+        """Returns how long a worker may be silent: past it the answer would be late."""
+        route = self._admitted.route
+        if route.token_gap_target_ms > 0:
+            return TOKEN_GAP_FRACTION * route.token_gap_target_ms / 1000
+        return route.target_latency_ms / 1000
+
+    async def run(self) -> AttemptEnd:
+        """Passes the worker's answer to the client, and says what became of the attempt."""
+        context, admitted = self._context, self._admitted
+        self._start()
+        try:
+            context.announce_prompt(self._worker, self._tokens, admitted.prompt)
+            async with context.drain.timeout_at(admitted.deadline):
+                return await self._read()
+        except ExchangeError as error:
+            self._note_error(error)
+            return AttemptEnd.MAY_HAVE_RUN if error.sent else AttemptEnd.NOT_RUN
+        except TimeoutError:
+            return AttemptEnd.MAY_HAVE_RUN if self._stream.exchange.sent else AttemptEnd.NOT_RUN
+        finally:
+            self._worker.out -= 1
+            self._worker.pending_tokens -= self._pending_tokens
+            context.stalls.remove(self._watched)
+            self._stream.cancel()
+
+    def _note_error(self, error: ExchangeError) -> None:
+        if self._admitted.trace is not None:
+            self._admitted.trace.failure = type(error).__name__
+        if not isinstance(error, WorkerUnresponsiveError):  # the detector has marked the worker
+            certain = not isinstance(error, AnswerBroken | StaleConnection)
+            self._worker.failed(self._now(), certain=certain)
+
+    async def _read(self) -> AttemptEnd:
+        head = await self._stream.next_part()
+        assert isinstance(head, AnswerHead)
+        worker = self._worker
+        worker.heard(self._now())
+        load = read_load(head)
+        if load is not None:
+            worker.take_report(worker.heard_at, load.running, load.waiting)
+        verdict = judge(head)
+        if verdict is Verdict.UNUSABLE:
+            raise AnswerBroken(f"an answer of status {head.status} that may not reach the client")
+        if verdict is Verdict.SUCCESS and is_event_stream(head):
+            return await self._read_events(head)
+        body = await self._read_body()
+        if verdict is Verdict.NOT_RUN:
+            if is_misdirected(self._admitted.request, head):
+                worker.misdirected(self._now())
+            return AttemptEnd.NOT_RUN
+        if verdict is Verdict.FAILURE or self._progress.begun:
+            return self._keep_failure(head, body)
+        return await self._pass_answer(head, body)
+
+    async def _read_body(self) -> bytes:
+        chunks: list[bytes] = []
+        while (chunk := await self._stream.next_part()) is not None:
+            if isinstance(chunk, bytes):
+                chunks.append(chunk)
+        return b"".join(chunks)
+
+    def _keep_failure(self, head: AnswerHead, body: bytes) -> AttemptEnd:
+        if self._admitted.trace is not None:
+            self._admitted.trace.failure = f"status {head.status}"
+        self._progress.failure = WorkerFailure(head, body)
+        return AttemptEnd.MAY_HAVE_RUN
+
+    async def _pass_answer(self, head: AnswerHead, body: bytes) -> AttemptEnd:
+        self._learn_from_first_byte()
+        self._worker.answered()
+        self._trace_event()
+        await self._admitted.responder.respond(head.status, client_headers(head), body)
+        return AttemptEnd.DONE
+
+    async def _read_events(self, head: AnswerHead) -> AttemptEnd:
+        splitter, responder, worker = EventSplitter(), self._admitted.responder, self._worker
+        while (chunk := await self._stream.next_part()) is not None:
+            if not isinstance(chunk, bytes):
+                continue
+            worker.heard(self._now())
+            self._pass_events(splitter.feed(chunk), head)
+            if responder.paused:
+                await responder.drain()
+        self._pass_events(splitter.finish(), head)
+        self._check_end(head, splitter)
+        self._begin_answer(head)
+        responder.write(splitter.pending)  # empty lines at most
+        responder.end()
+        worker.answered()
+        return AttemptEnd.DONE
+
+    def _pass_events(self, events: list[StreamEvent], head: AnswerHead) -> None:
+        """Gives complete events to the client.
+
+        Raises:
+            AnswerBroken: A resumed run begins at another event than it was asked for.
+        """
+        if not events:
+            return
+        if not self._first_byte_received:
+            self._learn_from_first_byte()
+        if self._resume_after is not None:
+            if events[0].id != self._resume_after + 1:
+                raise AnswerBroken("the stream does not go on behind the event that it was asked for")
+            self._resume_after = None
+        self._begin_answer(head)
+        self._trace_event()
+        self._admitted.responder.write(b"".join(event.raw for event in events))
+        self._progress.last_event_id = events[-1].id
+
+    def _begin_answer(self, head: AnswerHead) -> None:
+        if not self._progress.begun:
+            self._progress.begun = True
+            self._admitted.responder.begin(head.status, client_headers(head))
+
+    def _check_end(self, head: AnswerHead, splitter: EventSplitter) -> None:
+        """Checks that a stream that ended in good order is complete.
+
+        Symptom answered: a worker that breaks off closes its connection in good order, which ends an answer
+        without a length. The middle of an event, and an end before the first one, are where no complete
+        stream ends.
+
+        Raises:
+            AnswerBroken: It is not complete.
+        """
+        if splitter.amid_event:
+            raise AnswerBroken("the stream ended in the middle of an event")
+        if not head.framed and not self._first_byte_received:
+            raise AnswerBroken("the stream ended with its connection before its first event")
+
+    def _trace_event(self) -> None:
+        if self._admitted.trace is not None:
+            self._admitted.trace.event(self._worker.heard_at)
+
+    def _learn_from_first_byte(self) -> None:
+        """Learns from the time to the first byte: the service's times, the worker's speed, the limit."""
+        self._first_byte_received = True
+        now = self._now()
+        worker, admitted = self._worker, self._admitted
+        worker.pending_tokens -= self._pending_tokens
+        self._pending_tokens = 0
+        self._watched.silence_timeout_s = self._silence_timeout_s()
+        self._watched.expected_s = math.inf
+        worker.keep(admitted.prompt)
+        seconds = now - self._sent_at
+        times = self._context.chooser.times_of(admitted.service)
+        expected_s = times.expected(self._tokens) + self._wait_s
+        if self._is_clean_sample:
+            times.learn(self._tokens, seconds - self._wait_s)
+        ratio = seconds / max(MIN_EXPECTED_S, expected_s)
+        worker.note_ratio(ratio)
+        target = admitted.route.target_latency_ms / 1000 / max(MIN_EXPECTED_S, expected_s)
+        admitted.admission.observe(now, RequestClass(admitted.route.name, target, target), ratio)
--- a/pewterring/gateway/metrics.py
+++ b/pewterring/gateway/metrics.py
@@ -1,4 +1,4 @@
-"""What a gateway counts, and its metrics."""
+"""The metrics of a gateway: its counters, and the gauges made of its state at a scrape."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -14,20 +14,20 @@
 class Limit(StrEnum):
     """What kept a live request from a worker's answer."""
 
-    SHARE = "share"  # this gateway's share of the common ceiling
-    CEILING = "ceiling"  # the gateway's own ceiling
+    SHARE = "share"  # this gateway's share of the common concurrency limit
+    CONCURRENCY = "ceiling"  # the gateway's own concurrency limit; the metric's label
     CONNECTIONS = "connections"  # all connections to the chosen workers were in use
-    NO_WORKER = "no_worker"  # none was there, or none was left to try
+    NO_WORKER = "no_worker"  # none was there, or none was left for an attempt
     DEADLINE = "deadline"  # the request's time was over
     DRAIN = "drain"  # this gateway ends before the request's time would be over
 
 
 @dataclass(frozen=True, slots=True)
 class GatewayState:
-    """What a gateway holds at the moment of a scrape."""
+    """The state of a gateway at the moment of a scrape."""
 
     ready: bool
-    requests_held: int
+    requests_in_flight: int  # read completely and not answered
     client_connections: int
     worker_connections_made: int
     tables: Tables
@@ -36,7 +36,7 @@
 
 
 class GatewayMetrics:
-    """Counts while requests are served."""
+    """Owns the counters, which the handlers of requests count up."""
 
     def __init__(self) -> None:
         self.requests = 0  # live ones that a route was found for
@@ -45,20 +45,20 @@
         self._limits = dict.fromkeys(Limit, 0)
 
     def refused(self, admission: ServiceAdmission) -> Limit:
-        """Counts a request that admission refused; tells by what."""
+        """Counts a request that admission refused, and returns by which limit."""
         by_share = admission.shares.room(admission.out) <= admission.ceiling.limit
-        limit = Limit.SHARE if by_share else Limit.CEILING
+        limit = Limit.SHARE if by_share else Limit.CONCURRENCY
         self.limited(limit)
         return limit
 
     def limited(self, limit: Limit | None) -> None:
-        """Counts what kept a request from a worker's answer, if anything did."""
+        """Counts the limit that kept a request from a worker's answer, if any did."""
         if limit is not None:
             self._limits[limit] += 1
 
     def families(self, state: GatewayState) -> list[MetricFamily]:
-        """All metrics."""
-        return [*self._counters(state), *_gauges(state), *_admission(state.admissions)]
+        """Returns all metrics, with the gauges of `state`."""
+        return [*self._counters(state), *_gauges(state), *_admission_gauges(state.admissions)]
 
     def _counters(self, state: GatewayState) -> list[MetricFamily]:
         return [
@@ -85,7 +85,9 @@
     tables = state.tables
     return [
         single_sample(PREFIX + "ready", "Whether readiness is answered with 200.", float(state.ready)),
-        single_sample(PREFIX + "requests_held", "Requests read whole and not answered.", state.requests_held),
+        single_sample(
+            PREFIX + "requests_held", "Requests read whole and not answered.", state.requests_in_flight
+        ),
         single_sample(
             PREFIX + "client_connections", "Open connections of clients.", state.client_connections
         ),
@@ -101,17 +103,21 @@
     ]
 
 
-def _admission(admissions: Mapping[str, ServiceAdmission]) -> list[MetricFamily]:
+def _admission_gauges(admissions: Mapping[str, ServiceAdmission]) -> list[MetricFamily]:
     def family(name: str, description: str, values: Mapping[str, float]) -> MetricFamily:
         samples: dict[Labels, float] = {(service,): value for service, value in values.items()}
         return MetricFamily(PREFIX + name, description, samples, ("service",))
 
     return [
-        family("attempts", "Requests out at workers.", {name: a.out for name, a in admissions.items()}),
-        family("room", "Requests that may be out at once.", {name: a.room for name, a in admissions.items()}),
+        family("attempts", "Requests out at workers.", {name: each.out for name, each in admissions.items()}),
+        family(
+            "room",
+            "Requests that may be out at once.",
+            {name: each.room for name, each in admissions.items()},
+        ),
         family(
             "ceiling",
             "The gateway's own limit of requests out over all gateways.",
-            {name: a.ceiling.limit for name, a in admissions.items()},
+            {name: each.ceiling.limit for name, each in admissions.items()},
         ),
     ]
--- a/pewterring/gateway/prompt_exchange.py
+++ b/pewterring/gateway/prompt_exchange.py
@@ -1,4 +1,7 @@
-"""Tells the other gateways of long prompts sent to workers, and takes their hints."""
+"""Exchange of hints between gateways: long prompts sent to workers, and waits at workers beyond expectation.
+
+Hints are datagrams of which any may be lost, sent within a budget of bytes; an unreadable one is dropped.
+"""
 
 import random
 import time
@@ -21,7 +24,7 @@
 
 
 class PromptExchange:
-    """One gateway's side. `peers` are the addresses of the gateways, the own among them."""
+    """One gateway's side; owns the port of hints. `peers` are the IPs of all gateways, the own among them."""
 
     def __init__(
         self,
@@ -39,50 +42,54 @@
         self._clock = clock
         self._budget = HintBudget(clock())
         self._wait_budget = HintBudget(clock())
-        self._port = DatagramPort(self._received)
+        self._port = DatagramPort(self._receive)
 
     async def start(self) -> None:
-        """Opens the port. Raises OSError."""
+        """Opens the port.
+
+        Raises:
+            OSError: The port cannot be had.
+        """
         await self._port.start(self._ip, self._port_number)
 
     def close(self) -> None:
-        """Closes the port."""
+        """Closes the port. Hints are neither sent nor taken any more."""
         self._port.close()
 
-    def tell(self, worker: WorkerState, tokens: int, prompt: Prompt) -> None:
-        """Tells of a prompt that takes, or would take, longer to read than a request else to its first byte.
+    def announce_prompt(self, worker: WorkerState, tokens: int, prompt: Prompt) -> None:
+        """Announces a prompt whose prefill takes, or would take, longer than others to the first byte.
 
-        Also where the worker keeps its parts: that the others know them as used lately.
+        Also where the worker has its blocks cached: so that the others know them as used lately.
         """
         times = self._chooser.times_of(worker.record.service)
         if prompt.prompt_tokens * times.per_token_s < times.base_s:
             return
         self._send(write_hint(hint_of(worker.record.id, tokens, prompt)), self._budget)
 
-    def tell_wait(self, worker: WorkerState, seconds: float) -> None:
-        """Tells that a request waits at a worker for so much longer than it should.
+    def announce_wait(self, worker: WorkerState, seconds: float) -> None:
+        """Announces that a request waits at a worker for so many seconds longer than it should.
 
-        Symptom answered: workers whose slots are taken, or that read what nobody was told of, tell of it to
-        none but those who wait there; each gateway found out alone, with a request of its own.
+        Symptom answered: workers whose slots are taken, or that read prompts which nobody announced, show
+        it to none but those who wait there; each gateway found out alone, with a request of its own.
         """
         hint = WaitHint(worker_number(worker.record.id), seconds)
         self._send(write_wait_hint(hint), self._wait_budget)
 
     def _send(self, data: bytes, budget: HintBudget) -> None:
-        """Tells all other gateways, or as many of them as the budget allows."""
+        """Sends to all other gateways, or to as many of them as the budget allows."""
         others = [peer for peer in self.peers if peer != self._ip]
-        told = budget.take(self._clock(), len(data), len(others))
-        if told < len(others):
-            others = self._rng.sample(others, told)
+        allowed = budget.take(self._clock(), len(data), len(others))
+        if allowed < len(others):
+            others = self._rng.sample(others, allowed)
         for peer in others:
             self._port.send(peer, data)
 
-    def _received(self, data: bytes, ip: str) -> None:
+    def _receive(self, data: bytes, _ip: str) -> None:
         wait = read_wait_hint(data)
         if wait is not None:
-            waited_at = self._chooser.by_number(wait.worker)
-            if waited_at is not None:
-                waited_at.expect_wait(self._clock(), wait.seconds)
+            congested = self._chooser.by_number(wait.worker)
+            if congested is not None:
+                congested.expect_wait(self._clock(), wait.seconds)
             return
         hint = read_hint(data)
         worker = self._chooser.by_number(hint.worker) if hint else None
--- a/pewterring/gateway/request_trace.py
+++ b/pewterring/gateway/request_trace.py
@@ -1,6 +1,7 @@
-"""What is noted of one live request on its way, and the line that is logged of it if it ended badly."""
+"""The trace of one live request: what happened to it, and the line that is logged if it ended badly."""
 
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from loguru import logger
 
@@ -9,10 +10,10 @@
 from pewterring.observability.log import EVENT
 from pewterring.observability.request_log import RECORD_FORMAT, REQUEST_EVENT, Reason, RequestRecord
 
-MOST = 0.5  # share of the time to the first event from which on one cause is named for it
-BY_LIMIT = {
+DOMINANT_FRACTION = 0.5  # of the time to the first event: a cause that took more is named for it
+REASON_BY_LIMIT = {
     Limit.SHARE: Reason.REFUSED,
-    Limit.CEILING: Reason.REFUSED,
+    Limit.CONCURRENCY: Reason.REFUSED,
     Limit.DRAIN: Reason.REFUSED,
     Limit.NO_WORKER: Reason.NO_WORKER,
     Limit.CONNECTIONS: Reason.NO_CONNECTION,
@@ -20,38 +21,46 @@
 }
 
 
+class AttemptStart(NamedTuple):
+    """An attempt as it was sent, with what was known of its worker then."""
+
+    sent_at: float
+    worker: str
+    uncached_tokens: int
+    expected_prefill_s: float
+    expected_wait_s: float  # for prompts that were sent there before
+    in_flight: int  # this gateway's other requests there
+
+
+NO_ATTEMPT = AttemptStart(0.0, "", 0, 0.0, 0.0, 0)
+
+
 @dataclass(slots=True)
 class RequestTrace:
-    """Times are of the steady clock; 0 where something has not happened."""
+    """Collects what happens to one request. Times are of the steady clock, 0 for what has not happened."""
 
     request_id: str
     route: Route
     arrived_at: float
-    tokens: int = 0
+    tokens: int = 0  # of the prompt
     admitted_at: float = 0.0
-    sent_at: float = 0.0
-    expected_read_s: float = 0.0
-    expected_wait_s: float = 0.0
-    to_read: int = 0
-    worker: str = ""
-    out: int = 0
+    last_attempt: AttemptStart = NO_ATTEMPT
     attempts: int = 0
     failure: str = ""
     first_at: float = 0.0
     event_at: float = 0.0
     longest_pause_s: float = 0.0
-    done: bool = False
+    done: bool = False  # the client has its answer
     status: int = 0
     limit: Limit | None = field(default=None)
 
-    def sent(self, now: float, worker: str, to_read: int, read_s: float, wait_s: float, out: int) -> None:
-        """An attempt begins."""
+    def sent(self, attempt: AttemptStart) -> None:
+        """Notes that an attempt begins."""
         self.attempts += 1
-        self.sent_at, self.worker, self.out = now, worker, out
-        self.to_read, self.expected_read_s, self.expected_wait_s = to_read, read_s, wait_s
+        self.last_attempt = attempt
 
     def event(self, now: float) -> None:
-        """Events, or a whole answer, go to the client."""
+        """Notes that events, or a complete answer, go to the client."""
         if not self.first_at:
             self.first_at = now
         else:
@@ -59,7 +68,7 @@
         self.event_at = now
 
     def reason(self) -> Reason | None:
-        """Why the request ended badly; None where it did not."""
+        """Returns why the request ended badly; None where it did not."""
         if not self.done:
             return self._reason_of_failure()
         if self.first_at - self.arrived_at > self.route.target_latency_ms / 1000:
@@ -72,24 +81,25 @@
         if self.first_at:
             return Reason.STREAM_BROKEN
         if self.limit is not None:
-            return BY_LIMIT[self.limit]
+            return REASON_BY_LIMIT[self.limit]
         return Reason.WORKER_FAILED if self.failure else Reason.CLIENT_DISCONNECTED
 
     def _reason_of_lateness(self) -> Reason:
         if self.attempts > 1:
             return Reason.WORKER_FAILED
         took_s = self.first_at - self.arrived_at
-        if self.expected_wait_s > MOST * took_s:
+        if self.last_attempt.expected_wait_s > DOMINANT_FRACTION * took_s:
             return Reason.BEHIND_PREFILLS
-        if self.expected_read_s > MOST * took_s:
+        if self.last_attempt.expected_prefill_s > DOMINANT_FRACTION * took_s:
             return Reason.PROMPT_NOT_CACHED
         return Reason.AT_WORKER
 
     def log(self, now: float) -> None:
-        """Writes the line, if there is anything to tell."""
+        """Logs the request, if it ended badly."""
         reason = self.reason()
         if reason is None:
             return
+        attempt = self.last_attempt
         record = RequestRecord(
             format=RECORD_FORMAT,
             request=self.request_id,
@@ -98,16 +108,16 @@
             status=self.status,
             target_s=self.route.target_latency_ms / 1000,
             tokens=self.tokens,
-            prefill_tokens=self.to_read,
+            prefill_tokens=attempt.uncached_tokens,
             admitted_s=self._since(self.admitted_at),
-            sent_s=self._since(self.sent_at),
-            expected_wait_s=round(self.expected_wait_s, 4),
+            sent_s=self._since(attempt.sent_at),
+            expected_wait_s=round(attempt.expected_wait_s, 4),
             first_s=self._since(self.first_at),
             end_s=self._since(now),
             pause_s=round(self.longest_pause_s, 4),
             attempts=self.attempts,
-            worker=self.worker,
-            in_flight=self.out,
+            worker=attempt.worker,
+            in_flight=attempt.in_flight,
             failure=self.failure,
         )
         logger.bind(**{EVENT: REQUEST_EVENT}, **record.log_fields()).info("")
--- a/tests/gateway/gateway.py
+++ b/tests/gateway/gateway.py
@@ -1,4 +1,4 @@
-"""A gateway's front and its workers on loopback, in virtual time; tables are handed over without control."""
+"""A gateway's front and its workers on loopback, in virtual time; tables are put in force without control."""
 
 import asyncio
 import contextlib
@@ -17,6 +17,7 @@
     WeightedService,
 )
 from pewterring.distribution.messages import WorkerRecord
+from pewterring.distribution.subscription import FeedSubscription
 from pewterring.distribution.tables import Tables
 from pewterring.gateway.batch_calls import BatchCalls
 from pewterring.gateway.program import GatewayProgram
@@ -56,16 +57,16 @@
     return b"id: %d\ndata: token %d\n\n" % (number, number)
 
 
-async def answered(request: ServerRequest, responder: Responder) -> None:
+async def answered(_request: ServerRequest, responder: Responder) -> None:
     await responder.respond(200, SIGNED, b"result")
 
 
-async def silent(request: ServerRequest, responder: Responder) -> None:
+async def silent(_request: ServerRequest, responder: Responder) -> None:
     await responder.finished()
 
 
-async def slow_stream(request: ServerRequest, responder: Responder) -> None:
-    """An event a second, without end."""
+async def slow_stream(_request: ServerRequest, responder: Responder) -> None:
+    """Sends an event a second, without end."""
     responder.begin(200, EVENTS)
     number = 0
     while not responder.disconnected:
@@ -82,6 +83,7 @@
     routes: tuple[Route, ...]
     clients: WorkerPool = field(default_factory=lambda: WorkerPool(now=now))
     seen: list[ServerRequest] = field(default_factory=list)
+    arrived: asyncio.Event = field(default_factory=asyncio.Event)  # a request came to a worker
     let_go_at: list[float] = field(default_factory=list)  # when a worker's connection closed during a request
     servers: list[HttpServer] = field(default_factory=list)
     wires: list[Wire] = field(default_factory=list)
@@ -89,36 +91,41 @@
 
     @property
     def port(self) -> int:
-        return self.program._front.port
+        return self.program.front.http.port
 
     @property
     def ready_port(self) -> int:
         """The port of readiness and metrics."""
-        return self.program._ready.port
+        return self.program.readiness.http.port
+
+    @property
+    def subscription(self) -> FeedSubscription:
+        """What keeps the tables of the feed, which these tests set without a session with control."""
+        return self.program.feed._subscription  # noqa: SLF001 - a feed takes tables from control alone
 
     def age_tables(self) -> None:
-        """From now on control has not confirmed the tables for ever."""
-        self.program._feed._subscription.confirmed_at = -math.inf
+        """Makes tables that control has not confirmed for ever."""
+        self.subscription.confirmed_at = -math.inf
 
-    def take_room(self, service: str) -> None:
-        """Takes all room that admission leaves for requests to a service."""
-        admission = self.program._admissions.of(service)
+    def take_capacity(self, service: str) -> None:
+        """Takes all capacity that admission leaves for requests to a service."""
+        admission = self.program.admissions.of(service)
         while admission.acquire(0):
             pass
 
     def begin_drain(self, began: float, grace_s: float) -> None:
-        """The end of the process has begun at a time of its clock."""
-        self.program._drain.begin(began, grace_s)
+        """Begins to drain at a time of the process's clock."""
+        self.program.draining.begin(began, grace_s)
 
     def take_batch_calls(self, calls: BatchCalls) -> None:
         """Replaces what carries batch calls to stores."""
-        self.program._batch = calls
+        self.program.batch.calls = calls
 
     def known_of_workers(self, prompt: Prompt) -> list[tuple[int, float]]:
-        """Of each worker how many tokens of a prompt it would have to read, and its load; sorted."""
+        """Returns for each worker how many tokens of a prompt it would read, and its load; sorted."""
         program = self.program
-        states = program._chooser.workers.values()
-        return sorted((state.uncached(prompt), state.load(program._clock())) for state in states)
+        states = program.chooser.workers.values()
+        return sorted((state.uncached(prompt), state.load(program.clock())) for state in states)
 
     async def start(self, behaviours: tuple[Behaviour, ...]) -> None:
         for number, behaviour in enumerate(behaviours):
@@ -127,13 +134,13 @@
             self.servers.append(server)
             address = f"{IP}:{server.port}"
             self.workers[f"w{number}"] = WorkerRecord(f"w{number}", "s", address, "z", 4, "ready")
-        await self.program._front.start(IP, 0)
-        await self.program._ready.start(IP, 0)
-        self.servers += [self.program._front, self.program._ready]
+        await self.program.front.http.start(IP, 0)
+        await self.program.readiness.http.start(IP, 0)
+        self.servers += [self.program.front.http, self.program.readiness.http]
 
     def configure(self, limits: ClientLimits | None = None, engine: Engine | None = None) -> None:
-        """Hands over the tables, as control does; they count as confirmed now."""
-        subscription = self.program._feed._subscription
+        """Puts tables in force, as control does; they count as confirmed now."""
+        subscription = self.subscription
         old = subscription.tables
         configuration = Configuration(
             1,
@@ -144,11 +151,12 @@
         )
         subscription.tables = Tables(configuration=configuration, workers=self.workers)
         subscription.confirmed_at = now()
-        self.program._take_tables(old, subscription.tables)
+        self.program.take_tables(old, subscription.tables)
 
     def _worker(self, behaviour: Behaviour) -> Behaviour:
         async def handle(request: ServerRequest, responder: Responder) -> None:
             self.seen.append(request)
+            self.arrived.set()
             responder.on_disconnect(lambda: self.let_go_at.append(now()))
             await behaviour(request, responder)
 
@@ -169,19 +177,20 @@
 
     async def is_ready(self) -> bool:
         request = SendRequest("GET", "/v1/readyz", [(b"Host", b"h")])
-        address = f"{IP}:{self.program._ready.port}"
+        address = f"{IP}:{self.program.readiness.http.port}"
         return (await fetch(self.clients, address, request, 5, 5.0)).head.status == 200
 
     async def reached(self, requests: int = 1) -> None:
         """Waits until workers have seen so many requests."""
         while len(self.seen) < requests:
-            await asyncio.sleep(0.001)
+            self.arrived.clear()
+            await self.arrived.wait()
 
     async def stop(self) -> None:
         self.clients.close()
         for wire in self.wires:
             await wire.closed()
-        self.program._pool.close()
+        self.program.pool.close()
         for server in self.servers:
             await server.stop()
 
--- a/tests/gateway/live_tier.py
+++ b/tests/gateway/live_tier.py
@@ -11,8 +11,9 @@
 from pewterring.admission.service import ServiceAdmission
 from pewterring.configuration.model import Route, RouteType, WeightedService
 from pewterring.distribution.messages import WorkerRecord
-from pewterring.gateway.live import LiveContext, LiveRequest
-from pewterring.gateway.stalls import StallWatch
+from pewterring.gateway.live_attempt import AdmittedRequest, LiveContext
+from pewterring.gateway.live_request import LiveRequest
+from pewterring.gateway.stall_detector import StallDetector
 from pewterring.routing.chooser import WorkerChooser
 from pewterring.routing.prompt import NO_PROMPT
 from pewterring.transport.http_client import WorkerPool
@@ -69,9 +70,10 @@
     route: Route
     behaviours: list[Behaviour | RawAnswer]
     seen: list[tuple[int, ServerRequest]] = field(default_factory=list)
-    watch: StallWatch = field(default_factory=StallWatch)
+    stalls: StallDetector = field(default_factory=StallDetector)
     pool: WorkerPool = field(default_factory=WorkerPool)
     admission: ServiceAdmission = field(default_factory=lambda: ServiceAdmission(1))
+    arrived: asyncio.Event = field(default_factory=asyncio.Event)  # a request came to a worker
     time_s: float = PATIENCE_S  # that the request may take
     servers: list[HttpServer] = field(default_factory=list)
     raw_servers: list[asyncio.Server] = field(default_factory=list)
@@ -86,8 +88,8 @@
         chooser.update(records, None)
         for number in range(len(self.behaviours)):  # the first worker is chosen first
             chooser.workers[f"w{number}"].slowness = 1.0 + number
-        self.context = LiveContext(self.pool, chooser, self.watch, lambda worker, tokens, prompt: None)
-        self.front = HttpServer(self._front, lambda: LIMITS)
+        self.context = LiveContext(self.pool, chooser, self.stalls, lambda *_: None)
+        self.front = HttpServer(self.serve, lambda: LIMITS)
         await self.front.start("127.0.0.1", 0)
         self.servers.append(self.front)
 
@@ -107,15 +109,17 @@
     def _worker(self, number: int, behaviour: Behaviour) -> Behaviour:
         async def handle(request: ServerRequest, responder: Responder) -> None:
             self.seen.append((number, request))
+            self.arrived.set()
             await behaviour(request, responder)
 
         return handle
 
-    async def _front(self, request: ServerRequest, responder: Responder) -> None:
+    async def serve(self, request: ServerRequest, responder: Responder) -> None:
         deadline = self.pool.now() + self.time_s
-        await LiveRequest(
-            self.context, request, responder, self.route, "s", NO_PROMPT, deadline, self.admission, 10
-        ).run()
+        admitted = AdmittedRequest(
+            request, responder, self.route, "s", NO_PROMPT, deadline, self.admission, 10
+        )
+        await LiveRequest(self.context, admitted).run()
 
     async def ask(self, *more: tuple[bytes, bytes]) -> WholeAnswer:
         headers = [(b"Host", b"h"), (b"Request-Id", b"7"), *more]
@@ -150,31 +154,31 @@
     responder.end()
 
 
-async def cut_stream(request: ServerRequest, responder: Responder) -> None:
+async def cut_stream(_request: ServerRequest, responder: Responder) -> None:
     responder.begin(200, [(b"Request-Id", b"7"), *SIGNED])
     responder.write(event(1) + event(2) + event(3)[:7])
     responder.abort()
 
 
-async def full(request: ServerRequest, responder: Responder) -> None:
+async def full(_request: ServerRequest, responder: Responder) -> None:
     await responder.respond(503, [(b"Not-Executed", b"1")])
 
 
-async def misdirected(request: ServerRequest, responder: Responder) -> None:
+async def misdirected(_request: ServerRequest, responder: Responder) -> None:
     await responder.respond(421, [])
 
 
-async def broken(request: ServerRequest, responder: Responder) -> None:
+async def broken(_request: ServerRequest, responder: Responder) -> None:
     responder.abort()
 
 
-async def answered(request: ServerRequest, responder: Responder) -> None:
+async def answered(_request: ServerRequest, responder: Responder) -> None:
     await responder.respond(200, PLAIN, b"result")
 
 
-async def failed(request: ServerRequest, responder: Responder) -> None:
+async def failed(_request: ServerRequest, responder: Responder) -> None:
     await responder.respond(500, PLAIN, b"failure")
 
 
-async def silent(request: ServerRequest, responder: Responder) -> None:
+async def silent(_request: ServerRequest, responder: Responder) -> None:
     await responder.finished()
--- a/tests/gateway/test_batch_calls.py
+++ b/tests/gateway/test_batch_calls.py
@@ -22,13 +22,9 @@
 from pewterring.distribution.messages import NodeRecord
 from pewterring.distribution.tables import Tables
 from pewterring.gateway.answers import Answer
-from pewterring.gateway.batch_calls import (
-    BadSubmission,
-    BatchCalls,
-    BatchRequest,
-    is_batch_call,
-    read_submission,
-)
+from pewterring.gateway.batch_calls import BatchCalls, BatchRequest, is_batch_call
+from pewterring.gateway.batch_submission import read_submission
+from pewterring.gateway.errors import InvalidSubmissionError
 from pewterring.transport.lines import (
     ChannelClosed,
     LinkPool,
@@ -59,7 +55,7 @@
         (document(item("b", body="%%%")), "'b': its body is no base64"),
         (document(item("c", tokens=-1)), "'c': tokens are negative"),
         (document(item("")), "its id is empty"),
-        (document(*(item(str(n)) for n in range(201))), "201 items"),
+        (document(*(item(str(number)) for number in range(201))), "201 items"),
         (document(item("a\r\nX: 1")), "its id cannot be sent"),
         (document(item("d", path="/jobs/1 HTTP/1.1\r\n\r\nGET /x")), "'d': its path"),
         (document(item("d", path="jobs/1")), "'d': its path"),
@@ -71,11 +67,11 @@
     ],
 )
 def test_bad_submissions_are_refused_by_name(body: bytes, named: str) -> None:
-    with pytest.raises(BadSubmission, match=named):
+    with pytest.raises(InvalidSubmissionError, match=named):
         read_submission(body)
 
 
-def test_a_good_submission_is_read_whole() -> None:
+def test_a_good_submission_is_read_completely() -> None:
     (read,) = read_submission(document(item("a", headers={"Model-Id": "m"})))
     assert (read.id, read.headers, read.body, read.tokens) == ("a", {"Model-Id": "m"}, "q83v", 5)
 
@@ -99,11 +95,11 @@
 
     def __init__(self, reply: Reply) -> None:
         self.reply = reply
-        self.asked: list[str] = []
+        self.called: list[str] = []
         self.now = 0.0
 
-    async def request(self, ip: str, message: msgspec.Struct, timeout_s: float) -> msgspec.Struct:
-        self.asked.append(ip)
+    async def request(self, ip: str, message: msgspec.Struct, _timeout_s: float) -> msgspec.Struct:
+        self.called.append(ip)
         self.now += 0.5
         return self.reply(ip, message)
 
@@ -111,7 +107,8 @@
 def call(reply: Reply, method: str = "POST", target: str = "/jobs/1") -> tuple[Answer, Links]:
     links = Links(reply)
     nodes = tuple(
-        NodeRecord(f"s{n}", "store", f"10.0.0.{n}", "z", "life", f"10.0.0.{n}#m") for n in (1, 2, 3)
+        NodeRecord(f"s{number}", "store", f"10.0.0.{number}", "z", "incarnation", f"10.0.0.{number}#m")
+        for number in (1, 2, 3)
     )
     calls = BatchCalls(
         cast(LinkPool, links), lambda: Tables(nodes=nodes), random.Random(1), clock=lambda: links.now
@@ -122,25 +119,25 @@
     return asyncio.run(calls.call(request)), links
 
 
-def test_the_named_leader_is_asked_next() -> None:
-    def reply(ip: str, message: msgspec.Struct) -> msgspec.Struct:
+def test_the_named_leader_is_called_next() -> None:
+    def reply(ip: str, _message: msgspec.Struct) -> msgspec.Struct:
         return JobAccepted() if ip == "10.0.0.2" else NotLeading("10.0.0.2#m")
 
     answer, links = call(reply)
     assert answer.status == 202
-    assert links.asked[-1] == "10.0.0.2"
-    assert len(links.asked) <= 2
+    assert links.called[-1] == "10.0.0.2"
+    assert len(links.called) <= 2
 
 
 @pytest.mark.parametrize(("full", "status"), [(True, 429), (False, 503)])
 def test_a_refusal_says_when_to_come_back(full: bool, status: int) -> None:
-    answer, _ = call(lambda ip, message: JobRefused(full, 1.5))
+    answer, _ = call(lambda *_: JobRefused(full, 1.5))
     assert answer.status == status
     assert ("Retry-After", "1.50") in answer.headers
 
 
 def test_nothing_sent_to_anybody_is_a_promise() -> None:
-    def reply(ip: str, message: msgspec.Struct) -> msgspec.Struct:
+    def reply(_ip: str, _message: msgspec.Struct) -> msgspec.Struct:
         raise RequestNotSent("down")
 
     assert call(reply)[0].status == 503
@@ -148,7 +145,7 @@
 
 @pytest.mark.parametrize("unsure", [True, False])
 def test_what_may_have_been_taken_is_answered_neither_way(unsure: bool) -> None:
-    def reply(ip: str, message: msgspec.Struct) -> msgspec.Struct:
+    def reply(_ip: str, _message: msgspec.Struct) -> msgspec.Struct:
         if unsure:
             return Unsure()
         raise RequestTimeout("late")
@@ -156,11 +153,11 @@
     assert call(reply)[0].status == 504
 
 
-def test_a_refusal_after_an_unanswered_try_promises_nothing() -> None:
-    tries = iter(range(10))
+def test_a_refusal_after_an_unanswered_attempt_promises_nothing() -> None:
+    attempts = iter(range(10))
 
-    def reply(ip: str, message: msgspec.Struct) -> msgspec.Struct:
-        if next(tries) == 0:
+    def reply(_ip: str, _message: msgspec.Struct) -> msgspec.Struct:
+        if next(attempts) == 0:
             raise RequestTimeout("late")
         return JobRefused(True, 1.0)
 
@@ -168,32 +165,32 @@
 
 
 def test_a_job_without_an_id_is_bad() -> None:
-    links = Links(lambda ip, message: JobAccepted())
+    links = Links(lambda *_: JobAccepted())
     calls = BatchCalls(cast(LinkPool, links), Tables, random.Random(1))
     request = BatchRequest("POST", "/jobs/1", "h", "", 0.0, 3.0, document(item()))
     assert asyncio.run(calls.submit(request, ROUTE)).status == 400
-    assert links.asked == []
+    assert links.called == []
 
 
 def test_reads_pass_pages_on_and_tell_unknown_from_unsure() -> None:
-    page, _ = call(lambda ip, message: ResultPage(4, 2, ()), "GET", "/v1/lots/job-1?after=2")
+    page, _ = call(lambda *_: ResultPage(4, 2, ()), "GET", "/v1/lots/job-1?after=2")
     assert orjson.loads(page.body) == {"total": 4, "next_page_token": 2, "results": []}
-    assert call(lambda ip, message: Unknown(), "GET", "/v1/lots/job-1")[0].status == 404
-    assert call(lambda ip, message: Unsure(), "GET", "/v1/lots/job-1")[0].status == 503
-    assert call(lambda ip, message: Unknown(), "GET", "/v1/lots/job-1?after=x")[0].status == 400
+    assert call(lambda *_: Unknown(), "GET", "/v1/lots/job-1")[0].status == 404
+    assert call(lambda *_: Unsure(), "GET", "/v1/lots/job-1")[0].status == 503
+    assert call(lambda *_: Unknown(), "GET", "/v1/lots/job-1?after=x")[0].status == 400
 
 
 @pytest.mark.parametrize("after", ["x", "-1", "%D9%A3", "9" * 19, "9" * 5000])
 def test_what_is_no_position_is_refused_at_once(after: str) -> None:
-    answer, links = call(lambda ip, message: Unknown(), "GET", f"/v1/lots/job-1?after={after}")
+    answer, links = call(lambda *_: Unknown(), "GET", f"/v1/lots/job-1?after={after}")
     assert answer.status == 400
-    assert links.asked == []
+    assert links.called == []
 
 
 def test_a_submission_carries_its_route() -> None:
     seen: list[msgspec.Struct] = []
 
-    def reply(ip: str, message: msgspec.Struct) -> msgspec.Struct:
+    def reply(_ip: str, message: msgspec.Struct) -> msgspec.Struct:
         seen.append(message)
         return JobAccepted()
 
@@ -211,16 +208,13 @@
     target = "/jobs/1" if method == "POST" else "/v1/lots/job-1"
 
     def reply_with(*errors: type[TransportError]) -> Reply:
-        def reply(ip: str, message: msgspec.Struct) -> msgspec.Struct:
-            raise errors[min(len(asked), len(errors)) - 1]("lost")
-
-        asked: list[str] = []
+        called: list[str] = []
 
-        def counted(ip: str, message: msgspec.Struct) -> msgspec.Struct:
-            asked.append(ip)
-            return reply(ip, message)
+        def reply(ip: str, _message: msgspec.Struct) -> msgspec.Struct:
+            called.append(ip)
+            raise errors[min(len(called), len(errors)) - 1]("lost")
 
-        return counted
+        return reply
 
     assert call(reply_with(RequestNotSent), method, target)[0].status == 503
     assert call(reply_with(error), method, target)[0].status == 504
--- a/tests/gateway/test_gone.py
+++ b/tests/gateway/test_client_disconnects.py
@@ -32,7 +32,7 @@
 LEAVES = [Wire.close, Wire.reset, half_close, pipeline_and_close]
 
 
-async def full(request: ServerRequest, responder: Responder) -> None:
+async def full(_request: ServerRequest, responder: Responder) -> None:
     await responder.respond(503, [(b"Not-Executed", b"1")])
 
 
@@ -45,7 +45,7 @@
 def test_the_worker_is_let_go_at_once(behaviour: Behaviour, leave: Leave) -> None:
     async def play() -> None:
         async with gateway(behaviour, answered, routes=(STREAM,)) as tier:
-            tier.program._chooser.workers["w1"].slowness = 5.0
+            tier.program.chooser.workers["w1"].slowness = 5.0
             wire = await tier.wire()
             wire.send(POST)
             await tier.reached()
@@ -56,7 +56,7 @@
             (let_go_at,) = tier.let_go_at
             assert let_go_at - left_at < LET_GO_S
             assert len(tier.seen) == 1
-            assert tier.program._front.requests_held == 0
+            assert tier.program.front.requests_in_flight == 0
 
     run(play())
 
@@ -65,8 +65,8 @@
     async def play() -> None:
         async with gateway(answered) as tier:
             await tier.ask()  # a connection to the worker rests: the next request needs no wait
-            tier.program._routes = None
-            tier.program._configured.clear()
+            tier.program.configuration.routes = None
+            tier.program.configuration.received.clear()
             wire = await tier.wire()
             wire.send(POST)
             await asyncio.sleep(0.1)
@@ -84,17 +84,18 @@
 ) -> None:
     """The connection comes up after the client has left."""
     connects: list[Awaitable[None]] = []
+    begun = asyncio.Event()
 
     def held_back(connection: WorkerConnection, timeout_s: float) -> None:
-        connects.append(connection._connect(timeout_s))
+        connects.append(connection._connect(timeout_s))  # noqa: SLF001 - what `connect` would start
+        begun.set()
 
     async def play() -> None:
         async with gateway(answered) as tier:
             monkeypatch.setattr(WorkerConnection, "connect", held_back)
             wire = await tier.wire()
             wire.send(POST)
-            while not connects:
-                await asyncio.sleep(0.001)
+            await begun.wait()
             wire.close()
             await asyncio.sleep(0.1)
             await connects[0]
@@ -120,7 +121,7 @@
             await left.wait()
             await settled()
             assert len(tier.seen) <= 2  # the second is sent without a pause; the close may come just after
-            assert tier.program._front.requests_held == 0
+            assert tier.program.front.requests_in_flight == 0
 
     run(play())
 
@@ -178,7 +179,7 @@
 
 
 def test_a_client_that_leaves_while_it_reads_too_slowly_lets_its_worker_go() -> None:
-    async def endless(request: ServerRequest, responder: Responder) -> None:
+    async def endless(_request: ServerRequest, responder: Responder) -> None:
         responder.begin(200, [(b"Response-Signature", b"s"), (b"Content-Type", b"text/event-stream")])
         number = 0
         while not responder.disconnected:
--- a/tests/gateway/test_denied.py
+++ b/tests/gateway/test_dispatch.py
@@ -53,7 +53,7 @@
 
     async def play() -> None:
         async with gateway(answered) as tier:
-            await asyncio.sleep(tier.program._settings.bounds.config_s + 0.1)
+            await asyncio.sleep(tier.program.settings.bounds.config_s + 0.1)
             answer = await tier.ask("/nowhere/x")
             assert answer.head.status == 503
             assert float(answer.head.get(b"retry-after") or b"0") > 0
--- a/tests/gateway/test_drain.py
+++ b/tests/gateway/test_drain.py
@@ -94,7 +94,7 @@
             wire.send(asked)
             assert b" 200 " in await wire.until(b"\r\n\r\n")
             await wire.read(len(b"result"))
-            tier.program._chooser.workers["w0"].slowness = 9.0
+            tier.program.chooser.workers["w0"].slowness = 9.0
             stream = held(tier)
             await tier.reached(2)
             ending = asyncio.create_task(tier.program.drain())
@@ -114,12 +114,12 @@
 def test_a_request_that_ends_before_the_process_is_served_late_too() -> None:
     async def play() -> None:
         async with gateway(slow_stream, answered, routes=(STREAM,)) as tier:
-            tier.program._chooser.workers["w1"].slowness = 2.0
+            tier.program.chooser.workers["w1"].slowness = 2.0
             stream = held(tier)
             await tier.reached()
             ending = asyncio.create_task(tier.program.drain())
             await asyncio.sleep(4.0)
-            tier.program._chooser.workers["w0"].slowness = 9.0
+            tier.program.chooser.workers["w0"].slowness = 9.0
             assert (await tier.ask(timeout_ms=SHORT_MS)).head.status == 200
             ending.cancel()
             stream.cancel()
@@ -157,7 +157,7 @@
             await tier.reached()
             await tier.program.drain()
             assert now() - began < GRACE_S
-            assert tier.program._front.requests_held == 0
+            assert tier.program.front.requests_in_flight == 0
             answer = await asking
             assert answer.head.status == 504  # type: ignore[attr-defined]
 
@@ -167,7 +167,7 @@
 def test_a_request_that_waits_for_the_first_tables_has_its_answer_before_the_process_ends() -> None:
     async def play() -> None:
         async with gateway(answered, configured=False) as tier:
-            tier.program._drain.begin(now(), 1.0)
+            tier.program.draining.begin(now(), 1.0)
             began = now()
             assert (await tier.ask(timeout_ms=LONG_MS)).head.status == 503
             assert now() - began <= 0.5
@@ -182,7 +182,7 @@
             stream = held(tier)
             await tier.reached()
             await tier.program.drain()
-            assert tier.program._drain.ends_at - 0.1 < now() < began + GRACE_S
+            assert tier.program.draining.ends_at - 0.1 < now() < began + GRACE_S
             with pytest.raises(ExchangeError):
                 await stream
 
--- a/tests/gateway/test_live.py
+++ b/tests/gateway/test_live_request.py
@@ -8,9 +8,7 @@
 import pytest
 
 from pewterring.configuration.model import RouteType
-from pewterring.gateway.attempt import worker_request
-from pewterring.routing.prompt import Prompt
-from pewterring.routing.worker_state import WorkerState
+from pewterring.gateway.worker_protocol import worker_request
 from pewterring.transport.http_client import WorkerPool
 from pewterring.transport.http_exchange import ExchangeError, SendRequest
 from pewterring.transport.http_request import ServerRequest
@@ -77,7 +75,7 @@
         time_s=2.0,
     )
 
-    async def breaks_late(request: ServerRequest, responder: Responder) -> None:
+    async def breaks_late(_request: ServerRequest, responder: Responder) -> None:
         nonlocal offset_s
         offset_s += 0.8
         responder.abort()
@@ -234,7 +232,7 @@
 def one_event_early(
     request: ServerRequest, worker_id: str, deadline: float, last_event_id: int | None
 ) -> SendRequest:
-    """A broken `worker_request`: asks for the last event that the client has once more."""
+    """Acts as a broken `worker_request` that asks for the last event that the client has once more."""
     early = None if last_event_id is None else last_event_id - 1
     return worker_request(request, worker_id, deadline, early)
 
@@ -242,7 +240,7 @@
 def test_a_resumption_asked_for_one_event_early_is_caught(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr("pewterring.gateway.live.worker_request", one_event_early)
+    monkeypatch.setattr("pewterring.gateway.live_request.worker_request", one_event_early)
     tier = Tier(route(RouteType.STREAMING, resumable=True), [cut_stream, whole_stream])
 
     async def story() -> None:
@@ -339,13 +337,13 @@
 
 
 def test_an_attempt_that_ends_in_an_error_of_our_own_leaves_nothing_counted() -> None:
-    def fails(worker: WorkerState, tokens: int, prompt: Prompt) -> None:
+    def fails(*_: object) -> None:
         raise ValueError("unforeseen")
 
     tier = Tier(route(RouteType.IDEMPOTENT), [answered])
 
     async def story() -> None:
-        tier.context = replace(tier.context, tell_prompt=fails)
+        tier.context = replace(tier.context, announce_prompt=fails)
         with contextlib.suppress(ExchangeError):
             await tier.ask()
         worker = tier.context.chooser.workers["w0"]
@@ -411,7 +409,7 @@
 
 
 def answers(status: int, *headers: tuple[bytes, bytes]) -> Behaviour:
-    async def behave(request: ServerRequest, responder: Responder) -> None:
+    async def behave(_request: ServerRequest, responder: Responder) -> None:
         await responder.respond(status, list(headers), b"of a worker")
 
     return behave
@@ -444,7 +442,7 @@
 
 @pytest.mark.parametrize("unusable", [(), (*PLAIN, (b"Content-Encoding", b"gzip"))])
 def test_what_cannot_be_used_is_not_waited_for(unusable: tuple[tuple[bytes, bytes], ...]) -> None:
-    async def endless(request: ServerRequest, responder: Responder) -> None:
+    async def endless(_request: ServerRequest, responder: Responder) -> None:
         responder.begin(200, [(b"Request-Id", b"7"), (b"Content-Type", b"text/event-stream"), *unusable])
         responder.write(event(1))
         await responder.finished()
@@ -484,11 +482,10 @@
 
     async def story() -> None:
         asking = asyncio.create_task(tier.ask())
-        while not tier.seen:
-            await asyncio.sleep(0)
+        await tier.arrived.wait()
         now = time.monotonic()
         for step in range(200):  # the clock that looks is told, not waited for
-            tier.watch.check(now + step * 0.05)
+            tier.stalls.check(now + step * 0.05)
         assert (await asking).head.status == 200
         assert tier.context.chooser.workers["w0"].suspect(time.monotonic())
 
@@ -500,11 +497,10 @@
 
     async def story() -> None:
         asking = asyncio.create_task(tier.ask())
-        while not tier.seen:
-            await asyncio.sleep(0)
+        await tier.arrived.wait()
         now = time.monotonic()
         for step in range(200):
-            tier.watch.check(now + step * 0.05)
+            tier.stalls.check(now + step * 0.05)
         for _ in range(20):
             await asyncio.sleep(0)
         assert not asking.done()
@@ -517,7 +513,7 @@
 def test_the_client_that_leaves_ends_the_workers_exchange() -> None:
     gone = asyncio.Event()
 
-    async def watched(request: ServerRequest, responder: Responder) -> None:
+    async def watched(_request: ServerRequest, responder: Responder) -> None:
         responder.on_disconnect(gone.set)
         await responder.finished()
 
@@ -525,13 +521,12 @@
 
     async def story() -> None:
         asking = asyncio.create_task(tier.ask())
-        while not tier.seen:
-            await asyncio.sleep(0)
+        await tier.arrived.wait()
         asking.cancel()
         await gone.wait()
 
     # The front cancels the request's task as the program does.
-    serve = tier._front
+    serve = tier.serve
 
     async def front(request: ServerRequest, responder: Responder) -> None:
         task = asyncio.current_task()
@@ -539,5 +534,5 @@
         responder.on_disconnect(lambda: task.cancel() and None)  # type: ignore[arg-type]
         await serve(request, responder)
 
-    tier._front = front  # type: ignore[method-assign]
+    tier.serve = front  # type: ignore[method-assign]  # in place of the one that a test may not need
     play(tier, story)
--- a/tests/gateway/test_request_log.py
+++ b/tests/gateway/test_request_log.py
@@ -1,7 +1,6 @@
 """A gateway logs its bad requests where the settings ask for it, with what happened to each."""
 
 from collections.abc import Iterator
-from dataclasses import replace
 from typing import Any
 
 import orjson
@@ -31,14 +30,14 @@
 
 
 def log_requests(tier: Gateway) -> None:
-    tier.program._settings = replace(tier.program._settings, request_log=RequestLogMode.ALL)
+    tier.program.live.request_log = RequestLogMode.ALL
 
 
 def requests(lines: Lines) -> Lines:
     return [line for line in lines if line["event"] == REQUEST_EVENT]
 
 
-async def declined(request: ServerRequest, responder: Responder) -> None:
+async def declined(_request: ServerRequest, responder: Responder) -> None:
     await responder.respond(503, [(b"Not-Executed", b"full")])
 
 
@@ -59,7 +58,7 @@
     async def play() -> None:
         async with gateway(answered) as tier:
             log_requests(tier)
-            admission = tier.program._admissions.of("s")
+            admission = tier.program.admissions.of("s")
             admission.out = 10**6
             assert (await tier.ask()).head.status == 503
             admission.out = 0
--- a/tests/gateway/test_request_trace.py
+++ b/tests/gateway/test_request_trace.py
@@ -8,7 +8,7 @@
 from pewterring.__main__ import main
 from pewterring.configuration.model import Route, RouteType, WeightedService
 from pewterring.gateway.metrics import Limit
-from pewterring.gateway.request_trace import RequestTrace
+from pewterring.gateway.request_trace import AttemptStart, RequestTrace
 from pewterring.observability.event_thinner import EventThinner
 from pewterring.observability.log import JsonLineSink
 from pewterring.observability.request_log import RECORD_FORMAT, REQUEST_EVENT, Reason
@@ -29,7 +29,7 @@
 
 def trace(**sent: float) -> RequestTrace:
     made = RequestTrace("id-1", ROUTE, 100.0, tokens=17_000, admitted_at=100.01)
-    made.sent(100.02, "i-1", 15_000, sent.get("read_s", 0.0), sent.get("wait_s", 0.0), 1)
+    made.sent(AttemptStart(100.02, "i-1", 15_000, sent.get("read_s", 0.0), sent.get("wait_s", 0.0), 1))
     return made
 
 
@@ -59,8 +59,8 @@
 def test_a_pause_and_a_second_attempt_are_told() -> None:
     assert ended(trace(), 0.1, 0.5) is Reason.PAUSE
     again = trace()
-    again.failure = "WorkerSilent"
-    again.sent(100.4, "i-2", 0, 0.0, 0.0, 0)
+    again.failure = "WorkerUnresponsiveError"
+    again.sent(AttemptStart(100.4, "i-2", 0, 0.0, 0.0, 0))
     assert ended(again, 0.5) is Reason.WORKER_FAILED
 
 
@@ -68,7 +68,7 @@
     ("limit", "reason"),
     [
         (Limit.SHARE, Reason.REFUSED),
-        (Limit.CEILING, Reason.REFUSED),
+        (Limit.CONCURRENCY, Reason.REFUSED),
         (Limit.DRAIN, Reason.REFUSED),
         (Limit.NO_WORKER, Reason.NO_WORKER),
         (Limit.CONNECTIONS, Reason.NO_CONNECTION),
--- a/tests/gateway/test_stalls.py
+++ b/tests/gateway/test_stall_detector.py
@@ -6,12 +6,12 @@
 import pytest
 
 from pewterring.distribution.messages import WorkerRecord
-from pewterring.gateway.stalls import (
+from pewterring.gateway.stall_detector import (
     CHECK_INTERVAL_S,
-    MOST_READING_S,
-    StallWatch,
+    MAX_PREFILL_ALLOWANCE_S,
+    StallDetector,
     WatchedAttempt,
-    WorkerSilent,
+    WorkerUnresponsiveError,
 )
 from pewterring.routing.worker_state import WorkerState
 from pewterring.transport.http_fetch import AnswerStream
@@ -37,7 +37,7 @@
         self.worker = WorkerState(WorkerRecord("w1", "s", "10.0.0.1:80", "z", 4, "ready"), 1000)
         self.stream = Stream()
         self.told: list[tuple[float, float]] = []  # when, and what wait
-        self.watch = StallWatch(lambda worker, seconds: self.told.append((self.now, seconds)))
+        self.watch = StallDetector(lambda _worker, seconds: self.told.append((self.now, seconds)))
         stream = cast(AnswerStream, self.stream)
         self.attempt = WatchedAttempt(self.worker, stream, PATIENCE_S, 0.0, repeatable, EXPECTED_S)
         self.watch.add(self.attempt)
@@ -50,7 +50,7 @@
             self.now = round(self.now + CHECK_INTERVAL_S, 6)
             self.watch.check(self.now)
             if self.stream.error is not None:
-                assert isinstance(self.stream.error, WorkerSilent)
+                assert isinstance(self.stream.error, WorkerUnresponsiveError)
                 return self.now
         return None
 
@@ -78,7 +78,7 @@
 def test_prompts_explain_a_bounded_silence() -> None:
     watched = Watched()
     watched.worker.expect_reading(0.0, 60.0)
-    assert watched.interrupted_at() == pytest.approx(PATIENCE_S + MOST_READING_S + CHECK_INTERVAL_S)
+    assert watched.interrupted_at() == pytest.approx(PATIENCE_S + MAX_PREFILL_ALLOWANCE_S + CHECK_INTERVAL_S)
 
 
 def test_a_byte_of_any_answer_begins_the_silence_anew() -> None:
--- a/tests/gateway/test_timeouts.py
+++ b/tests/gateway/test_timeouts.py
@@ -18,7 +18,7 @@
 
 
 async def final_status(tier: Gateway, sent: bytes = HEAD + b"body") -> int:
-    """Sends bytes; the status of the answer, which must come in time."""
+    """Sends bytes and returns the status of the answer, which must come in time."""
     wire = await tier.wire()
     began = now()
     wire.send(sent)
@@ -27,7 +27,7 @@
     return int(head.split(b" ")[1])
 
 
-async def endless(request: ServerRequest, responder: Responder) -> None:
+async def endless(_request: ServerRequest, responder: Responder) -> None:
     """More than a client's socket takes that is not read."""
     responder.begin(200, EVENTS)
     number = 0
@@ -49,7 +49,7 @@
 
 @pytest.mark.parametrize("kind", KINDS)
 def test_a_worker_that_does_not_take_the_connection(kind: RouteType, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(WorkerConnection, "connect", lambda connection, timeout_s: None)
+    monkeypatch.setattr(WorkerConnection, "connect", lambda *_: None)
 
     async def play() -> None:
         async with gateway(answered, routes=(route(kind, timeout_ms=TIMEOUT_MS),)) as tier:
@@ -91,8 +91,8 @@
             wire.writer.transport.pause_reading()  # type: ignore[attr-defined]
             wire.send(HEAD + b"body")
             await asyncio.sleep(TIMEOUT_S + SLACK_S)
-            assert tier.program._front.requests_held == 0
-            assert tier.program._front.open_connections == 0
+            assert tier.program.front.requests_in_flight == 0
+            assert tier.program.front.open_connections == 0
             assert len(tier.let_go_at) == 1
 
     run(play())
--- a/tests/gateway/test_silent_workers.py
+++ b/tests/gateway/test_unresponsive_workers.py
@@ -14,22 +14,22 @@
 
 
 def mark(tier: Gateway, state: str, *names: str) -> None:
-    """Control's word on workers comes with new tables."""
-    subscription = tier.program._feed._subscription
+    """Puts tables in force in which control gives workers another state."""
+    subscription = tier.subscription
     old = subscription.tables
     workers = dict(old.workers)
     for name in names:
         workers[name] = msgspec.structs.replace(workers[name], state=state)
     subscription.tables = Tables(configuration=old.configuration, workers=workers)
-    tier.program._take_tables(old, subscription.tables)
+    tier.program.take_tables(old, subscription.tables)
 
 
-async def misdirected(request: ServerRequest, responder: Responder) -> None:
+async def misdirected(_request: ServerRequest, responder: Responder) -> None:
     await responder.respond(421, [])
 
 
 def slots(tier: Gateway) -> int:
-    return tier.program._chooser.slots(now(), "s")
+    return tier.program.chooser.slots(now(), "s")
 
 
 def test_a_silent_worker_that_answers_keeps_its_requests_and_its_slots() -> None:
@@ -105,10 +105,10 @@
 def test_the_slots_of_a_silent_worker_go_when_it_answers_no_more() -> None:
     async def play() -> None:
         async with gateway(answered, answered) as tier:
-            tier.program._chooser.workers["w0"].heard_at = now()
-            ticking = asyncio.create_task(tier.program._tick())
+            tier.program.chooser.workers["w0"].heard_at = now()
+            ticking = asyncio.create_task(tier.program.send_heartbeats())
             mark(tier, "silent", "w0")
-            ceiling = tier.program._admissions.of("s").ceiling
+            ceiling = tier.program.admissions.of("s").ceiling
             assert ceiling.rating == 8.0
             await asyncio.sleep(2 * VOUCHED_S)
             assert ceiling.rating == 4.0
--- a/tests/gateway/test_resets.py
+++ b/tests/gateway/test_worker_resets.py
@@ -10,8 +10,10 @@
 from pewterring.admission.service import ServiceAdmission
 from pewterring.configuration.model import Route, RouteType, WeightedService
 from pewterring.distribution.messages import WorkerRecord
-from pewterring.gateway.live import LiveContext, LiveRequest
-from pewterring.gateway.stalls import StallWatch
+from pewterring.gateway.live_attempt import AdmittedRequest, LiveContext
+from pewterring.gateway.live_request import LiveRequest
+from pewterring.gateway.metrics import Limit
+from pewterring.gateway.stall_detector import StallDetector
 from pewterring.routing.chooser import WorkerChooser
 from pewterring.routing.prompt import NO_PROMPT
 from pewterring.transport.http_client import SendRequest
@@ -60,18 +62,15 @@
             None,
         )
         chooser.workers["w0"].slowness, chooser.workers["w1"].slowness = 1.0, 2.0
-        self.context = LiveContext(
-            self.worker.pool, chooser, StallWatch(), lambda worker, tokens, prompt: None
-        )
+        self.context = LiveContext(self.worker.pool, chooser, StallDetector(), lambda *_: None)
 
-    async def ask(self) -> "asyncio.Task[None]":
+    async def ask(self) -> "asyncio.Task[Limit | None]":
         """Begins a request, as far as the connection to its first worker takes it."""
         now = asyncio.get_running_loop().time()
         headers = [(b"Host", b"h"), (b"Request-Id", b"a1"), (b"Request-Timeout-Ms", b"5000")]
         fields = {name.lower(): value for name, value in headers}
         request = ServerRequest("POST", "/p/x", headers, fields, "h", BODY, now, True, b"1.1")
-        live = LiveRequest(
-            self.context,
+        admitted = AdmittedRequest(
             request,
             Responder(self.client, request),
             self.route,
@@ -81,7 +80,7 @@
             ServiceAdmission(1),
             10,
         )
-        task = asyncio.create_task(live.run())
+        task = asyncio.create_task(LiveRequest(self.context, admitted).run())
         await settle()
         return task
 
--- a/tests/golden/gateway_http_cases.py
+++ b/tests/golden/gateway_http_cases.py
@@ -131,7 +131,7 @@
 
 async def _without_room(played: Played) -> None:
     played.gateway.configure()
-    played.gateway.take_room("s")
+    played.gateway.take_capacity("s")
     await played.ask(LIVE)
 
 
--- a/tests/golden/metric_cases.py
+++ b/tests/golden/metric_cases.py
@@ -26,7 +26,7 @@
     metrics.requests, metrics.batch_calls, metrics.unrouted = 11, 12, 13
     state = GatewayState(
         ready=True,
-        requests_held=3,
+        requests_in_flight=3,
         client_connections=4,
         worker_connections_made=5,
         tables=Tables(),
--- a/tests/observability/test_metrics.py
+++ b/tests/observability/test_metrics.py
@@ -27,7 +27,7 @@
 def state(**admissions: ServiceAdmission) -> GatewayState:
     return GatewayState(
         ready=True,
-        requests_held=3,
+        requests_in_flight=3,
         client_connections=4,
         worker_connections_made=5,
         tables=Tables(),
--- a/tests/transport/test_answer_breakages.py
+++ b/tests/transport/test_answer_breakages.py
@@ -12,7 +12,7 @@
 from pewterring.transport.http_client import AddressConnections, WorkerConnection
 from pewterring.transport.http_exchange import StaleConnection
 from pewterring.transport.line_codec import MessageCodec
-from tests.gateway import test_resets as live
+from tests.gateway import test_worker_resets as live
 from tests.transport import test_http_resets as http
 from tests.transport import test_line_resets as lines
 from tests.transport.scripted import Ending, ScriptedTransport
