--- a/pewterring/gateway/live_attempt.py
+++ b/pewterring/gateway/live_attempt.py
@@ -162,11 +162,11 @@
         worker, route = self._worker, self._admitted.route
         prefill_s = worker.reading_after(now)  # which the detector allows for
         first_byte_s = max(0.0, FIRST_BYTE_TIMEOUT_FACTOR * expected_s - prefill_s)
-        timeout_s = first_byte_s + self._silence_timeout_s() + worker.congested_s(now)
+        timeout_s = first_byte_s + self._idle_timeout_s() + worker.congested_s(now)
         may_retry = route.is_idempotent and self._progress.runs + 1 < route.max_attempts
         return WatchedAttempt(worker, self._stream, timeout_s, now, may_retry, expected_s)
 
-    def _silence_timeout_s(self) -> float:
+    def _idle_timeout_s(self) -> float:
         """Returns how long a worker may be silent: past it the answer would be late."""
         route = self._admitted.route
         if route.token_gap_target_ms > 0:
@@ -182,7 +182,7 @@
             async with context.drain.timeout_at(admitted.deadline):
                 return await self._read()
         except ExchangeError as error:
-            self._note_error(error)
+            self._report_error(error)
             return AttemptEnd.MAY_HAVE_RUN if error.sent else AttemptEnd.NOT_RUN
         except TimeoutError:
             return AttemptEnd.MAY_HAVE_RUN if self._stream.exchange.sent else AttemptEnd.NOT_RUN
@@ -192,7 +192,7 @@
             context.stalls.remove(self._watched)
             self._stream.cancel()
 
-    def _note_error(self, error: ExchangeError) -> None:
+    def _report_error(self, error: ExchangeError) -> None:
         if self._admitted.trace is not None:
             self._admitted.trace.failure = type(error).__name__
         if not isinstance(error, WorkerUnresponsiveError):  # the detector has marked the worker
@@ -308,7 +308,7 @@
         worker, admitted = self._worker, self._admitted
         worker.pending_tokens -= self._pending_tokens
         self._pending_tokens = 0
-        self._watched.silence_timeout_s = self._silence_timeout_s()
+        self._watched.idle_timeout_s = self._idle_timeout_s()
         self._watched.expected_s = math.inf
         worker.keep(admitted.prompt)
         seconds = now - self._sent_at
--- a/pewterring/gateway/stall_detector.py
+++ b/pewterring/gateway/stall_detector.py
@@ -26,11 +26,11 @@
 
 @dataclass(slots=True, eq=False)
 class WatchedAttempt:
-    """One attempt in flight. `silence_timeout_s` changes with the first byte."""
+    """One attempt in flight. `idle_timeout_s` changes with the first byte."""
 
     worker: WorkerState
     stream: AnswerStream
-    silence_timeout_s: float
+    idle_timeout_s: float
     active_at: float  # when it was sent, or this process was last paused
     may_retry: bool  # whether the request may go elsewhere
     expected_s: float = math.inf  # time to the first byte; infinite once it came
@@ -55,7 +55,7 @@
         """
         heard_at = max(self.active_at, self.worker.heard_at)
         prefill_s = min(MAX_PREFILL_ALLOWANCE_S, self.worker.reading_after(heard_at))
-        return now - heard_at > self.silence_timeout_s + prefill_s
+        return now - heard_at > self.idle_timeout_s + prefill_s
 
 
 class StallDetector:
--- a/tests/gateway/gateway.py
+++ b/tests/gateway/gateway.py
@@ -61,7 +61,7 @@
     await responder.respond(200, SIGNED, b"result")
 
 
-async def silent(_request: ServerRequest, responder: Responder) -> None:
+async def unresponsive(_request: ServerRequest, responder: Responder) -> None:
     await responder.finished()
 
 
@@ -84,7 +84,7 @@
     clients: WorkerPool = field(default_factory=lambda: WorkerPool(now=now))
     seen: list[ServerRequest] = field(default_factory=list)
     arrived: asyncio.Event = field(default_factory=asyncio.Event)  # a request came to a worker
-    let_go_at: list[float] = field(default_factory=list)  # when a worker's connection closed during a request
+    released_at: list[float] = field(default_factory=list)  # a worker's connection closed amid a request
     servers: list[HttpServer] = field(default_factory=list)
     wires: list[Wire] = field(default_factory=list)
     workers: dict[str, WorkerRecord] = field(default_factory=dict)
@@ -157,12 +157,12 @@
         async def handle(request: ServerRequest, responder: Responder) -> None:
             self.seen.append(request)
             self.arrived.set()
-            responder.on_disconnect(lambda: self.let_go_at.append(now()))
+            responder.on_disconnect(lambda: self.released_at.append(now()))
             await behaviour(request, responder)
 
         return handle
 
-    async def ask(
+    async def request(
         self, path: str = "/p/x", method: str = "POST", timeout_ms: int | None = 5000, body: bytes = b"body"
     ) -> WholeAnswer:
         headers = [(b"Host", b"h"), (b"Request-Id", b"7")]
--- a/tests/gateway/live_tier.py
+++ b/tests/gateway/live_tier.py
@@ -121,7 +121,7 @@
         )
         await LiveRequest(self.context, admitted).run()
 
-    async def ask(self, *more: tuple[bytes, bytes]) -> WholeAnswer:
+    async def request(self, *more: tuple[bytes, bytes]) -> WholeAnswer:
         headers = [(b"Host", b"h"), (b"Request-Id", b"7"), *more]
         request = SendRequest("POST", "/p/x?", headers, b"body", request_id=b"7")
         return await fetch(self.pool, f"127.0.0.1:{self.front.port}", request, 10, PATIENCE_S)
@@ -146,7 +146,7 @@
     asyncio.run(run())
 
 
-async def whole_stream(request: ServerRequest, responder: Responder) -> None:
+async def complete_stream(request: ServerRequest, responder: Responder) -> None:
     first = int(request.get(b"last-event-id") or b"0") + 1
     responder.begin(200, [(b"Request-Id", b"7"), *SIGNED])
     for number in range(first, 5):
@@ -154,7 +154,7 @@
     responder.end()
 
 
-async def cut_stream(_request: ServerRequest, responder: Responder) -> None:
+async def truncated_stream(_request: ServerRequest, responder: Responder) -> None:
     responder.begin(200, [(b"Request-Id", b"7"), *SIGNED])
     responder.write(event(1) + event(2) + event(3)[:7])
     responder.abort()
@@ -180,5 +180,5 @@
     await responder.respond(500, PLAIN, b"failure")
 
 
-async def silent(_request: ServerRequest, responder: Responder) -> None:
+async def unresponsive(_request: ServerRequest, responder: Responder) -> None:
     await responder.finished()
--- a/tests/gateway/test_batch_calls.py
+++ b/tests/gateway/test_batch_calls.py
@@ -136,7 +136,7 @@
     assert ("Retry-After", "1.50") in answer.headers
 
 
-def test_nothing_sent_to_anybody_is_a_promise() -> None:
+def test_a_call_that_reached_no_store_is_answered_as_not_run() -> None:
     def reply(_ip: str, _message: msgspec.Struct) -> msgspec.Struct:
         raise RequestNotSent("down")
 
--- a/tests/gateway/test_drain.py
+++ b/tests/gateway/test_drain.py
@@ -15,8 +15,8 @@
     answered,
     gateway,
     route,
-    silent,
     slow_stream,
+    unresponsive,
 )
 from tests.transport.virtual_time import now, run
 
@@ -24,8 +24,8 @@
 LONG_MS, SHORT_MS = 20_000, 1500
 
 
-def held(gateway: Gateway, timeout_ms: int = LONG_MS) -> asyncio.Task[object]:
-    return asyncio.create_task(gateway.ask(timeout_ms=timeout_ms))
+def in_flight(gateway: Gateway, timeout_ms: int = LONG_MS) -> asyncio.Task[object]:
+    return asyncio.create_task(gateway.request(timeout_ms=timeout_ms))
 
 
 def test_what_comes_early_begins_and_later_only_what_ends_in_time() -> None:
@@ -68,14 +68,14 @@
     return now()
 
 
-def test_a_late_request_is_refused_with_the_promise_while_a_stream_is_held() -> None:
+def test_a_late_request_is_refused_as_not_run_while_a_stream_is_in_flight() -> None:
     async def play() -> None:
         async with gateway(slow_stream, routes=(STREAM,)) as tier:
-            stream = held(tier)
+            stream = in_flight(tier)
             await tier.reached()
             ending = asyncio.create_task(tier.program.drain())
             await asyncio.sleep(6.9)
-            answer = await tier.ask(timeout_ms=6000)
+            answer = await tier.request(timeout_ms=6000)
             assert answer.head.status == 503
             assert 0 < float(answer.head.get(b"retry-after") or b"0") < 0.1
             assert answer.head.get(b"connection") == b"close"
@@ -86,20 +86,20 @@
     run(play())
 
 
-def test_a_kept_connection_is_refused_too() -> None:
+def test_a_request_on_a_persistent_connection_is_refused_too() -> None:
     async def play() -> None:
         async with gateway(answered, slow_stream, routes=(STREAM,)) as tier:
             wire = await tier.wire()
-            asked = b"POST /p/x HTTP/1.1\r\nHost: h\r\nRequest-Id: 7\r\nContent-Length: 0\r\n\r\n"
-            wire.send(asked)
+            request = b"POST /p/x HTTP/1.1\r\nHost: h\r\nRequest-Id: 7\r\nContent-Length: 0\r\n\r\n"
+            wire.send(request)
             assert b" 200 " in await wire.until(b"\r\n\r\n")
             await wire.read(len(b"result"))
             tier.program.chooser.workers["w0"].slowness = 9.0
-            stream = held(tier)
+            stream = in_flight(tier)
             await tier.reached(2)
             ending = asyncio.create_task(tier.program.drain())
             await asyncio.sleep(4.0)
-            wire.send(asked)
+            wire.send(request)
             refused = (await wire.rest()).lower()
             assert b" 503 " in refused
             assert b"retry-after" in refused
@@ -115,12 +115,12 @@
     async def play() -> None:
         async with gateway(slow_stream, answered, routes=(STREAM,)) as tier:
             tier.program.chooser.workers["w1"].slowness = 2.0
-            stream = held(tier)
+            stream = in_flight(tier)
             await tier.reached()
             ending = asyncio.create_task(tier.program.drain())
             await asyncio.sleep(4.0)
             tier.program.chooser.workers["w0"].slowness = 9.0
-            assert (await tier.ask(timeout_ms=SHORT_MS)).head.status == 200
+            assert (await tier.request(timeout_ms=SHORT_MS)).head.status == 200
             ending.cancel()
             stream.cancel()
 
@@ -139,7 +139,7 @@
     run(play())
 
 
-def test_the_process_ends_soon_where_nothing_is_held() -> None:
+def test_the_process_ends_soon_where_nothing_is_in_flight() -> None:
     async def play() -> None:
         async with gateway(answered) as tier:
             began = now()
@@ -151,14 +151,14 @@
 
 def test_a_request_without_an_answer_gets_one_before_the_process_ends() -> None:
     async def play() -> None:
-        async with gateway(silent, silent, routes=(route(timeout_ms=LONG_MS),)) as tier:
+        async with gateway(unresponsive, unresponsive, routes=(route(timeout_ms=LONG_MS),)) as tier:
             began = now()
-            asking = held(tier)
+            requesting = in_flight(tier)
             await tier.reached()
             await tier.program.drain()
             assert now() - began < GRACE_S
             assert tier.program.front.requests_in_flight == 0
-            answer = await asking
+            answer = await requesting
             assert answer.head.status == 504  # type: ignore[attr-defined]
 
     run(play())
@@ -169,17 +169,17 @@
         async with gateway(answered, configured=False) as tier:
             tier.program.draining.begin(now(), 1.0)
             began = now()
-            assert (await tier.ask(timeout_ms=LONG_MS)).head.status == 503
+            assert (await tier.request(timeout_ms=LONG_MS)).head.status == 503
             assert now() - began <= 0.5
 
     run(play())
 
 
-def test_a_stream_that_is_still_running_is_cut_at_the_end_and_not_before() -> None:
+def test_a_stream_that_is_still_running_is_truncated_at_the_end_and_not_before() -> None:
     async def play() -> None:
         async with gateway(slow_stream, routes=(STREAM,)) as tier:
             began = now()
-            stream = held(tier)
+            stream = in_flight(tier)
             await tier.reached()
             await tier.program.drain()
             assert tier.program.draining.ends_at - 0.1 < now() < began + GRACE_S
@@ -189,10 +189,10 @@
     run(play())
 
 
-def test_a_batch_read_that_would_outlive_the_process_is_refused_and_a_held_one_answered() -> None:
+def test_a_batch_read_that_would_outlive_the_process_is_refused_and_a_pending_one_answered() -> None:
     async def play() -> None:
         async with gateway(slow_stream, routes=(STREAM,)) as tier:
-            stream = held(tier)
+            stream = in_flight(tier)
             await tier.reached()
             reading = asyncio.create_task(read_results(tier, wait_ms=9_000))
             await asyncio.sleep(0.5)
--- a/tests/gateway/test_live_request.py
+++ b/tests/gateway/test_live_request.py
@@ -23,50 +23,50 @@
     Tier,
     answered,
     broken,
-    cut_stream,
+    complete_stream,
     event,
     failed,
     full,
     misdirected,
     play,
     route,
-    silent,
-    whole_stream,
+    truncated_stream,
+    unresponsive,
 )
 
 
-def test_a_stream_passes_whole_with_what_was_asked_unchanged() -> None:
-    tier = Tier(route(RouteType.STREAMING), [whole_stream])
+def test_a_stream_passes_completely_with_its_request_unchanged() -> None:
+    tier = Tier(route(RouteType.STREAMING), [complete_stream])
 
     async def story() -> None:
-        answer = await tier.ask()
-        assert answer.body == b"".join(event(n) for n in range(1, 5))
+        answer = await tier.request()
+        assert answer.body == b"".join(event(number) for number in range(1, 5))
         assert answer.head.get(b"response-signature") == b"stamp"
         ((_, request),) = tier.seen
         assert (request.target, request.body) == ("/p/x?", b"body")
         assert request.get(b"target-instance") == b"w0"
-        assert 0 < told_ms(request) <= PATIENCE_S * 1000
+        assert 0 < timeout_ms_sent(request) <= PATIENCE_S * 1000
 
     play(tier, story)
 
 
-def told_ms(request: ServerRequest) -> int:
+def timeout_ms_sent(request: ServerRequest) -> int:
     (value,) = [value for name, value in request.headers if name.lower() == b"request-timeout-ms"]
     return int(value)
 
 
 @pytest.mark.parametrize("headers", [(), ((b"Request-Timeout-Ms", b"900"),)])
-def test_a_worker_is_told_the_time_left_and_nothing_else(headers: tuple[tuple[bytes, bytes], ...]) -> None:
+def test_a_worker_gets_the_time_left_and_nothing_else(headers: tuple[tuple[bytes, bytes], ...]) -> None:
     tier = Tier(route(RouteType.NON_IDEMPOTENT), [answered], time_s=0.9)
 
     async def story() -> None:
-        await tier.ask(*headers)
-        assert 0 < told_ms(tier.seen[0][1]) <= 900
+        await tier.request(*headers)
+        assert 0 < timeout_ms_sent(tier.seen[0][1]) <= 900
 
     play(tier, story)
 
 
-def test_a_repeat_is_told_only_what_is_left_by_then() -> None:
+def test_a_retry_gets_only_the_time_left_by_then() -> None:
     offset_s = 0.0
     tier = Tier(
         route(RouteType.IDEMPOTENT, attempts=3),
@@ -83,8 +83,8 @@
     tier.behaviours += [breaks_late, breaks_late, answered]
 
     async def story() -> None:
-        assert (await tier.ask()).head.status == 200
-        first, second, third = (told_ms(request) for _, request in tier.seen)
+        assert (await tier.request()).head.status == 200
+        first, second, third = (timeout_ms_sent(request) for _, request in tier.seen)
         assert first <= 2000
         assert second <= first - 800
         assert third <= second - 800
@@ -92,7 +92,7 @@
     play(tier, story)
 
 
-OF_THE_CLIENT = (
+CLIENT_HEADERS = (
     (b"Model-Id", b"m;weights=2"),
     (b"Token-Usage", b"1460,80"),
     (b"Prompt-Prefix", b"5c1e07a2:800,91bd3f06:410,e4402b7d:250"),
@@ -108,44 +108,44 @@
 def test_each_attempt_carries_the_clients_headers_as_they_came(
     last_event_id: tuple[tuple[bytes, bytes], ...],
 ) -> None:
-    tier = Tier(route(RouteType.STREAMING, resumable=True), [cut_stream, whole_stream])
+    tier = Tier(route(RouteType.STREAMING, resumable=True), [truncated_stream, complete_stream])
 
     async def story() -> None:
-        await tier.ask(*OF_THE_CLIENT, *last_event_id)
+        await tier.request(*CLIENT_HEADERS, *last_event_id)
         assert len(tier.seen) == 2
         for _, request in tier.seen:
             ours = (b"request-timeout-ms", b"target-instance", b"last-event-id", b"content-length")
             passed = [header for header in request.headers if header[0].lower() not in ours]
-            assert passed == [(b"Host", b"h"), (b"Request-Id", b"7"), *OF_THE_CLIENT]
+            assert passed == [(b"Host", b"h"), (b"Request-Id", b"7"), *CLIENT_HEADERS]
             assert (request.method, request.target, request.body) == ("POST", "/p/x?", b"body")
 
     play(tier, story)
 
 
-def test_a_resumable_stream_that_is_cut_goes_on_elsewhere_within_one_answer() -> None:
-    tier = Tier(route(RouteType.STREAMING, resumable=True), [cut_stream, whole_stream])
+def test_a_resumable_stream_that_is_truncated_goes_on_elsewhere_within_one_answer() -> None:
+    tier = Tier(route(RouteType.STREAMING, resumable=True), [truncated_stream, complete_stream])
 
     async def story() -> None:
-        answer = await tier.ask()
-        assert answer.body == b"".join(event(n) for n in range(1, 5))
+        answer = await tier.request()
+        assert answer.body == b"".join(event(number) for number in range(1, 5))
         assert [number for number, _ in tier.seen] == [0, 1]
         assert tier.seen[1][1].get(b"last-event-id") == b"2"
 
     play(tier, story)
 
 
-def test_a_stream_that_may_not_resume_ends_so_that_it_does_not_look_whole() -> None:
-    tier = Tier(route(RouteType.STREAMING), [cut_stream, whole_stream])
+def test_a_stream_that_may_not_resume_ends_so_that_it_does_not_look_complete() -> None:
+    tier = Tier(route(RouteType.STREAMING), [truncated_stream, complete_stream])
 
     async def story() -> None:
         with pytest.raises(ExchangeError):
-            await tier.ask()
+            await tier.request()
         assert len(tier.seen) == 1
 
     play(tier, story)
 
 
-WHOLE = b"".join(event(number) for number in range(1, 5))
+COMPLETE = b"".join(event(number) for number in range(1, 5))
 BROKEN_OFF = [
     RawAnswer(UNFRAMED_STREAM + event(1) + event(2) + event(3)[:-1]),  # closed amid an event
     RawAnswer(UNFRAMED_STREAM + event(1) + event(2) + event(3)[:5]),
@@ -159,12 +159,12 @@
 
 
 @pytest.mark.parametrize("broken_off", BROKEN_OFF)
-def test_a_stream_that_its_worker_broke_off_never_looks_whole(broken_off: RawAnswer) -> None:
-    tier = Tier(route(RouteType.STREAMING), [broken_off, whole_stream])
+def test_a_stream_that_its_worker_broke_off_never_looks_complete(broken_off: RawAnswer) -> None:
+    tier = Tier(route(RouteType.STREAMING), [broken_off, complete_stream])
 
     async def story() -> None:
-        with contextlib.suppress(ExchangeError):  # the client sees it cut
-            assert (await tier.ask()).head.status == 502  # nothing of it had come
+        with contextlib.suppress(ExchangeError):  # the client sees it truncated
+            assert (await tier.request()).head.status == 502  # nothing of it had come
         assert len(tier.seen) == 1
 
     play(tier, story)
@@ -172,22 +172,23 @@
 
 @pytest.mark.parametrize("broken_off", BROKEN_OFF)
 def test_a_resumable_stream_that_its_worker_broke_off_has_each_event_once(broken_off: RawAnswer) -> None:
-    tier = Tier(route(RouteType.STREAMING, resumable=True), [broken_off, whole_stream])
+    tier = Tier(route(RouteType.STREAMING, resumable=True), [broken_off, complete_stream])
 
     async def story() -> None:
-        assert (await tier.ask()).body == WHOLE
+        assert (await tier.request()).body == COMPLETE
         assert [number for number, _ in tier.seen] == [0, 1]
 
     play(tier, story)
 
 
-def test_a_resumed_run_is_asked_for_behind_the_last_whole_event() -> None:
+def test_a_resumed_run_is_requested_behind_the_last_complete_event() -> None:
     tier = Tier(
-        route(RouteType.STREAMING, resumable=True), [RawAnswer(UNFRAMED_STREAM + WHOLE[:-1]), whole_stream]
+        route(RouteType.STREAMING, resumable=True),
+        [RawAnswer(UNFRAMED_STREAM + COMPLETE[:-1]), complete_stream],
     )
 
     async def story() -> None:
-        assert (await tier.ask()).body == WHOLE
+        assert (await tier.request()).body == COMPLETE
         assert tier.seen[1][1].get(b"last-event-id") == b"3"
 
     play(tier, story)
@@ -195,12 +196,12 @@
 
 @pytest.mark.parametrize("last", [b"data: x\n\n", b"id: two\ndata: x\n\n"])
 def test_a_stream_is_not_taken_up_behind_an_event_that_names_no_number(last: bytes) -> None:
-    cut = RawAnswer(UNFRAMED_STREAM + event(1) + last + event(3)[:4])
-    tier = Tier(route(RouteType.STREAMING, resumable=True), [cut, whole_stream])
+    truncated = RawAnswer(UNFRAMED_STREAM + event(1) + last + event(3)[:4])
+    tier = Tier(route(RouteType.STREAMING, resumable=True), [truncated, complete_stream])
 
     async def story() -> None:
         with pytest.raises(ExchangeError):
-            await tier.ask()
+            await tier.request()
         assert len(tier.seen) == 1
 
     play(tier, story)
@@ -208,11 +209,13 @@
 
 def test_an_answer_of_two_workers_keeps_the_head_and_stamp_of_the_first() -> None:
     head = UNFRAMED_STREAM.replace(b"stamp", b"first").replace(b"200 OK", b"200 OK\r\nVersions: 3")
-    tier = Tier(route(RouteType.STREAMING, resumable=True), [RawAnswer(head + WHOLE[:-1]), whole_stream])
+    tier = Tier(
+        route(RouteType.STREAMING, resumable=True), [RawAnswer(head + COMPLETE[:-1]), complete_stream]
+    )
 
     async def story() -> None:
-        answer = await tier.ask()
-        assert answer.body == WHOLE
+        answer = await tier.request()
+        assert answer.body == COMPLETE
         assert (answer.head.get(b"response-signature"), answer.head.get(b"versions")) == (b"first", b"3")
 
     play(tier, story)
@@ -220,11 +223,11 @@
 
 def test_a_resumed_run_that_begins_at_another_event_is_not_joined() -> None:
     early = RawAnswer(UNFRAMED_STREAM + event(2) + event(3) + event(4))
-    tier = Tier(route(RouteType.STREAMING, resumable=True), [cut_stream, early])
+    tier = Tier(route(RouteType.STREAMING, resumable=True), [truncated_stream, early])
 
     async def story() -> None:
         with pytest.raises(ExchangeError):
-            await tier.ask()
+            await tier.request()
 
     play(tier, story)
 
@@ -237,65 +240,65 @@
     return worker_request(request, worker_id, deadline, early)
 
 
-def test_a_resumption_asked_for_one_event_early_is_caught(
+def test_a_resumption_requested_one_event_early_is_caught(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr("pewterring.gateway.live_request.worker_request", one_event_early)
-    tier = Tier(route(RouteType.STREAMING, resumable=True), [cut_stream, whole_stream])
+    tier = Tier(route(RouteType.STREAMING, resumable=True), [truncated_stream, complete_stream])
 
     async def story() -> None:
-        with pytest.raises(ExchangeError):  # cut, with no event twice
-            await tier.ask()
+        with pytest.raises(ExchangeError):  # truncated, with no event twice
+            await tier.request()
         assert len(tier.seen) == 2
 
     play(tier, story)
 
 
 @pytest.mark.parametrize("tail", [b"", b"\n", b"\r\n"])
-def test_a_stream_without_a_length_that_closes_between_events_is_whole(tail: bytes) -> None:
-    tier = Tier(route(RouteType.STREAMING), [RawAnswer(UNFRAMED_STREAM + WHOLE + tail)])
+def test_a_stream_without_a_length_that_closes_between_events_is_complete(tail: bytes) -> None:
+    tier = Tier(route(RouteType.STREAMING), [RawAnswer(UNFRAMED_STREAM + COMPLETE + tail)])
 
     async def story() -> None:
-        assert (await tier.ask()).body == WHOLE + tail
+        assert (await tier.request()).body == COMPLETE + tail
 
     play(tier, story)
 
 
-def test_a_body_without_a_length_is_whole_where_its_connection_closes_in_good_order() -> None:
+def test_a_body_without_a_length_is_complete_where_its_connection_closes_in_good_order() -> None:
     tier = Tier(route(RouteType.NON_IDEMPOTENT), [RawAnswer(UNFRAMED_HEAD + b"\r\nresult")])
 
     async def story() -> None:
-        answer = await tier.ask()
+        answer = await tier.request()
         assert (answer.head.status, answer.body) == (200, b"result")
 
     play(tier, story)
 
 
-def test_a_body_without_a_length_is_not_whole_where_its_connection_is_reset() -> None:
+def test_a_body_without_a_length_is_not_complete_where_its_connection_is_reset() -> None:
     tier = Tier(route(RouteType.NON_IDEMPOTENT), [RawAnswer(UNFRAMED_HEAD + b"\r\nresu", reset=True)])
 
     async def story() -> None:
-        assert (await tier.ask()).head.status == 502
+        assert (await tier.request()).head.status == 502
 
     play(tier, story)
 
 
 def test_a_client_takes_its_stream_up_and_the_system_goes_on_from_there() -> None:
-    cut = RawAnswer(UNFRAMED_STREAM + event(3) + event(4)[:6])
-    tier = Tier(route(RouteType.STREAMING, resumable=True), [cut, whole_stream])
+    truncated = RawAnswer(UNFRAMED_STREAM + event(3) + event(4)[:6])
+    tier = Tier(route(RouteType.STREAMING, resumable=True), [truncated, complete_stream])
 
     async def story() -> None:
-        assert (await tier.ask((b"Last-Event-Id", b"2"))).body == event(3) + event(4)
+        assert (await tier.request((b"Last-Event-Id", b"2"))).body == event(3) + event(4)
         assert [request.get(b"last-event-id") for _, request in tier.seen] == [b"2", b"3"]
 
     play(tier, story)
 
 
 def test_a_clients_own_last_event_id_goes_to_the_second_worker_where_the_first_said_nothing() -> None:
-    tier = Tier(route(RouteType.STREAMING, resumable=True), [broken, whole_stream])
+    tier = Tier(route(RouteType.STREAMING, resumable=True), [broken, complete_stream])
 
     async def story() -> None:
-        assert (await tier.ask((b"Last-Event-Id", b"2"))).body == event(3) + event(4)
+        assert (await tier.request((b"Last-Event-Id", b"2"))).body == event(3) + event(4)
         assert [request.get(b"last-event-id") for _, request in tier.seen] == [b"2", b"2"]
 
     play(tier, story)
@@ -306,37 +309,37 @@
     tier = Tier(route(RouteType.NON_IDEMPOTENT, attempts=1), [declines, answered])
 
     async def story() -> None:
-        answer = await tier.ask()
+        answer = await tier.request()
         assert (answer.head.status, answer.body) == (200, b"result")
 
     play(tier, story)
 
 
-@pytest.mark.parametrize(("headers", "kept_away"), [((), True), (((b"Expect-Version", b"4"),), False)])
+@pytest.mark.parametrize(("headers", "excluded"), [((), True), (((b"Expect-Version", b"4"),), False)])
 def test_a_worker_of_another_version_is_not_taken_for_failing(
-    headers: tuple[tuple[bytes, bytes], ...], kept_away: bool
+    headers: tuple[tuple[bytes, bytes], ...], excluded: bool
 ) -> None:
     tier = Tier(route(RouteType.NON_IDEMPOTENT), [misdirected, answered])
 
     async def story() -> None:
-        assert (await tier.ask(*headers)).head.status == 200
+        assert (await tier.request(*headers)).head.status == 200
         first = tier.context.chooser.workers["w0"]
-        assert first.suspect(time.monotonic()) is kept_away
-        assert tier.seen[1][1].get(b"expect-version") == (None if kept_away else b"4")
+        assert first.suspect(time.monotonic()) is excluded
+        assert tier.seen[1][1].get(b"expect-version") == (None if excluded else b"4")
 
     play(tier, story)
 
 
-def test_where_no_worker_has_the_version_the_client_is_told_that_nothing_ran() -> None:
+def test_where_no_worker_has_the_version_the_answer_says_that_nothing_ran() -> None:
     tier = Tier(route(RouteType.NON_IDEMPOTENT), [misdirected, misdirected])
 
     async def story() -> None:
-        assert (await tier.ask((b"Expect-Version", b"4"))).head.status == 503
+        assert (await tier.request((b"Expect-Version", b"4"))).head.status == 503
 
     play(tier, story)
 
 
-def test_an_attempt_that_ends_in_an_error_of_our_own_leaves_nothing_counted() -> None:
+def test_an_attempt_that_ends_in_an_error_of_our_own_keeps_nothing_counted() -> None:
     def fails(*_: object) -> None:
         raise ValueError("unforeseen")
 
@@ -345,21 +348,21 @@
     async def story() -> None:
         tier.context = replace(tier.context, announce_prompt=fails)
         with contextlib.suppress(ExchangeError):
-            await tier.ask()
+            await tier.request()
         worker = tier.context.chooser.workers["w0"]
         assert (worker.out, worker.pending_tokens) == (0, 0)
 
     play(tier, story)
 
 
-@pytest.mark.parametrize("spoilt", [broken, failed, cut_stream])
+@pytest.mark.parametrize("spoilt", [broken, failed, truncated_stream])
 @pytest.mark.parametrize("attempts", [0, 1, 2, 3])
 def test_no_more_workers_run_a_request_than_its_route_allows(spoilt: Behaviour, attempts: int) -> None:
     tier = Tier(route(RouteType.STREAMING, attempts, resumable=True), [full, *5 * [spoilt]])
 
     async def story() -> None:
         with contextlib.suppress(ExchangeError):
-            await tier.ask()
+            await tier.request()
         ran = [number for number, _ in tier.seen if number]
         assert len(ran) == len(set(ran)) <= max(1, attempts)
 
@@ -370,7 +373,7 @@
     tier = Tier(route(RouteType.NON_IDEMPOTENT), [full, full])
 
     async def story() -> None:
-        answer = await tier.ask()
+        answer = await tier.request()
         assert answer.head.status == 503
         assert float(answer.head.get(b"retry-after") or b"0") > 0
 
@@ -381,7 +384,7 @@
     tier = Tier(route(RouteType.NON_IDEMPOTENT), [broken, answered])
 
     async def story() -> None:
-        assert (await tier.ask()).head.status == 502
+        assert (await tier.request()).head.status == 502
         assert len(tier.seen) == 1
 
     play(tier, story)
@@ -391,7 +394,7 @@
     tier = Tier(route(RouteType.IDEMPOTENT), [broken, answered])
 
     async def story() -> None:
-        assert (await tier.ask()).head.status == 200
+        assert (await tier.request()).head.status == 200
         assert len(tier.seen) == 2
 
     play(tier, story)
@@ -401,7 +404,7 @@
     tier = Tier(route(RouteType.NON_IDEMPOTENT), [failed])
 
     async def story() -> None:
-        answer = await tier.ask()
+        answer = await tier.request()
         assert (answer.head.status, answer.body) == (500, b"failure")
         assert answer.head.get(b"response-signature") == b"stamp"
 
@@ -432,7 +435,7 @@
     tier = Tier(route(RouteType.NON_IDEMPOTENT), [unusable, answered])
 
     async def story() -> None:
-        answer = await tier.ask()
+        answer = await tier.request()
         assert (answer.head.status, answer.body) == (502, b"")
         assert answer.head.get(b"response-signature") is None
         assert len(tier.seen) == 1  # it may have run
@@ -447,10 +450,10 @@
         responder.write(event(1))
         await responder.finished()
 
-    tier = Tier(route(RouteType.STREAMING, resumable=True), [endless, whole_stream])
+    tier = Tier(route(RouteType.STREAMING, resumable=True), [endless, complete_stream])
 
     async def story() -> None:
-        assert (await tier.ask()).body == WHOLE
+        assert (await tier.request()).body == COMPLETE
 
     play(tier, story)
 
@@ -460,7 +463,7 @@
     tier = Tier(route(RouteType.IDEMPOTENT), [unusable, answered])
 
     async def story() -> None:
-        answer = await tier.ask()
+        answer = await tier.request()
         assert (answer.head.status, answer.body) == (200, b"result")
 
     play(tier, story)
@@ -470,47 +473,47 @@
     tier = Tier(route(RouteType.IDEMPOTENT), [failed, answers(200)])
 
     async def story() -> None:
-        answer = await tier.ask()
+        answer = await tier.request()
         assert (answer.head.status, answer.body) == (500, b"failure")
         assert answer.head.get(b"response-signature") == b"stamp"
 
     play(tier, story)
 
 
-def test_a_silent_worker_is_found_by_looking_and_the_request_goes_elsewhere() -> None:
-    tier = Tier(route(RouteType.IDEMPOTENT), [silent, answered])
+def test_an_unresponsive_worker_is_found_by_a_check_and_the_request_goes_elsewhere() -> None:
+    tier = Tier(route(RouteType.IDEMPOTENT), [unresponsive, answered])
 
     async def story() -> None:
-        asking = asyncio.create_task(tier.ask())
+        requesting = asyncio.create_task(tier.request())
         await tier.arrived.wait()
         now = time.monotonic()
         for step in range(200):  # the clock that looks is told, not waited for
             tier.stalls.check(now + step * 0.05)
-        assert (await asking).head.status == 200
+        assert (await requesting).head.status == 200
         assert tier.context.chooser.workers["w0"].suspect(time.monotonic())
 
     play(tier, story)
 
 
-def test_a_request_that_may_not_run_again_waits_for_a_silent_worker() -> None:
-    tier = Tier(route(RouteType.NON_IDEMPOTENT), [silent, answered])
+def test_a_request_that_may_not_run_again_waits_for_an_unresponsive_worker() -> None:
+    tier = Tier(route(RouteType.NON_IDEMPOTENT), [unresponsive, answered])
 
     async def story() -> None:
-        asking = asyncio.create_task(tier.ask())
+        requesting = asyncio.create_task(tier.request())
         await tier.arrived.wait()
         now = time.monotonic()
         for step in range(200):
             tier.stalls.check(now + step * 0.05)
         for _ in range(20):
             await asyncio.sleep(0)
-        assert not asking.done()
+        assert not requesting.done()
         assert len(tier.seen) == 1
-        asking.cancel()
+        requesting.cancel()
 
     play(tier, story)
 
 
-def test_the_client_that_leaves_ends_the_workers_exchange() -> None:
+def test_a_client_that_disconnects_ends_the_workers_exchange() -> None:
     gone = asyncio.Event()
 
     async def watched(_request: ServerRequest, responder: Responder) -> None:
@@ -520,9 +523,9 @@
     tier = Tier(route(RouteType.NON_IDEMPOTENT), [watched])
 
     async def story() -> None:
-        asking = asyncio.create_task(tier.ask())
+        requesting = asyncio.create_task(tier.request())
         await tier.arrived.wait()
-        asking.cancel()
+        requesting.cancel()
         await gone.wait()
 
     # The front cancels the request's task as the program does.
--- a/tests/gateway/test_request_log.py
+++ b/tests/gateway/test_request_log.py
@@ -16,13 +16,13 @@
 from tests.gateway.gateway import Gateway, answered, gateway
 from tests.transport.virtual_time import run
 
-Lines = list[dict[str, Any]]
+LogRecords = list[dict[str, Any]]
 
 
 @pytest.fixture
-def lines() -> Iterator[Lines]:
-    written: Lines = []
-    sink = JsonLineSink(lambda line: written.append(orjson.loads(line)), {}, EventThinner())
+def records() -> Iterator[LogRecords]:
+    written: LogRecords = []
+    sink = JsonLineSink(lambda record: written.append(orjson.loads(record)), {}, EventThinner())
     logger.remove()
     number = logger.add(sink, format="{message}")
     yield written
@@ -33,47 +33,47 @@
     tier.program.live.request_log = RequestLogMode.ALL
 
 
-def requests(lines: Lines) -> Lines:
-    return [line for line in lines if line["event"] == REQUEST_EVENT]
+def requests(records: LogRecords) -> LogRecords:
+    return [record for record in records if record["event"] == REQUEST_EVENT]
 
 
 async def declined(_request: ServerRequest, responder: Responder) -> None:
     await responder.respond(503, [(b"Not-Executed", b"full")])
 
 
-def test_a_request_that_no_worker_took_is_logged_with_its_worker(lines: Lines) -> None:
+def test_a_request_that_no_worker_took_is_logged_with_its_worker(records: LogRecords) -> None:
     async def play() -> None:
         async with gateway(declined) as tier:
             log_requests(tier)
-            assert (await tier.ask()).head.status == 503
+            assert (await tier.request()).head.status == 503
 
     run(play())
-    (line,) = requests(lines)
-    assert line["worker"] == "w0"
-    assert line["attempts"] >= 1
-    assert line["end_s"] >= line["sent_s"] >= line["admitted_s"] >= 0
+    (record,) = requests(records)
+    assert record["worker"] == "w0"
+    assert record["attempts"] >= 1
+    assert record["end_s"] >= record["sent_s"] >= record["admitted_s"] >= 0
 
 
-def test_a_refused_request_is_logged_as_refused(lines: Lines) -> None:
+def test_a_refused_request_is_logged_as_refused(records: LogRecords) -> None:
     async def play() -> None:
         async with gateway(answered) as tier:
             log_requests(tier)
             admission = tier.program.admissions.of("s")
             admission.out = 10**6
-            assert (await tier.ask()).head.status == 503
+            assert (await tier.request()).head.status == 503
             admission.out = 0
 
     run(play())
-    assert [line["reason"] for line in requests(lines)] == ["refused"]
+    assert [record["reason"] for record in requests(records)] == ["refused"]
 
 
-def test_good_requests_are_not_logged_and_nothing_is_by_default(lines: Lines) -> None:
+def test_good_requests_are_not_logged_and_nothing_is_by_default(records: LogRecords) -> None:
     async def play() -> None:
         async with gateway(answered) as tier:
             log_requests(tier)
-            assert (await tier.ask()).head.status == 200
+            assert (await tier.request()).head.status == 200
         async with gateway(declined) as tier:
-            assert (await tier.ask()).head.status == 503
+            assert (await tier.request()).head.status == 503
 
     run(play())
-    assert requests(lines) == []
+    assert requests(records) == []
--- a/tests/gateway/test_request_trace.py
+++ b/tests/gateway/test_request_trace.py
@@ -40,7 +40,7 @@
     return made.reason()
 
 
-def test_a_request_in_time_is_not_told_of() -> None:
+def test_a_request_in_time_has_no_reason() -> None:
     assert ended(trace(read_s=1.0), 0.39, 0.6) is None
 
 
@@ -56,7 +56,7 @@
     assert ended(trace(**sent), 0.5) is reason
 
 
-def test_a_pause_and_a_second_attempt_are_told() -> None:
+def test_a_pause_and_a_second_attempt_are_reasons() -> None:
     assert ended(trace(), 0.1, 0.5) is Reason.PAUSE
     again = trace()
     again.failure = "WorkerUnresponsiveError"
@@ -76,13 +76,13 @@
         (None, Reason.CLIENT_DISCONNECTED),
     ],
 )
-def test_a_request_without_an_answer_has_what_kept_it_from_one(limit: Limit | None, reason: Reason) -> None:
+def test_a_request_without_an_answer_has_the_limit_as_its_reason(limit: Limit | None, reason: Reason) -> None:
     made = trace()
     made.limit = limit
     assert made.reason() is reason
 
 
-def test_a_broken_stream_is_told_apart_from_a_failed_worker() -> None:
+def test_a_broken_stream_is_distinguished_from_a_failed_worker() -> None:
     made = trace()
     made.failure = "AnswerBroken"
     assert made.reason() is Reason.WORKER_FAILED
@@ -120,11 +120,11 @@
         "behind_prompts",
     )
     assert (first["first_s"], first["end_s"], first["tokens"]) == (0.5, 0.9, 17_000)
-    cut = lines[0][:-40]
+    truncated = lines[0][:-40]
     other_version = lines[0].replace(b'"format":1', b'"format":2')
     file = tmp_path / "gateway.log"
     file.write_bytes(
-        b"".join([*lines, b"12.5 edge-1: " + lines[0], cut + b"\n", other_version, b"no line\n"])
+        b"".join([*lines, b"12.5 edge-1: " + lines[0], truncated + b"\n", other_version, b"no line\n"])
     )
     assert main(["inspect", "requests", str(file), "--plot", str(tmp_path / "plot.svg")]) == 0
     said = capsys.readouterr().out
--- a/tests/gateway/test_stall_detector.py
+++ b/tests/gateway/test_stall_detector.py
@@ -36,8 +36,8 @@
     def __init__(self, repeatable: bool = True) -> None:
         self.worker = WorkerState(WorkerRecord("w1", "s", "10.0.0.1:80", "z", 4, "ready"), 1000)
         self.stream = Stream()
-        self.told: list[tuple[float, float]] = []  # when, and what wait
-        self.watch = StallDetector(lambda _worker, seconds: self.told.append((self.now, seconds)))
+        self.announced: list[tuple[float, float]] = []  # when, and what wait
+        self.watch = StallDetector(lambda _worker, seconds: self.announced.append((self.now, seconds)))
         stream = cast(AnswerStream, self.stream)
         self.attempt = WatchedAttempt(self.worker, stream, PATIENCE_S, 0.0, repeatable, EXPECTED_S)
         self.watch.add(self.attempt)
@@ -55,7 +55,7 @@
         return None
 
 
-def test_a_silent_worker_loses_its_attempt_and_its_trust() -> None:
+def test_an_unresponsive_worker_loses_its_attempt_and_its_trust() -> None:
     watched = Watched()
     watched.worker.announce(0.0, 0.0, ((1, 100),))
     assert watched.interrupted_at() == pytest.approx(PATIENCE_S + CHECK_INTERVAL_S)
@@ -69,35 +69,35 @@
     assert watched.worker.suspect(watched.now)
 
 
-def test_prompts_that_it_reads_explain_a_silence() -> None:
+def test_prefills_explain_that_it_is_idle() -> None:
     watched = Watched()
     watched.worker.expect_reading(0.0, 0.3)
     assert watched.interrupted_at() == pytest.approx(PATIENCE_S + 0.3 + CHECK_INTERVAL_S)
 
 
-def test_prompts_explain_a_bounded_silence() -> None:
+def test_prefills_explain_a_bounded_idle_time() -> None:
     watched = Watched()
     watched.worker.expect_reading(0.0, 60.0)
     assert watched.interrupted_at() == pytest.approx(PATIENCE_S + MAX_PREFILL_ALLOWANCE_S + CHECK_INTERVAL_S)
 
 
-def test_a_byte_of_any_answer_begins_the_silence_anew() -> None:
+def test_a_byte_of_any_answer_restarts_the_idle_timeout() -> None:
     watched = Watched()
     watched.worker.heard(0.2)
     assert watched.interrupted_at() == pytest.approx(0.2 + PATIENCE_S + CHECK_INTERVAL_S)
 
 
-def test_a_wait_beyond_what_was_expected_is_told_of_again_as_it_doubles() -> None:
+def test_a_wait_beyond_what_was_expected_is_announced_again_as_it_doubles() -> None:
     watched = Watched(repeatable=False)
     watched.interrupted_at(1.3)
-    moments = [moment for moment, _ in watched.told]
+    moments = [moment for moment, _ in watched.announced]
     assert moments == pytest.approx([0.25, 0.5, 1.0])
-    assert [seconds for _, seconds in watched.told] == pytest.approx([0.15, 0.4, 0.9])
+    assert [seconds for _, seconds in watched.announced] == pytest.approx([0.15, 0.4, 0.9])
     assert watched.worker.congested_s(1.3) == pytest.approx(0.6)
 
 
-def test_nothing_is_told_once_the_first_byte_came() -> None:
+def test_nothing_is_announced_once_the_first_byte_came() -> None:
     watched = Watched(repeatable=False)
     watched.attempt.expected_s = math.inf
     watched.interrupted_at(1.3)
-    assert watched.told == []
+    assert watched.announced == []
--- a/tests/gateway/test_timeouts.py
+++ b/tests/gateway/test_timeouts.py
@@ -8,7 +8,7 @@
 from pewterring.transport.http_client import WorkerConnection
 from pewterring.transport.http_request import ServerRequest
 from pewterring.transport.http_responder import Responder
-from tests.gateway.gateway import EVENTS, Gateway, answered, event, gateway, route, silent, slow_stream
+from tests.gateway.gateway import EVENTS, Gateway, answered, event, gateway, route, slow_stream, unresponsive
 from tests.transport.virtual_time import now, run
 
 TIMEOUT_MS, TIMEOUT_S = 2000, 2.0
@@ -39,9 +39,9 @@
 
 
 @pytest.mark.parametrize("kind", KINDS)
-def test_a_silent_worker(kind: RouteType) -> None:
+def test_an_unresponsive_worker(kind: RouteType) -> None:
     async def play() -> None:
-        async with gateway(silent, silent, routes=(route(kind, timeout_ms=TIMEOUT_MS),)) as tier:
+        async with gateway(unresponsive, unresponsive, routes=(route(kind, timeout_ms=TIMEOUT_MS),)) as tier:
             assert await final_status(tier) == 504
 
     run(play())
@@ -93,13 +93,13 @@
             await asyncio.sleep(TIMEOUT_S + SLACK_S)
             assert tier.program.front.requests_in_flight == 0
             assert tier.program.front.open_connections == 0
-            assert len(tier.let_go_at) == 1
+            assert len(tier.released_at) == 1
 
     run(play())
 
 
 @pytest.mark.parametrize("pause_s", [0.3, 30.0])
-def test_a_body_that_does_not_come_whole_in_time_is_refused(pause_s: float) -> None:
+def test_a_body_that_is_not_complete_in_time_is_refused(pause_s: float) -> None:
     async def play() -> None:
         async with gateway(answered, routes=(route(timeout_ms=TIMEOUT_MS),)) as tier:
             wire = await tier.wire()
--- a/tests/gateway/test_unresponsive_workers.py
+++ b/tests/gateway/test_unresponsive_workers.py
@@ -13,7 +13,7 @@
 from tests.transport.virtual_time import now, run
 
 
-def mark(tier: Gateway, state: str, *names: str) -> None:
+def set_state(tier: Gateway, state: str, *names: str) -> None:
     """Puts tables in force in which control gives workers another state."""
     subscription = tier.subscription
     old = subscription.tables
@@ -32,38 +32,38 @@
     return tier.program.chooser.slots(now(), "s")
 
 
-def test_a_silent_worker_that_answers_keeps_its_requests_and_its_slots() -> None:
+def test_an_unresponsive_worker_that_answers_keeps_its_requests_and_its_slots() -> None:
     async def play() -> None:
         async with gateway(answered) as tier:
-            await tier.ask()
-            mark(tier, "silent", "w0")
+            await tier.request()
+            set_state(tier, "silent", "w0")
             for _ in range(20):
-                assert (await tier.ask()).head.status == 200
+                assert (await tier.request()).head.status == 200
                 await asyncio.sleep(VOUCHED_S / 2)
             assert slots(tier) == 4
 
     run(play())
 
 
-def test_a_silent_worker_that_has_not_answered_lately_gets_none() -> None:
+def test_an_unresponsive_worker_that_has_not_answered_lately_gets_none() -> None:
     async def play() -> None:
         async with gateway(answered) as tier:
-            await tier.ask()
+            await tier.request()
             await asyncio.sleep(VOUCHED_S)
-            mark(tier, "silent", "w0")
-            assert (await tier.ask()).head.status == 503
+            set_state(tier, "silent", "w0")
+            assert (await tier.request()).head.status == 503
             assert slots(tier) == 0
-            mark(tier, "ready", "w0")
-            assert (await tier.ask()).head.status == 200
+            set_state(tier, "ready", "w0")
+            assert (await tier.request()).head.status == 200
 
     run(play())
 
 
-def test_a_silent_worker_that_this_process_never_asked_gets_none() -> None:
+def test_an_unresponsive_worker_that_this_process_sent_nothing_gets_none() -> None:
     async def play() -> None:
         async with gateway(answered) as tier:
-            mark(tier, "silent", "w0")
-            assert (await tier.ask()).head.status == 503
+            set_state(tier, "silent", "w0")
+            assert (await tier.request()).head.status == 503
             assert not tier.seen
 
     run(play())
@@ -77,41 +77,41 @@
 
     async def play() -> None:
         async with gateway(changing) as tier:
-            await tier.ask()
-            mark(tier, "silent", "w0")
+            await tier.request()
+            set_state(tier, "silent", "w0")
             behaviours.pop(0)
-            assert (await tier.ask()).head.status == 503
+            assert (await tier.request()).head.status == 503
             sent = len(tier.seen)
             await asyncio.sleep(VOUCHED_S / 4)  # its trust would not have run out by itself
-            assert (await tier.ask()).head.status == 503
+            assert (await tier.request()).head.status == 503
             assert len(tier.seen) == sent
 
     run(play())
 
 
 @pytest.mark.parametrize("state", ["draining", "gone"])
-def test_a_worker_that_drains_gets_none_however_well_it_answers(state: str) -> None:
+def test_a_draining_worker_gets_none_however_well_it_answers(state: str) -> None:
     async def play() -> None:
         async with gateway(answered) as tier:
-            await tier.ask()
-            mark(tier, "silent", "w0")
-            assert (await tier.ask()).head.status == 200
-            mark(tier, state, "w0")
-            assert (await tier.ask()).head.status == 503
+            await tier.request()
+            set_state(tier, "silent", "w0")
+            assert (await tier.request()).head.status == 200
+            set_state(tier, state, "w0")
+            assert (await tier.request()).head.status == 503
 
     run(play())
 
 
-def test_the_slots_of_a_silent_worker_go_when_it_answers_no_more() -> None:
+def test_the_slots_of_an_unresponsive_worker_go_when_it_answers_no_more() -> None:
     async def play() -> None:
         async with gateway(answered, answered) as tier:
             tier.program.chooser.workers["w0"].heard_at = now()
             ticking = asyncio.create_task(tier.program.send_heartbeats())
-            mark(tier, "silent", "w0")
-            ceiling = tier.program.admissions.of("s").ceiling
-            assert ceiling.rating == 8.0
+            set_state(tier, "silent", "w0")
+            limit = tier.program.admissions.of("s").ceiling
+            assert limit.rating == 8.0
             await asyncio.sleep(2 * VOUCHED_S)
-            assert ceiling.rating == 4.0
+            assert limit.rating == 4.0
             ticking.cancel()
 
     run(play())
--- a/tests/gateway/test_worker_resets.py
+++ b/tests/gateway/test_worker_resets.py
@@ -64,7 +64,7 @@
         chooser.workers["w0"].slowness, chooser.workers["w1"].slowness = 1.0, 2.0
         self.context = LiveContext(self.worker.pool, chooser, StallDetector(), lambda *_: None)
 
-    async def ask(self) -> "asyncio.Task[Limit | None]":
+    async def request(self) -> "asyncio.Task[Limit | None]":
         """Begins a request, as far as the connection to its first worker takes it."""
         now = asyncio.get_running_loop().time()
         headers = [(b"Host", b"h"), (b"Request-Id", b"a1"), (b"Request-Timeout-Ms", b"5000")]
@@ -105,17 +105,17 @@
 @pytest.mark.parametrize("ending", Ending)
 @pytest.mark.parametrize("raw", [OK, DECLINE], ids=["success", "decline"])
 @pytest.mark.parametrize("kind", KINDS)
-def test_an_answer_cut_at_any_byte_is_no_reason_to_send_again(
+def test_an_answer_truncated_at_any_byte_is_no_reason_to_send_again(
     kind: str, raw: bytes, ending: Ending, reused: bool
 ) -> None:
-    for cut in range(len(raw)):
+    for size in range(len(raw)):
 
-        async def story(gateway: Gateway, cut: int = cut) -> None:
+        async def story(gateway: Gateway, size: int = size) -> None:
             if reused:
                 await gateway.worker.serve(BEFORE, BEFORE_OK)
-            task = await gateway.ask()
+            task = await gateway.request()
             transport = gateway.network.last
-            transport.deliver(raw[:cut])
+            transport.deliver(raw[:size])
             transport.end(ending)
             await task
             assert gateway.client.status == b"502"
@@ -125,20 +125,20 @@
 
 
 @pytest.mark.parametrize("ending", Ending)
-def test_a_request_cut_at_any_byte_is_not_sent_again(ending: Ending) -> None:
-    async def whole(gateway: Gateway) -> None:
-        task = await gateway.ask()
+def test_a_request_truncated_at_any_byte_is_not_sent_again(ending: Ending) -> None:
+    async def complete(gateway: Gateway) -> None:
+        task = await gateway.request()
         sizes.append(len(gateway.network.last.taken))
         gateway.network.last.deliver(OK)
         await task
 
     sizes: list[int] = []
-    play(RouteType.NON_IDEMPOTENT, whole)
-    for cut in range(sizes[0] + 1):
+    play(RouteType.NON_IDEMPOTENT, complete)
+    for size in range(sizes[0] + 1):
 
-        async def story(gateway: Gateway, cut: int = cut) -> None:
-            gateway.network.room = cut
-            task = await gateway.ask()
+        async def story(gateway: Gateway, size: int = size) -> None:
+            gateway.network.room = size
+            task = await gateway.request()
             gateway.network.last.end(ending)
             await task
             assert gateway.client.status == b"502"
@@ -148,16 +148,16 @@
 
 
 def test_a_request_given_up_while_it_is_half_written_promises_nothing() -> None:
-    for room in (0, 1, 50, None):
+    for capacity in (0, 1, 50, None):
 
-        async def story(gateway: Gateway, room: int | None = room) -> None:
-            gateway.network.room = room
-            await (await gateway.ask())
+        async def story(gateway: Gateway, capacity: int | None = capacity) -> None:
+            gateway.network.room = capacity
+            await (await gateway.request())
             assert gateway.client.status == b"504"
             (transport,) = gateway.network.transports
             assert transport.ended
             transport.make_room()
-            assert room is None or len(transport.taken) == room  # what waited never leaves
+            assert capacity is None or len(transport.taken) == capacity  # what waited never leaves
 
         play(RouteType.NON_IDEMPOTENT, story)
 
@@ -165,14 +165,14 @@
 def test_a_worker_that_cannot_be_reached_and_one_that_declines_took_nothing() -> None:
     async def refused(gateway: Gateway) -> None:
         gateway.network.refusing.add("192.0.2.1")
-        task = await gateway.ask()
+        task = await gateway.request()
         gateway.network.last.deliver(OK)
         await task
         assert gateway.client.status == b"200"
         assert (gateway.network.refusals, len(gateway.runs)) == (1, 1)
 
     async def declined(gateway: Gateway) -> None:
-        task = await gateway.ask()
+        task = await gateway.request()
         gateway.network.last.deliver(DECLINE)
         await settle()
         gateway.network.last.deliver(OK)
@@ -182,7 +182,7 @@
 
     async def nowhere(gateway: Gateway) -> None:
         gateway.network.refusing |= {"192.0.2.1", "192.0.2.2"}
-        await (await gateway.ask())
+        await (await gateway.request())
         assert gateway.client.status == b"503"
         assert not gateway.runs
 
@@ -194,7 +194,7 @@
 def test_a_surplus_answer_neither_answers_nor_declines_the_next_request(surplus: bytes) -> None:
     async def story(gateway: Gateway) -> None:
         await gateway.worker.serve(BEFORE, BEFORE_OK)
-        task = await gateway.ask()
+        task = await gateway.request()
         gateway.network.last.deliver(surplus + OK)
         await task
         assert gateway.client.status not in (b"200", *PROMISES)
--- a/tests/transport/test_answer_breakages.py
+++ b/tests/transport/test_answer_breakages.py
@@ -113,7 +113,7 @@
 
 
 def reused_cut() -> None:
-    live.test_an_answer_cut_at_any_byte_is_no_reason_to_send_again(
+    live.test_an_answer_truncated_at_any_byte_is_no_reason_to_send_again(
         "non-idempotent", live.OK, Ending.RESET, True
     )
 
