--- a/pewterring/gateway/live_attempt.py
+++ b/pewterring/gateway/live_attempt.py
@@ -40,7 +40,7 @@
 from pewterring.transport.http_responder import Responder
 from pewterring.transport.sse import EventSplitter, StreamEvent
 
-FIRST_BYTE_TIMEOUT_FACTOR = 1.5  # times the expected time to the first byte, before silence begins to count
+FIRST_BYTE_TIMEOUT_FACTOR = 1.5  # times the expected time to the first byte, before its idle time-out begins
 MAX_SAMPLE_WAIT_FRACTION = 0.25  # of the expected time: behind a longer wait a sample says little of prefill
 MIN_EXPECTED_S = 1e-4  # a floor for what is divided by
 
@@ -262,7 +262,7 @@
         """Gives complete events to the client.
 
         Raises:
-            AnswerBroken: A resumed run begins at another event than it was asked for.
+            AnswerBroken: A resumed run begins at another event than the one requested.
         """
         if not events:
             return
@@ -270,7 +270,7 @@
             self._learn_from_first_byte()
         if self._resume_after is not None:
             if events[0].id != self._resume_after + 1:
-                raise AnswerBroken("the stream does not go on behind the event that it was asked for")
+                raise AnswerBroken("the stream does not go on behind the event that was requested")
             self._resume_after = None
         self._begin_answer(head)
         self._trace_event()
--- a/pewterring/gateway/metrics.py
+++ b/pewterring/gateway/metrics.py
@@ -86,7 +86,7 @@
     return [
         single_sample(PREFIX + "ready", "Whether readiness is answered with 200.", float(state.ready)),
         single_sample(
-            PREFIX + "requests_held", "Requests read whole and not answered.", state.requests_in_flight
+            PREFIX + "requests_held", "Requests read completely and not answered.", state.requests_in_flight
         ),
         single_sample(
             PREFIX + "client_connections", "Open connections of clients.", state.client_connections
--- a/pewterring/gateway/stall_detector.py
+++ b/pewterring/gateway/stall_detector.py
@@ -14,14 +14,14 @@
 
 CHECK_INTERVAL_S = 0.05  # between checks
 PAUSED_S = 3 * CHECK_INTERVAL_S  # between checks: then this process itself was paused
-MAX_PREFILL_ALLOWANCE_S = 0.5  # of a worker's silence that the prompts which it has to read may explain
+MAX_PREFILL_ALLOWANCE_S = 0.5  # of a worker's idle time that its prefills may explain
 EXCESS_WAIT_FACTOR = 2.0  # times the expected time to the first byte: from then on a wait is announced
 EXCESS_WAIT_S = 0.05  # and this much besides
-TOKEN_GAP_FRACTION = 0.7  # of the longest gap that a route allows: silence of a worker amid streams
+TOKEN_GAP_FRACTION = 0.7  # of the longest gap that a route allows: idle time-out amid a stream
 
 
 class WorkerUnresponsiveError(ExchangeError):
-    """The worker has been silent for longer than it should; the request may have run."""
+    """The worker has sent nothing for longer than it should; the request may have run."""
 
 
 @dataclass(slots=True, eq=False)
@@ -48,7 +48,7 @@
         return waited_s - self.expected_s
 
     def is_overdue(self, now: float) -> bool:
-        """Returns whether the worker is silent for longer than its time-out and the prompts it reads explain.
+        """Returns whether the worker is idle for longer than the time-out and its prefills explain.
 
         Symptom answered: streams were taken away from workers that were reading a long prompt, and their own
         prompts read anew elsewhere.
--- a/pewterring/gateway/worker_protocol.py
+++ b/pewterring/gateway/worker_protocol.py
@@ -56,7 +56,7 @@
     """Returns what the head of a worker's answer means.
 
     Symptom answered by `UNUSABLE`: a success without the worker's stamp, or with a body that was encoded on
-    the way, reached the client as a success; and a worker's own 503 for a request that had run told the
+    the way, reached the client as a success; and a worker's own 503 for a request that had run promised the
     client that it had not.
     """
     if head.status == MISDIRECTED or head.get(NOT_EXECUTED) is not None:
--- a/tests/gateway/gateway.py
+++ b/tests/gateway/gateway.py
@@ -6,6 +6,7 @@
 import random
 from collections.abc import AsyncIterator, Awaitable, Callable
 from dataclasses import dataclass, field, replace
+from typing import Any
 
 from pewterring.configuration.model import (
     ClientLimits,
@@ -45,12 +46,12 @@
 
 
 def route(
-    kind: RouteType = RouteType.IDEMPOTENT, prefix: str = "/p/", timeout_ms: float = 5000, **changed: object
+    kind: RouteType = RouteType.IDEMPOTENT, prefix: str = "/p/", timeout_ms: float = 5000, **changed: Any
 ) -> Route:
     made = Route(
         "r", "h", prefix, kind, (WeightedService("s", 1.0),), timeout_ms, 200, 0, 2, token_gap_target_ms=250
     )
-    return replace(made, **changed)  # type: ignore[arg-type]
+    return replace(made, **changed)
 
 
 def event(number: int) -> bytes:
--- a/tests/gateway/test_client_disconnects.py
+++ b/tests/gateway/test_client_disconnects.py
@@ -2,6 +2,7 @@
 
 import asyncio
 from collections.abc import Awaitable, Callable
+from typing import cast
 
 import pytest
 
@@ -191,7 +192,7 @@
     async def play() -> None:
         async with gateway(endless, routes=(STREAM,)) as tier:
             wire = await tier.wire()
-            wire.writer.transport.pause_reading()  # type: ignore[attr-defined]
+            cast(asyncio.Transport, wire.writer.transport).pause_reading()
             wire.send(POST)
             await tier.reached()
             await asyncio.sleep(1.0)
--- a/tests/gateway/test_drain.py
+++ b/tests/gateway/test_drain.py
@@ -7,7 +7,7 @@
 from pewterring.configuration.model import RouteType
 from pewterring.gateway.drain import Drain
 from pewterring.transport.http_exchange import ExchangeError, SendRequest
-from pewterring.transport.http_fetch import fetch
+from pewterring.transport.http_fetch import WholeAnswer, fetch
 from tests.gateway.gateway import (
     GRACE_S,
     IP,
@@ -24,7 +24,7 @@
 LONG_MS, SHORT_MS = 20_000, 1500
 
 
-def in_flight(gateway: Gateway, timeout_ms: int = LONG_MS) -> asyncio.Task[object]:
+def in_flight(gateway: Gateway, timeout_ms: int = LONG_MS) -> asyncio.Task[WholeAnswer]:
     return asyncio.create_task(gateway.request(timeout_ms=timeout_ms))
 
 
@@ -159,7 +159,7 @@
             assert now() - began < GRACE_S
             assert tier.program.front.requests_in_flight == 0
             answer = await requesting
-            assert answer.head.status == 504  # type: ignore[attr-defined]
+            assert answer.head.status == 504
 
     run(play())
 
--- a/tests/gateway/test_live_request.py
+++ b/tests/gateway/test_live_request.py
@@ -4,6 +4,7 @@
 import contextlib
 import time
 from dataclasses import replace
+from functools import partial
 
 import pytest
 
@@ -531,10 +532,13 @@
     # The front cancels the request's task as the program does.
     serve = tier.serve
 
+    def cancel(task: asyncio.Task[None]) -> None:
+        task.cancel()
+
     async def front(request: ServerRequest, responder: Responder) -> None:
         task = asyncio.current_task()
         assert task is not None
-        responder.on_disconnect(lambda: task.cancel() and None)  # type: ignore[arg-type]
+        responder.on_disconnect(partial(cancel, task))
         await serve(request, responder)
 
     tier.serve = front  # type: ignore[method-assign]  # in place of the one that a test may not need
--- a/tests/gateway/test_timeouts.py
+++ b/tests/gateway/test_timeouts.py
@@ -1,6 +1,8 @@
 """Each request has its final answer, or its end, within its route's `timeout_ms` and a little."""
 
 import asyncio
+from collections.abc import Callable
+from typing import cast
 
 import pytest
 
@@ -88,7 +90,7 @@
         streaming = route(RouteType.STREAMING, timeout_ms=TIMEOUT_MS)
         async with gateway(endless, routes=(streaming,)) as tier:
             wire = await tier.wire()
-            wire.writer.transport.pause_reading()  # type: ignore[attr-defined]
+            cast(asyncio.Transport, wire.writer.transport).pause_reading()
             wire.send(HEAD + b"body")
             await asyncio.sleep(TIMEOUT_S + SLACK_S)
             assert tier.program.front.requests_in_flight == 0
@@ -116,10 +118,10 @@
     run(play())
 
 
-async def send_slowly(send: object, pause_s: float) -> None:
+async def send_slowly(send: Callable[[bytes], None], pause_s: float) -> None:
     while True:
         await asyncio.sleep(pause_s)
-        send(b"b")  # type: ignore[operator]
+        send(b"b")
 
 
 def test_a_slow_body_that_comes_in_time_is_served_with_what_is_left() -> None:
