--- a/tests/gateway/test_live_request.py
+++ b/tests/gateway/test_live_request.py
@@ -541,5 +541,5 @@
         responder.on_disconnect(partial(cancel, task))
         await serve(request, responder)
 
-    tier.serve = front  # type: ignore[method-assign]  # in place of the one that a test may not need
+    tier.serve = front  # type: ignore[method-assign]  # this test has a front of its own
     play(tier, story)
