--- a/tests/gateway/test_request_trace.py
+++ b/tests/gateway/test_request_trace.py
@@ -8,7 +8,7 @@
 from pewterring.__main__ import main
 from pewterring.configuration.model import Route, RouteType, WeightedService
 from pewterring.gateway.metrics import Limit
-from pewterring.gateway.request_trace import RequestTrace
+from pewterring.gateway.request_trace import AttemptStart, RequestTrace
 from pewterring.observability.event_thinner import EventThinner
 from pewterring.observability.log import JsonLineSink
 from pewterring.observability.request_log import RECORD_FORMAT, REQUEST_EVENT, Reason
@@ -29,7 +29,7 @@
 
 def trace(**sent: float) -> RequestTrace:
     made = RequestTrace("id-1", ROUTE, 100.0, tokens=17_000, admitted_at=100.01)
-    made.sent(100.02, "i-1", 15_000, sent.get("read_s", 0.0), sent.get("wait_s", 0.0), 1)
+    made.sent(AttemptStart(100.02, "i-1", 15_000, sent.get("read_s", 0.0), sent.get("wait_s", 0.0), 1))
     return made
 
 
@@ -40,7 +40,7 @@
     return made.reason()
 
 
-def test_a_request_in_time_is_not_told_of() -> None:
+def test_a_request_in_time_has_no_reason() -> None:
     assert ended(trace(read_s=1.0), 0.39, 0.6) is None
 
 
@@ -56,11 +56,11 @@
     assert ended(trace(**sent), 0.5) is reason
 
 
-def test_a_pause_and_a_second_attempt_are_told() -> None:
+def test_a_pause_and_a_second_attempt_are_reasons() -> None:
     assert ended(trace(), 0.1, 0.5) is Reason.PAUSE
     again = trace()
-    again.failure = "WorkerSilent"
-    again.sent(100.4, "i-2", 0, 0.0, 0.0, 0)
+    again.failure = "WorkerUnresponsiveError"
+    again.sent(AttemptStart(100.4, "i-2", 0, 0.0, 0.0, 0))
     assert ended(again, 0.5) is Reason.WORKER_FAILED
 
 
@@ -68,7 +68,7 @@
     ("limit", "reason"),
     [
         (Limit.SHARE, Reason.REFUSED),
-        (Limit.CEILING, Reason.REFUSED),
+        (Limit.CONCURRENCY, Reason.REFUSED),
         (Limit.DRAIN, Reason.REFUSED),
         (Limit.NO_WORKER, Reason.NO_WORKER),
         (Limit.CONNECTIONS, Reason.NO_CONNECTION),
@@ -76,13 +76,13 @@
         (None, Reason.CLIENT_DISCONNECTED),
     ],
 )
-def test_a_request_without_an_answer_has_what_kept_it_from_one(limit: Limit | None, reason: Reason) -> None:
+def test_a_request_without_an_answer_has_the_limit_as_its_reason(limit: Limit | None, reason: Reason) -> None:
     made = trace()
     made.limit = limit
     assert made.reason() is reason
 
 
-def test_a_broken_stream_is_told_apart_from_a_failed_worker() -> None:
+def test_a_broken_stream_is_distinguished_from_a_failed_worker() -> None:
     made = trace()
     made.failure = "AnswerBroken"
     assert made.reason() is Reason.WORKER_FAILED
@@ -120,11 +120,11 @@
         "behind_prompts",
     )
     assert (first["first_s"], first["end_s"], first["tokens"]) == (0.5, 0.9, 17_000)
-    cut = lines[0][:-40]
+    truncated = lines[0][:-40]
     other_version = lines[0].replace(b'"format":1', b'"format":2')
     file = tmp_path / "gateway.log"
     file.write_bytes(
-        b"".join([*lines, b"12.5 edge-1: " + lines[0], cut + b"\n", other_version, b"no line\n"])
+        b"".join([*lines, b"12.5 edge-1: " + lines[0], truncated + b"\n", other_version, b"no line\n"])
     )
     assert main(["inspect", "requests", str(file), "--plot", str(tmp_path / "plot.svg")]) == 0
     said = capsys.readouterr().out
--- a/tests/gateway/test_timeouts.py
+++ b/tests/gateway/test_timeouts.py
@@ -1,6 +1,8 @@
 """Each request has its final answer, or its end, within its route's `timeout_ms` and a little."""
 
 import asyncio
+from collections.abc import Callable
+from typing import cast
 
 import pytest
 
@@ -8,7 +10,7 @@
 from pewterring.transport.http_client import WorkerConnection
 from pewterring.transport.http_request import ServerRequest
 from pewterring.transport.http_responder import Responder
-from tests.gateway.gateway import EVENTS, Gateway, answered, event, gateway, route, silent, slow_stream
+from tests.gateway.gateway import EVENTS, Gateway, answered, event, gateway, route, slow_stream, unresponsive
 from tests.transport.virtual_time import now, run
 
 TIMEOUT_MS, TIMEOUT_S = 2000, 2.0
@@ -18,7 +20,7 @@
 
 
 async def final_status(tier: Gateway, sent: bytes = HEAD + b"body") -> int:
-    """Sends bytes; the status of the answer, which must come in time."""
+    """Sends bytes and returns the status of the answer, which must come in time."""
     wire = await tier.wire()
     began = now()
     wire.send(sent)
@@ -27,7 +29,7 @@
     return int(head.split(b" ")[1])
 
 
-async def endless(request: ServerRequest, responder: Responder) -> None:
+async def endless(_request: ServerRequest, responder: Responder) -> None:
     """More than a client's socket takes that is not read."""
     responder.begin(200, EVENTS)
     number = 0
@@ -39,9 +41,9 @@
 
 
 @pytest.mark.parametrize("kind", KINDS)
-def test_a_silent_worker(kind: RouteType) -> None:
+def test_an_unresponsive_worker(kind: RouteType) -> None:
     async def play() -> None:
-        async with gateway(silent, silent, routes=(route(kind, timeout_ms=TIMEOUT_MS),)) as tier:
+        async with gateway(unresponsive, unresponsive, routes=(route(kind, timeout_ms=TIMEOUT_MS),)) as tier:
             assert await final_status(tier) == 504
 
     run(play())
@@ -49,7 +51,7 @@
 
 @pytest.mark.parametrize("kind", KINDS)
 def test_a_worker_that_does_not_take_the_connection(kind: RouteType, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(WorkerConnection, "connect", lambda connection, timeout_s: None)
+    monkeypatch.setattr(WorkerConnection, "connect", lambda *_: None)
 
     async def play() -> None:
         async with gateway(answered, routes=(route(kind, timeout_ms=TIMEOUT_MS),)) as tier:
@@ -88,18 +90,18 @@
         streaming = route(RouteType.STREAMING, timeout_ms=TIMEOUT_MS)
         async with gateway(endless, routes=(streaming,)) as tier:
             wire = await tier.wire()
-            wire.writer.transport.pause_reading()  # type: ignore[attr-defined]
+            cast(asyncio.Transport, wire.writer.transport).pause_reading()
             wire.send(HEAD + b"body")
             await asyncio.sleep(TIMEOUT_S + SLACK_S)
-            assert tier.program._front.requests_held == 0
-            assert tier.program._front.open_connections == 0
-            assert len(tier.let_go_at) == 1
+            assert tier.program.front.requests_in_flight == 0
+            assert tier.program.front.open_connections == 0
+            assert len(tier.released_at) == 1
 
     run(play())
 
 
 @pytest.mark.parametrize("pause_s", [0.3, 30.0])
-def test_a_body_that_does_not_come_whole_in_time_is_refused(pause_s: float) -> None:
+def test_a_body_that_is_not_complete_in_time_is_refused(pause_s: float) -> None:
     async def play() -> None:
         async with gateway(answered, routes=(route(timeout_ms=TIMEOUT_MS),)) as tier:
             wire = await tier.wire()
@@ -116,10 +118,10 @@
     run(play())
 
 
-async def send_slowly(send: object, pause_s: float) -> None:
+async def send_slowly(send: Callable[[bytes], None], pause_s: float) -> None:
     while True:
         await asyncio.sleep(pause_s)
-        send(b"b")  # type: ignore[operator]
+        send(b"b")
 
 
 def test_a_slow_body_that_comes_in_time_is_served_with_what_is_left() -> None:
--- a/tests/transport/test_answer_breakages.py
+++ b/tests/transport/test_answer_breakages.py
@@ -12,7 +12,7 @@
 from pewterring.transport.http_client import AddressConnections, WorkerConnection
 from pewterring.transport.http_exchange import StaleConnection
 from pewterring.transport.line_codec import MessageCodec
-from tests.gateway import test_resets as live
+from tests.gateway import test_worker_resets as live
 from tests.transport import test_http_resets as http
 from tests.transport import test_line_resets as lines
 from tests.transport.scripted import Ending, ScriptedTransport
@@ -113,7 +113,7 @@
 
 
 def reused_cut() -> None:
-    live.test_an_answer_cut_at_any_byte_is_no_reason_to_send_again(
+    live.test_an_answer_truncated_at_any_byte_is_no_reason_to_send_again(
         "non-idempotent", live.OK, Ending.RESET, True
     )
 
