--- a/tests/consensus/scenarios.py
+++ b/tests/consensus/scenarios.py
@@ -6,7 +6,7 @@
 from tests.consensus.simulation import Simulation
 
 NEVER_S = 1000.0
-CUT_S = 20.0
+ISOLATED_S = 20.0
 COMPLETE_S = 5.0  # for a snapshot of which one chunk is lost
 SNAPSHOT_CHUNKS = 8  # at least, of those that members need here
 AT_ONCE_S = 0.15  # far below the shortest election time-out
@@ -31,7 +31,7 @@
 def _comes_back(simulation: Simulation, member: str) -> None:
     """All cuts end, and a member that lost power starts again, its disk as fast as before."""
     simulation.members[member].sync_s = None
-    simulation.cuts.clear()
+    simulation.cut_links.clear()
     simulation.start(member)
     _converges(simulation)
 
@@ -42,9 +42,9 @@
     simulation.crash(other)
 
 
-def _propose_unsaved(simulation: Simulation, member: str, cut: str) -> None:
+def _propose_unsaved(simulation: Simulation, member: str, isolated: str) -> None:
     """An entry is committed by two of three while the disk of `member` stands still."""
-    simulation.cut_off(cut)
+    simulation.isolate(isolated)
     simulation.members[member].sync_s = NEVER_S
     simulation.propose("x")
     simulation.run(0.3)
@@ -60,30 +60,30 @@
 def vote_lost_with_power(seed: int, raft_class: type[Raft]) -> None:
     """A voter loses power before its first vote is on disk, and is asked by another candidate."""
     simulation = Simulation(seed, 3, raft_class)
-    simulation.cut("a", "c")
+    simulation.disconnect("a", "c")
     simulation.members["b"].sync_s = NEVER_S
     simulation.run_while(lambda: simulation.leader() is None, 5.0)
     first = simulation.leader() or "a"
     simulation.crash("b", saves_lost=True)
     simulation.members["b"].sync_s = None
-    simulation.cuts.clear()
-    simulation.cut_off(first)
+    simulation.cut_links.clear()
+    simulation.isolate(first)
     simulation.start("b")
     _converges(simulation)
 
 
 def follower_loses_entry(seed: int, raft_class: type[Raft]) -> None:
     """The follower whose answer made the majority loses power before its disk has the entry."""
-    simulation, leader, (slow, cut) = _with_leader(seed, 3, raft_class)
-    _propose_unsaved(simulation, slow, cut)
+    simulation, leader, (slow, isolated) = _with_leader(seed, 3, raft_class)
+    _propose_unsaved(simulation, slow, isolated)
     _lose_power(simulation, slow, leader)
     _comes_back(simulation, slow)
 
 
 def leader_loses_entry(seed: int, raft_class: type[Raft]) -> None:
     """The leader loses power before its disk has an entry that one follower of two has."""
-    simulation, leader, (follower, cut) = _with_leader(seed, 3, raft_class)
-    _propose_unsaved(simulation, leader, cut)
+    simulation, leader, (follower, isolated) = _with_leader(seed, 3, raft_class)
+    _propose_unsaved(simulation, leader, isolated)
     _lose_power(simulation, leader, follower)
     _comes_back(simulation, leader)
 
@@ -95,7 +95,7 @@
     """
     simulation, first, (second, third, fourth, fifth) = _with_leader(seed, 5, raft_class)
     for name in (third, fourth, fifth):
-        simulation.cut(first, name)
+        simulation.disconnect(first, name)
     simulation.propose("x" * 300)
     simulation.run(0.2)
     simulation.crash(first)
@@ -107,7 +107,7 @@
     simulation.crash(later)
     third, fourth = (name for name in (third, fourth, fifth) if name != later)
     simulation.crash(fourth)
-    simulation.cuts.clear()
+    simulation.cut_links.clear()
     old = simulation.members[first].disk.last_index
     simulation.drops = lambda message: _has_entry_after(message, old)
     simulation.start(first)
@@ -127,13 +127,13 @@
 
 
 def rival_under_lease(seed: int, raft_class: type[Raft]) -> None:
-    """A member cut from the leader stands for election, and its voter starts again under the lease."""
+    """A member without a link to the leader stands for election, and its voter restarts under the lease."""
     simulation, leader, (voter, rival) = _with_leader(seed, 3, raft_class)
-    simulation.cut(leader, rival)
+    simulation.disconnect(leader, rival)
     read_and_write(simulation, leader, 1.5)
     if simulation.leader() == leader:
         simulation.crash(voter)
-        simulation.cut_off(leader)
+        simulation.isolate(leader)
         simulation.start(voter)
     read_and_write(simulation, leader, 0.5)
     simulation.check_converges()
@@ -160,28 +160,28 @@
 
 
 def wiped_voter_and_rival(seed: int, raft_class: type[Raft]) -> None:
-    """A voter loses its disk, and the one that was cut off all the while stands for election."""
+    """A voter loses its disk, and the one that was isolated all the while stands for election."""
     simulation, leader, (wiped, rival) = _with_leader(seed, 3, raft_class)
-    simulation.cut_off(rival)
+    simulation.isolate(rival)
     simulation.propose("x")
     simulation.run(0.3)
     simulation.crash(wiped)
     del simulation.members[wiped]
     simulation.join(f"{wiped}#2")
     simulation.crash(leader)
-    simulation.cuts.clear()
+    simulation.cut_links.clear()
     _converges(simulation)
 
 
 def back_in_a_later_term(seed: int, raft_class: type[Raft]) -> None:
-    """A member stands for election at the moment at which it is cut off, and comes back behind the others."""
+    """A member stands for election at the moment it is isolated, and comes back behind the others."""
     simulation, leader, (absent, _) = _with_leader(seed, 3, raft_class)
-    simulation.cut_off(absent)
+    simulation.isolate(absent)
     simulation.stand(absent)
     simulation.propose("meanwhile")
-    simulation.run(CUT_S)
+    simulation.run(ISOLATED_S)
     assert simulation.leader() == leader
-    simulation.cuts.clear()
+    simulation.cut_links.clear()
     without_s = 0.0
     step_s = 0.005
     for _ in range(200):
@@ -272,8 +272,8 @@
 
     It is one of the two that make the majority; the other goes with it, and keeps its disk.
     """
-    simulation, leader, (slow, cut) = _with_leader(seed, 3, raft_class)
-    simulation.cut_off(cut)
+    simulation, leader, (slow, isolated) = _with_leader(seed, 3, raft_class)
+    simulation.isolate(isolated)
     simulation.run(0.2)
     count = 0
     while simulation.members[slow].since_snapshot < 19:
--- a/tests/consensus/schedules.py
+++ b/tests/consensus/schedules.py
@@ -64,14 +64,14 @@
         for frozen in list(self.simulation.members):
             self.simulation.thaw(frozen)
 
-    def cut_off(self) -> None:
-        self.simulation.cut_off(self._name_or_leader())
+    def isolate(self) -> None:
+        self.simulation.isolate(self._name_or_leader())
 
-    def cut_one_way(self) -> None:
-        self.simulation.cuts.add((self.name, self.rng.choice(list(self.simulation.members))))
+    def disconnect_one_way(self) -> None:
+        self.simulation.cut_links.add((self.name, self.rng.choice(list(self.simulation.members))))
 
     def heal(self) -> None:
-        self.simulation.cuts.clear()
+        self.simulation.cut_links.clear()
 
     def change_weather(self) -> None:
         self.simulation.weather = self.rng.choice(WEATHERS)
@@ -84,8 +84,8 @@
     Step.start: 5,
     Step.freeze: 2,
     Step.thaw: 3,
-    Step.cut_off: 2,
-    Step.cut_one_way: 2,
+    Step.isolate: 2,
+    Step.disconnect_one_way: 2,
     Step.heal: 3,
     Step.change_weather: 2,
 }
--- a/tests/consensus/simulation.py
+++ b/tests/consensus/simulation.py
@@ -34,7 +34,7 @@
         self.raft_class = raft_class
         self.now = 0.0
         self.weather = Weather()
-        self.cuts: set[tuple[str, str]] = set()  # (sender, target)
+        self.cut_links: set[tuple[str, str]] = set()  # (sender, target)
         self.drops: Callable[[ConsensusMessage], bool] = drops_nothing
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._sequence = 0
@@ -273,7 +273,7 @@
     # The network.
 
     def _send(self, message: ConsensusMessage) -> None:
-        if (message.sender, message.target) in self.cuts or self.drops(message):
+        if (message.sender, message.target) in self.cut_links or self.drops(message):
             return
         if self.rng.random() < self.weather.lost:
             return
@@ -293,7 +293,7 @@
 
     def _deliver(self, message: ConsensusMessage) -> None:
         member = self.members.get(message.target) or self._at_address(message.target)
-        if member is not None and (message.sender, member.name) not in self.cuts:
+        if member is not None and (message.sender, member.name) not in self.cut_links:
             self._in_incarnation(member, lambda raft: raft.step(self._clock(member), message))()
 
     def _at_address(self, target: str) -> Member | None:
@@ -316,14 +316,14 @@
             for member in self.members.values()
         )
 
-    def cut(self, name: str, other: str) -> None:
+    def disconnect(self, name: str, other: str) -> None:
         """No message passes between the two."""
-        self.cuts |= {(name, other), (other, name)}
+        self.cut_links |= {(name, other), (other, name)}
 
-    def cut_off(self, name: str) -> None:
+    def isolate(self, name: str) -> None:
         """No message reaches or leaves the member."""
         for other in self.members:
-            self.cut(name, other)
+            self.disconnect(name, other)
 
     # What must hold.
 
@@ -353,7 +353,7 @@
     def check_converges(self) -> None:
         """With all machines and links well, the group takes commands and all members agree."""
         self.weather = Weather()
-        self.cuts.clear()
+        self.cut_links.clear()
         self.drops = drops_nothing
         for name, member in self.members.items():
             self.start(name)
--- a/tests/consensus/test_departure.py
+++ b/tests/consensus/test_departure.py
@@ -210,7 +210,7 @@
 def test_a_process_waits_no_longer_than_its_timeout(keeps_spares: bool) -> None:
     simulation = started(4, 1, keeps_spares, spares=1)
     old = follower(simulation)
-    simulation.cut_off(old)
+    simulation.isolate(old)
     assert DEPARTURE_TIMEOUT_S <= simulation.depart_for_good(old) < DEPARTURE_TIMEOUT_S + 0.1
 
 
@@ -272,9 +272,9 @@
     simulation.lose_for_good("spare0")
     simulation.run_until(lambda: old in voters(simulation))
     simulation.write(1.0)
-    simulation.cut_off(old)
+    simulation.isolate(old)
     may_end = simulation.depart(old)
-    simulation.cuts.clear()
+    simulation.cut_links.clear()
     simulation.drops = lambda message: (
         isinstance(message, DepartureNotice | AppendReply) and message.sender == old
     )
--- a/tests/consensus/test_leadership_transfer.py
+++ b/tests/consensus/test_leadership_transfer.py
@@ -174,9 +174,9 @@
             elif action == "crash":
                 simulation.crash(name)
             elif action == "cut":
-                simulation.cut_off(name)
+                simulation.isolate(name)
             else:
-                simulation.cuts.clear()
+                simulation.cut_links.clear()
                 for stopped in simulation.members:
                     simulation.start(stopped)
             simulation.run(rng.choice((0.003, 0.02, 0.3)))
--- a/tests/consensus/test_leases.py
+++ b/tests/consensus/test_leases.py
@@ -21,7 +21,7 @@
 
 
 def rival_at_other_rates(seed: int, drift: float) -> None:
-    """The leader's clock goes slow and the others' fast; it is cut off, and they elect another."""
+    """The leader's clock goes slow and the others' fast; it is isolated, and they elect another."""
     simulation = Simulation(seed, 3)
     simulation.run_until(lambda: simulation.leader() is not None and simulation.leader_raft().is_ready_leader)
     simulation.run(1.0)
@@ -29,7 +29,7 @@
     for name in simulation.members:
         simulation.set_clock_rate(name, 1 - drift if name == leader else 1 + drift)
     simulation.run(1.0)
-    simulation.cut_off(leader)
+    simulation.isolate(leader)
     read_and_write(simulation, leader, 2.0)
     simulation.check_converges()
 
@@ -65,11 +65,19 @@
 
 
 NAMES = ("a", "b", "c", "d", "e")
-STEP_WEIGHTS = {"change": 8, "request": 10, "cut": 3, "cut one way": 2, "heal": 3, "freeze": 1, "thaw": 3}
+STEP_WEIGHTS = {
+    "change": 8,
+    "request": 10,
+    "partition": 3,
+    "one way": 2,
+    "heal": 3,
+    "freeze": 1,
+    "thaw": 3,
+}
 
 
 def play_changes(seed: int, raft_class: type[Raft] = Raft, steps: int = 120) -> Simulation:
-    """Members come and go one by one while links are cut and leaders are asked."""
+    """Members come and go one by one while links are cut and leaders get requests."""
     rng = random.Random(f"changes {seed}")
     simulation = Simulation(seed, 3, raft_class)
     for name in NAMES[3:]:
@@ -89,12 +97,12 @@
             _change(rng, simulation)
         case "request":
             _request_everywhere(simulation, step)
-        case "cut":
-            _cut_in_two(rng, simulation)
-        case "cut one way":
-            simulation.cuts.add((name, rng.choice(NAMES)))
+        case "partition":
+            _partition(rng, simulation)
+        case "one way":
+            simulation.cut_links.add((name, rng.choice(NAMES)))
         case "heal":
-            simulation.cuts.clear()
+            simulation.cut_links.clear()
         case "freeze":
             simulation.freeze(simulation.leader() or name)
         case "thaw":
@@ -107,11 +115,11 @@
         simulation.read(each)
 
 
-def _cut_in_two(rng: random.Random, simulation: Simulation) -> None:
+def _partition(rng: random.Random, simulation: Simulation) -> None:
     side = rng.sample(NAMES, 2)
     for one in side:
         for other in set(NAMES) - set(side):
-            simulation.cut(one, other)
+            simulation.disconnect(one, other)
 
 
 def _thaw_all(simulation: Simulation) -> None:
--- a/tests/consensus/test_losses.py
+++ b/tests/consensus/test_losses.py
@@ -144,7 +144,7 @@
     assert gone not in simulation.leader_raft().membership.voters
     other = next(name for name in simulation.oldest(3) if name != simulation.leader())
     simulation.crash(other)
-    simulation.cut_off("spare0")
+    simulation.isolate("spare0")
     simulation.written += 1
     before = len(simulation.acknowledged)
     simulation.propose("not by the one that was removed")
--- a/tests/consensus/test_raft.py
+++ b/tests/consensus/test_raft.py
@@ -66,22 +66,22 @@
             self.simulation.thaw(name)
 
     @rule(sender=NAMES, receiver=NAMES)
-    def cut_one_way(self, sender: str, receiver: str) -> None:
-        self.simulation.cuts.add((self.current_members[sender], self.current_members[receiver]))
+    def disconnect_one_way(self, sender: str, receiver: str) -> None:
+        self.simulation.cut_links.add((self.current_members[sender], self.current_members[receiver]))
 
     @rule(name=NAMES)
-    def cut_off(self, name: str) -> None:
-        self.simulation.cut_off(self.current_members[name])
+    def isolate(self, name: str) -> None:
+        self.simulation.isolate(self.current_members[name])
 
     @rule()
     def heal(self) -> None:
-        self.simulation.cuts.clear()
+        self.simulation.cut_links.clear()
 
     @rule(bad=st.booleans(), slow=st.booleans())
     def change_weather(self, bad: bool, slow: bool) -> None:
-        part = 0.2 if bad else 0.0
+        fraction = 0.2 if bad else 0.0
         sync_s = (0.01, 0.3) if slow else (0.001, 0.01)
-        self.simulation.weather = Weather(lost=part, repeated=part, late=part, sync_s=sync_s)
+        self.simulation.weather = Weather(lost=fraction, repeated=fraction, late=fraction, sync_s=sync_s)
 
     @rule(name=NAMES)
     def lose_disk(self, name: str) -> None:
--- a/tests/consensus/test_schedules.py
+++ b/tests/consensus/test_schedules.py
@@ -83,14 +83,14 @@
     assert len(simulation.leaders) == 1
 
 
-def test_member_cut_off_for_long_does_not_disturb_when_it_comes_back() -> None:
+def test_member_isolated_for_long_does_not_disturb_when_it_comes_back() -> None:
     simulation = Simulation(4)
     simulation.run_until(lambda: simulation.leader() is not None)
     leader = simulation.leader()
     absent = next(name for name in simulation.members if name != leader)
-    simulation.cut_off(absent)
+    simulation.isolate(absent)
     simulation.run(20.0)
-    simulation.cuts.clear()
+    simulation.cut_links.clear()
     simulation.run(5.0)
     assert simulation.leader() == leader
     assert len(simulation.leaders) == 1
