--- a/pewterring/consensus/backpressure.py
+++ b/pewterring/consensus/backpressure.py
@@ -8,7 +8,7 @@
 
 from pewterring.consensus.errors import StorageFullError
 
-# Often enough that space which was freed is used at once; a try on a full disk costs one failed write.
+# Often enough that space which was freed is used at once; an attempt on a full disk costs one failed write.
 DISK_FULL_RETRY_S = 0.2
 
 _Result = TypeVar("_Result")
--- a/pewterring/consensus/group_environment.py
+++ b/pewterring/consensus/group_environment.py
@@ -18,7 +18,7 @@
 class GroupEnvironment:
     """The outside world of one member: disk, state, network, time and chance.
 
-    The group owns neither of them; who made the storage closes it after the group has stopped.
+    The group owns none of them; who made the storage closes it after the group has stopped.
     """
 
     storage: GroupStorage
