--- a/benchmarks/redundancy.py
+++ b/benchmarks/redundancy.py
@@ -34,9 +34,9 @@
 import msgspec
 
 from pewterring.batch import commands as batch_commands
-from pewterring.batch.capacity import StoreLimits, most_state_bytes
+from pewterring.batch.capacity import StoreLimits, max_state_bytes
 from pewterring.batch.messages import ItemSpec
-from pewterring.batch.program import MEMBERS_PERIOD_S
+from pewterring.batch.program import MEMBERSHIP_CHECK_PERIOD_S
 from pewterring.batch.state import BatchState
 from pewterring.consensus.departure import DEPARTURE_TIMEOUT_FRACTION
 from pewterring.consensus.errors import ConsensusError
@@ -176,7 +176,11 @@
 
 KINDS = {
     "batch": Kind(
-        lambda: BatchState(time.monotonic), batch_commands_going_on, False, MEMBERS_PERIOD_S, TABLES_S
+        lambda: BatchState(time.monotonic),
+        batch_commands_going_on,
+        False,
+        MEMBERSHIP_CHECK_PERIOD_S,
+        TABLES_S,
     ),
     "control": Kind(ControlState, control_commands_going_on, True, TICK_S, 0.0),
 }
@@ -521,7 +525,7 @@
     kind = KINDS[name]
     shortest_s = min(float(bound) for bound in given.catch_up.split(","))
     limits = StoreLimits(given.memory_mb, given.disk_mb, given.copy_mb_per_s, shortest_s)
-    most_bytes = most_state_bytes(limits)
+    most_bytes = max_state_bytes(limits)
     state = STATES[name](most_bytes - KEPT_JOBS * JOB_BYTES)
     speeds = speeds_here(kind, state, given)
     print(
--- a/pewterring/batch/admissions.py
+++ b/pewterring/batch/admissions.py
@@ -7,7 +7,7 @@
 
 
 class BatchAdmissions(Admissions[BatchAdmission]):
-    """One `BatchAdmission` a service."""
+    """One `BatchAdmission` for each service, made when the service is first seen."""
 
     def __init__(self, rng: random.Random) -> None:
-        super().__init__(lambda incarnation, gateways: BatchAdmission(incarnation), rng)
+        super().__init__(lambda incarnation, _gateways: BatchAdmission(incarnation), rng)
--- a/pewterring/batch/commands.py
+++ b/pewterring/batch/commands.py
@@ -1,9 +1,13 @@
-"""Commands of a batch partition's replicated log, as JSON, and what applying them returns."""
+"""Commands of a batch partition's replicated log, as JSON, and what applying them returns.
+
+A command's tag is its type's name, which stands in logs on disk: a type that is renamed keeps its old tag.
+"""
 
 from dataclasses import dataclass
 
 import msgspec
 
+from pewterring.batch.errors import InvalidCommandError
 from pewterring.batch.messages import ItemResult, ItemSpec
 
 
@@ -62,21 +66,21 @@
 _encoder = msgspec.json.Encoder()
 
 
-class CommandError(Exception):
-    """A command of the log cannot be read."""
-
-
 def encode_command(command: Command) -> bytes:
     """Writes a command for the log."""
     return _encoder.encode(command)
 
 
 def decode_command(data: bytes | msgspec.Raw) -> Command:
-    """Reads a command of the log."""
+    """Reads a command of the log.
+
+    Raises:
+        InvalidCommandError: The bytes are no command that this version knows.
+    """
     try:
         return _decoder.decode(data)
     except msgspec.MsgspecError as error:
-        raise CommandError(str(error)) from error
+        raise InvalidCommandError(f"cannot read a command of a batch partition: {error}") from error
 
 
 @dataclass(frozen=True, slots=True)
--- a/pewterring/batch/dispatch.py
+++ b/pewterring/batch/dispatch.py
@@ -1,4 +1,9 @@
-"""The choice of a worker for an item: within the room that admission leaves, the least expected time."""
+"""The choice of a worker for an item: within the capacity that admission leaves, the least expected time.
+
+Owns which item is at which worker, and feeds what exchanges tell of workers back to routing and admission.
+What may go wrong: live requests wait behind items (a limit below is too high), or items wait though workers
+are free (all of them are thought to have failed).
+"""
 
 import math
 from collections.abc import Callable, Sequence
@@ -18,36 +23,42 @@
 from pewterring.routing.worker_state import WorkerState
 from pewterring.standalone.policy.interface import RequestClass
 
-WORKER_FILL = 0.9  # of a worker's slots that may be taken, by all that is known, when an item is placed there
-SEEMS_FULL = 0.75  # of a worker's slots taken: it may well refuse an item for want of room
-READING_S = 0.03  # what a worker may have to read of items: live requests that come wait behind it
-SPREAD = 0.2  # of a worker's slots that it may have taken beyond the least taken one
-PROBE_S = 2.0  # where no worker is thought well, one that failed so long ago is tried with an item
-LEAST_EXPECTED_S = 1e-4  # keeps ratios finite
+MAX_WORKER_LOAD = 0.9  # of a worker's slots that may be taken, as far as known, when an item is assigned
+NEARLY_FULL_LOAD = 0.75  # of a worker's slots taken: it may well refuse an item for want of a slot
+MAX_PREFILL_S = (
+    0.03  # prefill of items that may be pending at a worker: live requests that come wait behind it
+)
+MAX_LOAD_SPREAD = 0.2  # of its slots that a worker may have taken beyond the least loaded one
+PROBE_AFTER_S = 2.0  # where all workers are suspect, one that failed so long ago is probed with an item
+MIN_EXPECTED_S = 1e-4  # keeps ratios finite
 
 
 class ExchangeOutcome(Enum):
     """What an exchange with a worker tells of the worker."""
 
-    ANSWERED = auto()
-    REFUSED = auto()
-    CUT = auto()
-    STALE = auto()  # says nothing of the worker: it closes or forgets connections that rest
-    CANCELLED = auto()
+    ANSWERED = auto()  # a whole answer, whatever it says of the item
+    REFUSED = auto()  # not run, or not reached
+    TRUNCATED = auto()  # the answer ended early
+    STALE = auto()  # says nothing of the worker: it closes or forgets idle connections
+    CANCELLED = auto()  # by this store
 
 
-BAD_OUTCOMES = (ExchangeOutcome.REFUSED, ExchangeOutcome.CUT)
+FAULT_OUTCOMES = (ExchangeOutcome.REFUSED, ExchangeOutcome.TRUNCATED)
 
 
 class Dispatcher(Protocol):
-    """Chooses workers for items and is told how their exchanges ended."""
+    """Chooses workers for items and is notified how their exchanges ended."""
+
+    def assign(self, item: QueuedItem, avoid: str) -> WorkerRecord | None:
+        """Assigns the item to a worker, which counts it from now on; None where none has capacity now.
 
-    def place(self, item: QueuedItem, avoid: str) -> WorkerRecord | None:
-        """A worker for the item, whose place is taken from now on; not the one with id `avoid`, if another
-        will do. None where there is no place now."""
+        Args:
+            item: The item that is to run.
+            avoid: Id of a worker that is chosen only where no other will do.
+        """
 
     def first_event(self, item: QueuedItem) -> None:
-        """The first event of the item's exchange came."""
+        """The first event of the item's exchange came: prefill is over."""
 
     def finished(self, item: QueuedItem, outcome: ExchangeOutcome) -> None:
         """The exchange at the worker that `place` gave has ended."""
@@ -70,25 +81,24 @@
 
 
 @dataclass(slots=True)
-class _Placement:
-    """An item at a worker."""
+class _Assignment:
+    """One item at one worker, from its choice to the end of the exchange."""
 
     service: str
     worker: WorkerState
     prompt: Prompt
-    tokens: int  # that the worker must read before the first event
-    placed_at: float
-    probe: bool  # the worker is tried although it is thought to fail
-    clean: bool  # nothing was there that it would have to wait for
-    reading: bool = True  # until the first event
+    tokens: int  # of prefill that the worker must do before the first event
+    assigned_at: float
+    is_probe: bool  # the worker was suspect when it was chosen
+    is_unqueued: bool  # nothing was there that it would have to wait for
+    in_prefill: bool = True  # until the first event
 
 
 class AdmissionDispatcher:
-    """Places items in the room that admission leaves them, at the worker with the least expected time to the
-    first event.
+    """Assigns items within the capacity that admission leaves, by the least expected time to first event.
 
     Services of a route get items by their weights. A worker whose slots are nearly taken gets none, and none
-    while it has much to read of items placed before: a live request that comes would wait behind them.
+    while much prefill of earlier items is pending: a live request that comes would wait behind them.
     """
 
     def __init__(
@@ -102,126 +112,127 @@
         self._chooser = chooser
         self._admissions = admissions
         self._clock = clock
-        self._placements: dict[QueuedItem, _Placement] = {}
+        self._assignments: dict[QueuedItem, _Assignment] = {}
 
-    def place(self, item: QueuedItem, avoid: str) -> WorkerRecord | None:
+    def assign(self, item: QueuedItem, avoid: str) -> WorkerRecord | None:
         """See `Dispatcher`."""
         route = batch_route(self._tables(), item.route)
         if route is None:
             return None
         now = self._clock()
         prompt = item_prompt(item)
-        for service in self._services_in_turn(route):
+        for service in self._services_by_weight(route):
             if self._admissions.of(service).room(now) <= 0:
                 continue
             worker = self._choose(now, service, prompt, avoid)
             if worker is not None:
-                self._take(item, self._placement(now, service, worker, prompt))
+                self._begin(item, self._assignment(now, service, worker, prompt))
                 return worker.record
         return None
 
     def first_event(self, item: QueuedItem) -> None:
-        """See `Dispatcher`: learns the service's times, the worker's speed and the ceiling."""
-        placement = self._placements.get(item)
-        if placement is None or not placement.reading:
+        """See `Dispatcher`: learns the service's times, the worker's speed and the concurrency limit."""
+        assignment = self._assignments.get(item)
+        if assignment is None or not assignment.in_prefill:
             return
-        self._end_reading(placement)
+        self._end_prefill(assignment)
         now = self._clock()
-        seconds = now - placement.placed_at
-        times = self._chooser.times_of(placement.service)
-        expected = times.expected(placement.tokens)
-        if placement.clean:
+        seconds = now - assignment.assigned_at
+        times = self._chooser.times_of(assignment.service)
+        expected = times.expected(assignment.tokens)
+        if assignment.is_unqueued:
             # Symptom answered: the time to read a token was learnt as four times what it is while items
-            # waited for slots, and a shared part that a worker keeps then outweighed any load.
-            times.learn(placement.tokens, seconds)
-        ratio = seconds / max(LEAST_EXPECTED_S, expected)
-        placement.worker.note_ratio(ratio)
-        placement.worker.keep(placement.prompt)
+            # waited for slots, and a cached prefix then outweighed any load.
+            times.learn(assignment.tokens, seconds)
+        ratio = seconds / max(MIN_EXPECTED_S, expected)
+        assignment.worker.note_ratio(ratio)
+        assignment.worker.keep(assignment.prompt)
         kind = RequestClass("/".join(item.route), aim=math.inf, deadline=math.inf)
-        self._admissions.of(placement.service).observe(now, kind, ratio)
+        self._admissions.of(assignment.service).observe(now, kind, ratio)
 
     def load_reported(self, worker: WorkerRecord, load: Load) -> None:
-        """An answer told of a worker's load."""
+        """An answer's head reported a worker's load."""
         state = self._chooser.workers.get(worker.id)
         if state is not None:
             state.take_report(self._clock(), load.running, load.waiting)
 
     def finished(self, item: QueuedItem, outcome: ExchangeOutcome) -> None:
         """See `Dispatcher`."""
-        placement = self._placements.pop(item, None)
-        if placement is None:
+        assignment = self._assignments.pop(item, None)
+        if assignment is None:
             return
-        if placement.reading:
-            self._end_reading(placement)
-        worker = placement.worker
+        if assignment.in_prefill:
+            self._end_prefill(assignment)
+        worker = assignment.worker
         worker.out -= 1
-        self._admissions.of(placement.service).out -= 1
+        self._admissions.of(assignment.service).out -= 1
         now = self._clock()
         if outcome is ExchangeOutcome.ANSWERED:
             worker.answered()
-        elif outcome is ExchangeOutcome.REFUSED and worker.load(now) >= SEEMS_FULL:
+        elif outcome is ExchangeOutcome.REFUSED and worker.load(now) >= NEARLY_FULL_LOAD:
             worker.take_report(now, worker.record.capacity, 0)
-        elif outcome in BAD_OUTCOMES and (placement.probe or not worker.suspect(now)):
+        elif outcome in FAULT_OUTCOMES and (assignment.is_probe or not worker.suspect(now)):
             # Answers workers that crash or leave: all their items end at once, which is one failure.
             worker.failed(now)
 
     @staticmethod
-    def _placement(now: float, service: str, worker: WorkerState, prompt: Prompt) -> _Placement:
-        clean = not worker.pending_tokens and worker.load(now) < SEEMS_FULL
+    def _assignment(now: float, service: str, worker: WorkerState, prompt: Prompt) -> _Assignment:
+        is_unqueued = not worker.pending_tokens and worker.load(now) < NEARLY_FULL_LOAD
         tokens = worker.uncached(prompt)
-        return _Placement(service, worker, prompt, tokens, now, worker.suspect(now), clean)
+        return _Assignment(service, worker, prompt, tokens, now, worker.suspect(now), is_unqueued)
 
-    def _take(self, item: QueuedItem, placement: _Placement) -> None:
-        self._placements[item] = placement
-        placement.worker.out += 1
-        placement.worker.pending_tokens += placement.tokens
-        self._admissions.of(placement.service).out += 1
+    def _begin(self, item: QueuedItem, assignment: _Assignment) -> None:
+        self._assignments[item] = assignment
+        assignment.worker.out += 1
+        assignment.worker.pending_tokens += assignment.tokens
+        self._admissions.of(assignment.service).out += 1
 
     @staticmethod
-    def _end_reading(placement: _Placement) -> None:
-        placement.reading = False
-        placement.worker.pending_tokens -= placement.tokens
+    def _end_prefill(assignment: _Assignment) -> None:
+        assignment.in_prefill = False
+        assignment.worker.pending_tokens -= assignment.tokens
 
-    def _services_in_turn(self, route: Route) -> list[str]:
-        weighted = [part for part in route.services if part.weight > 0]
-        weighted.sort(key=lambda part: self._admissions.of(part.service).out / part.weight)
-        return [part.service for part in weighted]
+    def _services_by_weight(self, route: Route) -> list[str]:
+        """The route's services, the one furthest below its weight first."""
+        weighted = [entry for entry in route.services if entry.weight > 0]
+        weighted.sort(key=lambda entry: self._admissions.of(entry.service).out / entry.weight)
+        return [entry.service for entry in weighted]
 
     def _choose(self, now: float, service: str, prompt: Prompt, avoid: str) -> WorkerState | None:
-        """The best worker with room: another than `avoid` where there is one."""
+        """The best worker with capacity: another than `avoid` where there is one."""
         per_token_s = max(PER_TOKEN_S, self._chooser.times_of(service).per_token_s)
         workers = self._chooser.ready(now, service)
-        busy = {worker.record.id for worker in workers if not _has_room(now, worker, per_token_s)}
+        busy = {worker.record.id for worker in workers if not _has_capacity(now, worker, per_token_s)}
         if len(busy) == len(workers):
-            return _probe(now, workers)
-        busy |= _crowded(now, [worker for worker in workers if worker.record.id not in busy])
+            return _worker_to_probe(now, workers)
+        busy |= _above_spread(now, [worker for worker in workers if worker.record.id not in busy])
         alone = all(worker.record.id in busy or worker.record.id == avoid for worker in workers)
         return self._chooser.choose(now, service, prompt, busy if alone else busy | {avoid})
 
 
-def _probe(now: float, workers: Sequence[WorkerState]) -> WorkerState | None:
-    """The worker to try where none is thought well: the one that failed longest ago, if that is a while.
+def _worker_to_probe(now: float, workers: Sequence[WorkerState]) -> WorkerState | None:
+    """The worker to probe where all are suspect: the one that failed longest ago, if long enough.
 
-    Symptom answered: after a cut between a store and all workers, items waited for up to eight seconds though
-    the workers were free. An item can wait for a try that fails; a live request could not.
+    Symptom answered: after a store was cut off from all workers, items waited for up to eight seconds though
+    the workers were free. An item can wait for an attempt that fails; a live request could not.
     """
     if not all(worker.suspect(now) for worker in workers):
         return None
-    due = [worker for worker in workers if worker.out == 0 and now - worker.failed_at >= PROBE_S]
+    due = [worker for worker in workers if worker.out == 0 and now - worker.failed_at >= PROBE_AFTER_S]
     return min(due, key=lambda worker: worker.failed_at, default=None)
 
 
-def _crowded(now: float, workers: Sequence[WorkerState]) -> set[str]:
-    """The workers that have much more of their slots taken than the least taken one.
+def _above_spread(now: float, workers: Sequence[WorkerState]) -> set[str]:
+    """Ids of workers whose slots are taken much more than those of the least loaded one.
 
-    Symptom answered: items of one shared part filled the workers that keep it while others were half empty,
-    and live requests that came to the full ones waited for a slot.
+    Symptom answered: items of one shared prefix filled the workers that cache it while others were half
+    empty, and live requests that came to the full ones waited for a slot.
     """
-    most = min(worker.load(now) for worker in workers) + SPREAD
-    return {worker.record.id for worker in workers if worker.load(now) > most}
+    limit = min(worker.load(now) for worker in workers) + MAX_LOAD_SPREAD
+    return {worker.record.id for worker in workers if worker.load(now) > limit}
 
 
-def _has_room(now: float, worker: WorkerState, per_token_s: float) -> bool:
-    if worker.suspect(now) or worker.pending_tokens * per_token_s > READING_S:
+def _has_capacity(now: float, worker: WorkerState, per_token_s: float) -> bool:
+    if worker.suspect(now) or worker.pending_tokens * per_token_s > MAX_PREFILL_S:
         return False
-    return worker.load(now) < WORKER_FILL or worker.out == 0 == worker.others(now)
+    return worker.load(now) < MAX_WORKER_LOAD or worker.out == 0 == worker.others(now)
--- a/pewterring/batch/execution.py
+++ b/pewterring/batch/execution.py
@@ -1,7 +1,12 @@
-"""Runs a partition's unfinished items from its leader: scheduler, dispatcher and runner joined on asyncio."""
+"""Runs a partition's unfinished items from its leader: scheduler, dispatcher and runner joined on asyncio.
+
+Owns the tasks of running exchanges and the timer of the next pass. What may go wrong: nothing starts while
+the lease or the tables are too old, or while no worker has capacity (dispatch.py).
+"""
 
 import asyncio
 from collections.abc import Callable
+from dataclasses import dataclass
 from functools import partial
 from typing import Protocol
 
@@ -10,61 +15,70 @@
 from pewterring.batch.commands import ItemFailures, JobResult
 from pewterring.batch.dispatch import Dispatcher, ExchangeOutcome, batch_route
 from pewterring.batch.messages import ItemResult
+from pewterring.batch.missing_routes import MissingRoutes
 from pewterring.batch.results import ResultCommitter
-from pewterring.batch.scheduler import Failure, ItemKey, ItemScheduler, QueuedItem
+from pewterring.batch.scheduler import Failure, ItemKey, ItemScheduler, JobTerms, QueuedItem
 from pewterring.batch.state import BatchState, Clock, Job, RouteKey
-from pewterring.configuration.model import Configuration
 from pewterring.distribution.messages import WorkerRecord
 from pewterring.distribution.tables import Tables
 from pewterring.durations import MILLISECONDS_PER_SECOND
 
-POLL_S = 0.1  # while items could start but find no worker, or the tables are not fresh
-SHORTEST_WAIT_S = 0.01
-ROUTE_GONE_S = (
-    3.0  # a route must have been missing for so long, in fresh tables, before its items are given up
-)
+RECHECK_PERIOD_S = 0.1  # while items could start but find no worker, or the tables are not fresh
+MIN_TIMER_S = 0.01  # a deadline that is due is not looked at more often
 
+# States of results, as clients read them.
 SUCCEEDED = "succeeded"
 DEAD_LETTER = "dead_letter"
 
 EventHandler = Callable[[str, str], None]  # id and data of one whole event
 
+_EXCHANGE_OUTCOMES = {
+    Failure.REFUSED: ExchangeOutcome.REFUSED,
+    Failure.STALE: ExchangeOutcome.STALE,
+    Failure.TRUNCATED: ExchangeOutcome.TRUNCATED,
+}
+
 
 class ItemRunner(Protocol):
     """Runs an item at a worker."""
 
     async def run(self, item: QueuedItem, worker: WorkerRecord, on_event: EventHandler) -> Failure | None:
-        """One exchange; None where the answer came whole. `on_event` is told each whole event as it comes."""
+        """One exchange; None where the answer is complete. `on_event` gets each whole event as it comes."""
+
+
+@dataclass(frozen=True, slots=True)
+class ExecutionEnvironment:
+    """What the execution of items needs of its store."""
+
+    dispatcher: Dispatcher
+    runner: ItemRunner
+    tables: Callable[[], Tables]
+    may_start: Callable[[float], bool]  # whether items may start at that time: lease and tables are fresh
+    clock: Clock
 
 
 class ItemExecution:
-    """Active while this store leads. All that it knows of items is rebuilt from the state at `start`."""
+    """Active while this store leads. All that it knows of items is rebuilt from the state at `start`.
+
+    Owns one task for each running exchange; `stop` and `end_job` cancel them.
+    """
 
     def __init__(
-        self,
-        state: BatchState,
-        dispatcher: Dispatcher,
-        runner: ItemRunner,
-        committer: ResultCommitter,
-        tables: Callable[[], Tables],
-        may_start: Callable[[float], bool],
-        clock: Clock,
+        self, state: BatchState, committer: ResultCommitter, environment: ExecutionEnvironment
     ) -> None:
         self._state = state
-        self._dispatcher = dispatcher
-        self._runner = runner
         self._committer = committer
-        self._tables = tables
-        self._may_start = may_start
-        self._clock = clock
+        self._dispatcher = environment.dispatcher
+        self._runner = environment.runner
+        self._tables = environment.tables
+        self._may_start = environment.may_start
+        self._clock = environment.clock
         self._scheduler = ItemScheduler()
+        self._missing_routes = MissingRoutes()
         self._active = False
         self._running: dict[ItemKey, asyncio.Task[Failure | None]] = {}
-        self._placed: dict[ItemKey, WorkerRecord] = {}
-        self._begun: set[QueuedItem] = set()  # running items whose exchange brought an event
-        self._routeless: set[str] = set()  # jobs whose route is not in the tables
-        self._gone_since: dict[RouteKey, float] = {}
-        self._checked: Configuration | None = None  # all routes of items are in it
+        self._assigned: dict[ItemKey, WorkerRecord] = {}
+        self._producing: set[QueuedItem] = set()  # running items whose exchange brought an event
         self._timer: asyncio.TimerHandle | None = None
         self._pass_due = False
 
@@ -89,12 +103,8 @@
         self._running.clear()
         self._scheduler.clear()
         self._committer.stop()
-        self._routeless.clear()
-        self._gone_since.clear()
-        self._checked = None
-        if self._timer is not None:
-            self._timer.cancel()
-            self._timer = None
+        self._missing_routes.clear()
+        self._cancel_timer()
 
     def add_job(self, job: Job) -> None:
         """Queues a job's unfinished items."""
@@ -102,23 +112,20 @@
             return
         route = batch_route(self._tables(), job.route)
         if route is None:
-            self._routeless.add(job.id)
+            self._missing_routes.job_ids.add(job.id)
             return
-        self._routeless.discard(job.id)
-        self._scheduler.add_job(
-            job.id,
-            job.route,
-            job.items.values(),
+        self._missing_routes.job_ids.discard(job.id)
+        terms = JobTerms(
             due_at=job.accepted_at + route.completion_target_ms / MILLISECONDS_PER_SECOND,
             give_up_at=job.accepted_at + route.job_ttl_s,
             max_attempts=route.max_attempts,
-            failed_attempts=job.failed_attempts,
         )
+        self._scheduler.add_job(job.id, job.route, job.items.values(), terms, job.failed_attempts)
         self.wake()
 
     def end_job(self, job_id: str) -> None:
         """Stops a job's running items at once and forgets the others."""
-        self._routeless.discard(job_id)
+        self._missing_routes.job_ids.discard(job_id)
         self._scheduler.end_job(job_id)
         for key in [key for key in self._running if key[0] == job_id]:
             self._cancel(key)
@@ -126,10 +133,10 @@
 
     def tables_changed(self) -> None:
         """Looks again at jobs without a route, and for free workers."""
-        for job_id in tuple(self._routeless):
+        for job_id in tuple(self._missing_routes.job_ids):
             job = self._state.job(job_id)
             if job is None or job.finished:
-                self._routeless.discard(job_id)
+                self._missing_routes.job_ids.discard(job_id)
             else:
                 self.add_job(job)
         self.wake()
@@ -147,70 +154,71 @@
         now = self._clock()
         self._give_up(self._scheduler.expire(now))
         fresh = self._may_start(now)
-        self._give_up_routes(now, fresh)
+        self._give_up_missing_routes(now, fresh)
         if fresh:
-            for item in self._scheduler.start(now, self._place):
+            for item in self._scheduler.start(now, self._assign):
                 self._launch(item)
         self._set_timer(now, fresh)
 
     def _set_timer(self, now: float, fresh: bool) -> None:
-        if self._timer is not None:
-            self._timer.cancel()
-            self._timer = None
+        self._cancel_timer()
         deadline = self._scheduler.next_deadline()
-        waits_s = [] if deadline is None else [max(SHORTEST_WAIT_S, deadline - now)]
-        if self._scheduler.has_ready or self._gone_since or self._routeless:
-            waits_s.append(POLL_S)
+        waits_s = [] if deadline is None else [max(MIN_TIMER_S, deadline - now)]
+        if self._scheduler.has_ready or self._missing_routes.any:
+            waits_s.append(RECHECK_PERIOD_S)
         if not fresh and waits_s:
-            waits_s = [POLL_S]
+            waits_s = [RECHECK_PERIOD_S]
         if waits_s:
             self._timer = asyncio.get_running_loop().call_later(min(waits_s), self._pass)
 
+    def _cancel_timer(self) -> None:
+        if self._timer is not None:
+            self._timer.cancel()
+            self._timer = None
+
     # Running items
 
-    def _place(self, item: QueuedItem) -> bool:
-        worker = self._dispatcher.place(item, item.last_worker)
+    def _assign(self, item: QueuedItem) -> bool:
+        worker = self._dispatcher.assign(item, item.last_worker)
         if worker is None:
             return False
-        self._placed[item.key] = worker
+        self._assigned[item.key] = worker
         return True
 
     def _launch(self, item: QueuedItem) -> None:
-        worker = self._placed.pop(item.key)
+        worker = self._assigned.pop(item.key)
         item.last_worker = worker.id
         task = asyncio.get_running_loop().create_task(self._run(item, worker))
         self._running[item.key] = task
-        task.add_done_callback(partial(self._done, item))
+        task.add_done_callback(partial(self._on_done, item))
 
     async def _run(self, item: QueuedItem, worker: WorkerRecord) -> Failure | None:
         return await self._runner.run(item, worker, partial(self._on_event, item))
 
     def _on_event(self, item: QueuedItem, event_id: str, data: str) -> None:
         self._scheduler.on_progress(item, event_id, data)
-        if item not in self._begun:
-            self._begun.add(item)
+        if item not in self._producing:
+            self._producing.add(item)
             self._dispatcher.first_event(item)
-            self.wake()  # the worker may be able to read the next item now
+            self.wake()  # the worker may have capacity for the next item's prefill now
 
-    def _done(self, item: QueuedItem, task: "asyncio.Task[Failure | None]") -> None:
-        self._begun.discard(item)
+    def _on_done(self, item: QueuedItem, task: "asyncio.Task[Failure | None]") -> None:
+        self._producing.discard(item)
         if self._running.get(item.key) is task:
             del self._running[item.key]
         if task.cancelled():
             self._dispatcher.finished(item, ExchangeOutcome.CANCELLED)
             return
-        error = task.exception()
-        if error is not None:
-            logger.opt(exception=error).error("running item {} failed", item.spec.id)
-            failure: Failure | None = Failure.CUT
-        else:
-            failure = task.result()
-        self._dispatcher.finished(item, _outcome(failure))
+        failure = _failure_of(item, task)
+        outcome = ExchangeOutcome.ANSWERED
+        if failure is not None:
+            outcome = _EXCHANGE_OUTCOMES.get(failure, ExchangeOutcome.ANSWERED)
+        self._dispatcher.finished(item, outcome)
         if self._active:
-            self._settle(item, failure)
+            self._record_outcome(item, failure)
             self.wake()
 
-    def _settle(self, item: QueuedItem, failure: Failure | None) -> None:
+    def _record_outcome(self, item: QueuedItem, failure: Failure | None) -> None:
         now = self._clock()
         if failure is None:
             if self._scheduler.on_success(item, now):
@@ -236,42 +244,37 @@
             self._cancel(item.key)
             self._list(item, DEAD_LETTER, "")
 
-    def _give_up_routes(self, now: float, fresh: bool) -> None:
+    def _give_up_missing_routes(self, now: float, fresh: bool) -> None:
         """Gives up items of routes that the configuration has not had for a while."""
         tables = self._tables()
-        if tables.configuration is self._checked and not self._routeless:
+        if not self._missing_routes.must_check(tables.configuration):
             return
-        if not fresh or tables.configuration is None:
-            self._gone_since.clear()
+        if not fresh:
+            self._missing_routes.reset_times()
             return
-        gone = {route for route in self._routes() if batch_route(tables, route) is None}
-        self._gone_since = {route: self._gone_since.get(route, now) for route in gone}
-        for route in [route for route, since in self._gone_since.items() if now - since > ROUTE_GONE_S]:
+        for route in self._missing_routes.removed(now, tables, self._routes()):
             self._give_up(self._scheduler.take_route(route))
-            self._give_up_routeless(route)
-            del self._gone_since[route]
-        self._checked = None if self._gone_since else tables.configuration
+            self._give_up_jobs_without_route(route)
 
     def _routes(self) -> set[RouteKey]:
-        jobs = (self._state.job(job_id) for job_id in self._routeless)
+        jobs = (self._state.job(job_id) for job_id in self._missing_routes.job_ids)
         return self._scheduler.routes() | {job.route for job in jobs if job is not None}
 
-    def _give_up_routeless(self, route: RouteKey) -> None:
-        for job_id in tuple(self._routeless):
+    def _give_up_jobs_without_route(self, route: RouteKey) -> None:
+        for job_id in tuple(self._missing_routes.job_ids):
             job = self._state.job(job_id)
             if job is None or job.route == route:
-                self._routeless.discard(job_id)
+                self._missing_routes.job_ids.discard(job_id)
             if job is not None and job.route == route:
                 self._give_up([QueuedItem(job.id, route, spec) for spec in job.items.values()])
 
 
-def _outcome(failure: Failure | None) -> ExchangeOutcome:
-    match failure:
-        case Failure.REFUSED:
-            return ExchangeOutcome.REFUSED
-        case Failure.STALE:
-            return ExchangeOutcome.STALE
-        case Failure.CUT:
-            return ExchangeOutcome.CUT
-        case _:
-            return ExchangeOutcome.ANSWERED
+def _failure_of(item: QueuedItem, task: "asyncio.Task[Failure | None]") -> Failure | None:
+    """How a run that was not cancelled ended. A fault of the runner itself counts as a truncated answer."""
+    error = task.exception()
+    if error is None:
+        return task.result()
+    logger.opt(exception=error).bind(event="item_run_failed", job=item.job, item=item.spec.id).error(
+        "Running an item failed in this store; it is attempted again."
+    )
+    return Failure.TRUNCATED
--- a/pewterring/batch/group_log.py
+++ b/pewterring/batch/group_log.py
@@ -1,7 +1,7 @@
 """The partition's log on a replicated group: commands as JSON, errors of consensus as those of this layer."""
 
 from pewterring.batch.commands import Command, Outcome, encode_command
-from pewterring.batch.errors import LeadershipLost, NotTaken, OutcomeUnsure
+from pewterring.batch.errors import CommandOutcomeUnknownError, CommandRefusedError, NotLeadingError
 from pewterring.consensus.errors import ConsensusError, NotLeaderError, TooManyUncommittedError
 from pewterring.consensus.group import ReplicatedGroup
 
@@ -31,11 +31,11 @@
         try:
             outcome = await self._group.propose(encode_command(command))
         except NotLeaderError as error:
-            raise LeadershipLost(str(error)) from error
+            raise NotLeadingError(str(error)) from error
         except TooManyUncommittedError as error:
-            raise NotTaken(str(error)) from error
+            raise CommandRefusedError(str(error)) from error
         except ConsensusError as error:
-            raise OutcomeUnsure(str(error)) from error
+            raise CommandOutcomeUnknownError(str(error)) from error
         assert isinstance(outcome, Outcome)
         return outcome
 
@@ -44,4 +44,4 @@
         try:
             await self._group.read_barrier()
         except ConsensusError as error:
-            raise LeadershipLost(str(error)) from error
+            raise NotLeadingError(str(error)) from error
--- a/pewterring/batch/log.py
+++ b/pewterring/batch/log.py
@@ -20,7 +20,17 @@
         """Whether no other store can lead at `now`."""
 
     async def propose(self, command: Command) -> Outcome:
-        """Commits and applies a command. Raises `LeadershipLost`, `NotTaken` or `OutcomeUnsure`."""
+        """Commits and applies a command.
+
+        Raises:
+            NotLeadingError: Another store leads; the command is not applied.
+            CommandRefusedError: Too much waits to be committed; the command is not applied.
+            CommandOutcomeUnknownError: The command may be applied, now or later.
+        """
 
     async def read_barrier(self) -> None:
-        """Returns once all that was committed before the call is applied. Raises `LeadershipLost`."""
+        """Returns once all that was committed before the call is applied (Raft, section 8, read index).
+
+        Raises:
+            NotLeadingError: This store does not lead, or could not confirm that it does.
+        """
--- a/pewterring/batch/messages.py
+++ b/pewterring/batch/messages.py
@@ -1,4 +1,8 @@
-"""Calls between gateways and the store that leads a batch partition, as JSON lines."""
+"""Calls between gateways and the store that leads a batch partition, as JSON lines.
+
+A message's tag is its type's name unless one is given: a type that is renamed keeps its old tag, so that
+programs of different versions understand each other.
+"""
 
 import msgspec
 
@@ -27,10 +31,10 @@
     """The job is kept, synced by a majority; also the answer to a repeated submission."""
 
 
-class JobRefused(msgspec.Struct, frozen=True, tag=True):
-    """None of the job runs or will. `full`: it does not fit the quota (429); else 503."""
+class JobRejected(msgspec.Struct, frozen=True, tag="JobRefused"):  # the wire's name
+    """None of the job runs or will. `over_quota`: its tokens exceed the route's quota (429); else 503."""
 
-    full: bool
+    over_quota: bool = msgspec.field(name="full")  # the wire's name
     retry_after_s: float
 
 
@@ -78,10 +82,10 @@
 
 
 class JobEnded(msgspec.Struct, frozen=True, tag=True):
-    """Answers `EndJob`: committed."""
+    """Answers `EndJob`: the end is committed."""
 
 
-class Unknown(msgspec.Struct, frozen=True, tag=True):
+class NotFound(msgspec.Struct, frozen=True, tag="Unknown"):  # the wire's name
     """The leader is sure that there is no such job or item."""
 
 
@@ -91,21 +95,21 @@
     leader: str
 
 
-class Unsure(msgspec.Struct, frozen=True, tag=True):
+class OutcomeUnknown(msgspec.Struct, frozen=True, tag="Unsure"):  # the wire's name
     """The outcome is not known (leadership was lost on the way); the call may be repeated."""
 
 
 BATCH_MESSAGES = (
     SubmitJob,
     JobAccepted,
-    JobRefused,
+    JobRejected,
     ReadResults,
     ResultPage,
     ReadItem,
     ItemBody,
     EndJob,
     JobEnded,
-    Unknown,
+    NotFound,
     NotLeading,
-    Unsure,
+    OutcomeUnknown,
 )
--- a/pewterring/batch/pages.py
+++ b/pewterring/batch/pages.py
@@ -1,4 +1,4 @@
-"""Pages of results, and calls that wait for the next result."""
+"""Pages of results, and calls that wait for the next result (long polling)."""
 
 import asyncio
 import contextlib
@@ -8,18 +8,18 @@
 from pewterring.batch.state import Job
 
 PAGE_BYTES = 800_000  # by the estimate below; the client's limit is 1 MB
-FRAME_BYTES = 200  # of a result beside its text
+RESULT_OVERHEAD_BYTES = 200  # of a result beside its text
 MAX_CHARACTER_BYTES = 4  # of one character that is not ASCII
 
 
 def result_page(job: Job, after: int) -> ResultPage:
     """Results from position `after` on; at least one if there is one."""
     page: list[ItemResult] = []
-    room = PAGE_BYTES
+    remaining_bytes = PAGE_BYTES
     for position in range(max(0, after), len(job.results)):
         result = job.results[position]
-        room -= _size_bytes(result)
-        if page and room < 0:
+        remaining_bytes -= _size_bytes(result)
+        if page and remaining_bytes < 0:
             break
         page.append(result)
     return ResultPage(total=job.total, next_position=after + len(page), results=tuple(page))
@@ -27,7 +27,7 @@
 
 def _size_bytes(result: ItemResult) -> int:
     text = result.text
-    return FRAME_BYTES + len(text) * (1 if text.isascii() else MAX_CHARACTER_BYTES)
+    return RESULT_OVERHEAD_BYTES + len(text) * (1 if text.isascii() else MAX_CHARACTER_BYTES)
 
 
 class ResultWaiters:
@@ -37,12 +37,12 @@
         self._waiting: dict[str, set[asyncio.Future[None]]] = {}
 
     async def wait(self, job_id: str, timeout_s: float, ready: Callable[[], bool]) -> None:
-        """Returns when `ready` holds, the time is over, or `wake_all` was called."""
+        """Returns when `ready` holds, the time is over, or `stop_waiting` was called."""
         if timeout_s <= 0 or ready():
             return
         loop = asyncio.get_running_loop()
         deadline = loop.time() + timeout_s
-        with contextlib.suppress(TimeoutError, _Stopped):
+        with contextlib.suppress(TimeoutError, _WaitingStoppedError):
             async with asyncio.timeout_at(deadline):
                 while not ready():
                     await self._next(job_id)
@@ -53,9 +53,9 @@
         try:
             await future
         finally:
-            self._forget(job_id, future)
+            self._discard(job_id, future)
 
-    def _forget(self, job_id: str, future: "asyncio.Future[None]") -> None:
+    def _discard(self, job_id: str, future: "asyncio.Future[None]") -> None:
         waiting = self._waiting.get(job_id)
         if waiting is None:
             return
@@ -69,14 +69,14 @@
             if not future.done():
                 future.set_result(None)
 
-    def wake_all(self) -> None:
+    def stop_waiting(self) -> None:
         """Ends all waiting."""
         waiting, self._waiting = self._waiting, {}
         for futures in waiting.values():
             for future in futures:
                 if not future.done():
-                    future.set_exception(_Stopped())
+                    future.set_exception(_WaitingStoppedError())
 
 
-class _Stopped(Exception):
-    """Waiting was ended."""
+class _WaitingStoppedError(Exception):
+    """Ends a wait from within; never leaves this module."""
--- a/pewterring/batch/program.py
+++ b/pewterring/batch/program.py
@@ -1,4 +1,9 @@
-"""The store: keeps batch partitions, answers gateways, and runs items where it leads."""
+"""The store: keeps batch partitions, answers gateways, and runs items where it leads.
+
+Owns the data folder, the connections to other stores and to workers, and every task of the process. What may
+go wrong: the data folder cannot be read or is full at the start (it waits for free disk space), or a group
+stops because its disk failed (`on_failure` ends the process).
+"""
 
 import asyncio
 import contextlib
@@ -15,9 +20,9 @@
 from pewterring.admission.shares import BEAT_S
 from pewterring.batch.admissions import BatchAdmissions
 from pewterring.batch.dispatch import AdmissionDispatcher
-from pewterring.batch.errors import BatchError
+from pewterring.batch.errors import StoreSettingsError
 from pewterring.batch.messages import BATCH_MESSAGES, NotLeading
-from pewterring.batch.partition import Partition, StoreParts
+from pewterring.batch.partition import Partition, StoreEnvironment
 from pewterring.batch.runner import HttpItemRunner
 from pewterring.batch.service import batch_call
 from pewterring.batch.state import Clock
@@ -38,19 +43,14 @@
 from pewterring.transport.http_client import WorkerPool
 from pewterring.transport.lines import Channel, LineServer, LinkPool, Message, MessageCodec
 
-MEMBERS_PERIOD_S = 0.1  # between checks of the members of the groups
-LIFE_BYTES = 8  # of randomness in the name of this process's life
-
-
-class StoreError(BatchError):
-    """The store cannot start; the text says why."""
+MEMBERSHIP_CHECK_PERIOD_S = 0.1  # between checks of the groups' members: far below their catch-up time
+INCARNATION_BYTES = 8  # of randomness in the name of this incarnation of the process
 
 
 class StoreProgram:
-    """One process of the store. `start` it, then `stop` it.
+    """One process of the store: `start`, then maybe `drain`, then `stop`. Owns all tasks of the process.
 
-    `on_failure` is called when a group stopped, such as when its disk failed: the process is of no more use
-    then.
+    `on_failure` is called when a group stopped, as when its disk failed: the process must be restarted then.
     """
 
     def __init__(
@@ -61,18 +61,20 @@
         rng: random.Random | None = None,
     ) -> None:
         if settings.data_dir is None:
-            raise StoreError("data_dir is missing: a store needs a disk")
+            raise StoreSettingsError(
+                "data_dir is missing: a store needs a disk; set it in the node's settings"
+            )
         self._settings = settings
         self._data_dir: Path = settings.data_dir
         self._on_failure = on_failure
         self._clock = clock
         self._rng = rng or random.Random()
-        self._life = secrets.token_hex(LIFE_BYTES)
+        self._incarnation = secrets.token_hex(INCARNATION_BYTES)
         self._member = ""
         self._partitions: dict[str, Partition] = {}
-        self._logs_on_disk: set[str] = set()
+        self._groups_on_disk: set[str] = set()
         self._starting: dict[str, asyncio.Task[None]] = {}
-        self._members_task: asyncio.Task[None] | None = None
+        self._membership_task: asyncio.Task[None] | None = None
         codec = MessageCodec((*CONSENSUS_MESSAGES, *BATCH_MESSAGES, *FEED_MESSAGES), settings.cluster)
         self._server = LineServer(codec, self._on_message)
         self._links = LinkPool(
@@ -89,7 +91,7 @@
         self._chooser = WorkerChooser(settings.zone, self._rng, self._workers.is_connected)
         self._admissions = BatchAdmissions(self._rng)
         self._heartbeats = AdmissionHeartbeats(
-            settings.ip, settings.internal_port, BATCH, self._heard, self._heard_totals
+            settings.ip, settings.internal_port, BATCH, self._on_heartbeat, self._on_totals
         )
         self._heartbeat_task: asyncio.Task[None] | None = None
         self._dispatcher = AdmissionDispatcher(
@@ -99,15 +101,17 @@
     async def start(self) -> None:
         """Loads the partitions on disk, listens, and follows the control leader."""
         self._member = await retry_while_full("the store", self._read_name)
-        logger.info("store {} starts as {}", self._settings.node_id, self._member)
-        self._logs_on_disk = self._groups_with(SEGMENT_SUFFIX)
+        logger.bind(event="store_starting", node_id=self._settings.node_id, member=self._member).info(
+            "The store starts."
+        )
+        self._groups_on_disk = self._groups_with(SEGMENT_SUFFIX)
         for name in sorted(self._groups_with(SNAPSHOT_SUFFIX)):
             await self._add_partition(name, None)
         await self._server.start(self._settings.ip, self._settings.internal_port)
         await self._heartbeats.start()
         await self.feed.start()
         self._heartbeat_task = asyncio.create_task(self._send_heartbeats())
-        self._members_task = asyncio.create_task(self._manage_members())
+        self._membership_task = asyncio.create_task(self._manage_memberships())
 
     async def _read_name(self) -> str:
         return member_name(self._data_dir, self._settings.ip)
@@ -118,7 +122,7 @@
 
     async def stop(self) -> None:
         """Stops everything; what is on disk stays."""
-        for periodic in (self._members_task, self._heartbeat_task):
+        for periodic in (self._membership_task, self._heartbeat_task):
             if periodic is not None:
                 periodic.cancel()
                 with contextlib.suppress(asyncio.CancelledError):
@@ -135,7 +139,7 @@
 
     # Messages
 
-    def _on_message(self, channel: Channel, message: Message) -> Answer | Awaitable[Answer]:
+    def _on_message(self, _channel: Channel, message: Message) -> Answer | Awaitable[Answer]:
         if isinstance(message, ConsensusMessage):
             self._on_consensus(message)
             return None
@@ -149,13 +153,13 @@
 
     def _on_consensus(self, message: ConsensusMessage) -> None:
         if message.target != self._member:
-            return  # meant for whom had this address before
+            return  # for an earlier member at this address
         partition = self._partitions.get(message.group)
         if partition is not None:
             partition.group.receive(message)
             return
         known = {placement.group for placement in self.feed.tables.placements}
-        if message.group in known | self._logs_on_disk:
+        if message.group in known | self._groups_on_disk:
             self._begin(message.group, None)
 
     def _send(self, message: ConsensusMessage) -> None:
@@ -164,8 +168,11 @@
     # Partitions
 
     def _groups_with(self, suffix: str) -> set[str]:
-        """Groups with such files on disk. One without a snapshot may not know its first voters yet: it starts
-        when it is told of them, or when members of its group call."""
+        """Groups with such files on disk.
+
+        One without a snapshot may not know its first voters yet: it starts when tables name them, or when
+        members of its group send messages.
+        """
         names = FolderDisk(self._data_dir).names()
         return {name.partition(".")[0] for name in names if name.endswith(suffix)}
 
@@ -175,21 +182,21 @@
             return
         task = asyncio.get_running_loop().create_task(self._add_partition(name, first_voters))
         self._starting[name] = task
-        task.add_done_callback(lambda done: self._begun(name, done))
+        task.add_done_callback(lambda done: self._partition_started(name, done))
 
-    def _begun(self, name: str, task: "asyncio.Task[None]") -> None:
+    def _partition_started(self, name: str, task: "asyncio.Task[None]") -> None:
         self._starting.pop(name, None)
         error = None if task.cancelled() else task.exception()
         if isinstance(error, Exception):
-            self._group_failed(error)
+            self._on_group_failure(error)
 
     async def _add_partition(self, name: str, first_voters: Membership | None) -> None:
-        partition = Partition(name, self._data_dir, self._parts())
+        partition = Partition(name, self._data_dir, self._environment())
         await partition.start(first_voters)
         self._partitions[name] = partition
 
-    def _parts(self) -> StoreParts:
-        return StoreParts(
+    def _environment(self) -> StoreEnvironment:
+        return StoreEnvironment(
             settings=self._settings,
             member=self._member,
             tables=lambda: self.feed.tables,
@@ -199,42 +206,48 @@
             send=self._send,
             clock=self._clock,
             rng=self._rng,
-            on_failure=self._group_failed,
+            on_failure=self._on_group_failure,
         )
 
-    def _group_failed(self, error: Exception) -> None:
-        logger.error("a partition stopped here: {}", error)
+    def _on_group_failure(self, error: Exception) -> None:
+        logger.bind(event="partition_failed", error=str(error)).error(
+            "A partition has stopped in this store and does not come back before a restart."
+        )
         if self._on_failure is not None:
             self._on_failure(error)
 
-    async def _manage_members(self) -> None:
+    async def _manage_memberships(self) -> None:
         while True:
-            await asyncio.sleep(MEMBERS_PERIOD_S)
+            await asyncio.sleep(MEMBERSHIP_CHECK_PERIOD_S)
             for partition in tuple(self._partitions.values()):
                 try:
                     await partition.manage_members()
-                except Exception:
-                    logger.exception("looking at the members of {} failed", partition.name)
+                except Exception:  # noqa: BLE001 - the task's edge: other partitions and later checks go on
+                    logger.bind(event="membership_check_failed", group=partition.name).exception(
+                        "Checking the members of a partition failed; the next check tries again."
+                    )
 
     # Admission heartbeats
 
     async def _send_heartbeats(self) -> None:
         while True:
             await asyncio.sleep(BEAT_S)
-            beats = self._admissions.tick(self._clock())
-            self._heartbeats.send(beats, self.feed.tables.nodes)
+            heartbeats = self._admissions.tick(self._clock())
+            self._heartbeats.send(heartbeats, self.feed.tables.nodes)
 
-    def _heard(self, kind: int, peer: int, number: int, beat: bytes) -> None:
-        self._admissions.hear(self._clock(), kind, peer, number, beat)
+    def _on_heartbeat(self, kind: int, peer: int, number: int, heartbeat: bytes) -> None:
+        self._admissions.hear(self._clock(), kind, peer, number, heartbeat)
 
-    def _heard_totals(self, number: int, totals: Totals) -> None:
+    def _on_totals(self, number: int, totals: Totals) -> None:
         self._admissions.hear_totals(self._clock(), number, totals)
 
     # The feed
 
     def _node_record(self) -> NodeRecord:
         settings = self._settings
-        return NodeRecord(settings.node_id, STORE, settings.ip, settings.zone, self._life, self._member)
+        return NodeRecord(
+            settings.node_id, STORE, settings.ip, settings.zone, self._incarnation, self._member
+        )
 
     def _status(self) -> GroupStatus | None:
         statuses = (partition.status() for partition in self._partitions.values())
--- a/pewterring/batch/results.py
+++ b/pewterring/batch/results.py
@@ -1,5 +1,8 @@
-"""Commits results and counts of failed runs in groups: those that come while a proposal is on its way go into
-the next one."""
+"""Commits results and counts of failed runs in batches: what comes during a proposal goes into the next one.
+
+What may go wrong: proposals fail while leadership is lost or too much waits to be committed; results stay
+pending and are proposed again, and idempotent commands make a repeat harmless.
+"""
 
 import asyncio
 
@@ -9,12 +12,15 @@
 from pewterring.batch.errors import BatchError
 from pewterring.batch.log import PartitionLog
 
-MAX_GROUP_CHARACTERS = 256 * 1024  # of text in one command
-RETRY_S = 0.1  # after a proposal without a known outcome
+MAX_BATCH_CHARACTERS = 256 * 1024  # of text in one command: keeps entries of the log small
+COMMIT_RETRY_S = 0.1  # after a proposal without a known outcome
 
 
 class ResultCommitter:
-    """Proposes results while this store leads. What it drops when leadership ends runs again at the next."""
+    """Proposes results while this store leads. What it drops at the end of leadership runs again elsewhere.
+
+    Owns one task, which lives while something is pending; `stop` cancels it.
+    """
 
     def __init__(self, log: PartitionLog) -> None:
         self._log = log
@@ -46,7 +52,7 @@
 
     async def _commit(self) -> None:
         while self._pending or self._failures:
-            results, failures = self._next_group(), tuple(self._failures)
+            results, failures = self._next_batch(), tuple(self._failures)
             try:
                 if failures:
                     await self._log.propose(CountFailures(failures))
@@ -55,15 +61,20 @@
                     await self._log.propose(AddResults(results))
                     del self._pending[: len(results)]
             except BatchError as error:
-                logger.info("{} results were not committed, to be tried again: {}", len(results), error)
-                await asyncio.sleep(RETRY_S)
+                logger.bind(
+                    event="results_commit_failed",
+                    results=len(results),
+                    failures=len(failures),
+                    error=str(error),
+                ).info("Results were not committed and are proposed again.")
+                await asyncio.sleep(COMMIT_RETRY_S)
 
-    def _next_group(self) -> tuple[JobResult, ...]:
-        group: list[JobResult] = []
-        room = MAX_GROUP_CHARACTERS
+    def _next_batch(self) -> tuple[JobResult, ...]:
+        batch: list[JobResult] = []
+        remaining = MAX_BATCH_CHARACTERS
         for entry in self._pending:
-            room -= len(entry.result.text)
-            if group and room < 0:
+            remaining -= len(entry.result.text)
+            if batch and remaining < 0:
                 break
-            group.append(entry)
-        return tuple(group)
+            batch.append(entry)
+        return tuple(batch)
--- a/pewterring/batch/runner.py
+++ b/pewterring/batch/runner.py
@@ -1,4 +1,8 @@
-"""Runs one item at one worker over HTTP and reads the events of its answer."""
+"""Runs one item at one worker over HTTP and reads the events of its answer.
+
+Owns the exchange with the worker. What may go wrong: a worker stalls (the time-outs below end the exchange),
+or its answer breaks off or makes no sense; each way has its `Failure`, and nothing is raised.
+"""
 
 import asyncio
 import base64
@@ -24,8 +28,8 @@
 )
 from pewterring.transport.sse import EventSplitter, StreamEvent
 
-FIRST_EVENT_S = 5.0  # from sending an item to its first event; longer: the worker is taken for dead
-NEXT_EVENT_S = 3.0  # between events
+FIRST_EVENT_TIMEOUT_S = 5.0  # from sending an item to its first event; longer: the worker counts as dead
+NEXT_EVENT_TIMEOUT_S = 3.0  # between events: token gaps of a healthy worker are far below a second
 
 EXPECT_VERSION = "expect-version"
 OK = 200
@@ -34,7 +38,7 @@
 
 LoadHandler = Callable[[WorkerRecord, Load], None]
 
-# Written by this program; an item's own headers of these names do not count.
+# Written by this program; an item's own headers of these names are left out.
 OWN_HEADERS = HOP_BY_HOP | {b"host", b"content-length", REQUEST_ID, b"target-instance", b"last-event-id"}
 
 
@@ -51,10 +55,9 @@
             request = item_request(item, worker)
         except (binascii.Error, UnicodeError):
             return Failure.REFUSED
-        answer = _ItemAnswer(item, on_event, partial(self._take_head, worker))
-        limit = max(1, worker.capacity)
+        answer = _ItemAnswer(item, on_event, partial(self._report_load, worker))
         try:
-            answer.exchange = self._pool.send(worker.address, request, answer, limit)
+            answer.exchange = self._pool.send(worker.address, request, answer, max(1, worker.capacity))
         except NoFreeConnection:
             return Failure.REFUSED
         try:
@@ -62,14 +65,19 @@
         finally:
             answer.stop()
 
-    def _take_head(self, worker: WorkerRecord, head: AnswerHead) -> None:
+    def _report_load(self, worker: WorkerRecord, head: AnswerHead) -> None:
         load = parse_load(head.get(LOAD))
         if load is not None and self._on_load is not None:
             self._on_load(worker, load)
 
 
 def item_request(item: QueuedItem, worker: WorkerRecord) -> SendRequest:
-    """The request that runs an item, from where its text ends."""
+    """The request that runs an item, continued behind its last event (`Last-Event-Id`).
+
+    Raises:
+        binascii.Error: The body is not base64.
+        UnicodeError: A header cannot be written in Latin-1.
+    """
     spec = item.spec
     item_id = spec.id.encode("latin-1")
     headers: Headers = [(b"Host", item.route[0].encode("latin-1")), (b"Request-Id", item_id)]
@@ -85,7 +93,10 @@
 
 
 class _ItemAnswer:
-    """Takes one answer; `outcome` is set at its end, or when it stalls or makes no sense."""
+    """Reads one answer; `outcome` is set at its end, or when it stalls or makes no sense.
+
+    Implements `AnswerListener`; `stop` ends its timer and its exchange.
+    """
 
     def __init__(
         self, item: QueuedItem, on_event: EventHandler, on_head: Callable[[AnswerHead], None]
@@ -101,11 +112,11 @@
         self._resumed = self._last_id is not None
         self._events = 0
         self._status = 0
-        self._takes_events = False
+        self._is_stream = False
         self._not_executed = False
         self._framed = True
         self._expects_version = any(name.lower() == EXPECT_VERSION for name in item.spec.headers)
-        self._deadline = loop.time() + FIRST_EVENT_S
+        self._deadline = loop.time() + FIRST_EVENT_TIMEOUT_S
         self._timer = loop.call_at(self._deadline, self._check_stall)
 
     # Called by the exchange
@@ -116,19 +127,19 @@
         self._status = head.status
         self._not_executed = head.get(b"not-executed") is not None
         self._framed = head.framed
-        self._takes_events = (
+        self._is_stream = (
             head.status == OK
             and head.get(b"response-signature") is not None
             and head.get(b"content-encoding") is None
         )
-        if head.status == OK and not self._takes_events:
-            self._end(Failure.CUT)  # nothing of it may become the item's text
+        if head.status == OK and not self._is_stream:
+            self._end(Failure.TRUNCATED)  # nothing of it may become the item's text
 
     def on_data(self, data: bytes) -> None:
         """Part of `AnswerListener`."""
-        if not self._takes_events or self.outcome.done():
+        if not self._is_stream or self.outcome.done():
             return
-        self._take_all(self._splitter.feed(data))
+        self._take_events(self._splitter.feed(data))
 
     def on_end(self, error: ExchangeError | None) -> None:
         """Part of `AnswerListener`."""
@@ -136,12 +147,12 @@
         if self.outcome.done():
             return
         if error is None:
-            self._take_all(self._splitter.finish())
-            self._end(self._whole())
+            self._take_events(self._splitter.finish())
+            self._end(self._completed_outcome())
         elif isinstance(error, StaleConnection):
             self._end(Failure.STALE)
         else:
-            self._end(Failure.CUT if error.sent else Failure.REFUSED)
+            self._end(Failure.TRUNCATED if error.sent else Failure.REFUSED)
 
     # Events
 
@@ -153,17 +164,17 @@
             return event.id == self._last_id + 1
         return event.id > self._last_id
 
-    def _take_all(self, events: list[StreamEvent]) -> None:
+    def _take_events(self, events: list[StreamEvent]) -> None:
         for event in events:
             if not self._follows(event):
-                self._end(Failure.CUT)
+                self._end(Failure.TRUNCATED)
                 return
             self._take(event)
 
     def _take(self, event: StreamEvent) -> None:
         self._events += 1
         self._last_id = event.id
-        self._deadline = self._loop.time() + NEXT_EVENT_S
+        self._deadline = self._loop.time() + NEXT_EVENT_TIMEOUT_S
         self._on_event("" if event.id is None else str(event.id), event.data)
 
     # The end
@@ -175,13 +186,13 @@
             self.exchange.cancel()
             self.exchange = None
 
-    def _whole(self) -> Failure | None:
-        """What an answer that ended in good order means."""
-        if self._takes_events:
-            # Nothing behind the event that was asked for is a whole rest, but only where the head says that
-            # nothing comes: a worker that breaks off at once closes its connection too.
-            begun = self._events > 0 or (self._resumed and self._framed)
-            return None if begun and not self._splitter.amid_event else Failure.CUT
+    def _completed_outcome(self) -> Failure | None:
+        """What an answer that ended in good order means; None where the item is done."""
+        if self._is_stream:
+            # No event behind the one asked for is a complete rest, but only where the head frames an empty
+            # body: a worker that breaks off at once closes its connection too.
+            has_rest = self._events > 0 or (self._resumed and self._framed)
+            return None if has_rest and not self._splitter.amid_event else Failure.TRUNCATED
         if self._status == MISDIRECTED and self._expects_version:
             return Failure.OTHER_VERSION
         if self._not_executed:
@@ -190,11 +201,11 @@
             return Failure.IMPOSSIBLE
         if self._status == SERVER_ERROR:
             return Failure.FAILED
-        return Failure.CUT if self._status == OK else Failure.REFUSED
+        return Failure.TRUNCATED if self._status == OK else Failure.REFUSED
 
     def _check_stall(self) -> None:
         if self._loop.time() >= self._deadline:
-            self._end(Failure.CUT)
+            self._end(Failure.TRUNCATED)
         else:
             self._timer = self._loop.call_at(self._deadline, self._check_stall)
 
--- a/pewterring/batch/scheduler.py
+++ b/pewterring/batch/scheduler.py
@@ -1,5 +1,7 @@
 """Which item of the accepted jobs starts next, and what becomes of it. No I/O: the caller gives `now`.
 
+Owns the queue of a partition's leader; what a new leader needs of it is rebuilt from the replicated state.
+
 Jobs run by due time, the earliest first. A job that can no longer make its due time goes behind those that
 can, and its items run until they may be given up. Within a job the largest items start first.
 """
@@ -15,10 +17,10 @@
 from pewterring.batch.messages import ItemSpec
 from pewterring.batch.state import RouteKey
 
-FIRST_PAUSE_S = 0.1  # after a worker refused or cut an item
-LONGEST_PAUSE_S = 0.5
-USUAL_RUN_S = 1.0  # of an item, before any was measured
-SMOOTHING = 0.1  # part of a new measurement in the averages
+MIN_BACKOFF_S = 0.1  # after a worker refused or truncated an item; doubles at each attempt without progress
+MAX_BACKOFF_S = 0.5  # keeps an item's wait short against the usual due time of seconds
+INITIAL_RUN_S = 1.0  # of an item, before any was measured
+SMOOTHING_FRACTION = 0.1  # of a new measurement in the average
 
 ItemKey = tuple[str, str]  # job and item
 
@@ -28,10 +30,10 @@
 
     REFUSED = auto()  # the worker did not run the item, or could not be reached
     OTHER_VERSION = auto()  # 421 to an item that expects a version: not run, and the worker is well
-    STALE = auto()  # a connection that had rested turned out closed: little is said of the worker
-    CUT = auto()  # the answer ended early; what came is kept
+    STALE = auto()  # an idle connection turned out closed: little is said of the worker
+    TRUNCATED = auto()  # the answer ended early; what came is kept
     FAILED = auto()  # 500: a failed attempt
-    IMPOSSIBLE = auto()  # 422: no worker can do it
+    IMPOSSIBLE = auto()  # 422: no worker can run it
 
 
 @dataclass(slots=True, eq=False)
@@ -44,7 +46,7 @@
     events: list[str] = field(default_factory=list)  # data of whole events, in order
     last_event_id: str = ""
     failed_attempts: int = 0
-    pauses: int = 0
+    backoffs: int = 0
     last_worker: str = ""  # id of the worker that had it last
     started_at: float = 0.0
 
@@ -59,21 +61,28 @@
         return "\n".join(self.events)
 
 
+@dataclass(frozen=True, slots=True)
+class JobTerms:
+    """What a job's route says of its items. Times are of the steady clock, in seconds."""
+
+    due_at: float  # the job's completion target
+    give_up_at: float  # its unfinished items end as dead letters then
+    max_attempts: int  # failed attempts after which an item is a dead letter
+
+
 @dataclass(slots=True, eq=False)
 class _QueuedJob:
     """A job with items that have no result."""
 
     id: str
     route: RouteKey
-    due_at: float
-    give_up_at: float
-    max_attempts: int
+    terms: JobTerms
     items: dict[str, QueuedItem]
     ready: list[QueuedItem]  # smallest first: the largest is taken from the end
 
     @property
     def order(self) -> tuple[float, str]:
-        return self.due_at, self.id
+        return self.terms.due_at, self.id
 
 
 class ItemScheduler:
@@ -83,10 +92,10 @@
         self._jobs: dict[str, _QueuedJob] = {}
         self._in_time: SortedDict = SortedDict()  # order -> job with ready items
         self._late: SortedDict = SortedDict()
-        self._paused: list[tuple[float, int, QueuedItem]] = []
+        self._backing_off: list[tuple[float, int, QueuedItem]] = []
         self._expiries: list[tuple[float, str]] = []
         self._numbers = count()
-        self._run_s = USUAL_RUN_S
+        self._run_s = INITIAL_RUN_S
 
     def __contains__(self, job_id: object) -> bool:
         return job_id in self._jobs
@@ -96,13 +105,10 @@
         job_id: str,
         route: RouteKey,
         items: Iterable[ItemSpec],
-        *,
-        due_at: float,
-        give_up_at: float,
-        max_attempts: int,
+        terms: JobTerms,
         failed_attempts: Mapping[str, int],
     ) -> None:
-        """Queues the items of a job. `failed_attempts` are those that earlier leaders counted, by item."""
+        """Queues the items of a job, unless it is queued. `failed_attempts` by item, of earlier leaders."""
         queued = {
             item.id: QueuedItem(job_id, route, item, failed_attempts=failed_attempts.get(item.id, 0))
             for item in items
@@ -110,23 +116,23 @@
         if not queued or job_id in self._jobs:
             return
         ready = sorted(queued.values(), key=_tokens)
-        job = _QueuedJob(job_id, route, due_at, give_up_at, max(1, max_attempts), queued, ready)
+        job = _QueuedJob(job_id, route, terms, queued, ready)
         self._jobs[job_id] = job
         self._in_time[job.order] = job
-        heapq.heappush(self._expiries, (give_up_at, job_id))
+        heapq.heappush(self._expiries, (terms.give_up_at, job_id))
 
     def end_job(self, job_id: str) -> None:
         """Forgets all items of a job."""
         job = self._jobs.pop(job_id, None)
         if job is not None:
-            self._unlist(job)
+            self._remove_ready(job)
 
     def clear(self) -> None:
-        """Forgets everything but what was learned of run times."""
+        """Forgets everything except the average run time."""
         self._jobs.clear()
         self._in_time.clear()
         self._late.clear()
-        self._paused.clear()
+        self._backing_off.clear()
         self._expiries.clear()
 
     @property
@@ -139,48 +145,48 @@
         return {job.route for job in self._jobs.values()}
 
     def next_deadline(self) -> float | None:
-        """When `release` or `expire` next has something to do, at the latest."""
-        times = [heap[0][0] for heap in (self._paused, self._expiries) if heap]
+        """When `start` or `expire` next has something to do by the clock alone."""
+        times = [heap[0][0] for heap in (self._backing_off, self._expiries) if heap]
         return min(times, default=None)
 
-    def start(self, now: float, place: Callable[[QueuedItem], bool]) -> list[QueuedItem]:
+    def start(self, now: float, assign: Callable[[QueuedItem], bool]) -> list[QueuedItem]:
         """Starts items in order, those that `place` finds a worker for.
 
         Where it finds none, the rest of that route waits: its items all go to the same workers.
         """
         self._release(now)
-        self._sort_out_late(now)
+        self._move_late(now)
         started: list[QueuedItem] = []
-        full: set[RouteKey] = set()
+        saturated: set[RouteKey] = set()
         for job in self._in_order():
-            if job.route not in full and not self._start_items(job, now, place, started):
-                full.add(job.route)
+            if job.route not in saturated and not self._start_items(job, now, assign, started):
+                saturated.add(job.route)
         return started
 
     def items_to_start(self, now: float, slots: int) -> list[QueuedItem]:
         """Starts up to `slots` items, whatever their routes."""
         left = slots
 
-        def place(_item: QueuedItem) -> bool:
+        def assign(_item: QueuedItem) -> bool:
             nonlocal left
             left -= 1
             return left >= 0
 
-        return self.start(now, place)
+        return self.start(now, assign)
 
     def on_progress(self, item: QueuedItem, event_id: str, data: str) -> None:
         """One whole event of a running item came."""
         item.events.append(data)
         item.last_event_id = event_id
-        item.pauses = 0
+        item.backoffs = 0
 
     def on_success(self, item: QueuedItem, now: float) -> bool:
         """A running item's answer is whole. False where its job has ended meanwhile."""
-        self._run_s += SMOOTHING * (now - item.started_at - self._run_s)
+        self._run_s += SMOOTHING_FRACTION * (now - item.started_at - self._run_s)
         return self._finish(item)
 
     def on_failure(self, item: QueuedItem, failure: Failure, now: float) -> bool:
-        """An exchange failed. True where the item can never be done: the caller lists it as dead."""
+        """An exchange failed. True where the item can never succeed: the caller lists it as a dead letter."""
         job = self._job_of(item)
         if job is None:
             return False
@@ -188,11 +194,11 @@
             item.events.clear()  # events without ids cannot be continued: the run begins anew
         if failure is Failure.FAILED:
             item.failed_attempts += 1
-        if failure is Failure.IMPOSSIBLE or item.failed_attempts >= job.max_attempts:
+        if failure is Failure.IMPOSSIBLE or item.failed_attempts >= max(1, job.terms.max_attempts):
             return self._finish(item)
-        pause_s = min(LONGEST_PAUSE_S, FIRST_PAUSE_S * 2**item.pauses)
-        item.pauses += 1
-        heapq.heappush(self._paused, (now + pause_s, next(self._numbers), item))
+        backoff_s = min(MAX_BACKOFF_S, MIN_BACKOFF_S * 2**item.backoffs)
+        item.backoffs += 1
+        heapq.heappush(self._backing_off, (now + backoff_s, next(self._numbers), item))
         return False
 
     def expire(self, now: float) -> list[QueuedItem]:
@@ -239,24 +245,24 @@
         self,
         job: _QueuedJob,
         now: float,
-        place: Callable[[QueuedItem], bool],
+        assign: Callable[[QueuedItem], bool],
         started: list[QueuedItem],
     ) -> bool:
         """Starts ready items of a job; whether all of them started."""
         while job.ready:
             item = job.ready[-1]
-            if not place(item):
+            if not assign(item):
                 return False
             job.ready.pop()
             item.started_at = now
             started.append(item)
-        self._unlist(job)
+        self._remove_ready(job)
         return True
 
     def _release(self, now: float) -> None:
-        """Items whose pause is over are ready again, before all others of their job."""
-        while self._paused and self._paused[0][0] <= now:
-            _, _, item = heapq.heappop(self._paused)
+        """Items whose backoff is over are ready again, before all others of their job."""
+        while self._backing_off and self._backing_off[0][0] <= now:
+            _, _, item = heapq.heappop(self._backing_off)
             job = self._job_of(item)
             if job is None:
                 continue
@@ -264,8 +270,8 @@
             if job.order not in self._late:
                 self._in_time[job.order] = job
 
-    def _sort_out_late(self, now: float) -> None:
-        """Moves jobs that cannot make their due time any more behind the others."""
+    def _move_late(self, now: float) -> None:
+        """Moves jobs that can no longer make their due time behind the others."""
         while self._in_time:
             order, job = self._in_time.peekitem(0)
             if order[0] - now >= self._run_s:
@@ -273,7 +279,7 @@
             del self._in_time[order]
             self._late[order] = job
 
-    def _unlist(self, job: _QueuedJob) -> None:
+    def _remove_ready(self, job: _QueuedJob) -> None:
         self._in_time.pop(job.order, None)
         self._late.pop(job.order, None)
 
--- a/pewterring/batch/state.py
+++ b/pewterring/batch/state.py
@@ -28,6 +28,7 @@
     Outcome,
     decode_command,
 )
+from pewterring.batch.errors import InvalidSnapshotError
 from pewterring.batch.messages import ItemResult, ItemSpec
 from pewterring.durations import MILLISECONDS_PER_SECOND
 
@@ -35,10 +36,6 @@
 Clock = Callable[[], float]  # seconds of the steady clock
 
 
-class StateError(Exception):
-    """A snapshot of a batch partition cannot be read."""
-
-
 @dataclass(slots=True)
 class Job:
     """One job. `items` are those without a result, with their bodies, in the order of submission."""
@@ -121,7 +118,11 @@
         return self._waiting.get(route, 0)
 
     def apply(self, index: int, command: bytes) -> Outcome:
-        """Applies the log's command at `index`."""
+        """Applies the log's command at `index`.
+
+        Raises:
+            InvalidCommandError: The entry is no command; nothing has changed.
+        """
         outcome = self._change(decode_command(command))
         self.applied_index = index
         if self.on_applied is not None:
@@ -226,11 +227,15 @@
         return msgspec.json.encode(_Stored(tuple(_store(job, now) for job in self._jobs.values())))
 
     def restore(self, data: bytes) -> None:
-        """Replaces the state with that of a snapshot."""
+        """Replaces the state with that of a snapshot.
+
+        Raises:
+            InvalidSnapshotError: The bytes are no snapshot; the state is as before.
+        """
         try:
             stored = msgspec.json.decode(data, type=_Stored)
         except msgspec.MsgspecError as error:
-            raise StateError(f"cannot read a snapshot: {error}") from error
+            raise InvalidSnapshotError(f"cannot read a snapshot of a batch partition: {error}") from error
         now = self._clock()
         self._jobs.clear()
         self._waiting.clear()
--- a/pewterring/gateway/batch_calls.py
+++ b/pewterring/gateway/batch_calls.py
@@ -18,13 +18,13 @@
     ItemSpec,
     JobAccepted,
     JobEnded,
-    JobRefused,
+    JobRejected,
+    NotFound,
     NotLeading,
     ReadItem,
     ReadResults,
     ResultPage,
     SubmitJob,
-    Unknown,
 )
 from pewterring.configuration.model import Route
 from pewterring.distribution.messages import STORE
@@ -162,9 +162,9 @@
         if may_have_run:
             # A store that was asked before may still take the job: a refusal would promise too much.
             return failure(504, "no store said whether the job is kept")
-        if isinstance(answer, JobRefused):
-            status = 429 if answer.full else 503
-            reason = "the quota of waiting tokens is used up" if answer.full else "not taken"
+        if isinstance(answer, JobRejected):
+            status = 429 if answer.over_quota else 503
+            reason = "the quota of waiting tokens is used up" if answer.over_quota else "not taken"
             return failure(status, reason, answer.retry_after_s)
         return failure(503, "no store leads at the moment", 0.3)
 
@@ -189,7 +189,7 @@
             results = [msgspec.structs.asdict(result) for result in answer.results]
             page = {"total": answer.total, "next_page_token": answer.next_position, "results": results}
             return success(200, page)
-        if isinstance(answer, Unknown):
+        if isinstance(answer, NotFound):
             return failure(404, "no such batch job")
         return failure(503, "no store is sure at the moment", 0.3)
 
@@ -198,7 +198,7 @@
         if isinstance(answer, ItemBody):
             body = base64.b64decode(answer.body)
             return Answer(200, (("Content-Type", "application/octet-stream"),), body)
-        if isinstance(answer, Unknown):
+        if isinstance(answer, NotFound):
             return failure(404, "no such item")
         return failure(503, "no store is sure at the moment", 0.3)
 
@@ -206,7 +206,7 @@
         answer, may_have_run = await self._call(end, SUBMIT_BUDGET_S)
         if isinstance(answer, JobEnded):
             return success(200, {})
-        if isinstance(answer, Unknown):
+        if isinstance(answer, NotFound):
             return failure(404, "no such batch job")
         return failure(504 if may_have_run else 503, "no store said whether the job is ended")
 
@@ -239,7 +239,7 @@
                     candidates = self._candidates()
                     await asyncio.sleep(0)
                 continue
-            if isinstance(answer, Unknown | ItemBody | ResultPage | JobAccepted | JobRefused | JobEnded):
+            if isinstance(answer, NotFound | ItemBody | ResultPage | JobAccepted | JobRejected | JobEnded):
                 self._leader = ip
                 return answer, may_have_run
             may_have_run = True
--- a/tests/batch/stand_ins.py
+++ b/tests/batch/stand_ins.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from pewterring.batch.commands import Command, Outcome, encode_command
-from pewterring.batch.errors import LeadershipLost, NotTaken, OutcomeUnsure
+from pewterring.batch.errors import CommandOutcomeUnknownError, CommandRefusedError, NotLeadingError
 from pewterring.batch.execution import EventHandler
 from pewterring.batch.messages import ItemSpec
 from pewterring.batch.scheduler import Failure, QueuedItem
@@ -80,25 +80,25 @@
     commands: list[Command] = field(default_factory=list)
     _gate: asyncio.Event = field(default_factory=asyncio.Event)
 
-    def has_lease(self, now: float) -> bool:
+    def has_lease(self, _now: float) -> bool:
         return self.lease
 
     async def propose(self, command: Command) -> Outcome:
         if not self.is_leader:
-            raise LeadershipLost("not the leader")
+            raise NotLeadingError("not the leader")
         if not self.takes:
-            raise NotTaken("too much waits")
+            raise CommandRefusedError("too much waits")
         while self.held:
             await self._gate.wait()
         if self.lose:
-            raise OutcomeUnsure("lost")
+            raise CommandOutcomeUnknownError("lost")
         self.commands.append(command)
         return self.state.apply(len(self.commands), encode_command(command))
 
     async def read_barrier(self) -> None:
         self.barriers += 1
         if not self.is_leader:
-            raise LeadershipLost("not the leader")
+            raise NotLeadingError("not the leader")
 
     def release(self) -> None:
         self.held = False
--- a/tests/batch/test_calm_after_trouble.py
+++ b/tests/batch/test_calm_after_trouble.py
@@ -10,7 +10,7 @@
 from pewterring.batch.scheduler import Failure, QueuedItem
 from pewterring.distribution.messages import WorkerRecord
 from tests.batch.stand_ins import ROUTE, item
-from tests.batch.virtual_cluster import EVENT_PAUSE_S, Points, VirtualCluster, Workers, whole_text
+from tests.batch.virtual_cluster import EVENT_PAUSE_S, FaultPoints, VirtualCluster, Workers, complete_text
 from tests.consensus.virtual_time import run
 
 SEEDS = 12
@@ -19,31 +19,31 @@
 FAULT_GAP_S = 3.0  # between losses of a leader, on the average
 NO_FAULTS_S = 100.0  # the gap where leaders stay
 CALM_S = 5.0  # all is listed within this: the last leader's return, and the pauses after failures
-TROUBLES = (Failure.REFUSED, Failure.REFUSED, Failure.OTHER_VERSION, Failure.STALE, Failure.CUT, None)
+TROUBLES = (Failure.REFUSED, Failure.REFUSED, Failure.OTHER_VERSION, Failure.STALE, Failure.TRUNCATED, None)
 
 
 class TroubledWorkers(Workers):
     """Refuses, cuts at once or midway, until the trouble is over. Nothing fails an item for good."""
 
     def __init__(self, rng: random.Random, fails_by_turns: bool) -> None:
-        super().__init__(Points(), EVENT_PAUSE_S)
+        super().__init__(FaultPoints(), EVENT_PAUSE_S)
         self._rng = rng
         self._fails_by_turns = fails_by_turns
         self.trouble = True
 
-    async def run(self, queued: QueuedItem, place: WorkerRecord, on_event: EventHandler) -> Failure | None:
+    async def run(self, queued: QueuedItem, worker: WorkerRecord, on_event: EventHandler) -> Failure | None:
         if not self.trouble:
-            return await super().run(queued, place, on_event)
+            return await super().run(queued, worker, on_event)
         failure = self._rng.choice(TROUBLES) if self._fails_by_turns else Failure.REFUSED
         if failure is not None:
             return failure
-        running = asyncio.create_task(super().run(queued, place, on_event))
+        running = asyncio.create_task(super().run(queued, worker, on_event))
         await asyncio.wait([running], timeout=self._rng.uniform(0, 4) * EVENT_PAUSE_S)
         if running.done():
             return await running
         running.cancel()
         await asyncio.wait([running])
-        return Failure.CUT
+        return Failure.TRUNCATED
 
 
 async def trouble(
@@ -76,7 +76,7 @@
 ) -> None:
     async def scenario() -> None:
         rng = random.Random(seed)
-        cluster = VirtualCluster(Points())
+        cluster = VirtualCluster(FaultPoints())
         workers = cluster.workers = TroubledWorkers(rng, fails_by_turns)
         await cluster.start()
         try:
@@ -86,7 +86,7 @@
             async with asyncio.timeout(CALM_S):
                 results = await results_of(cluster, "j")
             assert sorted(result.id for result in results) == sorted(spec.id for spec in items)
-            assert all(result.text == whole_text(result.id) for result in results)
+            assert all(result.text == complete_text(result.id) for result in results)
         finally:
             await cluster.stop()
 
--- a/tests/batch/test_capacity.py
+++ b/tests/batch/test_capacity.py
@@ -3,10 +3,10 @@
 import msgspec
 import pytest
 
-from pewterring.batch.capacity import LOG_BYTES, StoreLimits, most_state_bytes
-from pewterring.batch.messages import JobAccepted, JobRefused, SubmitJob
+from pewterring.batch.capacity import LOG_BYTES, StoreLimits, max_state_bytes
+from pewterring.batch.messages import JobAccepted, JobRejected, SubmitJob
 from tests.batch.stand_ins import ROUTE, item
-from tests.batch.test_service import MOST_STATE_BYTES, Store, scenario, submit
+from tests.batch.test_service import MAX_STATE_BYTES, Store, scenario, submit
 
 
 def job_of(name: str, body_bytes: int) -> SubmitJob:
@@ -17,15 +17,15 @@
 def test_two_snapshots_and_the_log_fit_the_disk_and_the_state_the_memory(
     disk_mb: int, memory_mb: int
 ) -> None:
-    most = most_state_bytes(StoreLimits(memory_mb, disk_mb))
+    most = max_state_bytes(StoreLimits(memory_mb, disk_mb))
     assert most > 0
     assert 2 * most + LOG_BYTES < disk_mb * 1_000_000
     assert 2 * most < memory_mb * 1_000_000
 
 
 def test_a_disk_that_holds_no_log_holds_no_job_and_one_of_unknown_size_sets_no_bound() -> None:
-    assert most_state_bytes(StoreLimits(300, 20)) == 0
-    assert most_state_bytes(StoreLimits(300)) == most_state_bytes(StoreLimits(300, 10_000))
+    assert max_state_bytes(StoreLimits(300, 20)) == 0
+    assert max_state_bytes(StoreLimits(300)) == max_state_bytes(StoreLimits(300, 10_000))
 
 
 @pytest.mark.parametrize("catch_up_s", [4.7, 6.0])
@@ -33,24 +33,24 @@
 def test_a_state_can_be_copied_at_the_rate_that_is_told_well_within_half_of_the_bound(
     catch_up_s: float, rate: float
 ) -> None:
-    most = most_state_bytes(StoreLimits(10_000, 10_000, rate, catch_up_s))
+    most = max_state_bytes(StoreLimits(10_000, 10_000, rate, catch_up_s))
     assert most > 0
     assert most / (rate * 1_000_000) <= 0.75 * catch_up_s / 2
 
 
 def test_a_rate_takes_nothing_from_what_a_smaller_disk_or_memory_bounds_already() -> None:
     """40 MB, as a disk of 110 MB allows, at 25 MB/s; and without a rate told nothing changes."""
-    assert most_state_bytes(StoreLimits(320, 110, 25.0, 4.7)) == most_state_bytes(StoreLimits(320, 110))
-    assert most_state_bytes(StoreLimits(320, 110, 0.0, 4.7)) == most_state_bytes(StoreLimits(320, 110))
+    assert max_state_bytes(StoreLimits(320, 110, 25.0, 4.7)) == max_state_bytes(StoreLimits(320, 110))
+    assert max_state_bytes(StoreLimits(320, 110, 0.0, 4.7)) == max_state_bytes(StoreLimits(320, 110))
 
 
 def test_a_job_that_the_store_cannot_carry_is_refused_with_the_promise_and_those_taken_stay() -> None:
     async def test(store: Store) -> None:
-        kept = job_of("kept", MOST_STATE_BYTES - 10)
+        kept = job_of("kept", MAX_STATE_BYTES - 10)
         assert await store.service.handle(kept) == JobAccepted()
         refused = await store.service.handle(job_of("more", 11))
-        assert isinstance(refused, JobRefused)
-        assert not refused.full
+        assert isinstance(refused, JobRejected)
+        assert not refused.over_quota
         assert store.state.job("more") is None
         assert await store.service.handle(kept) == JobAccepted()
         assert await store.service.handle(job_of("fits", 10)) == JobAccepted()
@@ -62,8 +62,8 @@
     async def test(store: Store) -> None:
         assert await store.service.handle(submit("j", "a")) == JobAccepted()
         await store.exchanges(1)
-        store.runner.exchanges[0].answer("x" * MOST_STATE_BYTES)
+        store.runner.exchanges[0].answer("x" * MAX_STATE_BYTES)
         await store.page("j", 0, 60_000)
-        assert isinstance(await store.service.handle(job_of("more", 1)), JobRefused)
+        assert isinstance(await store.service.handle(job_of("more", 1)), JobRejected)
 
     scenario(test)
--- a/tests/batch/test_dispatch.py
+++ b/tests/batch/test_dispatch.py
@@ -8,7 +8,13 @@
 from pewterring.admission.datagram import BATCH, GATEWAY, service_number
 from pewterring.admission.shares import LEASE_S
 from pewterring.batch.admissions import BatchAdmissions
-from pewterring.batch.dispatch import PROBE_S, READING_S, SPREAD, AdmissionDispatcher, ExchangeOutcome
+from pewterring.batch.dispatch import (
+    MAX_LOAD_SPREAD,
+    MAX_PREFILL_S,
+    PROBE_AFTER_S,
+    AdmissionDispatcher,
+    ExchangeOutcome,
+)
 from pewterring.batch.scheduler import QueuedItem
 from pewterring.configuration.model import Engine, Service, WeightedService
 from pewterring.distribution.messages import NodeRecord, WorkerRecord
@@ -36,16 +42,16 @@
         self.dispatcher = AdmissionDispatcher(lambda: self.tables, self.chooser, self.admissions, self.clock)
         self.items: list[QueuedItem] = []
 
-    def place(self, headers: dict[str, str] | None = None, avoid: str = "") -> WorkerRecord | None:
+    def assign(self, headers: dict[str, str] | None = None, avoid: str = "") -> WorkerRecord | None:
         queued = QueuedItem("j", ROUTE, item(f"i{len(self.items)}", headers=headers))
-        found = self.dispatcher.place(queued, avoid)
+        found = self.dispatcher.assign(queued, avoid)
         if found is not None:
             self.items.append(queued)
         return found
 
     def place_all(self) -> int:
         """Places items until no more fit; how many are out."""
-        while self.place() is not None:
+        while self.assign() is not None:
             pass
         return len(self.items)
 
@@ -88,8 +94,8 @@
     fixture.beat(1, out=8)
     fixture.place_all()
     fixture.dispatcher.finished(fixture.items[0], ExchangeOutcome.ANSWERED)
-    assert fixture.place() is not None
-    assert fixture.place() is None
+    assert fixture.assign() is not None
+    assert fixture.assign() is None
 
 
 def test_the_ceiling_is_the_lower_median_of_what_processes_infer() -> None:
@@ -119,7 +125,7 @@
     admission = fixture.admissions.of("s")
     before = admission.room(fixture.clock.now)
     for seconds in [0.02] * 200 + [0.5] * 200:
-        fixture.place()
+        fixture.assign()
         fixture.clock.now += seconds
         fixture.dispatcher.first_event(fixture.items[-1])
         fixture.dispatcher.finished(fixture.items[-1], ExchangeOutcome.ANSWERED)
@@ -136,7 +142,7 @@
     assert fixture.place_all() == 18
     fixture.clock.now += LEASE_S + 0.1
     fixture.dispatcher.finished(fixture.items[0], ExchangeOutcome.ANSWERED)
-    assert fixture.place() is None
+    assert fixture.assign() is None
 
 
 def test_items_of_another_store_count_until_it_is_silent() -> None:
@@ -151,7 +157,7 @@
 def test_the_heartbeat_tells_how_many_items_are_out() -> None:
     fixture = two_workers()
     fixture.beat(1, out=0)
-    fixture.place()
+    fixture.assign()
     other = BatchAdmissions(random.Random(3))
     other.update(fixture.clock.now, fixture.tables, fixture.chooser)
     room = other.of("s").room(fixture.clock.now)
@@ -163,56 +169,56 @@
 def test_a_worker_nearly_full_by_its_own_word_gets_no_item() -> None:
     fixture = two_workers()
     fixture.beat(1, out=0)
-    first = fixture.place()
+    first = fixture.assign()
     assert first is not None
     fixture.dispatcher.load_reported(first, Load(running=SLOTS, waiting=3))
-    others = {found.id for found in (fixture.place() for _ in range(5)) if found is not None}
+    others = {found.id for found in (fixture.assign() for _ in range(5)) if found is not None}
     assert others == {"w1", "w22"} - {first.id}
 
 
 def test_a_worker_gets_no_item_while_it_has_much_to_read() -> None:
     fixture = Fixture(tables(worker("w1", capacity=100)), gateways=1)
     fixture.beat(1, out=0, limit=100.0)
-    tokens = int(0.7 * READING_S / PER_TOKEN_S)
-    assert fixture.place(prompt(tokens, "a")) is not None
-    assert fixture.place(prompt(tokens, "b")) is not None
-    assert fixture.place(prompt(tokens, "c")) is None
+    tokens = int(0.7 * MAX_PREFILL_S / PER_TOKEN_S)
+    assert fixture.assign(prompt(tokens, "a")) is not None
+    assert fixture.assign(prompt(tokens, "b")) is not None
+    assert fixture.assign(prompt(tokens, "c")) is None
     fixture.dispatcher.first_event(fixture.items[0])
-    assert fixture.place(prompt(tokens, "c")) is not None
+    assert fixture.assign(prompt(tokens, "c")) is not None
 
 
 def test_one_huge_prompt_is_placed_all_the_same() -> None:
     fixture = Fixture(tables(worker("w1")), gateways=0)
-    assert fixture.place(prompt(1_000_000, "a")) is not None
+    assert fixture.assign(prompt(1_000_000, "a")) is not None
 
 
 def test_another_worker_than_the_last_where_there_is_one() -> None:
     fixture = two_workers()
-    first = fixture.place()
+    first = fixture.assign()
     assert first is not None
-    second = fixture.place(avoid="w1")
+    second = fixture.assign(avoid="w1")
     assert second is not None
     assert second.id == "w22"
     alone = Fixture(tables(worker("w1")))
-    again = alone.place(avoid="w1")
+    again = alone.assign(avoid="w1")
     assert again is not None
     assert again.id == "w1"
 
 
-@pytest.mark.parametrize("outcome", [ExchangeOutcome.CUT, ExchangeOutcome.REFUSED])
+@pytest.mark.parametrize("outcome", [ExchangeOutcome.TRUNCATED, ExchangeOutcome.REFUSED])
 def test_a_worker_that_failed_gets_no_items_for_a_while(outcome: ExchangeOutcome) -> None:
     fixture = Fixture(tables(worker("w1")))
-    assert fixture.place() is not None
+    assert fixture.assign() is not None
     fixture.dispatcher.finished(fixture.items[0], outcome)
-    assert fixture.place() is None
+    assert fixture.assign() is None
     fixture.clock.now += 1.01
-    assert fixture.place() is not None
+    assert fixture.assign() is not None
 
 
 def test_connections_that_a_worker_forgot_do_not_count_against_it() -> None:
     fixture = Fixture(tables(worker("w1")))
     for _ in range(5):
-        assert fixture.place() is not None
+        assert fixture.assign() is not None
         fixture.dispatcher.finished(fixture.items.pop(), ExchangeOutcome.STALE)
     assert not fixture.chooser.workers["w1"].suspect(fixture.clock.now)
 
@@ -220,30 +226,30 @@
 def test_items_cut_together_are_one_failure_of_the_worker() -> None:
     fixture = Fixture(tables(worker("w1")))
     for _ in range(5):
-        fixture.place()
+        fixture.assign()
     for queued in fixture.items:
-        fixture.dispatcher.finished(queued, ExchangeOutcome.CUT)
+        fixture.dispatcher.finished(queued, ExchangeOutcome.TRUNCATED)
     fixture.clock.now += 1.01
-    assert fixture.place() is not None
+    assert fixture.assign() is not None
 
 
 def fail_all(fixture: Fixture, times: int) -> None:
     """All workers refuse or cut, so often in a row; an answered item would show them to be well."""
     for _ in range(times):
-        while fixture.place() is not None:
+        while fixture.assign() is not None:
             pass
         for queued in fixture.items:
-            fixture.dispatcher.finished(queued, ExchangeOutcome.CUT)
+            fixture.dispatcher.finished(queued, ExchangeOutcome.TRUNCATED)
         fixture.items.clear()
-        fixture.clock.now += PROBE_S + 0.01
+        fixture.clock.now += PROBE_AFTER_S + 0.01
 
 
 def test_workers_that_all_fail_are_tried_again_soon_however_often_they_failed() -> None:
     fixture = two_workers()
     fixture.beat(1, out=0)
     fail_all(fixture, times=8)
-    assert {found.id for found in (fixture.place(), fixture.place()) if found} == {"w1", "w22"}
-    assert fixture.place() is None  # one item each, until it is answered
+    assert {found.id for found in (fixture.assign(), fixture.assign()) if found} == {"w1", "w22"}
+    assert fixture.assign() is None  # one item each, until it is answered
     for queued in fixture.items:
         fixture.dispatcher.finished(queued, ExchangeOutcome.ANSWERED)
     assert fixture.place_all() > 2
@@ -252,14 +258,14 @@
 def test_a_failing_worker_is_not_tried_while_another_is_well() -> None:
     fixture = two_workers()
     fixture.beat(1, out=0)
-    first = fixture.place()
+    first = fixture.assign()
     assert first is not None
-    fixture.dispatcher.finished(fixture.items[0], ExchangeOutcome.CUT)
+    fixture.dispatcher.finished(fixture.items[0], ExchangeOutcome.TRUNCATED)
     fixture.chooser.workers[first.id].failed(fixture.clock.now)
     fixture.chooser.workers[first.id].failed(fixture.clock.now)
-    fixture.clock.now += PROBE_S + 0.01
-    placed = {found.id for found in iter(fixture.place, None)}
-    assert placed == {"w1", "w22"} - {first.id}
+    fixture.clock.now += PROBE_AFTER_S + 0.01
+    assigned = {found.id for found in iter(fixture.assign, None)}
+    assert assigned == {"w1", "w22"} - {first.id}
 
 
 def two_workers_with_engines() -> Tables:
@@ -273,12 +279,12 @@
     read = {"Prompt-Prefix": "only:2000", "Token-Usage": "2000,10"}
     for last in ("w1", "w22"):
         fixture = Fixture(two_workers_with_engines())
-        first = fixture.place(read, avoid=last)
+        first = fixture.assign(read, avoid=last)
         assert first is not None
         assert first.id != last
         fixture.clock.now += 0.04  # what was expected
         fixture.dispatcher.first_event(fixture.items[0])
-        second = fixture.place(read)
+        second = fixture.assign(read)
         assert second is not None
         assert second.id == first.id
 
@@ -290,7 +296,7 @@
     for name in ("s", "t"):
         fixture.admissions.of(name).rescale(fixture.clock.now, 100, 0)
     for _ in range(40):
-        fixture.place()
+        fixture.assign()
     assert fixture.admissions.of("s").out == 30
     assert fixture.admissions.of("t").out == 10
 
@@ -299,7 +305,7 @@
     fixture = two_workers()
     stranger = QueuedItem("j", ROUTE, item("stranger"))
     fixture.dispatcher.first_event(stranger)
-    fixture.dispatcher.finished(stranger, ExchangeOutcome.CUT)
+    fixture.dispatcher.finished(stranger, ExchangeOutcome.TRUNCATED)
     assert fixture.admissions.of("s").out == 0
 
 
@@ -307,25 +313,25 @@
     fixture = two_workers()
     fixture.beat(1, out=0)
     shared = prompt(2000, "own")
-    first = fixture.place(shared)
+    first = fixture.assign(shared)
     assert first is not None
     fixture.dispatcher.first_event(fixture.items[-1])
-    placed = [fixture.place(prompt(2000, f"own{number}")) for number in range(2)]
-    while (found := fixture.place(prompt(60, "small"))) is not None:
-        placed.append(found)
-    counts = [sum(found == each for found in placed) for each in fixture.tables.workers.values()]
+    assigned = [fixture.assign(prompt(2000, f"own{number}")) for number in range(2)]
+    while (found := fixture.assign(prompt(60, "small"))) is not None:
+        assigned.append(found)
+    counts = [sum(found == each for found in assigned) for each in fixture.tables.workers.values()]
     assert sum(counts) == 17
-    assert abs(counts[0] - counts[1]) <= SPREAD * SLOTS + 1
+    assert abs(counts[0] - counts[1]) <= MAX_LOAD_SPREAD * SLOTS + 1
 
 
 def test_times_are_learnt_where_nothing_was_waited_for() -> None:
     fixture = two_workers()
     fixture.beat(1, out=0)
-    fixture.place(prompt(1000, "a"))
+    fixture.assign(prompt(1000, "a"))
     fixture.clock.now += 0.1
     fixture.dispatcher.first_event(fixture.items[-1])
     learnt = fixture.chooser.times_of("s").expected(1000)
-    while fixture.place(prompt(60, "small")) is not None:
+    while fixture.assign(prompt(60, "small")) is not None:
         pass
     fixture.clock.now += 5.0
     for each in fixture.items[3:]:  # the first at each worker, and those behind it
--- a/tests/batch/test_failed_attempts.py
+++ b/tests/batch/test_failed_attempts.py
@@ -8,27 +8,27 @@
 from pewterring.batch.messages import ItemResult, JobAccepted, ReadResults, ResultPage, SubmitJob
 from pewterring.batch.state import BatchState
 from tests.batch.stand_ins import ROUTE, item, route
-from tests.batch.virtual_cluster import Points, VirtualCluster
+from tests.batch.virtual_cluster import FaultPoints, VirtualCluster
 from tests.consensus.virtual_time import run
 
 ITEM = "hopeless"
 JOB = SubmitJob("job", *ROUTE, items=(item(ITEM),))
 COMMIT_S = 0.05  # after a failure: its count is committed, and the pause before the next run is not over
 CHECK_INTERVAL_S = 0.005
-MOST_LEADERS = 6
+MAX_LEADERS = 6
 
 
 class ForgetsFailures(BatchState):
     """A broken state: what a leader counted is lost with the leader."""
 
-    def _count_failures(self, command: CountFailures) -> Counted:
+    def _count_failures(self, _command: CountFailures) -> Counted:
         return Counted()
 
 
 async def kill_after_each_failure(cluster: VirtualCluster) -> None:
     """Takes the leader away after each failed run, before it can begin the next."""
     killed_for = 0
-    while killed_for < MOST_LEADERS:
+    while killed_for < MAX_LEADERS:
         await asyncio.sleep(CHECK_INTERVAL_S)
         if cluster.workers.begun[ITEM] > killed_for:
             killed_for = cluster.workers.begun[ITEM]
@@ -43,7 +43,7 @@
 
     async def scenario() -> None:
         nonlocal runs
-        cluster = VirtualCluster(Points(), state_type=state_type)
+        cluster = VirtualCluster(FaultPoints(), state_type=state_type)
         await cluster.start()
         killing = asyncio.create_task(kill_after_each_failure(cluster))
         try:
--- a/tests/batch/test_fault_points.py
+++ b/tests/batch/test_fault_points.py
@@ -17,7 +17,7 @@
     SubmitJob,
 )
 from tests.batch.stand_ins import ROUTE, item
-from tests.batch.virtual_cluster import Points, VirtualCluster, whole_text
+from tests.batch.virtual_cluster import FaultPoints, VirtualCluster, complete_text
 from tests.consensus.virtual_time import run
 
 ITEMS = ("a", "b", "fails-once", "impossible")
@@ -45,7 +45,7 @@
         if result.id == "impossible":
             assert (result.state, result.text) == ("dead_letter", "")
         else:
-            assert (result.state, result.text) == ("succeeded", whole_text(result.id))
+            assert (result.state, result.text) == ("succeeded", complete_text(result.id))
 
 
 async def life_of_a_job(cluster: VirtualCluster) -> None:
@@ -65,14 +65,14 @@
     assert list(after.results) == known
 
 
-def play(at: int, fault: Fault) -> Points:
+def play(at: int, fault: Fault) -> FaultPoints:
     """Plays the life of a job with the fault at one point; returns the points that it passed."""
-    points = Points()
+    points = FaultPoints()
 
     async def scenario() -> None:
         nonlocal points
         cluster: VirtualCluster
-        points = Points(at, lambda: fault(cluster))
+        points = FaultPoints(at, lambda: fault(cluster))
         cluster = VirtualCluster(points)
         await cluster.start()
         try:
@@ -103,7 +103,7 @@
 
 def test_bodies_are_read_until_results_are_listed_through_a_failover() -> None:
     async def scenario() -> None:
-        cluster = VirtualCluster(Points())
+        cluster = VirtualCluster(FaultPoints())
         await cluster.start()
         assert await cluster.call(JOB) == JobAccepted()
         assert await cluster.call(ReadItem("job", "a")) == ItemBody("YQ==")
@@ -119,7 +119,7 @@
 
 def test_an_end_holds_through_a_failover_and_nothing_starts_after() -> None:
     async def scenario() -> None:
-        cluster = VirtualCluster(Points())
+        cluster = VirtualCluster(FaultPoints())
         await cluster.start()
         assert await cluster.call(JOB) == JobAccepted()
         assert await cluster.call(EndJob("job")) == JobEnded()
@@ -137,7 +137,7 @@
 
 def test_a_leader_that_is_cut_off_starts_nothing() -> None:
     async def scenario() -> None:
-        cluster = VirtualCluster(Points())
+        cluster = VirtualCluster(FaultPoints())
         await cluster.start()
         assert await cluster.call(JOB) == JobAccepted()
         cluster.cut_leader()
--- a/tests/batch/test_partition.py
+++ b/tests/batch/test_partition.py
@@ -6,7 +6,7 @@
 
 from pewterring.batch.admissions import BatchAdmissions
 from pewterring.batch.dispatch import AdmissionDispatcher
-from pewterring.batch.partition import Partition, StoreParts
+from pewterring.batch.partition import Partition, StoreEnvironment
 from pewterring.consensus.messages import Membership
 from pewterring.routing.chooser import WorkerChooser
 from tests.batch.stand_ins import FakeRunner, ManualClock, tables
@@ -15,29 +15,29 @@
 MEMBER = "10.0.0.1#a"
 
 
-def store_parts(data_dir: Path, clock: ManualClock) -> StoreParts:
+def store_environment(data_dir: Path, clock: ManualClock) -> StoreEnvironment:
     """Parts of a store whose tables are always fresh."""
     known = tables()
     chooser = WorkerChooser("z", random.Random(1))
     admissions = BatchAdmissions(random.Random(2))
-    return StoreParts(
+    return StoreEnvironment(
         settings=settings("10.0.0.1", 1, data_dir),
         member=MEMBER,
         tables=lambda: known,
-        confirmed_age=lambda now: 0.0,
+        confirmed_age=lambda _now: 0.0,
         dispatcher=AdmissionDispatcher(lambda: known, chooser, admissions, clock),
         runner=FakeRunner(),
-        send=lambda message: None,
+        send=lambda _message: None,
         clock=clock,
         rng=random.Random(3),
-        on_failure=lambda error: None,
+        on_failure=lambda _error: None,
     )
 
 
 def test_a_follower_starts_no_items_however_fresh_its_tables(tmp_path: Path) -> None:
     async def scenario() -> None:
         clock = ManualClock()
-        partition = Partition("batch-0", tmp_path, store_parts(tmp_path, clock))
+        partition = Partition("batch-0", tmp_path, store_environment(tmp_path, clock))
         await partition.start(Membership((MEMBER, "10.0.0.2#b", "10.0.0.3#c")))
         assert not partition.may_start_items(clock.now)
         await partition.stop()
--- a/tests/batch/test_program.py
+++ b/tests/batch/test_program.py
@@ -15,10 +15,10 @@
     BATCH_MESSAGES,
     JobAccepted,
     NotLeading,
+    OutcomeUnknown,
     ReadResults,
     ResultPage,
     SubmitJob,
-    Unsure,
 )
 from pewterring.batch.program import StoreProgram
 from pewterring.distribution.messages import (
@@ -90,7 +90,7 @@
         self.status: GroupStatus | None = None
         self._renewal: asyncio.Future[None] | None = None
 
-    def on_message(self, channel: Channel, message: Any) -> msgspec.Struct | None:
+    def on_message(self, _channel: Channel, message: Any) -> msgspec.Struct | None:
         if isinstance(message, Subscribe):
             self.see(message.node)
             return self.tables()
@@ -189,7 +189,7 @@
                 for ip in tuple(self.stores):
                     with contextlib.suppress(TransportError):
                         reply = await self.links.request(ip, call, 5.0)
-                        if not isinstance(reply, NotLeading | Unsure):
+                        if not isinstance(reply, NotLeading | OutcomeUnknown):
                             self.leader_ip = ip
                             return reply
                 await self.control.next_renewal()
@@ -268,7 +268,7 @@
         async with cluster(tmp_path) as stores:
             assert await stores.call(SubmitJob("first", *ROUTE, items=(item("i"),))) == JobAccepted()
             await whole(stores, "first", 1)
-            gateway = DatagramPort(lambda data, ip: None)
+            gateway = DatagramPort(lambda _data, _ip: None)
             await gateway.start(GATEWAY_IP, stores.port)
             tell_stores(gateway, sequence=1, out=10)
             await stores.call(ReadResults("first", 0))
--- a/tests/batch/test_quota.py
+++ b/tests/batch/test_quota.py
@@ -9,9 +9,9 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from pewterring.batch.messages import EndJob, JobAccepted, JobRefused, SubmitJob
+from pewterring.batch.messages import EndJob, JobAccepted, JobRejected, SubmitJob
 from tests.batch.stand_ins import ROUTE, item, route
-from tests.batch.virtual_cluster import Points, VirtualCluster
+from tests.batch.virtual_cluster import FaultPoints, VirtualCluster
 from tests.consensus.virtual_time import VirtualTimeLoop
 
 LIMIT = 100
@@ -22,19 +22,21 @@
 
 
 class QuotaAgainstModel(RuleBasedStateMachine):
-    """`jobs` holds the tokens of items by job, of jobs accepted and not ended; `under_way` of the others that
-    may have been taken.
+    """The cluster beside a model of what waits.
+
+    `jobs` holds the tokens of items by job, of jobs accepted and not ended; `under_way` of the others that
+    may have been accepted.
     """
 
     def __init__(self) -> None:
         super().__init__()
         self.loop = VirtualTimeLoop()
-        self.cluster = VirtualCluster(Points(), route(LIMIT), EVENT_PAUSE_S)
+        self.cluster = VirtualCluster(FaultPoints(), route(LIMIT), EVENT_PAUSE_S)
         self.jobs: dict[str, dict[str, int]] = {}
         self.under_way: dict[str, dict[str, int]] = {}
         self.faults: list[float] = []  # when
         self.numbers = count()
-        self.most_waiting = 0
+        self.max_waiting = 0
         self.await_(self.cluster.start())
 
     def await_(self, coroutine: Coroutine[Any, Any, Any]) -> Any:
@@ -58,10 +60,10 @@
         reply = await self.cluster.call(SubmitJob(job, *ROUTE, items=specs))
         if reply == JobAccepted():
             self.jobs[job] = items
-            self.most_waiting = max(self.most_waiting, self.waiting(self.jobs, self.loop.time()))
+            self.max_waiting = max(self.max_waiting, self.waiting(self.jobs, self.loop.time()))
         else:
-            assert isinstance(reply, JobRefused)
-            assert reply.full
+            assert isinstance(reply, JobRejected)
+            assert reply.over_quota
             assert self.most_counted() > LIMIT, "it fitted"
         del self.under_way[job]
 
@@ -120,7 +122,7 @@
 
     @invariant()
     def the_bound_holds_at_every_accept(self) -> None:
-        assert self.most_waiting <= LIMIT
+        assert self.max_waiting <= LIMIT
 
     def teardown(self) -> None:
         self.await_(self.cluster.stop())
--- a/tests/batch/test_results.py
+++ b/tests/batch/test_results.py
@@ -6,13 +6,13 @@
 
 from pewterring.batch.commands import AcceptJob, Command, ItemFailures, JobResult, Outcome, encode_command
 from pewterring.batch.messages import ItemResult
-from pewterring.batch.results import RETRY_S, ResultCommitter
+from pewterring.batch.results import COMMIT_RETRY_S, ResultCommitter
 from pewterring.batch.state import BatchState
 from tests.batch.stand_ins import ROUTE, FakeLog, ManualClock, item
 from tests.consensus.virtual_time import run
 
 
-@pytest.mark.parametrize("lost_for_s", [0.0, 2.5 * RETRY_S])
+@pytest.mark.parametrize("lost_for_s", [0.0, 2.5 * COMMIT_RETRY_S])
 def test_what_was_not_committed_is_tried_again(lost_for_s: float) -> None:
     async def scenario() -> None:
         state = BatchState(ManualClock())
@@ -24,7 +24,7 @@
         committer.add(JobResult("j", ItemResult("b", "succeeded", "x")))
         await asyncio.sleep(lost_for_s)
         log.lose = False
-        await asyncio.sleep(2 * RETRY_S)
+        await asyncio.sleep(2 * COMMIT_RETRY_S)
         job = state.job("j")
         assert job is not None
         assert job.failed_attempts == {"a": 1}
@@ -52,7 +52,7 @@
         committer = ResultCommitter(FailsOnce(state))
         for name in ("a", "b"):
             committer.add(JobResult("j", ItemResult(name, "succeeded", "x")))
-            await asyncio.sleep(RETRY_S)
+            await asyncio.sleep(COMMIT_RETRY_S)
         job = state.job("j")
         assert job is not None
         assert job.finished
--- a/tests/batch/test_runner.py
+++ b/tests/batch/test_runner.py
@@ -7,7 +7,7 @@
 import pytest
 from msgspec.structs import replace
 
-from pewterring.batch.runner import FIRST_EVENT_S, HttpItemRunner, item_request
+from pewterring.batch.runner import FIRST_EVENT_TIMEOUT_S, HttpItemRunner, item_request
 from pewterring.batch.scheduler import Failure, QueuedItem
 from pewterring.distribution.messages import WorkerRecord
 from pewterring.transport.http_client import WorkerPool
@@ -31,7 +31,7 @@
 
 
 async def with_worker(
-    response: bytes, entry: QueuedItem, use: Callable[[HttpItemRunner, WorkerRecord], Awaitable[None]]
+    response: bytes, use: Callable[[HttpItemRunner, WorkerRecord], Awaitable[None]]
 ) -> bytes:
     """Runs `use` against a worker that answers with these bytes and closes; returns what it got."""
     got: list[bytes] = []
@@ -60,7 +60,7 @@
     async def use(runner: HttpItemRunner, worker: WorkerRecord) -> None:
         outcomes.append(await runner.run(entry, worker, lambda number, data: events.append((number, data))))
 
-    got = asyncio.run(with_worker(response, entry, use))
+    got = asyncio.run(with_worker(response, use))
     return outcomes[0], events, got
 
 
@@ -104,13 +104,13 @@
 def test_a_cut_keeps_whole_events_only() -> None:
     half = chunk(b"id: 2\ndata: b\n")
     outcome, events, _ = run(HEAD + event(1, "a") + half)
-    assert outcome is Failure.CUT
+    assert outcome is Failure.TRUNCATED
     assert events == [("1", "a")]
 
 
 def test_an_answer_that_ends_in_order_but_amid_an_event_is_not_whole() -> None:
     outcome, _, _ = run(HEAD + event(1, "a") + chunk(b"id: 2\ndata: b\n") + LAST_CHUNK)
-    assert outcome is Failure.CUT
+    assert outcome is Failure.TRUNCATED
 
 
 UNFRAMED = b"HTTP/1.1 200 OK\r\nRequest-Id: i1\r\nResponse-Signature: x\r\n\r\n"
@@ -118,14 +118,14 @@
 
 def test_an_answer_without_a_length_is_whole_between_events_only() -> None:
     assert run(UNFRAMED + b"id: 1\ndata: a\n\n")[0] is None
-    assert run(UNFRAMED + b"id: 1\ndata: a\n\nid: 2\nda")[0] is Failure.CUT
+    assert run(UNFRAMED + b"id: 1\ndata: a\n\nid: 2\nda")[0] is Failure.TRUNCATED
     assert run(UNFRAMED + b"id: 1\rdata: a\r\r")[:2] == (None, [("1", "a")])
-    assert run(UNFRAMED)[0] is Failure.CUT
+    assert run(UNFRAMED)[0] is Failure.TRUNCATED
 
 
 def test_a_rest_that_is_empty_is_whole_only_where_the_head_says_that_nothing_comes() -> None:
     assert run(HEAD + LAST_CHUNK, last_event_id="3")[0] is None
-    assert run(UNFRAMED, last_event_id="3")[0] is Failure.CUT
+    assert run(UNFRAMED, last_event_id="3")[0] is Failure.TRUNCATED
 
 
 def test_a_continued_run_goes_on_at_the_next_event() -> None:
@@ -137,7 +137,7 @@
 
 def test_a_run_that_was_to_continue_but_begins_anew_is_not_taken() -> None:
     outcome, events, _ = run(HEAD + event(1, "a") + LAST_CHUNK, last_event_id="3")
-    assert outcome is Failure.CUT
+    assert outcome is Failure.TRUNCATED
     assert events == []
 
 
@@ -149,10 +149,10 @@
         (answer("429 Too Many Requests"), Failure.REFUSED),
         (answer("500 Internal Server Error"), Failure.FAILED),
         (answer("422 Unprocessable Content"), Failure.IMPOSSIBLE),
-        (answer("200 OK"), Failure.CUT),  # no stamp
-        (answer("200 OK", "Response-Signature: x"), Failure.CUT),  # no event
-        (b"nonsense\r\n\r\n", Failure.CUT),
-        (b"", Failure.CUT),
+        (answer("200 OK"), Failure.TRUNCATED),  # no stamp
+        (answer("200 OK", "Response-Signature: x"), Failure.TRUNCATED),  # no event
+        (b"nonsense\r\n\r\n", Failure.TRUNCATED),
+        (b"", Failure.TRUNCATED),
     ],
 )
 def test_other_answers(response: bytes, expected: Failure) -> None:
@@ -181,8 +181,8 @@
         worker = WorkerRecord("w1", "s", f"127.0.0.1:{port}", "z", 4, "ready")
         pool = WorkerPool()
         entry = QueuedItem("j", ROUTE, item("i1"))
-        async with asyncio.timeout(FIRST_EVENT_S / 2):
-            assert await HttpItemRunner(pool).run(entry, worker, lambda *_: None) is Failure.CUT
+        async with asyncio.timeout(FIRST_EVENT_TIMEOUT_S / 2):
+            assert await HttpItemRunner(pool).run(entry, worker, lambda *_: None) is Failure.TRUNCATED
         await gone.wait()
         pool.close()
         server.close()
@@ -197,7 +197,7 @@
         entry = QueuedItem("j", ROUTE, item("i1", headers={"Expect-Version": "4"}))
         outcomes.append(await runner.run(entry, worker, lambda *_: None))
 
-    asyncio.run(with_worker(answer("421 Misdirected Request"), QueuedItem("j", ROUTE, item("i1")), use))
+    asyncio.run(with_worker(answer("421 Misdirected Request"), use))
     assert outcomes == [Failure.OTHER_VERSION]
 
 
@@ -223,7 +223,7 @@
         outcomes = [
             await runner.run(QueuedItem("j", ROUTE, item("i1")), worker, lambda *_: None) for _ in range(3)
         ]
-        assert outcomes == [None, Failure.STALE, Failure.CUT]
+        assert outcomes == [None, Failure.STALE, Failure.TRUNCATED]
         pool.close()
         server.close()
 
@@ -232,7 +232,7 @@
 
 def test_a_worker_that_cannot_be_reached_did_not_run_the_item() -> None:
     async def scenario() -> None:
-        server = await asyncio.start_server(lambda r, w: None, "127.0.0.1", 0)
+        server = await asyncio.start_server(lambda _reader, _writer: None, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
         server.close()
         await server.wait_closed()
--- a/tests/batch/test_scheduler.py
+++ b/tests/batch/test_scheduler.py
@@ -1,22 +1,23 @@
 """Order of items, retries, continuation and giving up."""
 
 from collections.abc import Mapping
+from dataclasses import replace
 
 import pytest
 
 from pewterring.batch.messages import ItemSpec
-from pewterring.batch.scheduler import LONGEST_PAUSE_S, Failure, ItemScheduler, QueuedItem
+from pewterring.batch.scheduler import MAX_BACKOFF_S, Failure, ItemScheduler, JobTerms, QueuedItem
 from tests.batch.stand_ins import ROUTE, item
 
 OTHER_ROUTE = ("h.example", "/other/")
+TERMS = JobTerms(due_at=10.0, give_up_at=60.0, max_attempts=2)
 
 
 def add(
     scheduler: ItemScheduler,
     job: str,
     *items: ItemSpec,
-    due_at: float = 10.0,
-    give_up_at: float = 60.0,
+    terms: JobTerms = TERMS,
     route: tuple[str, str] = ROUTE,
     failed_attempts: Mapping[str, int] | None = None,
 ) -> None:
@@ -24,10 +25,8 @@
         job,
         route,
         items,
-        due_at=due_at,
-        give_up_at=give_up_at,
-        max_attempts=2,
-        failed_attempts=failed_attempts or {},
+        terms,
+        failed_attempts or {},
     )
 
 
@@ -42,8 +41,15 @@
 
 def test_earliest_due_first_and_largest_first_within_a_job() -> None:
     scheduler = ItemScheduler()
-    add(scheduler, "later", item("l1"), due_at=20)
-    add(scheduler, "sooner", item("small", 5), item("large", 50), item("middle", 20), due_at=10)
+    add(scheduler, "later", item("l1"), terms=replace(TERMS, due_at=20))
+    add(
+        scheduler,
+        "sooner",
+        item("small", 5),
+        item("large", 50),
+        item("middle", 20),
+        terms=replace(TERMS, due_at=10),
+    )
     assert names(scheduler.items_to_start(0.0, 2)) == ["large", "middle"]
     assert names(scheduler.items_to_start(0.0, 5)) == ["small", "l1"]
     assert not scheduler.has_ready
@@ -51,15 +57,15 @@
 
 def test_jobs_that_cannot_make_it_go_behind_the_others() -> None:
     scheduler = ItemScheduler()
-    add(scheduler, "missed", item("m1"), due_at=10)
-    add(scheduler, "possible", item("p1"), due_at=30)
+    add(scheduler, "missed", item("m1"), terms=replace(TERMS, due_at=10))
+    add(scheduler, "possible", item("p1"), terms=replace(TERMS, due_at=30))
     assert names(scheduler.items_to_start(11.0, 2)) == ["p1", "m1"]
 
 
 def test_a_route_without_places_does_not_hold_up_another() -> None:
     scheduler = ItemScheduler()
-    add(scheduler, "first", item("f1"), due_at=10)
-    add(scheduler, "second", item("s1"), due_at=20, route=OTHER_ROUTE)
+    add(scheduler, "first", item("f1"), terms=replace(TERMS, due_at=10))
+    add(scheduler, "second", item("s1"), terms=replace(TERMS, due_at=20), route=OTHER_ROUTE)
     started = scheduler.start(0.0, lambda entry: entry.route == OTHER_ROUTE)
     assert names(started) == ["s1"]
     assert scheduler.has_ready
@@ -75,7 +81,7 @@
         assert scheduler.items_to_start(now, 1) == []
         deadline = scheduler.next_deadline()
         assert deadline is not None
-        assert now < deadline <= now + LONGEST_PAUSE_S
+        assert now < deadline <= now + MAX_BACKOFF_S
         now = deadline
     assert entry.failed_attempts == 0
 
@@ -110,7 +116,7 @@
     entry = start_one(scheduler, 0.0)
     scheduler.on_progress(entry, "1", "a")
     scheduler.on_progress(entry, "2", "b")
-    scheduler.on_failure(entry, Failure.CUT, 0.0)
+    scheduler.on_failure(entry, Failure.TRUNCATED, 0.0)
     resumed = start_one(scheduler, 1.0)
     assert resumed is entry
     assert resumed.last_event_id == "2"
@@ -121,7 +127,7 @@
 
 def test_items_past_their_time_are_given_up_running_or_not() -> None:
     scheduler = ItemScheduler()
-    add(scheduler, "j", item("running", 9), item("waiting", 1), give_up_at=5)
+    add(scheduler, "j", item("running", 9), item("waiting", 1), terms=replace(TERMS, give_up_at=5))
     running = start_one(scheduler, 0.0)
     assert scheduler.expire(4.9) == []
     assert set(names(scheduler.expire(5.0))) == {"running", "waiting"}
@@ -149,7 +155,7 @@
     assert names(scheduler.items_to_start(1.0, 1)) == ["i"]
 
 
-@pytest.mark.parametrize("failure", [Failure.CUT, Failure.REFUSED])
+@pytest.mark.parametrize("failure", [Failure.TRUNCATED, Failure.REFUSED])
 def test_taking_a_route_takes_paused_items_too(failure: Failure) -> None:
     scheduler = ItemScheduler()
     add(scheduler, "j", item("i"), item("k"))
--- a/tests/batch/test_service.py
+++ b/tests/batch/test_service.py
@@ -10,8 +10,8 @@
 from pewterring.batch.admissions import BatchAdmissions
 from pewterring.batch.commands import AcceptJob, AddResults, CloseJob
 from pewterring.batch.dispatch import AdmissionDispatcher
-from pewterring.batch.errors import LeadershipLost, NotTaken, OutcomeUnsure
-from pewterring.batch.execution import ItemExecution
+from pewterring.batch.errors import CommandOutcomeUnknownError, CommandRefusedError, NotLeadingError
+from pewterring.batch.execution import ExecutionEnvironment, ItemExecution
 from pewterring.batch.group_log import GroupLog
 from pewterring.batch.messages import (
     EndJob,
@@ -19,18 +19,19 @@
     ItemResult,
     JobAccepted,
     JobEnded,
-    JobRefused,
+    JobRejected,
+    NotFound,
     NotLeading,
+    OutcomeUnknown,
     ReadItem,
     ReadResults,
     ResultPage,
     SubmitJob,
-    Unknown,
-    Unsure,
 )
 from pewterring.batch.results import ResultCommitter
+from pewterring.batch.retention import RetentionLimits
 from pewterring.batch.scheduler import Failure
-from pewterring.batch.service import BatchService
+from pewterring.batch.service import BatchService, ServiceEnvironment
 from pewterring.batch.state import BatchState
 from pewterring.consensus.errors import (
     GroupFailedError,
@@ -44,7 +45,7 @@
 from tests.batch.stand_ins import ROUTE, FakeLog, FakeRunner, ManualClock, item, route, tables, until, worker
 
 LONG_MS = 60_000
-MOST_STATE_BYTES = 1_000
+MAX_STATE_BYTES = 1_000
 
 
 class Store:
@@ -61,22 +62,25 @@
         self.runner = FakeRunner()
         self.execution = ItemExecution(
             self.state,
-            AdmissionDispatcher(lambda: self.tables, self.chooser, self.admissions, self.clock),
-            self.runner,
             ResultCommitter(self.log),
-            lambda: self.tables,
-            lambda now: self.fresh,
-            self.clock,
+            ExecutionEnvironment(
+                AdmissionDispatcher(lambda: self.tables, self.chooser, self.admissions, self.clock),
+                self.runner,
+                lambda: self.tables,
+                lambda _now: self.fresh,
+                self.clock,
+            ),
         )
         self.service = BatchService(
             self.log,
             self.state,
             self.execution,
-            lambda: self.tables,
-            self.clock,
-            status_s=120,
-            result_budget_bytes=0,
-            most_state_bytes=MOST_STATE_BYTES,
+            ServiceEnvironment(
+                lambda: self.tables,
+                self.clock,
+                RetentionLimits(status_s=120, result_budget_bytes=0),
+                max_state_bytes=MAX_STATE_BYTES,
+            ),
         )
 
     def take_tables(self, known: Tables) -> None:
@@ -153,13 +157,13 @@
         first = asyncio.create_task(store.service.handle(submit("j1", "a", tokens=60)))
         await asyncio.sleep(0)
         second = await store.service.handle(submit("j2", "a", tokens=60))
-        assert isinstance(second, JobRefused)
-        assert second.full
+        assert isinstance(second, JobRejected)
+        assert second.over_quota
         store.log.release()
         assert await first == JobAccepted()
         third = await store.service.handle(submit("j3", "a", tokens=60))
-        assert isinstance(third, JobRefused)
-        assert third.full
+        assert isinstance(third, JobRejected)
+        assert third.over_quota
         assert await store.service.handle(EndJob("j1")) == JobEnded()
         assert await store.service.handle(submit("j4", "a", tokens=60)) == JobAccepted()
 
@@ -177,8 +181,8 @@
             assert await store.service.handle(EndJob("j1")) == JobEnded()
             assert await store.service.handle(submit("j2", "a", tokens=60)) == JobAccepted()
         refused = await store.service.handle(submit("j3", "a", tokens=60))
-        assert isinstance(refused, JobRefused)
-        assert refused.full
+        assert isinstance(refused, JobRejected)
+        assert refused.over_quota
         if new_leader:
             store.lose()
             await store.lead()
@@ -210,7 +214,7 @@
 def test_a_body_is_there_from_the_202_on_and_at_the_next_leader() -> None:
     async def test(store: Store) -> None:
         await store.service.handle(submit("j", "a"))
-        for failure in (Failure.FAILED, Failure.CUT):
+        for failure in (Failure.FAILED, Failure.TRUNCATED):
             assert await store.service.handle(ReadItem("j", "a")) == ItemBody("YQ==")
             await store.exchanges(1)
             store.runner.exchanges.pop().fail(failure)
@@ -225,7 +229,7 @@
 def test_an_unsure_proposal_frees_its_part_of_the_quota() -> None:
     async def test(store: Store) -> None:
         store.log.lose = True
-        assert await store.service.handle(submit("j1", "a", tokens=60)) == Unsure()
+        assert await store.service.handle(submit("j1", "a", tokens=60)) == OutcomeUnknown()
         store.log.lose = False
         assert await store.service.handle(submit("j2", "a", tokens=60)) == JobAccepted()
 
@@ -236,8 +240,8 @@
     async def test(store: Store) -> None:
         store.log.takes = False
         reply = await store.service.handle(submit("j1", "a", tokens=60))
-        assert isinstance(reply, JobRefused)
-        assert not reply.full
+        assert isinstance(reply, JobRejected)
+        assert not reply.over_quota
         assert reply.retry_after_s > 0
         assert store.state.job("j1") is None
         store.log.takes = True
@@ -267,7 +271,7 @@
 
 def test_errors_of_the_group_say_whether_the_command_may_be_applied() -> None:
     class Group:
-        async def propose(self, command: bytes) -> object:
+        async def propose(self, _command: bytes) -> object:
             raise self.error
 
         error: Exception
@@ -275,10 +279,10 @@
     group = Group()
     log = GroupLog(cast(ReplicatedGroup, group))
     for error, expected in (
-        (NotLeaderError("b"), LeadershipLost),
-        (TooManyUncommittedError(1), NotTaken),
-        (OutcomeUnknownError("lost"), OutcomeUnsure),
-        (GroupFailedError("disk"), OutcomeUnsure),
+        (NotLeaderError("b"), NotLeadingError),
+        (TooManyUncommittedError(1), CommandRefusedError),
+        (OutcomeUnknownError("lost"), CommandOutcomeUnknownError),
+        (GroupFailedError("disk"), CommandOutcomeUnknownError),
     ):
         group.error = error
         with pytest.raises(expected):
@@ -288,8 +292,8 @@
 def test_a_job_without_a_route_is_refused() -> None:
     async def test(store: Store) -> None:
         reply = await store.service.handle(submit("j", "a"))
-        assert isinstance(reply, JobRefused)
-        assert not reply.full
+        assert isinstance(reply, JobRejected)
+        assert not reply.over_quota
 
     scenario(test, tables(routes=()))
 
@@ -307,7 +311,7 @@
     async def test(store: Store) -> None:
         for call in (ReadResults("j", 0), ReadItem("j", "a"), EndJob("j")):
             before = store.log.barriers
-            assert await store.service.handle(call) == Unknown()
+            assert await store.service.handle(call) == NotFound()
             assert store.log.barriers == before + 1
 
     scenario(test)
@@ -331,7 +335,7 @@
         await store.exchanges(1)
         store.runner.exchanges[0].answer("x")
         await store.page("j", 0, LONG_MS)
-        assert await store.service.handle(ReadItem("j", "a")) == Unknown()
+        assert await store.service.handle(ReadItem("j", "a")) == NotFound()
 
     scenario(test)
 
@@ -407,7 +411,9 @@
     scenario(test)
 
 
-@pytest.mark.parametrize("failure", [Failure.REFUSED, Failure.OTHER_VERSION, Failure.STALE, Failure.CUT])
+@pytest.mark.parametrize(
+    "failure", [Failure.REFUSED, Failure.OTHER_VERSION, Failure.STALE, Failure.TRUNCATED]
+)
 def test_nothing_but_failures_of_its_own_gives_an_item_up_early(failure: Failure) -> None:
     async def test(store: Store) -> None:
         await store.service.handle(submit("j", "a"))
@@ -498,13 +504,13 @@
         await store.service.handle(submit("ended", "a"))
         await store.service.handle(EndJob("ended"))
         store.clock.now += 100
-        await store.service.drop_old_jobs()
+        await store.service.retention.drop_expired_jobs()
         assert await store.page("done")
         store.clock.now += 31
         await store.service.handle(submit("running", "a"))
-        await store.service.drop_old_jobs()
-        assert await store.service.handle(ReadResults("done", 0)) == Unknown()
-        assert await store.service.handle(ReadResults("ended", 0)) == Unknown()
+        await store.service.retention.drop_expired_jobs()
+        assert await store.service.handle(ReadResults("done", 0)) == NotFound()
+        assert await store.service.handle(ReadResults("ended", 0)) == NotFound()
         assert await store.page("running")
 
     scenario(test)
--- a/tests/batch/test_state.py
+++ b/tests/batch/test_state.py
@@ -14,7 +14,6 @@
     AddResults,
     CloseJob,
     Command,
-    CommandError,
     Counted,
     CountFailures,
     DropJobs,
@@ -24,8 +23,9 @@
     Outcome,
     encode_command,
 )
+from pewterring.batch.errors import InvalidCommandError, InvalidSnapshotError
 from pewterring.batch.messages import ItemResult
-from pewterring.batch.state import BatchState, StateError
+from pewterring.batch.state import BatchState
 from tests.batch.stand_ins import ManualClock, item
 
 JOBS = st.sampled_from(["j1", "j2", "j3"])
@@ -195,7 +195,7 @@
 
 def test_what_cannot_be_read_is_an_error_of_this_layer() -> None:
     state = BatchState(ManualClock())
-    with pytest.raises(CommandError):
+    with pytest.raises(InvalidCommandError):
         state.apply(1, b'{"type":"Other"}')
-    with pytest.raises(StateError):
+    with pytest.raises(InvalidSnapshotError):
         state.restore(b"{")
--- a/tests/batch/test_status.py
+++ b/tests/batch/test_status.py
@@ -2,12 +2,12 @@
 
 import asyncio
 
-from pewterring.batch.partition import status_of
+from pewterring.batch.status import status_of
 from pewterring.consensus.messages import Membership
 from pewterring.control.state import Retirement
 from pewterring.control.stores import is_emptied
 from pewterring.distribution.messages import GroupStatus, PlacementRecord
-from tests.batch.virtual_cluster import NAMES, Points, Store, VirtualCluster
+from tests.batch.virtual_cluster import NAMES, FaultPoints, Store, VirtualCluster
 from tests.consensus.virtual_time import run
 
 PLACEMENT = PlacementRecord("batch-0", NAMES)
@@ -31,7 +31,7 @@
     """A later leader may take the change back, and needs the member then."""
 
     async def scenario() -> None:
-        cluster = VirtualCluster(Points())
+        cluster = VirtualCluster(FaultPoints())
         await cluster.start()
         leader = await leader_with_lease(cluster)
         stays, leaves = (name for name in NAMES if name != leader.name)
@@ -57,7 +57,7 @@
 
 def test_a_member_that_does_not_lead_reports_nothing() -> None:
     async def scenario() -> None:
-        cluster = VirtualCluster(Points())
+        cluster = VirtualCluster(FaultPoints())
         await cluster.start()
         leader = await leader_with_lease(cluster)
         assert [store.name for store in cluster.stores.values() if report(store)] == [leader.name]
--- a/tests/batch/virtual_cluster.py
+++ b/tests/batch/virtual_cluster.py
@@ -10,12 +10,13 @@
 
 from pewterring.batch.admissions import BatchAdmissions
 from pewterring.batch.dispatch import AdmissionDispatcher
-from pewterring.batch.execution import EventHandler, ItemExecution
+from pewterring.batch.execution import EventHandler, ExecutionEnvironment, ItemExecution
 from pewterring.batch.group_log import GroupLog
-from pewterring.batch.messages import NotLeading, Unsure
+from pewterring.batch.messages import NotLeading, OutcomeUnknown
 from pewterring.batch.results import ResultCommitter
+from pewterring.batch.retention import RetentionLimits
 from pewterring.batch.scheduler import Failure, QueuedItem
-from pewterring.batch.service import BatchCall, BatchReply, BatchService
+from pewterring.batch.service import BatchCall, BatchReply, BatchService, ServiceEnvironment
 from pewterring.batch.state import BatchState
 from pewterring.configuration.model import Route
 from pewterring.consensus.group import ReplicatedGroup
@@ -32,12 +33,12 @@
 EVENTS = 3  # of the answer to an item
 EVENT_PAUSE_S = 0.02
 CALL_S = 1.0  # a caller's patience with one store
-PAUSE_S = 0.03  # of a caller between tries
+RETRY_PAUSE_S = 0.03  # of a caller between tries
 DOWN_S = 0.4  # how long a store that failed stays away
 GIVE_UP_S = 60.0  # virtual time after which a call counts as never answered
 
 
-class Points:
+class FaultPoints:
     """Counts the points that a scenario passes; at number `at` it calls `action` once."""
 
     def __init__(self, at: int = 0, action: Callable[[], None] | None = None) -> None:
@@ -54,7 +55,7 @@
 class Workers:
     """Runs items: some cannot be done, some fail once or always, the others give three events."""
 
-    def __init__(self, points: Points, event_pause_s: float) -> None:
+    def __init__(self, points: FaultPoints, event_pause_s: float) -> None:
         self._points = points
         self._event_pause_s = event_pause_s
         self.finished_at: dict[str, float] = {}  # when a whole answer was given first
@@ -62,7 +63,7 @@
         self.running: Counter[str] = Counter()
         self.most_at_once: Counter[str] = Counter()
 
-    async def run(self, queued: QueuedItem, place: WorkerRecord, on_event: EventHandler) -> Failure | None:
+    async def run(self, queued: QueuedItem, _worker: WorkerRecord, on_event: EventHandler) -> Failure | None:
         name = queued.spec.id
         self._points.reach()
         first = int(queued.last_event_id or 0) + 1
@@ -86,14 +87,14 @@
             self.running[name] -= 1
 
 
-def whole_text(name: str) -> str:
+def complete_text(name: str) -> str:
     return "\n".join(f"{name}.{number}" for number in range(1, EVENTS + 1))
 
 
 class CountingStorage(MemoryStorage):
     """Passes a point before and after each save."""
 
-    def __init__(self, points: Points) -> None:
+    def __init__(self, points: FaultPoints) -> None:
         super().__init__(NAMES)
         self._points = points
         self.lost = False  # what is saved now is lost with the power
@@ -106,7 +107,7 @@
 
 
 class Store:
-    """One life of one store."""
+    """One incarnation of one store."""
 
     def __init__(self, name: str, cluster: "VirtualCluster", storage: CountingStorage) -> None:
         loop = asyncio.get_running_loop()
@@ -135,22 +136,25 @@
         log = GroupLog(self.group)
         self.execution = ItemExecution(
             self.state,
-            AdmissionDispatcher(lambda: known, chooser, admissions, loop.time),
-            cluster.workers,
             ResultCommitter(log),
-            lambda: known,
-            lambda now: self.alive and self.group.has_lease(now),
-            loop.time,
+            ExecutionEnvironment(
+                AdmissionDispatcher(lambda: known, chooser, admissions, loop.time),
+                cluster.workers,
+                lambda: known,
+                lambda now: self.alive and self.group.has_lease(now),
+                loop.time,
+            ),
         )
         self.service = BatchService(
             log,
             self.state,
             self.execution,
-            lambda: known,
-            loop.time,
-            status_s=120,
-            result_budget_bytes=0,
-            most_state_bytes=10**9,
+            ServiceEnvironment(
+                lambda: known,
+                loop.time,
+                RetentionLimits(status_s=120, result_budget_bytes=0),
+                max_state_bytes=10**9,
+            ),
         )
 
 
@@ -159,7 +163,7 @@
 
     def __init__(
         self,
-        points: Points,
+        points: FaultPoints,
         limited: Route | None = None,
         event_pause_s: float = EVENT_PAUSE_S,
         state_type: type[BatchState] = BatchState,
@@ -243,7 +247,7 @@
                     reply = await self.ask(name, call)
                     if reply is not None:
                         return reply
-                await asyncio.sleep(PAUSE_S)
+                await asyncio.sleep(RETRY_PAUSE_S)
 
     async def ask(self, name: str, call: BatchCall) -> BatchReply | None:
         """One store's answer; None where it has none or it does not arrive."""
@@ -257,6 +261,6 @@
         except TimeoutError:
             return None
         self.points.reach()
-        if not store.alive or name in self.cut or isinstance(reply, NotLeading | Unsure):
+        if not store.alive or name in self.cut or isinstance(reply, NotLeading | OutcomeUnknown):
             return None
         return reply
--- a/tests/consensus/planned_simulation.py
+++ b/tests/consensus/planned_simulation.py
@@ -7,7 +7,7 @@
 import contextlib
 from collections.abc import Callable
 
-from pewterring.batch.program import MEMBERS_PERIOD_S
+from pewterring.batch.program import MEMBERSHIP_CHECK_PERIOD_S
 from pewterring.consensus.departure import DEPARTURE_TIMEOUT_FRACTION
 from pewterring.consensus.errors import ConsensusError
 from pewterring.consensus.membership import address_of, voters_needed
@@ -44,7 +44,7 @@
         self.decommissioning: set[str] = set()
         self.written = 0
         self._keeps_spare_learners = keeps_spare_learners
-        self._interval_s = TICK_S if keeps_spare_learners else MEMBERS_PERIOD_S
+        self._interval_s = TICK_S if keeps_spare_learners else MEMBERSHIP_CHECK_PERIOD_S
         self._planners: dict[tuple[str, int, int], MembershipPlanner] = {}
         self._wipes = 0
         self._disk_since = dict.fromkeys(self.members, 0.0)
--- a/tests/gateway/test_batch_calls.py
+++ b/tests/gateway/test_batch_calls.py
@@ -11,12 +11,12 @@
 
 from pewterring.batch.messages import (
     JobAccepted,
-    JobRefused,
+    JobRejected,
+    NotFound,
     NotLeading,
+    OutcomeUnknown,
     ResultPage,
     SubmitJob,
-    Unknown,
-    Unsure,
 )
 from pewterring.configuration.model import Route, RouteType
 from pewterring.distribution.messages import NodeRecord
@@ -132,9 +132,9 @@
     assert len(links.asked) <= 2
 
 
-@pytest.mark.parametrize(("full", "status"), [(True, 429), (False, 503)])
-def test_a_refusal_says_when_to_come_back(full: bool, status: int) -> None:
-    answer, _ = call(lambda ip, message: JobRefused(full, 1.5))
+@pytest.mark.parametrize(("over_quota", "status"), [(True, 429), (False, 503)])
+def test_a_refusal_says_when_to_come_back(over_quota: bool, status: int) -> None:
+    answer, _ = call(lambda ip, message: JobRejected(over_quota, 1.5))
     assert answer.status == status
     assert ("Retry-After", "1.50") in answer.headers
 
@@ -150,7 +150,7 @@
 def test_what_may_have_been_taken_is_answered_neither_way(unsure: bool) -> None:
     def reply(ip: str, message: msgspec.Struct) -> msgspec.Struct:
         if unsure:
-            return Unsure()
+            return OutcomeUnknown()
         raise RequestTimeout("late")
 
     assert call(reply)[0].status == 504
@@ -162,7 +162,7 @@
     def reply(ip: str, message: msgspec.Struct) -> msgspec.Struct:
         if next(tries) == 0:
             raise RequestTimeout("late")
-        return JobRefused(True, 1.0)
+        return JobRejected(True, 1.0)
 
     assert call(reply)[0].status == 504
 
@@ -178,14 +178,14 @@
 def test_reads_pass_pages_on_and_tell_unknown_from_unsure() -> None:
     page, _ = call(lambda ip, message: ResultPage(4, 2, ()), "GET", "/v1/lots/job-1?after=2")
     assert orjson.loads(page.body) == {"total": 4, "next_page_token": 2, "results": []}
-    assert call(lambda ip, message: Unknown(), "GET", "/v1/lots/job-1")[0].status == 404
-    assert call(lambda ip, message: Unsure(), "GET", "/v1/lots/job-1")[0].status == 503
-    assert call(lambda ip, message: Unknown(), "GET", "/v1/lots/job-1?after=x")[0].status == 400
+    assert call(lambda ip, message: NotFound(), "GET", "/v1/lots/job-1")[0].status == 404
+    assert call(lambda ip, message: OutcomeUnknown(), "GET", "/v1/lots/job-1")[0].status == 503
+    assert call(lambda ip, message: NotFound(), "GET", "/v1/lots/job-1?after=x")[0].status == 400
 
 
 @pytest.mark.parametrize("after", ["x", "-1", "%D9%A3", "9" * 19, "9" * 5000])
 def test_what_is_no_position_is_refused_at_once(after: str) -> None:
-    answer, links = call(lambda ip, message: Unknown(), "GET", f"/v1/lots/job-1?after={after}")
+    answer, links = call(lambda ip, message: NotFound(), "GET", f"/v1/lots/job-1?after={after}")
     assert answer.status == 400
     assert links.asked == []
 
--- a/tests/golden/batch_messages.py
+++ b/tests/golden/batch_messages.py
@@ -8,14 +8,14 @@
     ItemBody,
     JobAccepted,
     JobEnded,
-    JobRefused,
+    JobRejected,
+    NotFound,
     NotLeading,
+    OutcomeUnknown,
     ReadItem,
     ReadResults,
     ResultPage,
     SubmitJob,
-    Unknown,
-    Unsure,
 )
 from pewterring.consensus.messages import CONSENSUS_MESSAGES
 from pewterring.distribution.messages import FEED_MESSAGES
@@ -42,16 +42,16 @@
 )
 _REPLIES: tuple[tuple[str, msgspec.Struct], ...] = (
     ("JobAccepted-full", JobAccepted()),
-    ("JobRefused-full", JobRefused(full=True, retry_after_s=2.5)),
-    ("JobRefused-not-full", JobRefused(full=False, retry_after_s=0.0)),
+    ("JobRefused-full", JobRejected(over_quota=True, retry_after_s=2.5)),
+    ("JobRefused-not-full", JobRejected(over_quota=False, retry_after_s=0.0)),
     ("ResultPage-full", ResultPage(total=3, next_position=2, results=RESULTS)),
     ("ResultPage-empty", ResultPage(total=3, next_position=0, results=())),
     ("ItemBody-full", ItemBody(body="aGk=")),
     ("JobEnded-full", JobEnded()),
-    ("Unknown-full", Unknown()),
+    ("Unknown-full", NotFound()),
     ("NotLeading-full", NotLeading(leader="10.0.1.2#b2")),
     ("NotLeading-unknown", NotLeading(leader="")),
-    ("Unsure-full", Unsure()),
+    ("Unsure-full", OutcomeUnknown()),
 )
 
 
--- a/tests/golden/gateway_http_cases.py
+++ b/tests/golden/gateway_http_cases.py
@@ -226,8 +226,8 @@
         (),
     ),
     "batch-submitted": (_batch(_told(batch.JobAccepted()), SUBMIT), ()),
-    "batch-quota-full": (_batch(_told(batch.JobRefused(True, 1.5)), SUBMIT), ()),
-    "batch-not-taken": (_batch(_told(batch.JobRefused(False, 0.25)), SUBMIT), ()),
+    "batch-quota-full": (_batch(_told(batch.JobRejected(True, 1.5)), SUBMIT), ()),
+    "batch-not-taken": (_batch(_told(batch.JobRejected(False, 0.25)), SUBMIT), ()),
     "batch-bad-submission": (
         _batch(
             _told(batch.JobAccepted()),
@@ -243,7 +243,7 @@
     ),
     "batch-item": (_batch(_told(batch.ItemBody("q83v")), ITEM), ()),
     "batch-ended": (_batch(_told(batch.JobEnded()), END), ()),
-    "batch-unknown": (_batch(_told(batch.Unknown()), PAGE, ITEM, END), ()),
+    "batch-unknown": (_batch(_told(batch.NotFound()), PAGE, ITEM, END), ()),
     "batch-no-store-asked": (_batch(_raise(RequestNotSent("down")), SUBMIT, PAGE, ITEM, END), ()),
     "batch-no-store-sure": (_batch(_raise(TransportError("lost")), SUBMIT, PAGE, ITEM, END), ()),
 }
--- a/tests/simulation/breakages.py
+++ b/tests/simulation/breakages.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from pewterring.batch.messages import JobAccepted, SubmitJob
-from pewterring.batch.service import BatchService, SubmitReply
+from pewterring.batch.submissions import JobSubmissions, SubmitReply
 from pewterring.configuration.digest import document_digest
 from pewterring.consensus.follower import FollowerRole
 from pewterring.consensus.group import ReplicatedGroup
@@ -247,10 +247,10 @@
 
 def job_accepted_early() -> Any:
     """A job is acknowledged before it is committed."""
-    real = BatchService._accept
+    real = JobSubmissions._accept
 
-    async def accept(self: BatchService, call: SubmitJob) -> SubmitReply:
+    async def accept(self: JobSubmissions, call: SubmitJob) -> SubmitReply:
         self.early = asyncio.ensure_future(real(self, call))  # type: ignore[attr-defined]
         return JobAccepted()
 
-    return mock.patch.object(BatchService, "_accept", accept)
+    return mock.patch.object(JobSubmissions, "_accept", accept)
