--- a/benchmarks/redundancy.py
+++ b/benchmarks/redundancy.py
@@ -36,7 +36,7 @@
 from pewterring.batch import commands as batch_commands
 from pewterring.batch.capacity import StoreLimits, max_state_bytes
 from pewterring.batch.messages import ItemSpec
-from pewterring.batch.program import MEMBERSHIP_CHECK_PERIOD_S
+from pewterring.batch.partitions import MEMBERSHIP_CHECK_PERIOD_S
 from pewterring.batch.state import BatchState
 from pewterring.consensus.departure import DEPARTURE_TIMEOUT_FRACTION
 from pewterring.consensus.errors import ConsensusError
--- a/pewterring/batch/capacity.py
+++ b/pewterring/batch/capacity.py
@@ -1,4 +1,4 @@
-"""How much a store's partition may hold: what its disk and memory carry, and what can be copied in time."""
+"""How many bytes a partition may keep: what disk and memory carry, and what can be copied in time."""
 
 from dataclasses import dataclass
 
@@ -11,8 +11,8 @@
 STATE_MEMORY_FRACTION = 0.3  # the state; a snapshot of it being encoded or sent takes as much again
 # The log between two snapshots, with the segment that is being written.
 LOG_BYTES = int(SNAPSHOT_AFTER_MAX_BYTES * (1 + SNAPSHOT_JITTER_FRACTION)) + SEGMENT_BYTES
-# Of the bound on catching up: a new member is to hold the state after half of it, and an eighth goes by until
-# tables tell of the new member and its copy begins, and from the last byte to its vote.
+# Of the bound on catching up: a new member must have the state after half of it, and an eighth goes by until
+# tables list the new member and its copy begins, and from the last byte to its vote.
 COPY_TIME_FRACTION = 0.375
 
 
@@ -23,7 +23,7 @@
     memory_mb: int
     disk_mb: int = 0
     copy_mb_per_s: float = 0.0  # of state, to each of as many new members as losses are borne, all at once
-    catch_up_s: float = 0.0  # bound on the time that a new member takes to hold everything
+    catch_up_s: float = 0.0  # bound on the time that a new member takes to catch up
 
 
 def max_state_bytes(limits: StoreLimits) -> int:
--- a/pewterring/batch/commands.py
+++ b/pewterring/batch/commands.py
@@ -35,7 +35,7 @@
 
 
 class ItemFailures(msgspec.Struct, frozen=True):
-    """How many runs of an item workers have answered with their own failure, all told."""
+    """How many runs of an item have failed at workers, in total."""
 
     job: str
     item: str
@@ -55,7 +55,7 @@
 
 
 class DropJobs(msgspec.Struct, frozen=True, tag=True):
-    """Forgets jobs whose time for reading has passed."""
+    """Drops jobs whose time for reading has passed."""
 
     jobs: tuple[str, ...]
 
--- a/pewterring/batch/dispatch.py
+++ b/pewterring/batch/dispatch.py
@@ -1,8 +1,8 @@
 """The choice of a worker for an item: within the capacity that admission leaves, the least expected time.
 
-Owns which item is at which worker, and feeds what exchanges tell of workers back to routing and admission.
+Owns which item is at which worker, and feeds what exchanges show of workers back to routing and admission.
 What may go wrong: live requests wait behind items (a limit below is too high), or items wait though workers
-are free (all of them are thought to have failed).
+are free (all of them are suspect).
 """
 
 import math
@@ -25,18 +25,17 @@
 
 MAX_WORKER_LOAD = 0.9  # of a worker's slots that may be taken, as far as known, when an item is assigned
 NEARLY_FULL_LOAD = 0.75  # of a worker's slots taken: it may well refuse an item for want of a slot
-MAX_PREFILL_S = (
-    0.03  # prefill of items that may be pending at a worker: live requests that come wait behind it
-)
+# Of items, pending at one worker: live requests that come wait behind it.
+MAX_PREFILL_S = 0.03
 MAX_LOAD_SPREAD = 0.2  # of its slots that a worker may have taken beyond the least loaded one
 PROBE_AFTER_S = 2.0  # where all workers are suspect, one that failed so long ago is probed with an item
 MIN_EXPECTED_S = 1e-4  # keeps ratios finite
 
 
 class ExchangeOutcome(Enum):
-    """What an exchange with a worker tells of the worker."""
+    """What an exchange with a worker shows of the worker."""
 
-    ANSWERED = auto()  # a whole answer, whatever it says of the item
+    ANSWERED = auto()  # a complete answer, whatever it says of the item
     REFUSED = auto()  # not run, or not reached
     TRUNCATED = auto()  # the answer ended early
     STALE = auto()  # says nothing of the worker: it closes or forgets idle connections
--- a/pewterring/batch/errors.py
+++ b/pewterring/batch/errors.py
@@ -10,7 +10,7 @@
 
 
 class CommandRefusedError(BatchError):
-    """This store leads and takes no commands now: nothing was done or will be. Repeat the call later."""
+    """This store leads and accepts no commands now: nothing was done or will be. Repeat the call later."""
 
 
 class CommandOutcomeUnknownError(BatchError):
--- a/pewterring/batch/execution.py
+++ b/pewterring/batch/execution.py
@@ -30,7 +30,7 @@
 SUCCEEDED = "succeeded"
 DEAD_LETTER = "dead_letter"
 
-EventHandler = Callable[[str, str], None]  # id and data of one whole event
+EventHandler = Callable[[str, str], None]  # id and data of one complete event
 
 _EXCHANGE_OUTCOMES = {
     Failure.REFUSED: ExchangeOutcome.REFUSED,
@@ -43,7 +43,7 @@
     """Runs an item at a worker."""
 
     async def run(self, item: QueuedItem, worker: WorkerRecord, on_event: EventHandler) -> Failure | None:
-        """One exchange; None where the answer is complete. `on_event` gets each whole event as it comes."""
+        """One exchange; None where the answer is complete. `on_event` gets each event that is complete."""
 
 
 @dataclass(frozen=True, slots=True)
--- /dev/null
+++ b/pewterring/batch/partitions.py
@@ -0,0 +1,140 @@
+"""The partitions of one store: which there are, which are starting, and the checks of their members.
+
+What may go wrong: a partition cannot start or stops because its disk failed; it is reported once and the
+process is to be restarted.
+"""
+
+import asyncio
+import contextlib
+from collections.abc import Callable, Iterator
+from pathlib import Path
+
+from loguru import logger
+
+from pewterring.batch.partition import Partition, StoreEnvironment
+from pewterring.consensus.messages import ConsensusMessage, Membership
+from pewterring.distribution.messages import GroupStatus, PlacementRecord
+from pewterring.storage.disk import FolderDisk
+from pewterring.storage.log import SEGMENT_SUFFIX
+from pewterring.storage.snapshots import SNAPSHOT_SUFFIX
+
+MEMBERSHIP_CHECK_PERIOD_S = 0.1  # between checks of the groups' members: far below their catch-up time
+
+
+class StorePartitions:
+    """Starts partitions, once each, and stops them.
+
+    Owns the tasks in which partitions start, and the one that checks members from `start_membership_checks`
+    on; `stop` ends them.
+
+    Args:
+        data_dir: The folder with the files of all groups.
+        environment: Gives what each partition shares with the others; called when one is made.
+    """
+
+    def __init__(self, data_dir: Path, environment: Callable[[], StoreEnvironment]) -> None:
+        self._data_dir = data_dir
+        self._environment = environment
+        self._partitions: dict[str, Partition] = {}
+        self._groups_on_disk: set[str] = set()
+        self._starting: dict[str, asyncio.Task[None]] = {}
+        self._membership_task: asyncio.Task[None] | None = None
+
+    def __iter__(self) -> Iterator[Partition]:
+        return iter(tuple(self._partitions.values()))
+
+    async def load(self) -> None:
+        """Starts the partitions whose members are known from disk.
+
+        Raises:
+            StorageError: A group's files cannot be read.
+        """
+        self._groups_on_disk = self._groups_with(SEGMENT_SUFFIX)
+        for name in sorted(self._groups_with(SNAPSHOT_SUFFIX)):
+            await self._add(name, None)
+
+    def start_membership_checks(self) -> None:
+        """Checks the members of all groups from now on."""
+        self._membership_task = asyncio.create_task(self._check_memberships())
+
+    async def stop_membership_checks(self) -> None:
+        """Ends the checks; a change that is being made is broken off and planned again by the next leader."""
+        if self._membership_task is not None:
+            self._membership_task.cancel()
+            with contextlib.suppress(asyncio.CancelledError):
+                await self._membership_task
+
+    def cancel_starts(self) -> None:
+        """Breaks off the partitions that are starting."""
+        for task in self._starting.values():
+            task.cancel()
+
+    async def drain(self) -> None:
+        """Gives up leadership and votes before a planned stop."""
+        await asyncio.gather(*(partition.drain() for partition in self))
+
+    async def stop(self) -> None:
+        """Stops all partitions, one after the other."""
+        for partition in self:
+            await partition.stop()
+
+    def ensure_placed(self, placement: PlacementRecord) -> None:
+        """Starts the partition that control has placed on this store, unless it is there."""
+        self._begin(placement.group, Membership(placement.voters))
+
+    def receive(self, message: ConsensusMessage, placements: tuple[PlacementRecord, ...]) -> None:
+        """Hands a message to its group; one that is placed or on disk and does not run yet is started."""
+        partition = self._partitions.get(message.group)
+        if partition is not None:
+            partition.group.receive(message)
+        elif message.group in {placement.group for placement in placements} | self._groups_on_disk:
+            self._begin(message.group, None)
+
+    def status(self) -> GroupStatus | None:
+        """The report on the group that this store leads; None where it leads none."""
+        statuses = (partition.status() for partition in self)
+        return next((status for status in statuses if status is not None), None)
+
+    def tables_changed(self) -> None:
+        """New tables are in force."""
+        for partition in self:
+            partition.service.tables_changed()
+
+    def _groups_with(self, suffix: str) -> set[str]:
+        """Groups with such files on disk.
+
+        One without a snapshot may not know its first voters yet: it starts when tables name them, or when
+        members of its group send messages.
+        """
+        names = FolderDisk(self._data_dir).names()
+        return {name.partition(".")[0] for name in names if name.endswith(suffix)}
+
+    def _begin(self, name: str, first_voters: Membership | None) -> None:
+        """Starts a partition in the background, unless it is there."""
+        if name in self._partitions or name in self._starting:
+            return
+        task = asyncio.get_running_loop().create_task(self._add(name, first_voters))
+        self._starting[name] = task
+        task.add_done_callback(lambda done: self._on_started(name, done))
+
+    def _on_started(self, name: str, task: "asyncio.Task[None]") -> None:
+        self._starting.pop(name, None)
+        error = None if task.cancelled() else task.exception()
+        if isinstance(error, Exception):
+            self._environment().on_failure(error)
+
+    async def _add(self, name: str, first_voters: Membership | None) -> None:
+        partition = Partition(name, self._data_dir, self._environment())
+        await partition.start(first_voters)
+        self._partitions[name] = partition
+
+    async def _check_memberships(self) -> None:
+        while True:
+            await asyncio.sleep(MEMBERSHIP_CHECK_PERIOD_S)
+            for partition in self:
+                try:
+                    await partition.manage_members()
+                except Exception:  # noqa: BLE001 - the task's edge: other partitions and later checks go on
+                    logger.bind(event="membership_check_failed", group=partition.name).exception(
+                        "Checking the members of a partition failed; the next check tries again."
+                    )
--- a/pewterring/batch/runner.py
+++ b/pewterring/batch/runner.py
@@ -157,7 +157,7 @@
     # Events
 
     def _follows(self, event: StreamEvent) -> bool:
-        """Whether an event may stand after those taken: ids rise, and a continued run begins at the next."""
+        """Whether an event may follow those read so far: ids rise, and a continued run begins at the next."""
         if event.id is None or self._last_id is None:
             return not self._resumed or self._events > 0
         if self._resumed and not self._events:
--- a/pewterring/batch/scheduler.py
+++ b/pewterring/batch/scheduler.py
@@ -26,7 +26,7 @@
 
 
 class Failure(Enum):
-    """Why an exchange brought no whole answer."""
+    """Why an exchange brought no complete answer."""
 
     REFUSED = auto()  # the worker did not run the item, or could not be reached
     OTHER_VERSION = auto()  # 421 to an item that expects a version: not run, and the worker is well
@@ -43,7 +43,7 @@
     job: str
     route: RouteKey
     spec: ItemSpec
-    events: list[str] = field(default_factory=list)  # data of whole events, in order
+    events: list[str] = field(default_factory=list)  # data of complete events, in order
     last_event_id: str = ""
     failed_attempts: int = 0
     backoffs: int = 0
@@ -175,13 +175,13 @@
         return self.start(now, assign)
 
     def on_progress(self, item: QueuedItem, event_id: str, data: str) -> None:
-        """One whole event of a running item came."""
+        """One complete event of a running item came."""
         item.events.append(data)
         item.last_event_id = event_id
         item.backoffs = 0
 
     def on_success(self, item: QueuedItem, now: float) -> bool:
-        """A running item's answer is whole. False where its job has ended meanwhile."""
+        """A running item's answer is complete. False where its job has ended meanwhile."""
         self._run_s += SMOOTHING_FRACTION * (now - item.started_at - self._run_s)
         return self._finish(item)
 
@@ -202,7 +202,7 @@
         return False
 
     def expire(self, now: float) -> list[QueuedItem]:
-        """Takes away all items past the time after which they may be given up, running ones too."""
+        """Removes all items past the time after which they may be given up, running ones too."""
         expired: list[QueuedItem] = []
         while self._expiries and self._expiries[0][0] <= now:
             _, job_id = heapq.heappop(self._expiries)
@@ -210,7 +210,7 @@
         return expired
 
     def take_route(self, route: RouteKey) -> list[QueuedItem]:
-        """Takes away all items of a route, running ones too."""
+        """Removes all items of a route, running ones too."""
         jobs = [job.id for job in self._jobs.values() if job.route == route]
         return [item for job_id in jobs for item in self._take_job(job_id)]
 
@@ -231,7 +231,7 @@
         return True
 
     def _job_of(self, item: QueuedItem) -> _QueuedJob | None:
-        """The item's job, unless the item was taken away meanwhile."""
+        """The item's job, unless the item was removed meanwhile."""
         job = self._jobs.get(item.job)
         if job is None or job.items.get(item.spec.id) is not item:
             return None
--- a/tests/batch/test_capacity.py
+++ b/tests/batch/test_capacity.py
@@ -30,7 +30,7 @@
 
 @pytest.mark.parametrize("catch_up_s", [4.7, 6.0])
 @pytest.mark.parametrize("rate", [1.0, 20.0, 35.0])
-def test_a_state_can_be_copied_at_the_rate_that_is_told_well_within_half_of_the_bound(
+def test_a_state_can_be_copied_at_the_configured_rate_well_within_half_of_the_bound(
     catch_up_s: float, rate: float
 ) -> None:
     most = max_state_bytes(StoreLimits(10_000, 10_000, rate, catch_up_s))
@@ -44,7 +44,7 @@
     assert max_state_bytes(StoreLimits(320, 110, 0.0, 4.7)) == max_state_bytes(StoreLimits(320, 110))
 
 
-def test_a_job_that_the_store_cannot_carry_is_refused_with_the_promise_and_those_taken_stay() -> None:
+def test_a_job_beyond_the_stores_capacity_is_rejected_and_accepted_ones_stay() -> None:
     async def test(store: Store) -> None:
         kept = job_of("kept", MAX_STATE_BYTES - 10)
         assert await store.service.handle(kept) == JobAccepted()
--- a/tests/batch/test_dispatch.py
+++ b/tests/batch/test_dispatch.py
@@ -1,4 +1,4 @@
-"""Placing of items: the ceiling, what live requests have out of it, and the choice of a worker decide."""
+"""Assigning items: the concurrency limit, what live requests use of it, and the choice of a worker."""
 
 import random
 from dataclasses import replace
@@ -68,7 +68,7 @@
     return {"Prompt-Prefix": f"shared:{tokens // 2},{own}:{tokens // 2}", "Token-Usage": f"{tokens},10"}
 
 
-def test_items_take_most_of_the_ceiling_when_live_requests_take_none() -> None:
+def test_items_take_most_of_the_concurrency_limit_when_live_requests_take_none() -> None:
     fixture = two_workers()
     fixture.beat(1, out=0)
     assert fixture.place_all() == 18
@@ -89,7 +89,7 @@
     assert fixture.place_all() == 0
 
 
-def test_a_place_that_an_item_leaves_is_taken_again() -> None:
+def test_a_slot_that_an_item_frees_is_used_again() -> None:
     fixture = two_workers()
     fixture.beat(1, out=8)
     fixture.place_all()
@@ -98,7 +98,7 @@
     assert fixture.assign() is None
 
 
-def test_the_ceiling_is_the_lower_median_of_what_processes_infer() -> None:
+def test_the_concurrency_limit_is_the_lower_median_of_what_processes_infer() -> None:
     fixture = two_workers(gateways=2)
     fixture.beat(1, out=0, limit=10.0)
     fixture.beat(2, out=0, limit=10.0)
@@ -119,7 +119,7 @@
     assert fixture.place_all() <= 18
 
 
-def test_slower_first_events_lower_the_ceiling() -> None:
+def test_slower_first_events_lower_the_concurrency_limit() -> None:
     fixture = two_workers()
     fixture.beat(1, out=0)
     admission = fixture.admissions.of("s")
@@ -135,7 +135,7 @@
     assert admission.room(fixture.clock.now) < before
 
 
-def test_items_keep_to_half_of_the_ceiling_while_no_gateway_is_heard() -> None:
+def test_items_keep_to_half_of_the_concurrency_limit_without_heartbeats_of_gateways() -> None:
     fixture = two_workers()
     assert fixture.place_all() == 10
     fixture.beat(1, out=0)
@@ -154,7 +154,7 @@
     assert fixture.place_all() == 18
 
 
-def test_the_heartbeat_tells_how_many_items_are_out() -> None:
+def test_the_heartbeat_reports_how_many_items_are_in_flight() -> None:
     fixture = two_workers()
     fixture.beat(1, out=0)
     fixture.assign()
@@ -223,7 +223,7 @@
     assert not fixture.chooser.workers["w1"].suspect(fixture.clock.now)
 
 
-def test_items_cut_together_are_one_failure_of_the_worker() -> None:
+def test_items_truncated_together_are_one_failure_of_the_worker() -> None:
     fixture = Fixture(tables(worker("w1")))
     for _ in range(5):
         fixture.assign()
--- a/tests/batch/test_fault_points.py
+++ b/tests/batch/test_fault_points.py
@@ -93,7 +93,7 @@
 @pytest.mark.parametrize(
     "fault", [VirtualCluster.kill_leader, VirtualCluster.cut_leader, VirtualCluster.kill_all]
 )
-def test_a_job_is_whole_whatever_point_a_store_fails_at(fault: Fault) -> None:
+def test_a_job_is_complete_whatever_point_a_store_fails_at(fault: Fault) -> None:
     for at in range(1, play(0, no_fault).passed + 1):
         try:
             play(at, fault)
--- a/tests/batch/test_program.py
+++ b/tests/batch/test_program.py
@@ -213,7 +213,7 @@
     workers.close()
 
 
-async def whole(stores: Cluster, job: str, count: int) -> ResultPage:
+async def complete_page(stores: Cluster, job: str, count: int) -> ResultPage:
     """The page with all results."""
     while True:
         page = await stores.call(ReadResults(job, count - 1, 1000.0))
@@ -229,16 +229,16 @@
         async with cluster(tmp_path) as stores:
             job = SubmitJob("j", *ROUTE, items=tuple(item(f"i{number}") for number in range(5)))
             assert await stores.call(job) == JobAccepted()
-            first = await whole(stores, "j", 5)
+            first = await complete_page(stores, "j", 5)
             assert {result.text for result in first.results} == {"x\ny"}
             await stores.stop(stores.leader_ip)
-            assert await whole(stores, "j", 5) == first
+            assert await complete_page(stores, "j", 5) == first
             assert await stores.call(job) == JobAccepted()
             for ip in tuple(stores.stores):
                 await stores.stop(ip)
             for ip in STORE_IPS:
                 await stores.start(ip)
-            assert await whole(stores, "j", 5) == first
+            assert await complete_page(stores, "j", 5) == first
 
     asyncio.run(run())
 
@@ -248,7 +248,7 @@
         async with cluster(tmp_path) as stores:
             job = SubmitJob("j", *ROUTE, items=(item("i"),))
             assert await stores.call(job) == JobAccepted()
-            first = await whole(stores, "j", 1)
+            first = await complete_page(stores, "j", 1)
             lost_ip = next(ip for ip in STORE_IPS if ip != stores.leader_ip)
             old_name = stores.control.member_at(lost_ip)
             await stores.stop(lost_ip)
@@ -258,16 +258,16 @@
                 while not stores.control.is_replaced(lost_ip, old_name):
                     await stores.control.next_renewal()
             await stores.stop(stores.leader_ip)
-            assert await whole(stores, "j", 1) == first
+            assert await complete_page(stores, "j", 1) == first
 
     asyncio.run(run())
 
 
-def test_items_start_in_the_room_that_gateways_tell_of(tmp_path: Path) -> None:
+def test_items_start_within_the_capacity_that_gateways_report(tmp_path: Path) -> None:
     async def run() -> None:
         async with cluster(tmp_path) as stores:
             assert await stores.call(SubmitJob("first", *ROUTE, items=(item("i"),))) == JobAccepted()
-            await whole(stores, "first", 1)
+            await complete_page(stores, "first", 1)
             gateway = DatagramPort(lambda _data, _ip: None)
             await gateway.start(GATEWAY_IP, stores.port)
             tell_stores(gateway, sequence=1, out=10)
@@ -277,14 +277,14 @@
             assert isinstance(page, ResultPage)
             assert not page.results
             tell_stores(gateway, sequence=2, out=0)
-            await whole(stores, "j", 1)
+            await complete_page(stores, "j", 1)
             gateway.close()
 
     asyncio.run(run())
 
 
 def tell_stores(gateway: DatagramPort, sequence: int, out: int) -> None:
-    """A gateway's heartbeat: a ceiling of ten, and so many live requests out."""
+    """A gateway's heartbeat: a concurrency limit of ten, and so many live requests in flight."""
     beat = write_beat(Beat(1, sequence, 10.0, out, 10.0, 1.0))
     for ip in STORE_IPS:
         gateway.send(ip, write_heartbeat(GATEWAY, {service_number("s"): beat}))
--- a/tests/batch/test_calm_after_trouble.py
+++ b/tests/batch/test_recovery_after_faults.py
@@ -71,7 +71,7 @@
 @pytest.mark.parametrize("fails_by_turns", [True, False])
 @pytest.mark.parametrize("fault_gap_s", [FAULT_GAP_S, NO_FAULTS_S])
 @pytest.mark.parametrize("seed", range(SEEDS))
-def test_all_items_are_listed_soon_after_the_trouble(
+def test_all_items_are_listed_soon_after_the_fault(
     seed: int, fault_gap_s: float, fails_by_turns: bool
 ) -> None:
     async def scenario() -> None:
--- a/tests/batch/test_runner.py
+++ b/tests/batch/test_runner.py
@@ -64,7 +64,7 @@
     return outcomes[0], events, got
 
 
-def test_a_whole_stream() -> None:
+def test_a_complete_stream() -> None:
     outcome, events, got = run(HEAD + event(1, "a") + event(2, "b") + LAST_CHUNK)
     assert outcome is None
     assert events == [("1", "a"), ("2", "b")]
@@ -101,14 +101,14 @@
     assert request.deadline is None  # timeout_ms does not cover items
 
 
-def test_a_cut_keeps_whole_events_only() -> None:
+def test_a_truncated_answer_keeps_complete_events_only() -> None:
     half = chunk(b"id: 2\ndata: b\n")
     outcome, events, _ = run(HEAD + event(1, "a") + half)
     assert outcome is Failure.TRUNCATED
     assert events == [("1", "a")]
 
 
-def test_an_answer_that_ends_in_order_but_amid_an_event_is_not_whole() -> None:
+def test_an_answer_that_ends_in_order_but_amid_an_event_is_not_complete() -> None:
     outcome, _, _ = run(HEAD + event(1, "a") + chunk(b"id: 2\ndata: b\n") + LAST_CHUNK)
     assert outcome is Failure.TRUNCATED
 
@@ -116,14 +116,14 @@
 UNFRAMED = b"HTTP/1.1 200 OK\r\nRequest-Id: i1\r\nResponse-Signature: x\r\n\r\n"
 
 
-def test_an_answer_without_a_length_is_whole_between_events_only() -> None:
+def test_an_answer_without_a_length_is_complete_between_events_only() -> None:
     assert run(UNFRAMED + b"id: 1\ndata: a\n\n")[0] is None
     assert run(UNFRAMED + b"id: 1\ndata: a\n\nid: 2\nda")[0] is Failure.TRUNCATED
     assert run(UNFRAMED + b"id: 1\rdata: a\r\r")[:2] == (None, [("1", "a")])
     assert run(UNFRAMED)[0] is Failure.TRUNCATED
 
 
-def test_a_rest_that_is_empty_is_whole_only_where_the_head_says_that_nothing_comes() -> None:
+def test_an_empty_rest_is_complete_only_where_the_head_frames_an_empty_body() -> None:
     assert run(HEAD + LAST_CHUNK, last_event_id="3")[0] is None
     assert run(UNFRAMED, last_event_id="3")[0] is Failure.TRUNCATED
 
@@ -135,7 +135,7 @@
     assert b"last-event-id: 3\r\n" in got.lower()
 
 
-def test_a_run_that_was_to_continue_but_begins_anew_is_not_taken() -> None:
+def test_a_run_that_was_to_continue_but_begins_anew_is_rejected() -> None:
     outcome, events, _ = run(HEAD + event(1, "a") + LAST_CHUNK, last_event_id="3")
     assert outcome is Failure.TRUNCATED
     assert events == []
@@ -201,7 +201,7 @@
     assert outcomes == [Failure.OTHER_VERSION]
 
 
-def test_a_connection_that_its_worker_forgot_is_told_from_a_cut() -> None:
+def test_a_stale_connection_is_told_apart_from_a_truncated_answer() -> None:
     whole = HEAD + event(1, "a") + LAST_CHUNK
 
     async def scenario() -> None:
@@ -252,11 +252,9 @@
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\n")
             writer.write(HEAD + event(1, "a"))
-            try:
+            with contextlib.suppress(ConnectionError):
                 while await reader.read(100):
                     pass
-            except ConnectionError:
-                pass
             closed.set()
             writer.close()
 
@@ -265,10 +263,8 @@
         worker = WorkerRecord("w1", "s", f"127.0.0.1:{port}", "z", 4, "ready")
         pool = WorkerPool()
         first = asyncio.Event()
-        run_item = HttpItemRunner(pool).run(
-            QueuedItem("j", ROUTE, item("i1")), worker, lambda *_: first.set()
-        )
-        task = asyncio.create_task(run_item)
+        entry = QueuedItem("j", ROUTE, item("i1"))
+        task = asyncio.create_task(HttpItemRunner(pool).run(entry, worker, lambda *_: first.set()))
         await first.wait()
         task.cancel()
         await closed.wait()
--- a/tests/batch/test_scheduler.py
+++ b/tests/batch/test_scheduler.py
@@ -110,7 +110,7 @@
     assert "j" in scheduler
 
 
-def test_a_cut_item_keeps_its_text_and_continues_first() -> None:
+def test_a_truncated_item_keeps_its_text_and_continues_first() -> None:
     scheduler = ItemScheduler()
     add(scheduler, "j", item("cut", 10), item("rest", 5))
     entry = start_one(scheduler, 0.0)
--- a/tests/batch/test_service.py
+++ b/tests/batch/test_service.py
@@ -60,27 +60,22 @@
         self.state = BatchState(self.clock)
         self.log = FakeLog(self.state)
         self.runner = FakeRunner()
-        self.execution = ItemExecution(
-            self.state,
-            ResultCommitter(self.log),
-            ExecutionEnvironment(
-                AdmissionDispatcher(lambda: self.tables, self.chooser, self.admissions, self.clock),
-                self.runner,
-                lambda: self.tables,
-                lambda _now: self.fresh,
-                self.clock,
-            ),
+        self.execution = ItemExecution(self.state, ResultCommitter(self.log), self._execution_environment())
+        service_environment = ServiceEnvironment(
+            lambda: self.tables,
+            self.clock,
+            RetentionLimits(status_s=120, result_budget_bytes=0),
+            max_state_bytes=MAX_STATE_BYTES,
         )
-        self.service = BatchService(
-            self.log,
-            self.state,
-            self.execution,
-            ServiceEnvironment(
-                lambda: self.tables,
-                self.clock,
-                RetentionLimits(status_s=120, result_budget_bytes=0),
-                max_state_bytes=MAX_STATE_BYTES,
-            ),
+        self.service = BatchService(self.log, self.state, self.execution, service_environment)
+
+    def _execution_environment(self) -> ExecutionEnvironment:
+        return ExecutionEnvironment(
+            AdmissionDispatcher(lambda: self.tables, self.chooser, self.admissions, self.clock),
+            self.runner,
+            lambda: self.tables,
+            lambda _now: self.fresh,
+            self.clock,
         )
 
     def take_tables(self, known: Tables) -> None:
@@ -138,7 +133,7 @@
     scenario(test)
 
 
-def test_a_job_is_taken_once() -> None:
+def test_a_job_is_accepted_once() -> None:
     async def test(store: Store) -> None:
         store.log.held = True
         calls = [asyncio.create_task(store.service.handle(submit("j", "a"))) for _ in range(2)]
@@ -172,7 +167,7 @@
 
 @pytest.mark.parametrize("ended", [False, True])
 @pytest.mark.parametrize("new_leader", [False, True])
-def test_a_job_that_was_taken_is_taken_again_whatever_the_quota_and_its_state(
+def test_an_accepted_job_is_accepted_again_whatever_the_quota_and_its_state(
     ended: bool, new_leader: bool
 ) -> None:
     async def test(store: Store) -> None:
@@ -236,7 +231,7 @@
     scenario(test, tables(routes=(route(max_queued_tokens=100),)))
 
 
-def test_where_the_log_takes_nothing_a_job_is_refused_and_its_quota_free() -> None:
+def test_where_the_log_refuses_commands_a_job_is_rejected_and_its_quota_free() -> None:
     async def test(store: Store) -> None:
         store.log.takes = False
         reply = await store.service.handle(submit("j1", "a", tokens=60))
@@ -250,7 +245,7 @@
     scenario(test, tables(routes=(route(max_queued_tokens=100),)))
 
 
-def test_where_the_log_takes_nothing_a_job_does_not_end_and_its_results_wait() -> None:
+def test_where_the_log_refuses_commands_a_job_does_not_end_and_its_results_wait() -> None:
     async def test(store: Store) -> None:
         assert await store.service.handle(submit("j", "a", "b")) == JobAccepted()
         await store.exchanges(2)
--- a/tests/batch/test_status.py
+++ b/tests/batch/test_status.py
@@ -27,7 +27,7 @@
     return status_of(store.group, asyncio.get_running_loop().time())
 
 
-def test_a_store_is_not_emptied_before_its_leaving_is_committed() -> None:
+def test_a_store_is_not_decommissioned_before_its_departure_is_committed() -> None:
     """A later leader may take the change back, and needs the member then."""
 
     async def scenario() -> None:
--- a/tests/batch/virtual_cluster.py
+++ b/tests/batch/virtual_cluster.py
@@ -24,6 +24,7 @@
 from pewterring.consensus.messages import ConsensusMessage, Entry
 from pewterring.consensus.persistent import HardState
 from pewterring.distribution.messages import WorkerRecord
+from pewterring.distribution.tables import Tables
 from pewterring.routing.chooser import WorkerChooser
 from tests.batch.stand_ins import route, tables, worker
 from tests.consensus.memory_storage import MemoryStorage
@@ -33,7 +34,7 @@
 EVENTS = 3  # of the answer to an item
 EVENT_PAUSE_S = 0.02
 CALL_S = 1.0  # a caller's patience with one store
-RETRY_PAUSE_S = 0.03  # of a caller between tries
+RETRY_PAUSE_S = 0.03  # of a caller between attempts
 DOWN_S = 0.4  # how long a store that failed stays away
 GIVE_UP_S = 60.0  # virtual time after which a call counts as never answered
 
@@ -115,46 +116,47 @@
         self.alive = True
         self.storage = storage
         self.state = cluster.state_type(loop.time)
-        self.group = ReplicatedGroup(
+        self.group = self._build_group(cluster)
+        known = tables(worker("w1", capacity=50), routes=(cluster.route,))
+        log = GroupLog(self.group)
+        self.execution = ItemExecution(
+            self.state, ResultCommitter(log), self._execution_environment(cluster, known)
+        )
+        service_environment = ServiceEnvironment(
+            lambda: known,
+            loop.time,
+            RetentionLimits(status_s=120, result_budget_bytes=0),
+            max_state_bytes=10**9,
+        )
+        self.service = BatchService(log, self.state, self.execution, service_environment)
+
+    def _build_group(self, cluster: "VirtualCluster") -> ReplicatedGroup:
+        return ReplicatedGroup(
             "batch-0",
-            name,
+            self.name,
             GroupEnvironment(
-                storage=storage,
+                storage=self.storage,
                 machine=self.state,
                 send=lambda message: cluster.send(self, message),
-                clock=loop.time,
-                rng=random.Random(name),
+                clock=asyncio.get_running_loop().time,
+                rng=random.Random(self.name),
                 executor=InlineExecutor(),
             ),
             callbacks=GroupCallbacks(on_leadership=lambda leads: self.service.leadership_changed(leads)),
         )
-        known = tables(worker("w1", capacity=50), routes=(cluster.route,))
-        chooser = WorkerChooser("z", random.Random(name))
+
+    def _execution_environment(self, cluster: "VirtualCluster", known: Tables) -> ExecutionEnvironment:
+        clock = asyncio.get_running_loop().time
+        chooser = WorkerChooser("z", random.Random(self.name))
         chooser.update(known.workers, known.configuration)
-        admissions = BatchAdmissions(random.Random(name))
-        admissions.update(loop.time(), known, chooser)
-        log = GroupLog(self.group)
-        self.execution = ItemExecution(
-            self.state,
-            ResultCommitter(log),
-            ExecutionEnvironment(
-                AdmissionDispatcher(lambda: known, chooser, admissions, loop.time),
-                cluster.workers,
-                lambda: known,
-                lambda now: self.alive and self.group.has_lease(now),
-                loop.time,
-            ),
-        )
-        self.service = BatchService(
-            log,
-            self.state,
-            self.execution,
-            ServiceEnvironment(
-                lambda: known,
-                loop.time,
-                RetentionLimits(status_s=120, result_budget_bytes=0),
-                max_state_bytes=10**9,
-            ),
+        admissions = BatchAdmissions(random.Random(self.name))
+        admissions.update(clock(), known, chooser)
+        return ExecutionEnvironment(
+            AdmissionDispatcher(lambda: known, chooser, admissions, clock),
+            cluster.workers,
+            lambda: known,
+            lambda now: self.alive and self.group.has_lease(now),
+            clock,
         )
 
 
--- a/tests/consensus/planned_simulation.py
+++ b/tests/consensus/planned_simulation.py
@@ -7,7 +7,7 @@
 import contextlib
 from collections.abc import Callable
 
-from pewterring.batch.program import MEMBERSHIP_CHECK_PERIOD_S
+from pewterring.batch.partitions import MEMBERSHIP_CHECK_PERIOD_S
 from pewterring.consensus.departure import DEPARTURE_TIMEOUT_FRACTION
 from pewterring.consensus.errors import ConsensusError
 from pewterring.consensus.membership import address_of, voters_needed
--- a/tests/simulation/patches.py
+++ b/tests/simulation/patches.py
@@ -11,7 +11,9 @@
 from loguru import logger
 
 from pewterring.batch import partition as batch_partition
+from pewterring.batch import partitions as batch_partitions
 from pewterring.batch import program as batch_program
+from pewterring.batch import worker_access as batch_worker_access
 from pewterring.configuration import validation
 from pewterring.configuration.reader import read_configuration
 from pewterring.consensus.group import ReplicatedGroup
@@ -206,10 +208,10 @@
         (batch_partition, "FolderDisk", _disk_of(world)),
         (batch_partition, "ReplicatedGroup", partial(ObservedGroup, world)),
         (batch_partition, "DiskGroupStorage", partial(DiskGroupStorage, segment_bytes=SEGMENT_BYTES)),
-        (batch_program, "FolderDisk", _disk_of(world)),
+        (batch_partitions, "FolderDisk", _disk_of(world)),
         (batch_program, "secrets", _Secrets(world)),
-        (batch_program, "AdmissionHeartbeats", NoHeartbeats),
-        (batch_program, "HttpItemRunner", lambda *_: world.items),
+        (batch_worker_access, "AdmissionHeartbeats", NoHeartbeats),
+        (batch_worker_access, "HttpItemRunner", lambda *_: world.items),
         (identity, "FolderDisk", _disk_of(world)),
         (identity, "secrets", _Secrets(world)),
         (link_pool, "connect", world.network.connect),
--- a/tests/simulation/world.py
+++ b/tests/simulation/world.py
@@ -79,7 +79,7 @@
         """The group of the process that runs now."""
         if not self.running or self.program is None:
             return None
-        return next((partition.group for partition in self.program._partitions.values()), None)
+        return next((partition.group for partition in self.program.partitions), None)
 
 
 class Gateway(Machine):
