--- a/pewterring/batch/scheduler.py
+++ b/pewterring/batch/scheduler.py
@@ -11,8 +11,9 @@
 from dataclasses import dataclass, field
 from enum import Enum, auto
 from itertools import count
+from typing import NamedTuple
 
-from sortedcontainers import SortedDict  # type: ignore[import-untyped]
+from sortedcontainers import SortedDict  # type: ignore[import-untyped]  # ships no type hints
 
 from pewterring.batch.messages import ItemSpec
 from pewterring.batch.state import RouteKey
@@ -85,6 +86,14 @@
         return self.terms.due_at, self.id
 
 
+class _Backoff(NamedTuple):
+    """An item that waits for its next attempt; orders by time, then by age."""
+
+    until: float
+    number: int  # distinct, so that items are never compared
+    item: QueuedItem
+
+
 class ItemScheduler:
     """Keeps all unfinished items of one partition's leader and says which start and which are given up."""
 
@@ -92,7 +101,7 @@
         self._jobs: dict[str, _QueuedJob] = {}
         self._in_time: SortedDict = SortedDict()  # order -> job with ready items
         self._late: SortedDict = SortedDict()
-        self._backing_off: list[tuple[float, int, QueuedItem]] = []
+        self._backing_off: list[_Backoff] = []
         self._expiries: list[tuple[float, str]] = []
         self._numbers = count()
         self._run_s = INITIAL_RUN_S
@@ -198,7 +207,7 @@
             return self._finish(item)
         backoff_s = min(MAX_BACKOFF_S, MIN_BACKOFF_S * 2**item.backoffs)
         item.backoffs += 1
-        heapq.heappush(self._backing_off, (now + backoff_s, next(self._numbers), item))
+        heapq.heappush(self._backing_off, _Backoff(now + backoff_s, next(self._numbers), item))
         return False
 
     def expire(self, now: float) -> list[QueuedItem]:
@@ -261,8 +270,8 @@
 
     def _release(self, now: float) -> None:
         """Items whose backoff is over are ready again, before all others of their job."""
-        while self._backing_off and self._backing_off[0][0] <= now:
-            _, _, item = heapq.heappop(self._backing_off)
+        while self._backing_off and self._backing_off[0].until <= now:
+            item = heapq.heappop(self._backing_off).item
             job = self._job_of(item)
             if job is None:
                 continue
--- a/tests/batch/stand_ins.py
+++ b/tests/batch/stand_ins.py
@@ -73,9 +73,9 @@
     is_leader: bool = True
     leader: str = "10.0.0.1#a"
     lease: bool = True
-    held: bool = False  # proposals wait for `release`
+    paused: bool = False  # proposals wait for `release`
     lose: bool = False  # proposals end without a known outcome
-    takes: bool = True  # else proposals are refused
+    accepts: bool = True  # else proposals are refused
     barriers: int = 0
     commands: list[Command] = field(default_factory=list)
     _gate: asyncio.Event = field(default_factory=asyncio.Event)
@@ -86,9 +86,9 @@
     async def propose(self, command: Command) -> Outcome:
         if not self.is_leader:
             raise NotLeadingError("not the leader")
-        if not self.takes:
+        if not self.accepts:
             raise CommandRefusedError("too much waits")
-        while self.held:
+        while self.paused:
             await self._gate.wait()
         if self.lose:
             raise CommandOutcomeUnknownError("lost")
@@ -101,7 +101,7 @@
             raise NotLeadingError("not the leader")
 
     def release(self) -> None:
-        self.held = False
+        self.paused = False
         self._gate.set()
 
 
--- a/tests/batch/test_capacity.py
+++ b/tests/batch/test_capacity.py
@@ -23,7 +23,7 @@
     assert 2 * most < memory_mb * 1_000_000
 
 
-def test_a_disk_that_holds_no_log_holds_no_job_and_one_of_unknown_size_sets_no_bound() -> None:
+def test_a_disk_too_small_for_the_log_allows_no_job_and_one_of_unknown_size_sets_no_bound() -> None:
     assert max_state_bytes(StoreLimits(300, 20)) == 0
     assert max_state_bytes(StoreLimits(300)) == max_state_bytes(StoreLimits(300, 10_000))
 
@@ -46,13 +46,13 @@
 
 def test_a_job_beyond_the_stores_capacity_is_rejected_and_accepted_ones_stay() -> None:
     async def test(store: Store) -> None:
-        kept = job_of("kept", MAX_STATE_BYTES - 10)
-        assert await store.service.handle(kept) == JobAccepted()
+        accepted = job_of("kept", MAX_STATE_BYTES - 10)
+        assert await store.service.handle(accepted) == JobAccepted()
         refused = await store.service.handle(job_of("more", 11))
         assert isinstance(refused, JobRejected)
         assert not refused.over_quota
         assert store.state.job("more") is None
-        assert await store.service.handle(kept) == JobAccepted()
+        assert await store.service.handle(accepted) == JobAccepted()
         assert await store.service.handle(job_of("fits", 10)) == JobAccepted()
 
     scenario(test)
--- a/tests/batch/test_dispatch.py
+++ b/tests/batch/test_dispatch.py
@@ -35,7 +35,9 @@
         self.clock = ManualClock()
         self.admissions = BatchAdmissions(random.Random(1))
         self.chooser = WorkerChooser("z", random.Random(2))
-        nodes = tuple(NodeRecord(f"g{n}", "gateway", f"10.1.0.{n}", "z", "life") for n in range(gateways))
+        nodes = tuple(
+            NodeRecord(f"g{number}", "gateway", f"10.1.0.{number}", "z", "life") for number in range(gateways)
+        )
         self.tables = replace(known, nodes=nodes)
         self.chooser.update(self.tables.workers, self.tables.configuration)
         self.admissions.update(self.clock.now, self.tables, self.chooser)
@@ -49,13 +51,13 @@
             self.items.append(queued)
         return found
 
-    def place_all(self) -> int:
-        """Places items until no more fit; how many are out."""
+    def assign_all(self) -> int:
+        """Assigns items until no more fit; returns how many are in flight."""
         while self.assign() is not None:
             pass
         return len(self.items)
 
-    def beat(self, peer: int, out: int, limit: float = 2 * SLOTS, kind: int = GATEWAY) -> None:
+    def heartbeat(self, peer: int, out: int, limit: float = 2 * SLOTS, kind: int = GATEWAY) -> None:
         data = write_beat(Beat(peer, 1, limit, out, 1.0, 1.0))
         self.admissions.hear(self.clock.now, kind, peer, SERVICE, data)
 
@@ -70,29 +72,29 @@
 
 def test_items_take_most_of_the_concurrency_limit_when_live_requests_take_none() -> None:
     fixture = two_workers()
-    fixture.beat(1, out=0)
-    assert fixture.place_all() == 18
+    fixture.heartbeat(1, out=0)
+    assert fixture.assign_all() == 18
 
 
 def test_items_leave_what_live_requests_have_out_and_a_margin() -> None:
     fixture = two_workers()
-    fixture.beat(1, out=8)
-    assert fixture.place_all() == 4  # 18 - 8 - 2 * sqrt(8)
+    fixture.heartbeat(1, out=8)
+    assert fixture.assign_all() == 4  # 18 - 8 - 2 * sqrt(8)
 
 
 @pytest.mark.parametrize("gateways", [0, 1])
 def test_a_service_of_one_slot_runs_one_item_while_live_requests_leave_it_free(gateways: int) -> None:
     fixture = Fixture(tables(worker("w1", capacity=1)), gateways)
-    assert fixture.place_all() == 1
+    assert fixture.assign_all() == 1
     fixture.dispatcher.finished(fixture.items.pop(), ExchangeOutcome.ANSWERED)
-    fixture.beat(1, out=1)
-    assert fixture.place_all() == 0
+    fixture.heartbeat(1, out=1)
+    assert fixture.assign_all() == 0
 
 
 def test_a_slot_that_an_item_frees_is_used_again() -> None:
     fixture = two_workers()
-    fixture.beat(1, out=8)
-    fixture.place_all()
+    fixture.heartbeat(1, out=8)
+    fixture.assign_all()
     fixture.dispatcher.finished(fixture.items[0], ExchangeOutcome.ANSWERED)
     assert fixture.assign() is not None
     assert fixture.assign() is None
@@ -100,28 +102,28 @@
 
 def test_the_concurrency_limit_is_the_lower_median_of_what_processes_infer() -> None:
     fixture = two_workers(gateways=2)
-    fixture.beat(1, out=0, limit=10.0)
-    fixture.beat(2, out=0, limit=10.0)
-    assert fixture.place_all() == 9
+    fixture.heartbeat(1, out=0, limit=10.0)
+    fixture.heartbeat(2, out=0, limit=10.0)
+    assert fixture.assign_all() == 9
 
 
 def test_one_low_limit_among_many_decides_nothing() -> None:
     fixture = two_workers(gateways=2)
-    fixture.beat(1, out=0, limit=2.0)
-    fixture.beat(2, out=0)
-    assert fixture.place_all() == 18
+    fixture.heartbeat(1, out=0, limit=2.0)
+    fixture.heartbeat(2, out=0)
+    assert fixture.assign_all() == 18
 
 
 def test_limits_beyond_the_slots_bring_no_more_items() -> None:
     fixture = two_workers(gateways=2)
-    fixture.beat(1, out=0, limit=40.0)
-    fixture.beat(2, out=0, limit=40.0)
-    assert fixture.place_all() <= 18
+    fixture.heartbeat(1, out=0, limit=40.0)
+    fixture.heartbeat(2, out=0, limit=40.0)
+    assert fixture.assign_all() <= 18
 
 
 def test_slower_first_events_lower_the_concurrency_limit() -> None:
     fixture = two_workers()
-    fixture.beat(1, out=0)
+    fixture.heartbeat(1, out=0)
     admission = fixture.admissions.of("s")
     before = admission.room(fixture.clock.now)
     for seconds in [0.02] * 200 + [0.5] * 200:
@@ -130,45 +132,45 @@
         fixture.dispatcher.first_event(fixture.items[-1])
         fixture.dispatcher.finished(fixture.items[-1], ExchangeOutcome.ANSWERED)
         fixture.admissions.tick(fixture.clock.now)
-        fixture.beat(1, out=0, limit=0.0)
+        fixture.heartbeat(1, out=0, limit=0.0)
     assert admission.out == 0
     assert admission.room(fixture.clock.now) < before
 
 
 def test_items_keep_to_half_of_the_concurrency_limit_without_heartbeats_of_gateways() -> None:
     fixture = two_workers()
-    assert fixture.place_all() == 10
-    fixture.beat(1, out=0)
-    assert fixture.place_all() == 18
+    assert fixture.assign_all() == 10
+    fixture.heartbeat(1, out=0)
+    assert fixture.assign_all() == 18
     fixture.clock.now += LEASE_S + 0.1
     fixture.dispatcher.finished(fixture.items[0], ExchangeOutcome.ANSWERED)
     assert fixture.assign() is None
 
 
-def test_items_of_another_store_count_until_it_is_silent() -> None:
+def test_items_of_another_store_count_until_its_heartbeats_time_out() -> None:
     fixture = two_workers()
-    fixture.beat(1, out=0)
-    fixture.beat(9, out=15, kind=BATCH)
-    assert fixture.place_all() == 3
+    fixture.heartbeat(1, out=0)
+    fixture.heartbeat(9, out=15, kind=BATCH)
+    assert fixture.assign_all() == 3
     fixture.clock.now += 1.1
-    assert fixture.place_all() == 18
+    assert fixture.assign_all() == 18
 
 
 def test_the_heartbeat_reports_how_many_items_are_in_flight() -> None:
     fixture = two_workers()
-    fixture.beat(1, out=0)
+    fixture.heartbeat(1, out=0)
     fixture.assign()
     other = BatchAdmissions(random.Random(3))
     other.update(fixture.clock.now, fixture.tables, fixture.chooser)
-    room = other.of("s").room(fixture.clock.now)
-    for number, beat in fixture.admissions.tick(fixture.clock.now).items():
-        other.hear(fixture.clock.now, BATCH, 5, number, beat)
-    assert other.of("s").room(fixture.clock.now) == room - 1
+    capacity = other.of("s").room(fixture.clock.now)
+    for number, heartbeat in fixture.admissions.tick(fixture.clock.now).items():
+        other.hear(fixture.clock.now, BATCH, 5, number, heartbeat)
+    assert other.of("s").room(fixture.clock.now) == capacity - 1
 
 
-def test_a_worker_nearly_full_by_its_own_word_gets_no_item() -> None:
+def test_a_worker_nearly_full_by_its_own_report_gets_no_item() -> None:
     fixture = two_workers()
-    fixture.beat(1, out=0)
+    fixture.heartbeat(1, out=0)
     first = fixture.assign()
     assert first is not None
     fixture.dispatcher.load_reported(first, Load(running=SLOTS, waiting=3))
@@ -178,7 +180,7 @@
 
 def test_a_worker_gets_no_item_while_it_has_much_to_read() -> None:
     fixture = Fixture(tables(worker("w1", capacity=100)), gateways=1)
-    fixture.beat(1, out=0, limit=100.0)
+    fixture.heartbeat(1, out=0, limit=100.0)
     tokens = int(0.7 * MAX_PREFILL_S / PER_TOKEN_S)
     assert fixture.assign(prompt(tokens, "a")) is not None
     assert fixture.assign(prompt(tokens, "b")) is not None
@@ -246,18 +248,18 @@
 
 def test_workers_that_all_fail_are_tried_again_soon_however_often_they_failed() -> None:
     fixture = two_workers()
-    fixture.beat(1, out=0)
+    fixture.heartbeat(1, out=0)
     fail_all(fixture, times=8)
     assert {found.id for found in (fixture.assign(), fixture.assign()) if found} == {"w1", "w22"}
     assert fixture.assign() is None  # one item each, until it is answered
     for queued in fixture.items:
         fixture.dispatcher.finished(queued, ExchangeOutcome.ANSWERED)
-    assert fixture.place_all() > 2
+    assert fixture.assign_all() > 2
 
 
 def test_a_failing_worker_is_not_tried_while_another_is_well() -> None:
     fixture = two_workers()
-    fixture.beat(1, out=0)
+    fixture.heartbeat(1, out=0)
     first = fixture.assign()
     assert first is not None
     fixture.dispatcher.finished(fixture.items[0], ExchangeOutcome.TRUNCATED)
@@ -275,7 +277,7 @@
     return replace(known, configuration=replace(known.configuration, services=services))
 
 
-def test_a_prompt_goes_where_its_parts_were_read() -> None:
+def test_a_prompt_goes_where_its_prefix_is_cached() -> None:
     read = {"Prompt-Prefix": "only:2000", "Token-Usage": "2000,10"}
     for last in ("w1", "w22"):
         fixture = Fixture(two_workers_with_engines())
@@ -290,9 +292,9 @@
 
 
 def test_services_of_a_route_get_items_by_weight() -> None:
-    parts = (WeightedService("s", 3.0), WeightedService("t", 1.0))
+    services = (WeightedService("s", 3.0), WeightedService("t", 1.0))
     workers = [worker("w1", capacity=100), worker("w22", service="t", capacity=100)]
-    fixture = Fixture(tables(*workers, routes=(route(services=parts),)))
+    fixture = Fixture(tables(*workers, routes=(route(services=services),)))
     for name in ("s", "t"):
         fixture.admissions.of(name).rescale(fixture.clock.now, 100, 0)
     for _ in range(40):
@@ -309,9 +311,9 @@
     assert fixture.admissions.of("s").out == 0
 
 
-def test_items_of_one_shared_part_do_not_crowd_the_worker_that_keeps_it() -> None:
+def test_items_of_one_shared_prefix_do_not_crowd_the_worker_that_caches_it() -> None:
     fixture = two_workers()
-    fixture.beat(1, out=0)
+    fixture.heartbeat(1, out=0)
     shared = prompt(2000, "own")
     first = fixture.assign(shared)
     assert first is not None
@@ -326,7 +328,7 @@
 
 def test_times_are_learnt_where_nothing_was_waited_for() -> None:
     fixture = two_workers()
-    fixture.beat(1, out=0)
+    fixture.heartbeat(1, out=0)
     fixture.assign(prompt(1000, "a"))
     fixture.clock.now += 0.1
     fixture.dispatcher.first_event(fixture.items[-1])
--- a/tests/batch/test_fault_points.py
+++ b/tests/batch/test_fault_points.py
@@ -48,7 +48,7 @@
             assert (result.state, result.text) == ("succeeded", complete_text(result.id))
 
 
-async def life_of_a_job(cluster: VirtualCluster) -> None:
+async def play_job(cluster: VirtualCluster) -> None:
     """Submits a job twice, reads it while it runs, again from the start, and ends it."""
     assert await cluster.call(JOB) == JobAccepted()
     assert await cluster.call(JOB) == JobAccepted()
@@ -76,7 +76,7 @@
         cluster = VirtualCluster(points)
         await cluster.start()
         try:
-            await life_of_a_job(cluster)
+            await play_job(cluster)
             leaders = 3  # each leader may begin an item once more, and one attempt fails by design
             assert max(cluster.workers.begun.values()) <= leaders
         finally:
@@ -91,7 +91,7 @@
 
 
 @pytest.mark.parametrize(
-    "fault", [VirtualCluster.kill_leader, VirtualCluster.cut_leader, VirtualCluster.kill_all]
+    "fault", [VirtualCluster.kill_leader, VirtualCluster.isolate_leader, VirtualCluster.kill_all]
 )
 def test_a_job_is_complete_whatever_point_a_store_fails_at(fault: Fault) -> None:
     for at in range(1, play(0, no_fault).passed + 1):
@@ -117,7 +117,7 @@
     run(scenario())
 
 
-def test_an_end_holds_through_a_failover_and_nothing_starts_after() -> None:
+def test_an_end_survives_a_failover_and_nothing_starts_after() -> None:
     async def scenario() -> None:
         cluster = VirtualCluster(FaultPoints())
         await cluster.start()
@@ -135,12 +135,12 @@
     run(scenario())
 
 
-def test_a_leader_that_is_cut_off_starts_nothing() -> None:
+def test_an_isolated_leader_starts_nothing() -> None:
     async def scenario() -> None:
         cluster = VirtualCluster(FaultPoints())
         await cluster.start()
         assert await cluster.call(JOB) == JobAccepted()
-        cluster.cut_leader()
+        cluster.isolate_leader()
         known: list[ItemResult] = []
         await read_to_the_end(cluster, known)
         check_results(known)
--- a/tests/batch/test_members.py
+++ b/tests/batch/test_members.py
@@ -28,7 +28,7 @@
     assert others == [FOURTH, same_zone.member]
 
 
-def test_the_zone_of_a_store_that_leaves_is_free() -> None:
+def test_the_zone_of_a_decommissioned_store_is_free() -> None:
     successor = store("10.0.0.8#h", zone="10.0.0.3")
     other = store("10.0.0.9#i", zone="10.0.0.2")
     nodes = (other, successor, store(OWN), store(SECOND), store(THIRD, retiring=True))
@@ -43,7 +43,7 @@
     assert candidates.current_names["10.0.0.3"] == THIRD_EMPTY
 
 
-def test_a_spare_store_in_another_zone_takes_the_place_of_a_lost_one() -> None:
+def test_a_spare_store_in_another_zone_replaces_a_lost_one() -> None:
     same_zone = store("10.0.0.0#e", zone="10.0.0.2")
     nodes = (same_zone, store(OWN), store(SECOND), store(FOURTH))
     group = PlannedGroupStandIn(USUAL, (OWN, SECOND, FOURTH, same_zone.member))
--- a/tests/batch/test_program.py
+++ b/tests/batch/test_program.py
@@ -243,7 +243,7 @@
     asyncio.run(run())
 
 
-def test_a_store_that_lost_its_disk_gets_its_place_back_under_a_new_name(tmp_path: Path) -> None:
+def test_a_store_that_lost_its_disk_rejoins_under_a_new_name(tmp_path: Path) -> None:
     async def run() -> None:
         async with cluster(tmp_path) as stores:
             job = SubmitJob("j", *ROUTE, items=(item("i"),))
@@ -285,6 +285,6 @@
 
 def tell_stores(gateway: DatagramPort, sequence: int, out: int) -> None:
     """A gateway's heartbeat: a concurrency limit of ten, and so many live requests in flight."""
-    beat = write_beat(Beat(1, sequence, 10.0, out, 10.0, 1.0))
+    heartbeat = write_beat(Beat(1, sequence, 10.0, out, 10.0, 1.0))
     for ip in STORE_IPS:
-        gateway.send(ip, write_heartbeat(GATEWAY, {service_number("s"): beat}))
+        gateway.send(ip, write_heartbeat(GATEWAY, {service_number("s"): heartbeat}))
--- a/tests/batch/test_quota.py
+++ b/tests/batch/test_quota.py
@@ -16,7 +16,7 @@
 
 LIMIT = 100
 EVENT_PAUSE_S = 0.2
-SETTLE_S = 1.0  # a refused job is held against the tokens that waited so long ago
+REPORT_LAG_S = 1.0  # a rejected job is compared with the tokens that waited so long ago
 FAULT_S = 3.0  # around a fault, in which results may get lost
 TOKENS = st.lists(st.integers(1, 40), min_size=1, max_size=4)
 
@@ -70,7 +70,7 @@
     def most_counted(self) -> int:
         """What may have been counted when a job was refused just now, that job included."""
         jobs = self.jobs | self.under_way
-        return self.waiting(jobs, self.loop.time() - SETTLE_S) + self.unlisted(jobs)
+        return self.waiting(jobs, self.loop.time() - REPORT_LAG_S) + self.unlisted(jobs)
 
     def unlisted(self, jobs: dict[str, dict[str, int]]) -> int:
         """Tokens of items that a worker finished while a fault may have lost the result: they wait again."""
@@ -113,15 +113,15 @@
         self.await_(self._at_once(self.cluster.kill_all))
 
     @rule()
-    def cut_the_leader_off(self) -> None:
-        self.await_(self._at_once(self.cluster.cut_leader))
+    def isolate_the_leader(self) -> None:
+        self.await_(self._at_once(self.cluster.isolate_leader))
 
     async def _at_once(self, fault: Callable[[], None]) -> None:
         self.faults.append(self.loop.time())
         fault()
 
     @invariant()
-    def the_bound_holds_at_every_accept(self) -> None:
+    def the_limit_is_kept_at_every_accept(self) -> None:
         assert self.max_waiting <= LIMIT
 
     def teardown(self) -> None:
--- a/tests/batch/test_recovery_after_faults.py
+++ b/tests/batch/test_recovery_after_faults.py
@@ -15,26 +15,26 @@
 
 SEEDS = 12
 ITEMS = 15
-TROUBLE_S = (8.0, 14.0)
+FAULT_PERIOD_S = (8.0, 14.0)
 FAULT_GAP_S = 3.0  # between losses of a leader, on the average
 NO_FAULTS_S = 100.0  # the gap where leaders stay
-CALM_S = 5.0  # all is listed within this: the last leader's return, and the pauses after failures
-TROUBLES = (Failure.REFUSED, Failure.REFUSED, Failure.OTHER_VERSION, Failure.STALE, Failure.TRUNCATED, None)
+RECOVERY_S = 5.0  # all is listed within this: the last leader's return, and the pauses after failures
+FAULTS = (Failure.REFUSED, Failure.REFUSED, Failure.OTHER_VERSION, Failure.STALE, Failure.TRUNCATED, None)
 
 
-class TroubledWorkers(Workers):
-    """Refuses, cuts at once or midway, until the trouble is over. Nothing fails an item for good."""
+class FaultyWorkers(Workers):
+    """Refuses, truncates at once or midway, until the faults are over. Nothing fails an item for good."""
 
     def __init__(self, rng: random.Random, fails_by_turns: bool) -> None:
         super().__init__(FaultPoints(), EVENT_PAUSE_S)
         self._rng = rng
         self._fails_by_turns = fails_by_turns
-        self.trouble = True
+        self.faulty = True
 
     async def run(self, queued: QueuedItem, worker: WorkerRecord, on_event: EventHandler) -> Failure | None:
-        if not self.trouble:
+        if not self.faulty:
             return await super().run(queued, worker, on_event)
-        failure = self._rng.choice(TROUBLES) if self._fails_by_turns else Failure.REFUSED
+        failure = self._rng.choice(FAULTS) if self._fails_by_turns else Failure.REFUSED
         if failure is not None:
             return failure
         running = asyncio.create_task(super().run(queued, worker, on_event))
@@ -46,17 +46,17 @@
         return Failure.TRUNCATED
 
 
-async def trouble(
-    cluster: VirtualCluster, workers: TroubledWorkers, rng: random.Random, fault_gap_s: float
+async def inject_faults(
+    cluster: VirtualCluster, workers: FaultyWorkers, rng: random.Random, fault_gap_s: float
 ) -> None:
     """Takes leaders away at random for a while, with this pause between them on the average."""
     loop = asyncio.get_running_loop()
-    ends_at = loop.time() + rng.uniform(*TROUBLE_S)
+    ends_at = loop.time() + rng.uniform(*FAULT_PERIOD_S)
     while (left_s := ends_at - loop.time()) > (pause_s := rng.expovariate(1 / fault_gap_s)):
         await asyncio.sleep(pause_s)
-        rng.choice([cluster.kill_leader, cluster.cut_leader, cluster.kill_all])()
+        rng.choice([cluster.kill_leader, cluster.isolate_leader, cluster.kill_all])()
     await asyncio.sleep(left_s)
-    workers.trouble = False
+    workers.faulty = False
 
 
 async def results_of(cluster: VirtualCluster, job: str) -> list[ItemResult]:
@@ -77,13 +77,13 @@
     async def scenario() -> None:
         rng = random.Random(seed)
         cluster = VirtualCluster(FaultPoints())
-        workers = cluster.workers = TroubledWorkers(rng, fails_by_turns)
+        workers = cluster.workers = FaultyWorkers(rng, fails_by_turns)
         await cluster.start()
         try:
             items = tuple(item(f"i{number}") for number in range(ITEMS))
             assert await cluster.call(SubmitJob("j", *ROUTE, items=items)) == JobAccepted()
-            await trouble(cluster, workers, rng, fault_gap_s)
-            async with asyncio.timeout(CALM_S):
+            await inject_faults(cluster, workers, rng, fault_gap_s)
+            async with asyncio.timeout(RECOVERY_S):
                 results = await results_of(cluster, "j")
             assert sorted(result.id for result in results) == sorted(spec.id for spec in items)
             assert all(result.text == complete_text(result.id) for result in results)
--- a/tests/batch/test_runner.py
+++ b/tests/batch/test_runner.py
@@ -201,8 +201,8 @@
     assert outcomes == [Failure.OTHER_VERSION]
 
 
-def test_a_stale_connection_is_told_apart_from_a_truncated_answer() -> None:
-    whole = HEAD + event(1, "a") + LAST_CHUNK
+def test_a_stale_connection_differs_from_a_truncated_answer() -> None:
+    complete = HEAD + event(1, "a") + LAST_CHUNK
 
     async def scenario() -> None:
         answered = asyncio.Event()
@@ -210,7 +210,7 @@
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             if not answered.is_set():
                 await reader.readuntil(b"\r\n\r\na")
-                writer.write(whole)
+                writer.write(complete)
                 answered.set()
             await reader.readuntil(b"\r\n\r\na")
             writer.transport.abort()
--- a/tests/batch/test_scheduler.py
+++ b/tests/batch/test_scheduler.py
@@ -62,7 +62,7 @@
     assert names(scheduler.items_to_start(11.0, 2)) == ["p1", "m1"]
 
 
-def test_a_route_without_places_does_not_hold_up_another() -> None:
+def test_a_route_without_capacity_does_not_block_another() -> None:
     scheduler = ItemScheduler()
     add(scheduler, "first", item("f1"), terms=replace(TERMS, due_at=10))
     add(scheduler, "second", item("s1"), terms=replace(TERMS, due_at=20), route=OTHER_ROUTE)
--- a/tests/batch/test_service.py
+++ b/tests/batch/test_service.py
@@ -135,7 +135,7 @@
 
 def test_a_job_is_accepted_once() -> None:
     async def test(store: Store) -> None:
-        store.log.held = True
+        store.log.paused = True
         calls = [asyncio.create_task(store.service.handle(submit("j", "a"))) for _ in range(2)]
         await until(lambda: not store.log.commands)
         store.log.release()
@@ -148,7 +148,7 @@
 
 def test_the_quota_counts_jobs_that_are_being_committed() -> None:
     async def test(store: Store) -> None:
-        store.log.held = True
+        store.log.paused = True
         first = asyncio.create_task(store.service.handle(submit("j1", "a", tokens=60)))
         await asyncio.sleep(0)
         second = await store.service.handle(submit("j2", "a", tokens=60))
@@ -196,11 +196,11 @@
         for exchange in store.runner.exchanges:
             exchange.answer(exchange.item.spec.id)
         await store.page("j", 2, LONG_MS)
-        whole = (await store.page("j")).results
-        assert len(whole) == 3
+        complete = (await store.page("j")).results
+        assert len(complete) == 3
         for after in range(6):
             page = await store.page("j", after, LONG_MS)
-            assert (page.total, page.results) == (3, whole[after:])
+            assert (page.total, page.results) == (3, complete[after:])
             assert page.next_position == max(after, 3)
 
     scenario(test)
@@ -221,7 +221,7 @@
     scenario(test)
 
 
-def test_an_unsure_proposal_frees_its_part_of_the_quota() -> None:
+def test_a_proposal_of_unknown_outcome_releases_its_quota() -> None:
     async def test(store: Store) -> None:
         store.log.lose = True
         assert await store.service.handle(submit("j1", "a", tokens=60)) == OutcomeUnknown()
@@ -233,13 +233,13 @@
 
 def test_where_the_log_refuses_commands_a_job_is_rejected_and_its_quota_free() -> None:
     async def test(store: Store) -> None:
-        store.log.takes = False
+        store.log.accepts = False
         reply = await store.service.handle(submit("j1", "a", tokens=60))
         assert isinstance(reply, JobRejected)
         assert not reply.over_quota
         assert reply.retry_after_s > 0
         assert store.state.job("j1") is None
-        store.log.takes = True
+        store.log.accepts = True
         assert await store.service.handle(submit("j2", "a", tokens=60)) == JobAccepted()
 
     scenario(test, tables(routes=(route(max_queued_tokens=100),)))
@@ -249,13 +249,13 @@
     async def test(store: Store) -> None:
         assert await store.service.handle(submit("j", "a", "b")) == JobAccepted()
         await store.exchanges(2)
-        store.log.takes = False
+        store.log.accepts = False
         store.runner.exchanges[0].answer("x")
         await asyncio.sleep(0)
         assert (await store.page("j", 0, 0)).results == ()
-        store.log.takes = True
+        store.log.accepts = True
         assert len((await store.page("j", 0, LONG_MS)).results) == 1
-        store.log.takes = False
+        store.log.accepts = False
         assert isinstance(await store.service.handle(EndJob("j")), NotLeading)
         job = store.state.job("j")
         assert job is not None
@@ -339,7 +339,7 @@
     async def test(store: Store) -> None:
         await store.service.handle(submit("j", "a"))
         await store.exchanges(1)
-        store.log.held = True
+        store.log.paused = True
         ending = asyncio.create_task(store.service.handle(EndJob("j")))
         await until(lambda: store.runner.cancelled == ["a"])
         assert not any(isinstance(command, CloseJob) for command in store.log.commands)
@@ -355,7 +355,7 @@
     async def test(store: Store) -> None:
         await store.service.handle(submit("j", "a", "b", "c"))
         await store.exchanges(3)
-        store.log.held = True
+        store.log.paused = True
         store.runner.exchanges[0].answer("x")
         await until(lambda: store.execution.running == 2)
         await asyncio.sleep(0)
@@ -423,7 +423,7 @@
     scenario(test)
 
 
-def test_a_worker_of_another_version_keeps_its_place_among_those_that_are_well() -> None:
+def test_a_worker_of_another_version_stays_healthy() -> None:
     async def test(store: Store) -> None:
         await store.service.handle(submit("j", "a"))
         await store.exchanges(1)
--- a/tests/batch/test_status.py
+++ b/tests/batch/test_status.py
@@ -34,16 +34,16 @@
         cluster = VirtualCluster(FaultPoints())
         await cluster.start()
         leader = await leader_with_lease(cluster)
-        stays, leaves = (name for name in NAMES if name != leader.name)
-        retirement = Retirement("node", leaves)
-        cluster.cut |= {stays, leaves}
+        stays, leaving = (name for name in NAMES if name != leader.name)
+        retirement = Retirement("node", leaving)
+        cluster.isolated |= {stays, leaving}
         removal = asyncio.ensure_future(leader.group.change_membership(Membership((leader.name, stays))))
         await asyncio.sleep(0.05)
         early = report(leader)
         assert early is not None, "the lease still holds"
-        assert leaves not in early.voters
+        assert leaving not in early.voters
         assert not is_emptied(retirement, [PLACEMENT], {"batch-0": early}, ENOUGH)
-        cluster.cut.clear()
+        cluster.isolated.clear()
         await removal
         await asyncio.sleep(0.2)
         late = report(leader)
--- a/tests/batch/virtual_cluster.py
+++ b/tests/batch/virtual_cluster.py
@@ -174,7 +174,7 @@
         self.route = limited or route()
         self.state_type = state_type
         self.workers = Workers(points, event_pause_s)
-        self.cut: set[str] = set()
+        self.isolated: set[str] = set()
         self.stores: dict[str, Store] = {}
         self._closing: set[asyncio.Task[None]] = set()
 
@@ -198,12 +198,12 @@
 
     def send(self, sender: Store, message: ConsensusMessage) -> None:
         self.points.reach()
-        if sender.alive and not self.cut & {sender.name, message.target}:
+        if sender.alive and not self.isolated & {sender.name, message.target}:
             asyncio.get_running_loop().call_soon(self._deliver, message)
 
     def _deliver(self, message: ConsensusMessage) -> None:
         store = self.stores[message.target]
-        if store.alive and message.sender not in self.cut and message.target not in self.cut:
+        if store.alive and message.sender not in self.isolated and message.target not in self.isolated:
             store.group.receive(message)
 
     # Faults
@@ -233,11 +233,11 @@
             if store.alive:
                 self.kill(store)
 
-    def cut_leader(self) -> None:
+    def isolate_leader(self) -> None:
         """The others and callers cannot reach it; it works on and does not know yet."""
         if (leader := self.leader()) is not None:
-            self.cut.add(leader.name)
-            asyncio.get_running_loop().call_later(2.0, self.cut.discard, leader.name)
+            self.isolated.add(leader.name)
+            asyncio.get_running_loop().call_later(2.0, self.isolated.discard, leader.name)
 
     # The caller
 
@@ -246,16 +246,16 @@
         async with asyncio.timeout(GIVE_UP_S):
             while True:
                 for name in NAMES:
-                    reply = await self.ask(name, call)
+                    reply = await self.call_store(name, call)
                     if reply is not None:
                         return reply
                 await asyncio.sleep(RETRY_PAUSE_S)
 
-    async def ask(self, name: str, call: BatchCall) -> BatchReply | None:
+    async def call_store(self, name: str, call: BatchCall) -> BatchReply | None:
         """One store's answer; None where it has none or it does not arrive."""
         store = self.stores[name]
         self.points.reach()
-        if not store.alive or name in self.cut:
+        if not store.alive or name in self.isolated:
             return None
         try:
             async with asyncio.timeout(CALL_S):
@@ -263,6 +263,6 @@
         except TimeoutError:
             return None
         self.points.reach()
-        if not store.alive or name in self.cut or isinstance(reply, NotLeading | OutcomeUnknown):
+        if not store.alive or name in self.isolated or isinstance(reply, NotLeading | OutcomeUnknown):
             return None
         return reply
