--- a/pewterring/control/errors.py
+++ b/pewterring/control/errors.py
@@ -31,6 +31,10 @@
         )
 
 
+class RelayError(ControlError):
+    """The leader did not answer a relayed call. It may have been handled; the same call may be repeated."""
+
+
 class CommandOutcomeUnknownError(ControlError):
     """A command may or may not come into force. The same command may be sent again: it is idempotent."""
 
--- a/pewterring/control/leadership.py
+++ b/pewterring/control/leadership.py
@@ -19,7 +19,10 @@
 
 
 class Leadership(Protocol):
-    """What answering calls needs of the replicated group. All raise `NotLeading` or `OutcomeUnsure`."""
+    """What answering calls needs of the group.
+
+    All raise `NotLeadingError` or `CommandOutcomeUnknownError`.
+    """
 
     async def propose(self, command: Command) -> Result:
         """Commits a command and gives the result of applying it."""
@@ -28,7 +31,7 @@
         """Returns once all that was committed before the call has been applied here."""
 
     def check_lease(self) -> None:
-        """Raises `NotLeading` unless no other member can lead now."""
+        """Raises `NotLeadingError` unless no other member can lead now."""
 
 
 class GroupLeadership:
@@ -45,7 +48,7 @@
         return self.ready and self._group.has_lease(self._clock())
 
     def check_lease(self) -> None:
-        """Raises `NotLeading` without a lease."""
+        """Raises `NotLeadingError` without a lease."""
         if not self.has_lease:
             raise NotLeadingError
 
@@ -60,14 +63,14 @@
         return self._group.newest_round
 
     def check_round(self, term: int, number: int) -> None:
-        """Raises `CallTooOld` unless this leader sent that round a moment ago, else `NotLeading`."""
+        """Raises `StaleCallError` unless this leader sent that round a moment ago, else `NotLeadingError`."""
         if not self.ready:
             raise NotLeadingError
         if not self._group.is_recent_round(term, number, self._clock()):
             raise StaleCallError
 
     async def propose(self, command: Command) -> Result:
-        """Commits a command; raises `NotLeading` or `OutcomeUnsure`."""
+        """Commits a command; raises `NotLeadingError` or `CommandOutcomeUnknownError`."""
         if not self.ready:
             raise NotLeadingError
         try:
@@ -79,7 +82,7 @@
         return cast(Result, result)
 
     async def read_barrier(self) -> None:
-        """Waits until all that was committed before is applied; raises `NotLeading`."""
+        """Waits until all that was committed before is applied; raises `NotLeadingError`."""
         if not self.ready:
             raise NotLeadingError
         try:
--- a/pewterring/control/program.py
+++ b/pewterring/control/program.py
@@ -130,7 +130,7 @@
         """Starts all parts; returns once it listens.
 
         Raises:
-            GroupFailed: The member's log cannot be read.
+            GroupFailedError: The member's log cannot be read.
             OSError: The address for messages between machines cannot be listened at.
         """
         await self._listener.start(self._settings.ip, self._settings.internal_port)
--- a/pewterring/control/relay.py
+++ b/pewterring/control/relay.py
@@ -14,12 +14,7 @@
 from loguru import logger
 
 from pewterring.control.calls import Answer, Call, endpoint_at, error_answer
-from pewterring.control.errors import (
-    CommandOutcomeUnknownError,
-    ControlError,
-    NotLeadingError,
-    StaleCallError,
-)
+from pewterring.control.errors import CommandOutcomeUnknownError, NotLeadingError, RelayError, StaleCallError
 from pewterring.control.messages import RelayedAnswer, RelayedCall
 from pewterring.transport.lines import TransportError
 
@@ -29,10 +24,6 @@
 Request = Callable[[str, msgspec.Struct, float], Awaitable[msgspec.Struct]]
 
 
-class RelayError(ControlError):
-    """The leader did not answer a relayed call. It may have been handled; the same call may be repeated."""
-
-
 class LeaderView(Protocol):
     """What this machine knows of the leader, and of the heartbeat rounds by which relayed calls are dated."""
 
@@ -45,14 +36,14 @@
         """Term and number of the newest round that is known here."""
 
     def check_round(self, term: int, number: int) -> None:
-        """Raises `NotLeading`, or `CallTooOld` unless this leader sent that round a moment ago."""
+        """Raises `NotLeadingError`, or `StaleCallError` unless this leader sent that round a moment ago."""
 
 
 class CallRouter:
     """Repeats calls until one is answered or the time is over. All calls may be handled more than once.
 
     Args:
-        handle_here: Answers a call as the leader; raises `NotLeading` where this machine does not lead.
+        handle_here: Answers a call as the leader; raises `NotLeadingError` where this machine does not lead.
         leader: What is known here of the leader.
         request: Sends a message to a machine and waits for the reply; raises `TransportError`.
         own_ip: Of this machine.
