--- a/pewterring/gateway/live_attempt.py
+++ b/pewterring/gateway/live_attempt.py
@@ -237,7 +237,8 @@
     async def _pass_answer(self, head: AnswerHead, body: bytes) -> AttemptEnd:
         self._learn_from_first_byte()
         self._worker.answered()
-        self._trace_event()
+        if self._admitted.trace is not None:
+            self._admitted.trace.event(self._worker.heard_at)
         await self._admitted.responder.respond(head.status, client_headers(head), body)
         return AttemptEnd.DONE
 
@@ -252,7 +253,8 @@
                 await responder.drain()
         self._pass_events(splitter.finish(), head)
         self._check_end(head, splitter)
-        self._begin_answer(head)
+        if not self._progress.begun:
+            self._begin_answer(head)
         responder.write(splitter.pending)  # empty lines at most
         responder.end()
         worker.answered()
@@ -272,15 +274,16 @@
             if events[0].id != self._resume_after + 1:
                 raise AnswerBroken("the stream does not go on behind the event that was requested")
             self._resume_after = None
-        self._begin_answer(head)
-        self._trace_event()
+        if not self._progress.begun:
+            self._begin_answer(head)
+        if self._admitted.trace is not None:
+            self._admitted.trace.event(self._worker.heard_at)
         self._admitted.responder.write(b"".join(event.raw for event in events))
         self._progress.last_event_id = events[-1].id
 
     def _begin_answer(self, head: AnswerHead) -> None:
-        if not self._progress.begun:
-            self._progress.begun = True
-            self._admitted.responder.begin(head.status, client_headers(head))
+        self._progress.begun = True
+        self._admitted.responder.begin(head.status, client_headers(head))
 
     def _check_end(self, head: AnswerHead, splitter: EventSplitter) -> None:
         """Checks that a stream that ended in good order is complete.
@@ -297,10 +300,6 @@
         if not head.framed and not self._first_byte_received:
             raise AnswerBroken("the stream ended with its connection before its first event")
 
-    def _trace_event(self) -> None:
-        if self._admitted.trace is not None:
-            self._admitted.trace.event(self._worker.heard_at)
-
     def _learn_from_first_byte(self) -> None:
         """Learns from the time to the first byte: the service's times, the worker's speed, the limit."""
         self._first_byte_received = True
