--- a/pewterring/batch/group_log.py
+++ b/pewterring/batch/group_log.py
@@ -31,11 +31,11 @@
         try:
             outcome = await self._group.propose(encode_command(command))
         except NotLeaderError as error:
-            raise NotLeadingError(str(error)) from error
+            raise NotLeadingError(self._text(error)) from error
         except TooManyUncommittedError as error:
-            raise CommandRefusedError(str(error)) from error
+            raise CommandRefusedError(self._text(error)) from error
         except ConsensusError as error:
-            raise CommandOutcomeUnknownError(str(error)) from error
+            raise CommandOutcomeUnknownError(self._text(error)) from error
         assert isinstance(outcome, Outcome)
         return outcome
 
@@ -44,4 +44,7 @@
         try:
             await self._group.read_barrier()
         except ConsensusError as error:
-            raise NotLeadingError(str(error)) from error
+            raise NotLeadingError(self._text(error)) from error
+
+    def _text(self, error: ConsensusError) -> str:
+        return f"group {self._group.group}: {error}"
--- a/tests/batch/test_service.py
+++ b/tests/batch/test_service.py
@@ -266,6 +266,8 @@
 
 def test_errors_of_the_group_say_whether_the_command_may_be_applied() -> None:
     class Group:
+        group = "batch-0"
+
         async def propose(self, _command: bytes) -> object:
             raise self.error
 
@@ -280,7 +282,7 @@
         (GroupFailedError("disk"), CommandOutcomeUnknownError),
     ):
         group.error = error
-        with pytest.raises(expected):
+        with pytest.raises(expected, match="group batch-0"):
             asyncio.run(log.propose(CloseJob("j")))
 
 
