--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -13,54 +13,64 @@
 MOST = 3
 
 
-class Red(NamedTuple):
+class KnownFailure(NamedTuple):
+    """A line of the list: a test that may fail, why, and the issue that is about it."""
+
     test: str
     cause: str
     issue: str
 
 
-def read_known(text: str) -> list[Red]:
-    """Raises ValueError for what cannot be used. No text is an empty list."""
+class KnownFailuresError(ValueError):
+    """The list cannot be used; the text says which line, or what about the whole."""
+
+
+def read_known(text: str) -> list[KnownFailure]:
+    """Returns the lines of the list; no text is an empty list.
+
+    Raises:
+        KnownFailuresError: The list cannot be used.
+    """
     lines = [line for line in text.splitlines() if line.strip()]
     if len(lines) > MOST:
-        raise ValueError(f"{len(lines)} tests, {MOST} at most")
+        raise KnownFailuresError(f"{len(lines)} tests, {MOST} at most")
     known = []
     for line in lines:
         parts = [part.strip() for part in line.split(" | ")]
         if len(parts) != 3 or not all(parts) or "::" not in parts[0]:
-            raise ValueError(f"not TEST | CAUSE | ISSUE: {line!r}")
-        known.append(Red(*parts))
-    if len({red.test for red in known}) < len(known):
-        raise ValueError("a test is named twice")
+            raise KnownFailuresError(f"not TEST | CAUSE | ISSUE: {line!r}")
+        known.append(KnownFailure(*parts))
+    if len({failure.test for failure in known}) < len(known):
+        raise KnownFailuresError("a test is named twice")
     return known
 
 
 def pytest_configure(config: pytest.Config) -> None:
     try:
         known = read_known(LIST.read_text(encoding="utf-8") if LIST.exists() else "")
-    except ValueError as error:
+    except KnownFailuresError as error:
         raise pytest.UsageError(f"{LIST.name}: {error}") from error
     config.stash[KNOWN] = known
 
 
-KNOWN = pytest.StashKey[list[Red]]()
+KNOWN = pytest.StashKey[list[KnownFailure]]()
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
     known = config.stash[KNOWN]
     collected = {item.nodeid: item for item in items}
     files = {item.nodeid.partition("::")[0] for item in items}
-    for red in known:
-        if item := collected.get(red.test):
-            item.add_marker(pytest.mark.xfail(reason=f"{red.cause} ({red.issue})", strict=True))
+    for failure in known:
+        if item := collected.get(failure.test):
+            item.add_marker(pytest.mark.xfail(reason=f"{failure.cause} ({failure.issue})", strict=True))
         elif (
-            red.test.partition("::")[0] in files
+            failure.test.partition("::")[0] in files
             and not config.option.keyword
             and "::" not in str(config.args)
         ):
-            raise pytest.UsageError(f"{LIST.name}: no such test: {red.test}")
+            raise pytest.UsageError(f"{LIST.name}: no such test: {failure.test}")
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter, config: pytest.Config) -> None:
-    for red in config.stash[KNOWN]:
-        terminalreporter.write_line(f"known red: {red.test}: {red.cause} ({red.issue})")
+    for failure in config.stash[KNOWN]:
+        terminalreporter.write_line(f"known red: {failure.test}: {failure.cause} ({failure.issue})")
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -112,7 +112,7 @@
     held = set()
     for entry in Path(f"/proc/{pid}/fd").iterdir():
         with contextlib.suppress(OSError):
-            held.add(os.readlink(entry))
+            held.add(str(entry.readlink()))
     lines = [line.split() for line in Path(f"/proc/{pid}/net/unix").read_text().splitlines()[1:]]
     return [line for line in lines if f"socket:[{line[6]}]" in held]
 
@@ -132,7 +132,8 @@
         assert children(pid) == []
         # The one pair is the loop's own to wake itself: no name, and nobody else at its other end.
         pair = unix_sockets(pid)
-        assert len(pair) <= 2 and all(len(line) == 7 for line in pair), pair
+        assert len(pair) <= 2, pair
+        assert all(len(line) == 7 for line in pair), pair
         child.send_signal(signal.SIGTERM)
         assert child.wait(PATIENCE) == 0
     did = [line.split() for line in watched.read_text().splitlines()]
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.conftest import Red, read_known
+from tests.conftest import KnownFailure, KnownFailuresError, read_known
 
 HERE = Path(__file__).resolve().parent
 LINE = "tests/test_it.py::test_one | a cause | 30\n"
@@ -14,12 +14,12 @@
 
 def test_the_list_is_read() -> None:
     assert read_known("") == []
-    assert read_known("\n" + LINE) == [Red("tests/test_it.py::test_one", "a cause", "30")]
+    assert read_known("\n" + LINE) == [KnownFailure("tests/test_it.py::test_one", "a cause", "30")]
 
 
 @pytest.mark.parametrize("text", ["what\n", "a::b | c\n", "a::b | | 3\n", LINE * 2, "ab | c | 3\n"])
 def test_what_is_no_list(text: str) -> None:
-    with pytest.raises(ValueError):
+    with pytest.raises(KnownFailuresError):
         read_known(text)
 
 
