--- a/pewterring/batch/dispatch.py
+++ b/pewterring/batch/dispatch.py
@@ -60,7 +60,7 @@
         """The first event of the item's exchange came: prefill is over."""
 
     def finished(self, item: QueuedItem, outcome: ExchangeOutcome) -> None:
-        """The exchange at the worker that `place` gave has ended."""
+        """The exchange at the worker that `assign` returned has ended."""
 
 
 def batch_route(tables: Tables, key: RouteKey) -> Route | None:
@@ -171,7 +171,7 @@
         elif outcome is ExchangeOutcome.REFUSED and worker.load(now) >= NEARLY_FULL_LOAD:
             worker.take_report(now, worker.record.capacity, 0)
         elif outcome in FAULT_OUTCOMES and (assignment.is_probe or not worker.suspect(now)):
-            # Answers workers that crash or leave: all their items end at once, which is one failure.
+            # For workers that crash or leave: all their items end at once, which counts as one failure.
             worker.failed(now)
 
     @staticmethod
--- a/pewterring/batch/errors.py
+++ b/pewterring/batch/errors.py
@@ -26,4 +26,4 @@
 
 
 class StoreSettingsError(BatchError):
-    """The store cannot start with its settings; the text names the setting to mend."""
+    """The store cannot start with its settings; the text names the setting to correct."""
--- a/pewterring/batch/execution.py
+++ b/pewterring/batch/execution.py
@@ -226,7 +226,7 @@
         elif self._scheduler.on_failure(item, failure, now):
             self._list(item, DEAD_LETTER, "")
         elif failure is Failure.FAILED:
-            # Answers a leader that is lost between two attempts: the next one goes on counting.
+            # For a leader that is lost between two attempts: the next leader goes on counting.
             self._committer.count_failures(ItemFailures(item.job, item.spec.id, item.failed_attempts))
 
     def _cancel(self, key: ItemKey) -> None:
--- a/pewterring/batch/messages.py
+++ b/pewterring/batch/messages.py
@@ -47,7 +47,7 @@
 
 
 class ItemResult(msgspec.Struct, frozen=True):
-    """One result as PROTOCOL has it; `state` is "succeeded" or "dead_letter"."""
+    """One result as the operators' page PROTOCOL describes it; `state` is "succeeded" or "dead_letter"."""
 
     id: str
     state: str
--- a/pewterring/batch/partition.py
+++ b/pewterring/batch/partition.py
@@ -170,7 +170,7 @@
     def may_start_items(self, now: float) -> bool:
         """Whether items may start.
 
-        Answers a leader that is cut off: another may lead, and may have ended jobs that are open here.
+        Guards against a leader that is cut off: another may lead, and may have ended jobs that are open here.
         """
         return self.group.has_lease(now) and self._tables_are_fresh(now)
 
--- a/pewterring/batch/scheduler.py
+++ b/pewterring/batch/scheduler.py
@@ -159,7 +159,7 @@
         return min(times, default=None)
 
     def start(self, now: float, assign: Callable[[QueuedItem], bool]) -> list[QueuedItem]:
-        """Starts items in order, those that `place` finds a worker for.
+        """Starts items in order, those that `assign` finds a worker for.
 
         Where it finds none, the rest of that route waits: its items all go to the same workers.
         """
--- a/pewterring/batch/service.py
+++ b/pewterring/batch/service.py
@@ -120,7 +120,7 @@
         return False
 
     async def _confirm_leading(self) -> None:
-        """Returns where this store leads and its state holds all that is committed.
+        """Returns only if this store leads and its state holds all that is committed.
 
         Raises:
             NotLeadingError: Another store leads, or this one could not confirm that it does.
--- a/pewterring/consensus/group.py
+++ b/pewterring/consensus/group.py
@@ -114,7 +114,7 @@
         return raft.seconds_since_contact(member, now) if raft is not None else 0.0
 
     def is_departing(self, member: str) -> bool:
-        """Whether `member` has told this leader that its process is about to end; False elsewhere."""
+        """Whether `member` has announced to this leader that its process is about to end; False elsewhere."""
         raft = self._driver.raft
         return raft is not None and raft.is_departing(member)
 
--- a/pewterring/consensus/leader.py
+++ b/pewterring/consensus/leader.py
@@ -108,7 +108,7 @@
         )
 
     def _acknowledge_departures(self) -> None:
-        """A change was committed: who waits for it need not announce its departure again."""
+        """Acknowledges the departures of members that a committed change has removed from the voters."""
         for member, number in self._departing_members.departing().items():
             if member not in self._state.voters:
                 self._acknowledge_departure(member, number)
--- a/pewterring/consensus/pending.py
+++ b/pewterring/consensus/pending.py
@@ -27,7 +27,7 @@
 class PendingCalls:
     """Proposals by index and reads by ticket, each with the term in which this member led.
 
-    It owns the futures until they end; a caller that gives up leaves its future behind, which ends unheard.
+    It owns the futures until they end; the future of a caller that gave up ends too, read by nobody.
     """
 
     def __init__(self) -> None:
--- a/pewterring/consensus/raft.py
+++ b/pewterring/consensus/raft.py
@@ -135,7 +135,7 @@
         return self._leader_role is not None and self._leader_role.is_departing(member)
 
     def announce_departure(self) -> None:
-        """Tells the others that this process is about to end; again and again, until `has_left`."""
+        """Announces to all voters that this process is about to end, again and again until `has_departed`."""
         self._departure.announce()
 
     @property
--- a/pewterring/control/bounded_memory.py
+++ b/pewterring/control/bounded_memory.py
@@ -1,4 +1,4 @@
-"""Keeps mappings that remember the past below a limit."""
+"""Bounds the mappings that remember past versions and ids: the oldest entries are dropped."""
 
 from itertools import islice
 from typing import Any, TypeVar
--- a/pewterring/control/commands.py
+++ b/pewterring/control/commands.py
@@ -39,7 +39,7 @@
 
 
 class PutWorker(_Command, frozen=True):
-    """Adds or changes a worker; others at the same address go."""
+    """Adds or changes a worker; others at the same address are removed."""
 
     worker: WorkerRecord
 
@@ -142,7 +142,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OutcomeUnknown:
-    """The configuration is so old that whether it was taken is no longer known."""
+    """The configuration is so old that whether it was accepted is no longer known."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/pewterring/control/configuration_history.py
+++ b/pewterring/control/configuration_history.py
@@ -1,7 +1,7 @@
 """The operator's configuration in force, and which versions were accepted before it.
 
-Owns the compare-and-set of configurations: of several orders on the same base version one is accepted, and a
-repeated order gets the answer that it had, as long as its digest is remembered. What may go wrong: an order
+Owns the compare-and-set of configurations: of several changes to the same base version one is accepted, and a
+repeated change gets the answer that it had, as long as its digest is remembered. What may go wrong: a change
 whose digest is forgotten gets no clear answer (`OutcomeUnknown`), since a rejection could be wrong.
 """
 
--- a/pewterring/control/leadership.py
+++ b/pewterring/control/leadership.py
@@ -63,7 +63,12 @@
         return self._group.newest_round
 
     def check_round(self, term: int, number: int) -> None:
-        """Raises `StaleCallError` unless this leader sent that round a moment ago, else `NotLeadingError`."""
+        """Checks that this leader sent that round a moment ago.
+
+        Raises:
+            NotLeadingError: This member does not lead.
+            StaleCallError: The round is of another term, or too long ago.
+        """
         if not self.ready:
             raise NotLeadingError
         if not self._group.is_recent_round(term, number, self._clock()):
--- a/pewterring/control/relay.py
+++ b/pewterring/control/relay.py
@@ -36,7 +36,12 @@
         """Term and number of the newest round that is known here."""
 
     def check_round(self, term: int, number: int) -> None:
-        """Raises `NotLeadingError`, or `StaleCallError` unless this leader sent that round a moment ago."""
+        """Checks that this leader sent that round a moment ago.
+
+        Raises:
+            NotLeadingError: This machine does not lead.
+            StaleCallError: The round is of another term, or too long ago.
+        """
 
 
 class CallRouter:
@@ -83,7 +88,7 @@
         """Answers a call that another machine passed on, as the leader.
 
         One that was delayed on the way is not begun. Symptom answered: a partition or a freeze ends, and
-        orders whose callers were answered 503 long ago are carried out.
+        calls whose callers were answered 503 long ago are carried out.
         """
         call = Call(message.method, message.path, message.base_version, message.body)
         try:
--- a/pewterring/control/service.py
+++ b/pewterring/control/service.py
@@ -35,7 +35,7 @@
 
 
 class ControlService:
-    """Handles calls by endpoint. Orders are checked here, before they go to the log."""
+    """Handles calls by endpoint. Configurations and patches are checked before they go to the log."""
 
     def __init__(self, tables: LeaderState, leadership: Leadership, clock: Callable[[], float]) -> None:
         self._state = tables.replicated
@@ -103,7 +103,7 @@
         check: Callable[[bytes], ValidatedDocument],
         command_for: Callable[[int, ValidatedDocument], Command],
     ) -> Answer:
-        """Takes an order in either form. A patch is checked against its base only when it is applied."""
+        """Commits a configuration or a patch. A patch is checked against its base only when it is applied."""
         base = read_base_version(call.base_version)
         if base is None:
             return error_answer(400, "Base-Version is not a number")
@@ -111,7 +111,7 @@
             order = check(call.body)
         except ConfigurationError as error:
             return error_answer(400, str(error))
-        if order.version <= base:  # never accepted, so this repeats no order, also where its document was
+        if order.version <= base:  # never accepted, so this is no repeat, even if its document was
             return error_answer(400, f"version: not above Base-Version {base}")
         if self._state.has_accepted(order.version, order.digest):  # a repeat: the log need not hold it again
             await self._leadership.read_barrier()
--- a/pewterring/control/worker_table.py
+++ b/pewterring/control/worker_table.py
@@ -37,7 +37,7 @@
         return self._departed.keys()
 
     def put(self, command: PutWorker) -> Result:
-        """Adds or changes a worker. A draining one does not become ready again, a departed one stays away."""
+        """Adds or changes a worker. A draining one does not become ready again, a departed id stays out."""
         worker = command.worker
         known = self._records.get(worker.id)
         if known == worker or worker.id in self._departed:
--- a/pewterring/distribution/errors.py
+++ b/pewterring/distribution/errors.py
@@ -2,7 +2,7 @@
 
 
 class FeedError(Exception):
-    """What a control machine sent is not taken; the tables that the node has stay in force."""
+    """What a control machine sent is not used; the tables that the node has stay in force."""
 
 
 class FeedGapError(FeedError):
--- a/pewterring/gateway/front.py
+++ b/pewterring/gateway/front.py
@@ -46,7 +46,7 @@
         await self.http.stop()
 
     def _timeout_s(self, head: RequestHead) -> float:
-        """Returns the time that a request's body has to come: it counts into the request's (page CONFIG)."""
+        """Returns how long a request's body may take, within the request's time (operators' page CONFIG)."""
         routes = self._configuration.routes
         route = routes.find(head.host, head.target.partition("?")[0]) if routes else None
         return request_timeout_s(head, route)
--- a/pewterring/gateway/live_attempt.py
+++ b/pewterring/gateway/live_attempt.py
@@ -1,6 +1,6 @@
 """One attempt of a live request at one worker: sent, watched, and its answer passed to the client.
 
-Owns what the attempt counts at the worker (requests in flight, tokens to read) and its place among the
+Owns what the attempt counts at the worker (requests in flight, tokens of prefill) and its place among the
 attempts that are watched for stalls; both are given back however it ends. What other attempts of the same
 request must know is in `Progress`.
 """
@@ -68,7 +68,7 @@
     pool: WorkerPool
     chooser: WorkerChooser
     stalls: StallDetector
-    announce_prompt: Callable[[WorkerState, int, Prompt], None]  # a worker was given so many tokens to read
+    announce_prompt: Callable[[WorkerState, int, Prompt], None]  # a worker was sent so many tokens to prefill
     drain: Drain = field(default_factory=Drain)
 
 
--- a/pewterring/gateway/prompt_exchange.py
+++ b/pewterring/gateway/prompt_exchange.py
@@ -69,8 +69,8 @@
     def announce_wait(self, worker: WorkerState, seconds: float) -> None:
         """Announces that a request waits at a worker for so many seconds longer than it should.
 
-        Symptom answered: workers whose slots are taken, or that read prompts which nobody announced, show
-        it to none but those who wait there; each gateway found out alone, with a request of its own.
+        Symptom answered: workers whose slots are taken, or that are busy with prefills that nobody announced,
+        show it to none but those who wait there; each gateway found out alone, with a request of its own.
         """
         hint = WaitHint(worker_number(worker.record.id), seconds)
         self._send(write_wait_hint(hint), self._wait_budget)
--- a/pewterring/gateway/request_headers.py
+++ b/pewterring/gateway/request_headers.py
@@ -5,7 +5,7 @@
 from pewterring.configuration.model import Route
 from pewterring.transport.http_request import RequestHead, ServerRequest
 
-DEFAULT_REQUEST_TIMEOUT_MS = 60_000.0  # where the client names none (page CONFIG)
+DEFAULT_REQUEST_TIMEOUT_MS = 60_000.0  # where the client names none (operators' page CONFIG)
 
 
 def text_header(request: ServerRequest, name: bytes) -> str | None:
--- a/pewterring/gateway/stall_detector.py
+++ b/pewterring/gateway/stall_detector.py
@@ -50,8 +50,8 @@
     def is_overdue(self, now: float) -> bool:
         """Returns whether the worker is idle for longer than the time-out and its prefills explain.
 
-        Symptom answered: streams were taken away from workers that were reading a long prompt, and their own
-        prompts read anew elsewhere.
+        Symptom answered: streams were taken away from workers that were busy with a long prefill, and the
+        prefill of their own prompts was done again elsewhere.
         """
         heard_at = max(self.active_at, self.worker.heard_at)
         prefill_s = min(MAX_PREFILL_ALLOWANCE_S, self.worker.reading_after(heard_at))
