--- a/tests/simulation/__main__.py
+++ b/tests/simulation/__main__.py
@@ -22,7 +22,7 @@
     if os.environ.get("PYTHONHASHSEED") != "0":  # the order of sets is part of a run
         command = [sys.executable, "-m", "tests.simulation", *sys.argv[1:]]
         os.execve(sys.executable, command, os.environ | {"PYTHONHASHSEED": "0"})
-    began = time.monotonic()
+    began_s = time.monotonic()
     failed = orders = 0
     repair_s = 0.0
     for seed in range(arguments.seed, arguments.seed + arguments.schedules):
@@ -39,7 +39,7 @@
             _print_shortest(verdict)
             break
     played = seed - arguments.seed + 1
-    took = time.monotonic() - began
+    took = time.monotonic() - began_s
     print(
         f"{played} schedules from seed {arguments.seed}, {orders} orders, {failed} failed, {took:.0f} s; "
         f"redundancy was whole again {repair_s:.2f} s after a return at the latest"
@@ -49,9 +49,9 @@
 
 def _print_shortest(verdict: Verdict) -> None:
     shortest = shrink(verdict.schedule, lambda schedule: play(schedule).failed)
-    again = play(shortest)
+    repeated = play(shortest)
     print(f"shortest: {shortest}")
-    print("\n".join(("what happened:", *again.log, "what was wrong:", *again.violations)), flush=True)
+    print("\n".join(("what happened:", *repeated.log, "what was wrong:", *repeated.violations)), flush=True)
 
 
 if __name__ == "__main__":
--- a/tests/simulation/adversary.py
+++ b/tests/simulation/adversary.py
@@ -1,4 +1,8 @@
-"""Brings the faults of a schedule about, each at the first moment that the fault tolerance allows."""
+"""Injects the faults of a schedule, each at the first moment that the fault tolerance allows.
+
+The adversary owns which faults are armed, in progress or over. It never exceeds the tolerance, which
+`Losses` accounts for; a fault that is not allowed yet is retried, and given up after `GIVE_UP_S`.
+"""
 
 import random
 from collections.abc import Callable
@@ -8,29 +12,30 @@
 from tests.simulation.losses import CATCH_UP_S, Losses
 from tests.simulation.machines import Machine
 from tests.simulation.network import OUTSIDE
-from tests.simulation.schedule import GROUP_WIDE, HARMLESS, Fault, Kind, On, Point, Target
+from tests.simulation.schedule import GROUP_WIDE, HARMLESS, Fault, Kind, Point, Role, Target
 from tests.simulation.world import Gateway, GroupMachine, World
 
-CUT_AFTER_FREEZE_S = 0.4
-# These matter to all machines, wherever they are reached.
+PARTITION_AFTER_FREEZE_S = 0.4
+# Reached outside of any one machine: a fault at such a point may have any machine as its target.
 OUTSIDE_POINTS = {
     Point.ORDER_ACKED,
     Point.DRAIN_ACKED,
     Point.JOB_ACKED,
-    Point.RETIRED,
+    Point.DECOMMISSIONED,
     Point.REPLACED,
     Point.MEMBERS,
     Point.MEMBERS_APPLIED,
 }
-RETRY_S = 0.02  # between looks whether a fault is allowed
-POINT_S = 3.0  # a point that was not reached by then is not waited for
-GIVE_UP_S = 8.0  # a fault that was not allowed by then does not come
+RETRY_S = 0.02  # between checks whether a fault is allowed
+POINT_S = 3.0  # after that time a fault no longer waits for its point
+GIVE_UP_S = 8.0  # a fault that was not allowed by then is dropped
 GROUP_BACK_S = (0.05, 0.9)  # processes that were killed all at once are back within a second
+LOST_ANSWERS_FRACTION = 0.5  # of the answers to callers: most calls need a retry, none fails for ever
 REPLACED_S = (0.2, 3.0)  # from the loss of a machine to the start of its successor
 
 
 class Adversary:
-    """Plays the faults. `ended_s` is when the last one was over, so far."""
+    """Injects the faults of one run. `ended_s` is the virtual time at which the latest one ended."""
 
     def __init__(self, world: World, faults: tuple[Fault, ...], rng: random.Random) -> None:
         self._world = world
@@ -41,14 +46,14 @@
         self.ended_s = 0.0
         self.log: list[str] = []
         self._armed: list[tuple[Fault, float]] = []
-        self._ending: set[str] = set()  # machines that were told to end, for good
+        self._ending: set[str] = set()  # IPs of machines that are shutting down for good
         world.hooks.append(self._reached)
         for fault in faults:
-            world.loop.call_outside(fault.at, self._arm, fault)
+            world.loop.call_outside(fault.at_s, self._arm, fault)
 
     @property
     def done(self) -> bool:
-        """Whether all is over."""
+        """Whether every fault has ended or was dropped."""
         return not self.waiting and not self.under_way
 
     def _arm(self, fault: Fault) -> None:
@@ -69,7 +74,7 @@
             if fault.point.value != point:
                 continue
             if fault.kind not in GROUP_WIDE | HARMLESS:
-                here = self._pick(fault.target, fault.on)
+                here = self._pick(fault.target, fault.role)
                 if here is not machine and point not in OUTSIDE_POINTS:
                     continue
             if self._begin(fault):
@@ -78,7 +83,7 @@
     def _begin_when_allowed(self, fault: Fault) -> None:
         if self._begin(fault):
             return
-        if self._now > fault.at + GIVE_UP_S:
+        if self._now > fault.at_s + GIVE_UP_S:
             self.waiting -= 1
             return
         self._world.loop.call_outside(self._now + RETRY_S, self._begin_when_allowed, fault)
@@ -89,19 +94,11 @@
 
     # Targets
 
-    def _pick(self, target: Target, on: On) -> GroupMachine | None:
-        running = [
-            machine
-            for machine in self._world.core(on)
-            if machine.running and not self.losses.in_trouble(machine.ip) and machine.ip not in self._ending
-        ]
-        if target is Target.LOST:
-            running = [each for each in running if self.losses.is_catching_up(each.ip, self._now)]
-        else:
-            running = [each for each in running if not self.losses.is_catching_up(each.ip, self._now)]
+    def _pick(self, target: Target, role: Role) -> GroupMachine | None:
+        running = self._candidates(role, catching_up=target is Target.LOST)
         if not running:
             return None
-        leader = self._world.leader(on)
+        leader = self._world.leader(role)
         if target is Target.LEADER:
             return leader if leader in running else None
         if target is Target.FOLLOWER:
@@ -112,21 +109,32 @@
             return max(running, key=lambda machine: (machine.disk_made_s, machine.ip))
         return running[int(self._now * 1000) % len(running)]
 
+    def _candidates(self, role: Role, catching_up: bool) -> list[GroupMachine]:
+        """The machines without a fault that are catching up, or that are not."""
+        return [
+            machine
+            for machine in self._world.present_machines(role)
+            if machine.running
+            and not self.losses.is_faulty(machine.ip)
+            and machine.ip not in self._ending
+            and self.losses.is_catching_up(machine.ip, self._now) is catching_up
+        ]
+
     # Faults
 
     def _begin(self, fault: Fault) -> bool:
-        """Begins the fault if it is allowed now."""
+        """Begins the fault if it is allowed now; returns whether it did."""
         if fault.kind in HARMLESS:
-            self._note(fault, "")
+            self._record_fault(fault, "")
             self.waiting -= 1
             self._begin_harmless(fault)
             return True
         if fault.kind in GROUP_WIDE:
             return self._begin_group_wide(fault)
-        machine = self._pick(fault.target, fault.on)
+        machine = self._pick(fault.target, fault.role)
         if machine is None or not self.losses.allows(machine.ip, self._now):
             return False
-        self._note(fault, machine.ip)
+        self._record_fault(fault, machine.ip)
         self.waiting -= 1
         self.under_way += 1
         if fault.kind is Kind.PLANNED:
@@ -155,18 +163,24 @@
                 self._later(self._rng.uniform(*REPLACED_S), lambda: self._succeed(machine))
             case Kind.FREEZE:
                 self._freeze(machine, fault.lasts_s)
-            case Kind.CUT_FREEZE:
-                self._cut_and_freeze(fault, machine)
+            case Kind.PARTITION_FREEZE:
+                self._partition_and_freeze(fault, machine)
             case Kind.STUTTER:
                 self._stutter(machine, self._now + fault.lasts_s)
-            case Kind.CUT | Kind.CUT_IN | Kind.CUT_OUT | Kind.CUT_AWAY | Kind.CUT_VOTERS:
-                self._cut(fault, machine)
+            case (
+                Kind.PARTITION
+                | Kind.PARTITION_INBOUND
+                | Kind.PARTITION_OUTBOUND
+                | Kind.ISOLATE
+                | Kind.PARTITION_VOTERS
+            ):
+                self._partition(fault, machine)
             case _:
                 self._harm(fault, machine)
 
-    def _note(self, fault: Fault, ip: str) -> None:
+    def _record_fault(self, fault: Fault, ip: str) -> None:
         self.log.append(
-            f"{self._now:.4f} {fault.on.value} {ip} {fault.kind.value} for {fault.lasts_s} "
+            f"{self._now:.4f} {fault.role.value} {ip} {fault.kind.value} for {fault.lasts_s} "
             f"at {fault.point.value}"
         )
 
@@ -174,7 +188,7 @@
         self._world.loop.call_outside(self._now + after_s, action)
 
     def _over(self, machine: GroupMachine) -> None:
-        """The machine is back."""
+        """Records that the machine is back."""
         if machine.running or machine.gone:
             self.losses.back(machine.ip, self._now)
         self._ended()
@@ -187,26 +201,26 @@
         self._world.start(machine)
         self._over(machine)
 
-    def _restart_node(self, node: Gateway) -> None:
+    def _restart_gateway(self, node: Gateway) -> None:
         self._world.start_gateway(node)
         self._ended()
 
     def _succeed(self, machine: GroupMachine) -> None:
-        self._world.start(self._world.new_machine(machine.on))
+        self._world.start(self._world.new_machine(machine.role))
         self._over(machine)
 
     def _stop_for(self, machine: GroupMachine, lasts_s: float) -> None:
-        self.log.append(f"{self._now:.4f} {machine.on.value} {machine.ip} is told to end")
+        self.log.append(f"{self._now:.4f} {machine.role.value} {machine.ip} is told to end")
 
         def ended() -> None:
-            self.log.append(f"{self._now:.4f} {machine.on.value} {machine.ip} has ended")
+            self.log.append(f"{self._now:.4f} {machine.role.value} {machine.ip} has ended")
             self._later(lasts_s, lambda: self._restart(machine))
 
         self._world.stop(machine, ended)
 
     def _plan_replacement(self, machine: GroupMachine) -> None:
-        """The successor comes first; it has had its time when the old machine ends, which is no loss then."""
-        successor = self._world.new_machine(machine.on)
+        """Starts the successor first: it has caught up when the old machine stops, which is no loss then."""
+        successor = self._world.new_machine(machine.role)
         self._world.start(successor)
         self._later(CATCH_UP_S, lambda: self._remove(machine, successor))
 
@@ -214,18 +228,18 @@
         if machine.gone or successor.gone:  # without a successor it stays
             self._ended()
             return
-        lost = self.losses.in_trouble(machine.ip) or self.losses.counts(successor.ip, self._now)
+        lost = self.losses.is_faulty(machine.ip) or self.losses.counts(successor.ip, self._now)
         if not machine.running or lost:
             self._later(RETRY_S, lambda: self._remove(machine, successor))
             return
         self._ending.add(machine.ip)
-        self.log.append(f"{self._now:.4f} {machine.on.value} {machine.ip} is told to end")
+        self.log.append(f"{self._now:.4f} {machine.role.value} {machine.ip} is told to end")
 
         def removed() -> None:
             if not machine.gone:
                 machine.wipe()
                 machine.gone_s = self._now
-            self.log.append(f"{self._now:.4f} {machine.on.value} {machine.ip} is gone")
+            self.log.append(f"{self._now:.4f} {machine.role.value} {machine.ip} is gone")
             self._ended()
             self._reached(Point.REPLACED.value, machine)
 
@@ -242,15 +256,17 @@
 
         self._later(lasts_s, thaw)
 
-    def _cut_and_freeze(self, fault: Fault, machine: GroupMachine) -> None:
-        """It goes on before any of the others reaches it."""
+    def _partition_and_freeze(self, fault: Fault, machine: GroupMachine) -> None:
+        """Freezes a machine and partitions it for longer: it resumes before any other can reach it."""
         process = machine.process
         assert process is not None
         process.frozen = True
         self._later(fault.lasts_s, lambda: self._world.loop.thaw(process))
-        others = {other.ip for other in self._world.core(machine.on)} - {machine.ip}
-        cuts = {(other, machine.ip) for other in others} | {(machine.ip, other) for other in others}
-        self._cut_for(cuts, fault.lasts_s + CUT_AFTER_FREEZE_S, lambda: self._over(machine))
+        others = {other.ip for other in self._world.present_machines(machine.role)} - {machine.ip}
+        blocked_paths = {(other, machine.ip) for other in others} | {(machine.ip, other) for other in others}
+        self._block_paths(
+            blocked_paths, fault.lasts_s + PARTITION_AFTER_FREEZE_S, lambda: self._over(machine)
+        )
 
     def _stutter(self, machine: GroupMachine, until: float) -> None:
         process = machine.process
@@ -266,39 +282,43 @@
 
         self._later(self._rng.uniform(0.05, 0.6), thaw)
 
-    def _cut(self, fault: Fault, machine: GroupMachine) -> None:
-        others = {other.ip for other in self._world.core(machine.on)} - {machine.ip}
-        if fault.kind is Kind.CUT_VOTERS and machine.group is not None:
+    def _partition(self, fault: Fault, machine: GroupMachine) -> None:
+        others = {other.ip for other in self._world.present_machines(machine.role)} - {machine.ip}
+        if fault.kind is Kind.PARTITION_VOTERS and machine.group is not None:
             others &= {address_of(voter) for voter in machine.group.membership.voters}
-        if fault.kind is Kind.CUT_AWAY:
-            others |= {OUTSIDE, *self._world.nodes, *(each.ip for each in self._world.group_machines())}
+        if fault.kind is Kind.ISOLATE:
+            others |= {OUTSIDE, *self._world.gateways, *(each.ip for each in self._world.group_machines())}
             others.discard(machine.ip)
-        into = {(other, machine.ip) for other in others} if fault.kind is not Kind.CUT_OUT else set()
-        out = {(machine.ip, other) for other in others} if fault.kind is not Kind.CUT_IN else set()
-        self._cut_for(into | out, fault.lasts_s, lambda: self._over(machine))
+        into = (
+            {(other, machine.ip) for other in others} if fault.kind is not Kind.PARTITION_OUTBOUND else set()
+        )
+        out = {(machine.ip, other) for other in others} if fault.kind is not Kind.PARTITION_INBOUND else set()
+        self._block_paths(into | out, fault.lasts_s, lambda: self._over(machine))
 
-    def _cut_for(self, cuts: set[tuple[str, str]], lasts_s: float, then: Callable[[], object]) -> None:
+    def _block_paths(
+        self, blocked_paths: set[tuple[str, str]], lasts_s: float, then: Callable[[], object]
+    ) -> None:
         network = self._world.network
-        network.cuts |= cuts
+        network.blocked_paths |= blocked_paths
 
         def heal() -> None:
-            network.cuts -= cuts
+            network.blocked_paths -= blocked_paths
             network.heal()
             then()
 
         self._later(lasts_s, heal)
 
     def _harm(self, fault: Fault, machine: GroupMachine) -> None:
-        """The disk or the link is in trouble."""
+        """Degrades the disk or the link of a machine."""
         if fault.kind is Kind.SLOW_LINK:
-            self._world.network.slow.add(machine.ip)
+            self._world.network.slow_ips.add(machine.ip)
         elif fault.kind is Kind.FULL_DISK:
             machine.fill_disk()
         machine.slow_disk = fault.kind is Kind.SLOW_DISK
         machine.stalled = fault.kind is Kind.STALLED_DISK
 
         def repair() -> None:
-            self._world.network.slow.discard(machine.ip)
+            self._world.network.slow_ips.discard(machine.ip)
             machine.repair_disk()
             self._over(machine)
 
@@ -306,65 +326,74 @@
 
     def _begin_harmless(self, fault: Fault) -> None:
         world = self._world
-        machine = self._pick(fault.target, fault.on) or world.core()[0]
-        node = tuple(world.nodes.values())[int(fault.at * 1000) % len(world.nodes)]
+        machine = self._pick(fault.target, fault.role) or world.present_machines()[0]
+        node = tuple(world.gateways.values())[int(fault.at_s * 1000) % len(world.gateways)]
         if fault.kind is Kind.RESET:
             world.network.reset_some(machine.ip)
             return
         self.under_way += 1
-        if fault.kind is Kind.GATEWAY_CUT:
-            cuts = {(node.ip, machine.ip), (machine.ip, node.ip)}
-            self._cut_for(cuts, fault.lasts_s, self._ended)
+        if fault.kind is Kind.GATEWAY_PARTITION:
+            blocked_paths = {(node.ip, machine.ip), (machine.ip, node.ip)}
+            self._block_paths(blocked_paths, fault.lasts_s, self._ended)
         elif fault.kind is Kind.GATEWAY_KILL:
             if node.running:
                 node.kill()
-            self._later(fault.lasts_s, lambda: self._restart_node(node))
+            self._later(fault.lasts_s, lambda: self._restart_gateway(node))
         else:
-            world.http.lost_answers = 0.5
+            self._lose_answers(fault.lasts_s)
+
+    def _lose_answers(self, lasts_s: float) -> None:
+        http = self._world.http
+        http.lost_answers = LOST_ANSWERS_FRACTION
 
-            def end() -> None:
-                world.http.lost_answers = 0.0
-                self._ended()
+        def end() -> None:
+            http.lost_answers = 0.0
+            self._ended()
 
-            self._later(fault.lasts_s, end)
+        self._later(lasts_s, end)
 
     # Faults of the whole group
 
     def _begin_group_wide(self, fault: Fault) -> bool:
-        machines = [machine for machine in self._world.core(fault.on) if machine.running]
+        machines = [machine for machine in self._world.present_machines(fault.role) if machine.running]
         if not machines:
             return False
-        # One that ends by plan does not come back: killed with the others, before its own end, it is a loss.
+        # A machine under planned removal does not come back: killed with the others, it is a loss.
         ending = sum(machine.ip in self._ending for machine in machines)
         free = self.losses.free(self._now) - ending
-        if fault.kind is not Kind.CUT_ALL and ending and free < 0:
-            return False
-        wiped = 0
-        if fault.kind is Kind.WIPE_AND_POWER:
-            wiped = free
-            if wiped < 1:
-                return False
-        if fault.kind is Kind.CUT_ALL and self.losses.any_in_trouble:
+        if not self._allows_group_wide(fault.kind, ending, free):
             return False
-        self._note(fault, "")
+        self._record_fault(fault, "")
         self.waiting -= 1
-        if fault.kind is Kind.CUT_ALL:
-            self._cut_all(fault, machines)
-            return True
+        if fault.kind is Kind.PARTITION_ALL:
+            self._partition_group(fault, machines)
+        else:
+            self._end_all(fault.kind, machines, free if fault.kind is Kind.WIPE_AND_POWER else 0)
+        return True
+
+    def _allows_group_wide(self, kind: Kind, ending: int, free: int) -> bool:
+        """Whether the tolerance allows the fault, with `free` more losses beside the `ending` machines."""
+        if kind is Kind.PARTITION_ALL:
+            return not self.losses.any_faulty
+        if ending and free < 0:
+            return False
+        return kind is not Kind.WIPE_AND_POWER or free >= 1
+
+    def _end_all(self, kind: Kind, machines: list[GroupMachine], wiped: int) -> None:
+        """Ends all processes at once, and loses the `wiped` oldest disks."""
         machines.sort(key=lambda machine: (machine.disk_made_s, machine.ip))
-        for place, machine in enumerate(machines):
+        for position, machine in enumerate(machines):
             self.under_way += 1
             self.losses.begin(machine.ip)
-            if place < wiped:
+            if position < wiped:
                 machine.wipe()
-            elif fault.kind is Kind.KILL_ALL:
+            elif kind is Kind.KILL_ALL:
                 machine.kill()
             else:
                 machine.lose_power()
             self._later(self._rng.uniform(*GROUP_BACK_S), partial(self._restart, machine))
-        return True
 
-    def _cut_all(self, fault: Fault, machines: list[GroupMachine]) -> None:
+    def _partition_group(self, fault: Fault, machines: list[GroupMachine]) -> None:
         ips = [machine.ip for machine in machines]
         for ip in ips:
             self.losses.begin(ip)
@@ -375,4 +404,6 @@
                 self.losses.back(ip, self._now)
             self._ended()
 
-        self._cut_for({(a, b) for a in ips for b in ips if a != b}, fault.lasts_s, over)
+        self._block_paths(
+            {(source, target) for source in ips for target in ips if source != target}, fault.lasts_s, over
+        )
--- a/tests/simulation/batch.py
+++ b/tests/simulation/batch.py
@@ -1,4 +1,8 @@
-"""Batch clients, the workers that run their items, and the operator who empties stores."""
+"""Batch clients, the workers that run their items, and the operator who decommissions stores.
+
+The clients check as they go that acknowledged jobs stay known, that results never change, that rejected jobs
+never run and that cancelled ones stop in time.
+"""
 
 import asyncio
 import base64
@@ -15,39 +19,39 @@
 from pewterring.distribution.messages import WorkerRecord
 from pewterring.distribution.subscriber import FeedSubscriber
 from pewterring.gateway.batch_calls import BatchCalls, BatchRequest
-from tests.simulation.schedule import On
+from tests.simulation.schedule import Role
 
 if TYPE_CHECKING:
     from tests.simulation.world import World
 
-EVENTS = 3  # of the answer to an item
+EVENTS = 3  # in the answer to each item: enough to resume in the middle
 EVENT_S = 0.03
 PATIENCE_S = 2.5
-CANCEL_S = 3.0  # `cancel_ms`
-SETTLE_S = 1.0  # `settle_ms`
-FINISH_S = 10.0  # `finish_s`
-SUBMIT_TRIES = 12
+CANCEL_S = 3.0  # `cancel_ms`: no item of a job runs later than that after its cancellation was acknowledged
+COMMIT_S = 1.0  # `settle_ms`: a job is known everywhere so long after its acknowledgement
+FINISH_S = 10.0  # `finish_s`: all accepted jobs finish within that after the last fault
+SUBMIT_ATTEMPTS = 12
 CONTROL_PATIENCE_S = 1.0
 
 
 class Items:
-    """The workers' side of items: stands for the runner of a store."""
+    """The workers' side of items: stands for the item runner of a store."""
 
     def __init__(self, world: "World") -> None:
         self._world = world
         self.runs: Counter[str] = Counter()
-        self.refused: set[str] = set()  # jobs of which every try was refused
-        self.ended: dict[str, float] = {}  # jobs whose end was acknowledged, and when
+        self.refused: set[str] = set()  # jobs of which every attempt was rejected
+        self.ended: dict[str, float] = {}  # jobs whose cancellation was acknowledged, and when
 
-    async def run(self, queued: QueuedItem, worker: WorkerRecord, on_event: EventHandler) -> Failure | None:
+    async def run(self, queued: QueuedItem, _worker: WorkerRecord, on_event: EventHandler) -> Failure | None:
         """Runs one item at one worker."""
         name = queued.spec.id
         job = name.partition(".")[0]
         now = self._world.loop.time()
         if job in self.refused:
-            self._world.watch.violation(f"{name} runs, and its job was refused")
+            self._world.invariants.violation(f"{name} runs, and its job was refused")
         if now > self.ended.get(job, now) + CANCEL_S:
-            self._world.watch.violation(f"{name} runs after the end of its job was acknowledged")
+            self._world.invariants.violation(f"{name} runs after the end of its job was acknowledged")
         self.runs[name] += 1
         if "impossible" in name:
             return Failure.IMPOSSIBLE
@@ -59,13 +63,13 @@
         return None
 
 
-def whole_text(name: str) -> str:
-    """What a worker answers."""
+def complete_text(name: str) -> str:
+    """Returns the complete answer of a worker to an item."""
     return "\n".join(f"{name}.{number}" for number in range(1, EVENTS + 1))
 
 
 async def answer_batch_call(calls: BatchCalls, subscriber: FeedSubscriber, call: Call) -> Answer:
-    """A gateway's answer to a batch call; the base version stands for the id of a job."""
+    """Answers a batch call as a gateway does; the base version stands for the id of a job."""
     request = BatchRequest(call.method, call.path, "h", call.base_version, 0.0, PATIENCE_S, call.body)
     if call.method != "POST":
         answer = await calls.call(request)
@@ -95,18 +99,18 @@
     def __init__(self, name: str, items: tuple[str, ...]) -> None:
         self.name = name
         self.items = items
-        self.accepted_at = 0.0
+        self.accepted_at_s = 0.0
         self.ended = False
         self.results: list[_Result] = []
 
     @property
-    def whole(self) -> bool:
-        """Whether nothing is to come."""
+    def is_complete(self) -> bool:
+        """Whether no more results are expected."""
         return self.ended or len(self.results) == len(self.items)
 
 
 class BatchClient:
-    """Submits jobs, reads their results from any position, and now and then ends one."""
+    """Submits jobs, reads their results from any position, and occasionally cancels one."""
 
     def __init__(self, world: "World", name: str) -> None:
         self._world = world
@@ -117,27 +121,27 @@
         self.busy = True
 
     async def work(self) -> None:
-        """Goes on until the run ends; no new job once `busy` is false."""
+        """Runs until the simulation ends; submits no new job once `busy` is false."""
         while True:
             await asyncio.sleep(self._rng.uniform(0.1, 0.5))
             if self.busy and self._rng.random() < 0.5:
                 await self._submit()
             for job in self._jobs[-6:] if self.busy else self._jobs:
-                if not job.whole or self._rng.random() < 0.1:
+                if not job.is_complete or self._rng.random() < 0.1:
                     await self._read(job)
             if self.busy and self._jobs and self._rng.random() < 0.05:
                 await self._end(self._rng.choice(self._jobs))
 
     def unfinished(self) -> list[str]:
-        """What was accepted and has not been seen whole."""
+        """Describes the jobs that were accepted and whose results are not complete."""
         return [
             f"job {job.name} has {len(job.results)} of {len(job.items)} results"
             for job in self._jobs
-            if not job.whole
+            if not job.is_complete
         ]
 
     async def _call(self, call: Call) -> Answer | None:
-        ip = self._rng.choice(tuple(self._world.nodes))
+        ip = self._rng.choice(tuple(self._world.gateways))
         return await self._world.http.call(ip, call, PATIENCE_S)
 
     async def _submit(self) -> None:
@@ -151,13 +155,13 @@
         ]
         call = Call("POST", "/jobs/", name, orjson.dumps({"requests": items}))
         only_refusals = True
-        for _ in range(SUBMIT_TRIES):
+        for _ in range(SUBMIT_ATTEMPTS):
             answer = await self._call(call)
             if answer is not None and answer.status == 202:
-                job.accepted_at = self._world.loop.time()
+                job.accepted_at_s = self._world.loop.time()
                 self._jobs.append(job)
                 self._world.reached(
-                    "job_acked", self._world.leader(On.STORE) or self._world.core(On.STORE)[0]
+                    "job_acked", self._world.leader(Role.STORE) or self._world.present_machines(Role.STORE)[0]
                 )
                 return
             only_refusals &= answer is not None and answer.status in (429, 503)
@@ -166,37 +170,41 @@
             self._world.items.refused.add(name)
 
     async def _read(self, job: _Job) -> None:
-        asked_at = self._world.loop.time()
+        requested_at_s = self._world.loop.time()
         after = self._rng.randint(0, len(job.results)) if self._rng.random() < 0.3 else len(job.results)
         known = len(job.results)
         answer = await self._call(Call("GET", f"/v1/lots/{job.name}?after={after}"))
         if answer is None or answer.status in (502, 503, 504):
             return
         if answer.status != 200:
-            if asked_at > job.accepted_at + SETTLE_S:
-                self._world.watch.violation(f"{job.name} was answered {answer.status} after its 202")
+            if requested_at_s > job.accepted_at_s + COMMIT_S:
+                self._world.invariants.violation(f"{job.name} was answered {answer.status} after its 202")
             return
         page = msgspec.json.decode(answer.body, type=_Page)
         if page.total != len(job.items):
-            self._world.watch.violation(f"{job.name} has {page.total} items, {len(job.items)} were sent")
+            self._world.invariants.violation(f"{job.name} has {page.total} items, {len(job.items)} were sent")
         if page.next_page_token < known:
-            self._world.watch.violation(f"{job.name} had {known} results, and now {page.next_page_token}")
+            self._world.invariants.violation(
+                f"{job.name} had {known} results, and now {page.next_page_token}"
+            )
         for position, result in enumerate(page.results, after):
             self._take(job, position, result)
 
     def _take(self, job: _Job, position: int, result: _Result) -> None:
         if position < len(job.results):
             if job.results[position] != result:
-                self._world.watch.violation(
+                self._world.invariants.violation(
                     f"{job.name} held {job.results[position]} at {position}, and now {result}"
                 )
             return
         if result.id not in job.items or any(other.id == result.id for other in job.results):
-            self._world.watch.violation(f"{job.name} lists {result.id} at {position}, as a stranger or again")
-        if result.state == "succeeded" and result.text != whole_text(result.id):
-            self._world.watch.violation(f"{result.id} succeeded with {result.text!r}")
+            self._world.invariants.violation(
+                f"{job.name} lists {result.id} at {position}, as a stranger or again"
+            )
+        if result.state == "succeeded" and result.text != complete_text(result.id):
+            self._world.invariants.violation(f"{result.id} succeeded with {result.text!r}")
         if result.state != "succeeded" and "impossible" not in result.id and not job.ended:
-            self._world.watch.violation(f"{result.id} is {result.state}")
+            self._world.invariants.violation(f"{result.id} is {result.state}")
         job.results.append(result)
 
     async def _end(self, job: _Job) -> None:
@@ -206,18 +214,18 @@
             self._world.items.ended.setdefault(job.name, self._world.loop.time())
 
 
-class Retirer:
-    """Empties a store now and then; one that is empty is removed at once, and another comes later."""
+class StoreDecommissioner:
+    """Decommissions a store from time to time; an empty one is removed at once and replaced later."""
 
     def __init__(self, world: "World") -> None:
         self._world = world
         self._rng = random.Random(world.rng.random())
 
     async def work(self) -> None:
-        """Goes on until the run ends."""
+        """Runs until the simulation ends."""
         while True:
             await asyncio.sleep(self._rng.uniform(3.0, 10.0))
-            ip = self._rng.choice([machine.ip for machine in self._world.core(On.STORE)])
+            ip = self._rng.choice([machine.ip for machine in self._world.present_machines(Role.STORE)])
             if await self._start(f"node-{ip}"):
                 await self._wait(ip)
 
@@ -246,7 +254,7 @@
         machine = self._world.stores[ip]
         if machine.gone:
             return
-        self._world.watch.emptied(ip)
+        self._world.invariants.emptied(ip)
         machine.wipe()
         machine.gone_s = self._world.loop.time()
         self._world.reached("retired", machine)
--- a/tests/simulation/breakages.py
+++ b/tests/simulation/breakages.py
@@ -1,4 +1,7 @@
-"""Deliberate breakages of the real classes. The schedules named with them must catch each."""
+"""Deliberate breakages of the real classes; `named.py` pairs each with a schedule that must catch it.
+
+Each function returns a context in which one guard of the code under test is removed.
+"""
 
 import asyncio
 import contextlib
@@ -39,34 +42,31 @@
 from pewterring.storage.group import DiskGroupStorage
 from pewterring.storage.identity import member_name
 
-Breakage = Callable[[], Any]  # gives a context in which the real code is broken
+Breakage = Callable[[], Any]  # returns a context in which the real code is broken
 
 
 def lease_not_checked() -> Any:
-    """A leader that stood still goes on as if it had been there: its lease is not looked at again."""
+    """A leader that was frozen resumes without checking its lease again."""
     return mock.patch.object(GroupLeadership, "has_lease", property(lambda self: self.ready))
 
 
 @contextlib.contextmanager
-def read_out_of_own_state() -> Iterator[None]:
-    """Every machine answers reads out of what it has, and asks nobody who leads."""
-    real = CallRouter._until_answered
+def read_without_barrier() -> Iterator[None]:
+    """Every machine answers reads from its own state, without a read barrier."""
+    real = CallRouter._until_answered  # noqa: SLF001 - the breakage is of a step inside the class
 
     async def until_answered(self: CallRouter, call: Call) -> Answer:
         return await (self._handle_here(call) if call.path == READ_PATH else real(self, call))
 
-    async def read_barrier(self: GroupLeadership) -> None:
-        return None
-
     with (
-        mock.patch.object(GroupLeadership, "read_barrier", read_barrier),
+        mock.patch.object(GroupLeadership, "read_barrier", return_value=None),
         mock.patch.object(CallRouter, "_until_answered", until_answered),
     ):
         yield
 
 
 def promotion_without_catch_up() -> Any:
-    """A learner becomes a voter whatever it holds."""
+    """A learner is promoted to voter without having caught up."""
     real = MembershipObserver.observe
 
     def observe(self: MembershipObserver, now: float, group: Any, candidates: Candidates) -> Any:
@@ -80,9 +80,9 @@
 
 
 def learner_counted() -> Any:
-    """What a learner has on disk counts as if it were a voter's."""
+    """The match index of a learner counts towards the majority as a voter's does."""
 
-    def advance_commit(self: LeaderRole, now: float) -> None:
+    def advance_commit(self: LeaderRole, _now: float) -> None:
         state = self._state
         members = (*state.members.current.voters, *state.members.current.learners)
         matches = sorted((self.match(member) for member in members), reverse=True)
@@ -94,14 +94,14 @@
 
 
 def departure_ignored() -> Any:
-    """A leader goes on as if no voter had told it that its process is about to end."""
-    return mock.patch.object(LeaderRole, "is_departing", lambda self, member: False)
+    """A leader ignores the departure that a voter announced."""
+    return mock.patch.object(LeaderRole, "is_departing", return_value=False)
 
 
 def ends_without_departure() -> Any:
-    """A process that is told to end hands the leadership over, and keeps its vote until it is gone."""
+    """A process that shuts down transfers the leadership, but keeps its vote until it is gone."""
 
-    async def depart(self: ReplicatedGroup, patience_s: float) -> None:
+    async def depart(self: ReplicatedGroup, _grace_s: float) -> None:
         await self.transfer_leadership()
 
     return mock.patch.object(ReplicatedGroup, "depart", depart)
@@ -110,7 +110,7 @@
 def commit_before_majority() -> Any:
     """An entry counts as committed once one other member has it on disk, or the leader alone."""
 
-    def advance_commit(self: LeaderRole, now: float) -> None:
+    def advance_commit(self: LeaderRole, _now: float) -> None:
         state = self._state
         index = max(self.match(voter) for voter in state.voters)
         if index > state.commit_index and self.may_commit(index):
@@ -120,7 +120,7 @@
 
 
 def digest_forgotten() -> Any:
-    """What was accepted is not known any more after a snapshot, so that a resend is refused."""
+    """Accepted digests are lost after a snapshot, so that a resent order is rejected."""
     real = ConfigurationHistory.restore
 
     def restore(self: ConfigurationHistory, snapshot: ControlSnapshot) -> None:
@@ -131,7 +131,7 @@
 
 
 def departed_forgotten() -> Any:
-    """Workers that left for good are not known any more after a snapshot."""
+    """Departed workers are forgotten after a snapshot."""
     real = WorkerTable.restore
 
     def restore(self: WorkerTable, snapshot: ControlSnapshot) -> None:
@@ -142,9 +142,9 @@
 
 
 def old_tag_votes() -> Any:
-    """A machine that lost its disk comes back under its old name, and votes with an empty log."""
+    """A machine that lost its disk comes back under its old member name, and votes with an empty log."""
 
-    def same_name(data_dir: Any, ip: str, disk: Any, tag: str | None = None) -> str:
+    def same_name(data_dir: Any, ip: str, disk: Any, **_: Any) -> str:
         return member_name(data_dir, ip, disk, member_storage.FIRST_TAG)
 
     return mock.patch.object(member_storage, "member_name", same_name)
@@ -172,36 +172,36 @@
 
 
 def vote_not_synced() -> Any:
-    """Terms and votes are never written."""
+    """Terms and votes are never persisted."""
     real = DiskGroupStorage.save
 
-    def save(self: DiskGroupStorage, hard_state: Any, truncate_from: Any, entries: Any) -> None:
+    def save(self: DiskGroupStorage, _hard_state: Any, truncate_from: Any, entries: Any) -> None:
         real(self, None, truncate_from, entries)
 
     return mock.patch.object(DiskGroupStorage, "save", save)
 
 
-def told_before_saved() -> Any:
-    """Answers leave before what they claim is on disk."""
+def acknowledged_before_persisted() -> Any:
+    """Messages are sent before what they acknowledge is persisted."""
 
-    def send_when_persisted(self: MemberState, message: Any, index: int = 0) -> None:
+    def send_when_persisted(self: MemberState, message: Any, _index: int = 0) -> None:
         self.outbox.append(message)
 
     return mock.patch.object(MemberState, "send_when_persisted", send_when_persisted)
 
 
-def retirement_ended_early() -> Any:
-    """A store counts as empty as soon as somebody asks."""
-    return mock.patch.object(leader_tasks, "is_decommissioned", lambda *_: True)
+def decommissioning_ended_early() -> Any:
+    """A store counts as decommissioned as soon as its status is requested."""
+    return mock.patch.object(leader_tasks, "is_decommissioned", return_value=True)
 
 
-def relay_id_used_again() -> Any:
-    """All requests on a connection have the same id, so that answers go to whoever waits."""
+def request_id_reused() -> Any:
+    """All requests on a connection have the same id, so that answers reach the wrong caller."""
     return mock.patch("pewterring.transport.channel.itertools.count", lambda first: itertools.cycle((first,)))
 
 
 def base_not_checked() -> Any:
-    """A configuration is taken on whatever version it builds."""
+    """A configuration is accepted whatever its base version is."""
     real = ConfigurationHistory.put
 
     def put(self: ConfigurationHistory, command: PutConfiguration) -> Result:
@@ -211,7 +211,7 @@
 
 
 def patch_base_not_checked() -> Any:
-    """A patch is applied to whatever version it meets."""
+    """A patch is applied to whatever version is current."""
     real = ConfigurationHistory.patch
 
     def patched(self: ConfigurationHistory, command: PatchConfiguration) -> Result:
@@ -221,7 +221,7 @@
 
 
 def patch_known_by_its_result() -> Any:
-    """What is remembered of a patch is the configuration that it made."""
+    """A patch is remembered by the digest of its result instead of its own."""
     real = ConfigurationHistory.patch
 
     def patched(self: ConfigurationHistory, command: PatchConfiguration) -> Result:
@@ -233,8 +233,8 @@
     return mock.patch.object(ConfigurationHistory, "patch", patched)
 
 
-def unsure_refused() -> Any:
-    """An order whose outcome is unknown is answered as if another had won."""
+def unknown_outcome_refused() -> Any:
+    """An order whose outcome is unknown is answered as a conflict."""
     real = GroupLeadership.propose
 
     async def propose(self: GroupLeadership, command: Command) -> Result:
@@ -248,10 +248,10 @@
 
 def job_accepted_early() -> Any:
     """A job is acknowledged before it is committed."""
-    real = JobSubmissions._accept
+    real = JobSubmissions._accept  # noqa: SLF001 - the breakage is of a step inside the class
 
     async def accept(self: JobSubmissions, call: SubmitJob) -> SubmitReply:
-        self.early = asyncio.ensure_future(real(self, call))  # type: ignore[attr-defined]
+        self.early = asyncio.ensure_future(real(self, call))  # type: ignore[attr-defined]  # only keeps the task alive
         return JobAccepted()
 
     return mock.patch.object(JobSubmissions, "_accept", accept)
--- a/tests/simulation/callers.py
+++ b/tests/simulation/callers.py
@@ -1,4 +1,7 @@
-"""Operators and workers, as the protocol describes them."""
+"""Operators and workers, as the protocol describes them.
+
+They record what they saw in the run's `History`; an answer that the protocol does not know is a violation.
+"""
 
 import asyncio
 import random
@@ -23,20 +26,20 @@
     from tests.simulation.world import World
 
 PATCHED_SHARE = 0.5  # of the orders that build on a configuration
-PATIENCE_S = 1.0  # after so much silence a caller goes to another machine
+PATIENCE_S = 1.0  # a caller that got no answer for so long tries another machine
 REFUSALS = (400, 409, 412)
 HEARTBEAT_S = 1.0
-END_S = 3.0  # a worker whose end is not acknowledged ends all the same
+END_S = 3.0  # a worker stops after that time, acknowledged or not
 
 
 def document(version: int, text: str) -> bytes:
-    """A small valid configuration."""
+    """Encodes a small valid configuration."""
     services = [{"name": "s"}]
     return orjson.dumps({"version": version, "routes": [route_labelled(text)], "backends": services})
 
 
 def route_labelled(text: str) -> dict[str, object]:
-    """The one route of a configuration."""
+    """Returns the only route of a configuration, told apart by its label."""
     return {
         "name": "jobs",
         "label": text,
@@ -51,19 +54,19 @@
 
 
 def patch_of(version: int, text: str) -> tuple[bytes, State]:
-    """A patch that replaces the route, and the state that it makes of any configuration of `document`."""
+    """Returns a patch that replaces the route, and the state that it makes of any `document`."""
     upsert = {"routes": [route_labelled(text)]}
     body = orjson.dumps({"version": version, "upsert": upsert, "delete": {"backends": ["unused"]}})
     return body, state_of(document(version, text))
 
 
 def state_of(body: bytes) -> State:
-    """The state that a document makes."""
+    """Returns the register's state that a document stands for."""
     return State(orjson.loads(body)["version"], document_digest(body))
 
 
 class Operator:
-    """Reads, builds on what it read, sends until it has a clear answer, and now and then sends again."""
+    """Reads, builds on what it read, retries until the outcome is known, and resends old orders at times."""
 
     def __init__(self, world: "World", name: str) -> None:
         self._world = world
@@ -71,12 +74,12 @@
         self._name = name
         self._count = 0
         self._taken: list[tuple[Call, State, int]] = []  # acknowledged
-        self._forms = random.Random()  # draws which orders are patches, apart from all else
+        self._forms = random.Random()  # separate, so that the share of patches changes no other draw
         self._forms.setstate(self._rng.getstate())
         self.busy = True
 
     async def work(self) -> None:
-        """Sends orders until the world tells it to stop."""
+        """Sends orders until `busy` is false."""
         base = 0
         while self.busy:
             await asyncio.sleep(self._rng.uniform(0.05, 0.5))
@@ -106,7 +109,7 @@
         return await self.read_version(base)
 
     def _new_call(self, base: int, version: int, text: str) -> tuple[Call, State]:
-        """A whole configuration, or a patch if there is one to build on."""
+        """Returns a complete configuration, or a patch if there is one to build on."""
         if not base or self._forms.random() >= PATCHED_SHARE:
             body = document(version, text)
             return Call("POST", REPLACE_PATH, str(base), body), state_of(body)
@@ -114,8 +117,8 @@
         return Call("POST", UPDATE_PATH, str(base), body), state
 
     async def send(self, call: Call, state: State, base: int) -> Answer | None:
-        """Sends an order once, to any machine."""
-        began = self._world.loop.time()
+        """Sends an order once, to any machine, and records the outcome."""
+        began_s = self._world.loop.time()
         answer = await self._world.http.call(self._any_ip(), call, PATIENCE_S)
         outcome = Outcome.UNKNOWN
         if answer is not None and answer.status == 200:
@@ -124,33 +127,35 @@
             outcome = Outcome.REFUSED
         status = answer.status if answer is not None else 0
         if outcome is Outcome.UNKNOWN and status not in (0, 503):
-            self._world.watch.violation(f"an order was answered {status}")
-        self._world.history.orders.append(Order(state, base, began, self._world.loop.time(), outcome, status))
+            self._world.invariants.violation(f"an order was answered {status}")
+        self._world.history.orders.append(
+            Order(state, base, began_s, self._world.loop.time(), outcome, status)
+        )
         if outcome is Outcome.DONE:
-            self._world.reached("order_acked", self._world.leader() or self._world.core()[0])
+            self._world.reached("order_acked", self._world.leader() or self._world.present_machines()[0])
         return answer
 
     async def read_version(self, otherwise: int) -> int:
-        """The version that is current, as one machine says."""
+        """Returns the current version according to any one machine, or `otherwise`."""
         state = await self.read(self._any_ip())
         return otherwise if state is None else state.version
 
     async def read(self, ip: str) -> State | None:
-        """Reads at one machine."""
-        began = self._world.loop.time()
+        """Reads the configuration at one machine; returns None where there was no answer."""
+        began_s = self._world.loop.time()
         answer = await self._world.http.call(ip, Call("GET", READ_PATH), PATIENCE_S)
         if answer is None or answer.status == 503:
             return None
         try:
             state = NONE if answer.status == 404 else state_of(answer.body)
         except (KeyError, orjson.JSONDecodeError):
-            self._world.watch.violation(f"a read was answered {answer.body!r}")
+            self._world.invariants.violation(f"a read was answered {answer.body!r}")
             return None
-        self._world.history.reads.append(Read(state, began, self._world.loop.time()))
+        self._world.history.reads.append(Read(state, began_s, self._world.loop.time()))
         return state
 
     async def read_often(self) -> None:
-        """Reads at any machine, again and again."""
+        """Reads at random machines until `busy` is false."""
         while self.busy:
             await asyncio.sleep(self._rng.uniform(0.05, 0.3))
             await self.read(self._any_ip())
@@ -160,7 +165,7 @@
 
 
 class Worker:
-    """Registers, drains, says farewell; then another incarnation follows at its address."""
+    """Registers, drains and deregisters; then the next incarnation follows at its address."""
 
     def __init__(self, world: "World", number: int) -> None:
         self._world = world
@@ -170,14 +175,14 @@
         self._target = ""
 
     async def work(self) -> None:
-        """One incarnation after the other, for ever."""
-        life = 0
+        """Runs one incarnation after the other, until the simulation ends."""
+        incarnation = 0
         while True:
-            life += 1
-            await self._live(f"w{self._number}-{life}")
+            incarnation += 1
+            await self._run_incarnation(f"w{self._number}-{incarnation}")
             await asyncio.sleep(self._rng.uniform(0.0, 2.0))
 
-    async def _live(self, name: str) -> None:
+    async def _run_incarnation(self, name: str) -> None:
         self._sequence = 0
         end = self._world.loop.time() + self._rng.uniform(2.0, 12.0)
         while self._world.loop.time() < end:
@@ -190,19 +195,19 @@
             await asyncio.sleep(self._rng.uniform(0.0, 1.0))
             if self._rng.random() < 0.3:
                 await self._late_heartbeat(name)
-        await self._until_acknowledged(name, self._farewell_call)
+        await self._until_acknowledged(name, self._deregister_call)
         if self._rng.random() < 0.3:
             late = self._heartbeat_call(name, "ready")
             self._world.loop.create_task(self._send_late(late, self._rng.uniform(0.5, 8.0)))
 
     async def _late_heartbeat(self, name: str) -> None:
-        """A heartbeat from before the drain that comes only now."""
+        """Sends a heartbeat from before the drain, which arrives only now."""
         self._sequence -= 2
         await self._heartbeat(name, "ready")
         self._sequence += 2
 
     async def _send_late(self, call: Call, after_s: float) -> None:
-        """A heartbeat that was on its way for seconds."""
+        """Sends a heartbeat that was delayed for seconds."""
         await asyncio.sleep(after_s)
         await self._send(call)
 
@@ -211,8 +216,8 @@
         while self._world.loop.time() < end:
             call = make(name)
             if await self._send(call):
-                self._world.watch.left.setdefault(name, self._world.loop.time())
-                self._world.reached("drain_acked", self._world.leader() or self._world.core()[0])
+                self._world.invariants.left.setdefault(name, self._world.loop.time())
+                self._world.reached("drain_acked", self._world.leader() or self._world.present_machines()[0])
                 return
             await asyncio.sleep(self._rng.uniform(0.05, 0.3))
 
@@ -235,7 +240,7 @@
     def _drain_call(self, name: str) -> Call:
         return self._heartbeat_call(name, "draining")
 
-    def _farewell_call(self, name: str) -> Call:
+    def _deregister_call(self, name: str) -> Call:
         return Call("POST", f"{DEREGISTER_PATH}{name}")
 
     async def _send(self, call: Call) -> bool:
@@ -246,5 +251,5 @@
             return True
         self._target = ""
         if answer is not None and answer.status != 503:
-            self._world.watch.violation(f"a worker's call was answered {answer.status}")
+            self._world.invariants.violation(f"a worker's call was answered {answer.status}")
         return False
--- a/tests/simulation/history.py
+++ b/tests/simulation/history.py
@@ -1,4 +1,4 @@
-"""What callers of control saw: orders, reads, heartbeats, each with when it began and ended."""
+"""What callers of control saw: orders and reads, each with its begin and end in virtual seconds."""
 
 from dataclasses import dataclass, field
 from enum import Enum
@@ -7,7 +7,7 @@
 
 
 class Outcome(Enum):
-    """What a caller knows of a call."""
+    """What a caller knows about the outcome of an order."""
 
     DONE = "done"
     REFUSED = "refused"  # 400, 409, 412: it never comes into force
@@ -26,12 +26,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Order:
-    """One try to put `state` on top of version `base`."""
+    """One attempt to replace version `base` by `state`."""
 
     state: State
     base: int
-    began: float
-    ended: float
+    began_s: float
+    ended_s: float
     outcome: Outcome
     status: int = 0
 
@@ -41,22 +41,22 @@
     """One read that was answered."""
 
     state: State
-    began: float
-    ended: float
+    began_s: float
+    ended_s: float
 
 
 @dataclass(slots=True)
 class History:
-    """All calls of operators."""
+    """All orders and reads of the operators of one run."""
 
     orders: list[Order] = field(default_factory=list)
     reads: list[Read] = field(default_factory=list)
 
     def acknowledged_before(self, moment: float) -> int:
-        """The newest version that was acknowledged before."""
+        """Returns the highest version that was acknowledged up to a moment, or 0."""
         done = (
             order.state.version
             for order in self.orders
-            if order.outcome is Outcome.DONE and order.ended <= moment
+            if order.outcome is Outcome.DONE and order.ended_s <= moment
         )
         return max(done, default=0)
--- a/tests/simulation/http.py
+++ b/tests/simulation/http.py
@@ -1,4 +1,8 @@
-"""Calls of operators and workers over simulated HTTP."""
+"""Calls of operators and workers over simulated HTTP.
+
+The bytes of HTTP are left out: a call goes to the handler of the real server. Calls and answers are delayed,
+and lost where the path is blocked.
+"""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -20,7 +24,7 @@
 
 
 async def call_handler(handler: Handler, call: Call) -> Answer:
-    """Hands a call to the handler of an HTTP server, as a request that was read whole."""
+    """Hands a call to the handler of an HTTP server, as a request that was read completely."""
     fields = {b"base-version": call.base_version.encode()}
     request = ServerRequest(
         call.method, call.path, list(fields.items()), fields, "h", call.body, 0.0, True, b"1.1"
@@ -31,27 +35,27 @@
 
 
 class Http:
-    """The listeners of the control programs, and how calls get there."""
+    """The listeners of all programs, and the delivery of calls to them."""
 
     def __init__(self, world: "World") -> None:
         self._world = world
         self._listeners: dict[str, tuple[Process, AnswerCall]] = {}
-        self.lost_answers = 0.0  # part of the answers that never arrive
+        self.lost_answers = 0.0  # fraction of the answers that never arrive
 
     def listen(self, ip: str, process: Process, answer: AnswerCall) -> None:
-        """A program takes calls."""
+        """Registers the handler of a process at its IP."""
         self._listeners[ip] = (process, answer)
 
     def stop(self, ip: str) -> None:
-        """A program takes no more calls."""
+        """Removes the handler at an IP."""
         self._listeners.pop(ip, None)
 
     async def call(self, ip: str, call: Call, patience_s: float) -> Answer | None:
-        """The answer, or None where none came in time."""
+        """Sends a call; returns its answer, or None where none came within `patience_s`."""
         loop = self._world.loop
         network = self._world.network
         answer: asyncio.Future[Answer | None] = loop.create_future()
-        timer = loop.call_later(patience_s, _settle, answer, None)
+        timer = loop.call_later(patience_s, _complete, answer, None)
         loop.call_later(network.delay_s(OUTSIDE, ip), self._arrive, ip, call, answer)
         result = await answer
         timer.cancel()
@@ -63,10 +67,12 @@
             return
         listener = self._listeners.get(ip)
         if listener is None or not listener[0].alive:
-            _settle(answer, None)
+            _complete(answer, None)
             return
         process, handle = listener
-        process.at_death.append(lambda: None if world.network.blocked(ip, OUTSIDE) else _settle(answer, None))
+        process.at_death.append(
+            lambda: None if world.network.blocked(ip, OUTSIDE) else _complete(answer, None)
+        )
         world.loop.call_in(process, world.loop.time(), self._begin, ip, handle, call, answer)
 
     def _begin(self, *arguments: Any) -> None:
@@ -75,7 +81,7 @@
     async def _handle(
         self, ip: str, handle: AnswerCall, call: Call, answer: "asyncio.Future[Answer | None]"
     ) -> None:
-        """Runs in the server's process."""
+        """Answers a call in the server's process."""
         result = await handle(call)
         process = self._world.process()
         self._world.reach("answer")
@@ -86,10 +92,10 @@
         if world.network.blocked(ip, OUTSIDE) or world.rng.random() < self.lost_answers:
             return
         world.loop.call_outside(
-            world.loop.time() + world.network.delay_s(ip, OUTSIDE), _settle, answer, result
+            world.loop.time() + world.network.delay_s(ip, OUTSIDE), _complete, answer, result
         )
 
 
-def _settle(future: "asyncio.Future[Answer | None]", result: Answer | None) -> None:
+def _complete(future: "asyncio.Future[Answer | None]", result: Answer | None) -> None:
     if not future.done():
         future.set_result(result)
--- a/tests/simulation/linearizability.py
+++ b/tests/simulation/linearizability.py
@@ -14,22 +14,22 @@
 from tests.simulation.history import NONE, History, Order, Outcome, Read, State
 
 
-class NotLinearizable(AssertionError):
+class NotLinearizableError(AssertionError):
     """No order of the calls explains the answers."""
 
 
 def check(history: History) -> list[State]:
     """The states in the order in which they were in force; raises `NotLinearizable`."""
     chain = _chain(history)
-    places = {state: place for place, state in enumerate(chain)}
-    _check_refusals(history.orders, places)
-    earliest, latest = _bounds(history, chain, places)
+    positions = {state: position for position, state in enumerate(chain)}
+    _check_refusals(history.orders, positions)
+    earliest, latest = _bounds(history, chain, positions)
     moment = -inf
-    for place, state in enumerate(chain):
-        moment = max(moment, earliest[place])
-        if moment > latest[place]:
-            raise NotLinearizable(
-                f"{state} was seen at {latest[place]:.4f} at the latest, "
+    for position, state in enumerate(chain):
+        moment = max(moment, earliest[position])
+        if moment > latest[position]:
+            raise NotLinearizableError(
+                f"{state} was seen at {latest[position]:.4f} at the latest, "
                 f"but cannot have been in force before {moment:.4f}"
             )
     return chain
@@ -42,10 +42,10 @@
     by_version: dict[int, State] = {0: NONE}
     for state in seen - {NONE}:
         if state not in bases:
-            raise NotLinearizable(f"{state} was read, but never sent")
+            raise NotLinearizableError(f"{state} was read, but never sent")
         other = by_version.setdefault(state.version, state)
         if other != state:
-            raise NotLinearizable(f"both {other} and {state} were in force")
+            raise NotLinearizableError(f"both {other} and {state} were in force")
     return _walk_back(by_version, bases, _by_version(history.orders))
 
 
@@ -67,27 +67,29 @@
         if before is None:
             unseen = sent.get(base, set())
             if not unseen:
-                raise NotLinearizable(f"{state} builds on version {base}, which never was")
+                raise NotLinearizableError(f"{state} builds on version {base}, which never was")
             before = min(unseen, key=lambda each: each.digest)
         if before.version >= state.version:
-            raise NotLinearizable(f"{state} builds on {before}, which is not older")
+            raise NotLinearizableError(f"{state} builds on {before}, which is not older")
         state = before
         chain.append(state)
     missing = set(seen.values()) - set(chain)
     if missing:
-        raise NotLinearizable(f"{min(missing, key=lambda each: each.version)} was in force, and then was not")
+        raise NotLinearizableError(
+            f"{min(missing, key=lambda each: each.version)} was in force, and then was not"
+        )
     chain.reverse()
     return chain
 
 
-def _check_refusals(orders: Iterable[Order], places: dict[State, int]) -> None:
+def _check_refusals(orders: Iterable[Order], positions: dict[State, int]) -> None:
     for order in orders:
-        if order.outcome is Outcome.REFUSED and order.state in places:
-            raise NotLinearizable(f"{order.state} was refused with {order.status}, and was in force")
+        if order.outcome is Outcome.REFUSED and order.state in positions:
+            raise NotLinearizableError(f"{order.state} was refused with {order.status}, and was in force")
 
 
 def _bounds(
-    history: History, chain: list[State], places: dict[State, int]
+    history: History, chain: list[State], positions: dict[State, int]
 ) -> tuple[list[float], list[float]]:
     """The earliest and the latest moment at which each state can have come into force."""
     earliest = [-inf] * len(chain)
@@ -95,35 +97,35 @@
     first_sent: dict[State, float] = {}
     versions = [state.version for state in chain]
     for order in history.orders:
-        first_sent[order.state] = min(order.began, first_sent.get(order.state, inf))
+        if order.state in positions:
+            first_sent[order.state] = min(order.began_s, first_sent.get(order.state, inf))
         if order.outcome is Outcome.DONE:
-            place = places[order.state]
-            latest[place] = min(latest[place], order.ended)
+            position = positions[order.state]
+            latest[position] = min(latest[position], order.ended_s)
         elif order.outcome is Outcome.REFUSED:
             _bound_refusal(order, versions, latest)
-    for state, began in first_sent.items():
-        if state in places:
-            earliest[places[state]] = max(earliest[places[state]], began)
+    for state, began_s in first_sent.items():
+        earliest[positions[state]] = began_s
     for read in history.reads:
-        _bound_read(read, places[read.state], earliest, latest)
-    for place in range(len(chain) - 2, -1, -1):
-        latest[place] = min(latest[place], latest[place + 1])
+        _bound_read(read, positions[read.state], earliest, latest)
+    for position in range(len(chain) - 2, -1, -1):
+        latest[position] = min(latest[position], latest[position + 1])
     return earliest, latest
 
 
 def _bound_refusal(order: Order, versions: list[int], latest: list[float]) -> None:
     """Another version than the base was current at some moment: a newer one, unless the base never was."""
-    place = bisect_right(versions, order.base) - 1
-    if versions[place] != order.base:
+    position = bisect_right(versions, order.base) - 1
+    if versions[position] != order.base:
         return
-    if place + 1 == len(versions):
-        raise NotLinearizable(
+    if position + 1 == len(versions):
+        raise NotLinearizableError(
             f"{order.state} on {order.base} was refused with {order.status}, though nothing newer ever was"
         )
-    latest[place + 1] = min(latest[place + 1], order.ended)
+    latest[position + 1] = min(latest[position + 1], order.ended_s)
 
 
-def _bound_read(read: Read, place: int, earliest: list[float], latest: list[float]) -> None:
-    latest[place] = min(latest[place], read.ended)
-    if place + 1 < len(earliest):
-        earliest[place + 1] = max(earliest[place + 1], read.began)
+def _bound_read(read: Read, position: int, earliest: list[float], latest: list[float]) -> None:
+    latest[position] = min(latest[position], read.ended_s)
+    if position + 1 < len(earliest):
+        earliest[position + 1] = max(earliest[position + 1], read.began_s)
--- a/tests/simulation/machines.py
+++ b/tests/simulation/machines.py
@@ -1,4 +1,7 @@
-"""Machines with a disk that programs run on: they lose power, stand still, fill up and are slow."""
+"""Machines that run the programs, each with a simulated disk: they lose power, and disks stall or fill up.
+
+A process that is killed in the middle of a save leaves the disk as it was after one of the save's operations.
+"""
 
 import contextlib
 import random
@@ -10,16 +13,16 @@
 from tests.simulation.virtual_loop import BlockingHost, Process, VirtualLoop
 from tests.storage.simulated_disk import PowerLossError, SimulatedDisk
 
-SAVE_S = ((0.0008, 0.004), (0.005, 0.025))  # disks that are fast or not, alike in one run
+SAVE_S = ((0.0008, 0.004), (0.005, 0.025))  # a fast and a slow kind of disk; all disks of one run are alike
 SLOW_SAVE_S = (0.03, 0.25)
-MOST_OPERATIONS = 8  # of the disk, after which a save that is cut short stops at the latest
-DRIFT = 0.02  # clocks run at rates of up to so much more or less
+MOST_OPERATIONS = 8  # of the disk: an interrupted save ends within so many
+DRIFT = 0.02  # each clock's rate deviates by up to this fraction
 
 Hook = Callable[[str, "Machine"], None]
 
 
 class Machine(BlockingHost):
-    """One address, one disk, and the process that runs there now."""
+    """Owns one address, one disk, and the process that runs there now."""
 
     def __init__(self, ip: str, loop: VirtualLoop, network: Network, rng: random.Random, hook: Hook) -> None:
         self.ip = ip
@@ -28,7 +31,7 @@
         self.disk_made_s = loop.time()
         self.slow_disk = False
         self.stalled = False
-        self.lives = 0
+        self.incarnations = 0
         self.save_s = SAVE_S[0]
         self._loop = loop
         self._network = network
@@ -39,42 +42,42 @@
 
     @property
     def running(self) -> bool:
-        """Whether a process is there, frozen or not."""
+        """Whether a process runs, frozen or not."""
         return self.process is not None and self.process.alive
 
     def new_process(self) -> Process:
-        """Powers the machine up and begins a life of its program."""
+        """Powers the machine up and begins an incarnation of its program."""
         assert not self.running
-        self.lives += 1
-        self._network.dark.discard(self.ip)
+        self.incarnations += 1
+        self._network.powered_off_ips.discard(self.ip)
         self._network.heal()
-        name = f"{self.ip}/{self.lives}"
+        name = f"{self.ip}/{self.incarnations}"
         self.process = Process(name, self, self._rate, self._rng.uniform(10.0, 1000.0))
         return self.process
 
     # Ends of the process
 
     def kill(self) -> None:
-        """The process ends; what it wrote stays."""
-        self._end(silent=False)
+        """Kills the process; what it wrote stays, synced or not."""
+        self._end(power_lost=False)
         self.disk.kill()
 
     def lose_power(self) -> None:
-        """What was not synced is kept, torn or lost."""
+        """Loses power: what was not synced is kept, torn or lost."""
         if self.running:
-            self._end(silent=True)
-        self._network.dark.add(self.ip)
+            self._end(power_lost=True)
+        self._network.powered_off_ips.add(self.ip)
         self.disk.lose_power(self._rng)
 
     def wipe(self) -> None:
         """Loses power and the disk."""
         if self.running:
-            self._end(silent=True)
-        self._network.dark.add(self.ip)
+            self._end(power_lost=True)
+        self._network.powered_off_ips.add(self.ip)
         self.disk = SimulatedDisk()
         self.disk_made_s = self._loop.time()
 
-    def _end(self, silent: bool) -> None:
+    def _end(self, power_lost: bool) -> None:
         process = self.process
         assert process is not None
         process.alive = False
@@ -84,7 +87,7 @@
             self.disk.lose_power_at(self._rng.randint(1, MOST_OPERATIONS))
             with contextlib.suppress(PowerLossError, StorageError):
                 work()
-        self._network.process_ended(process, silent)
+        self._network.process_ended(process, power_lost)
         for action in process.at_death:
             action()
         process.at_death.clear()
@@ -92,7 +95,7 @@
     # The disk
 
     def run_blocking(self, loop: VirtualLoop, process: Process, work: Callable[[], Any]) -> Any:
-        """Does the work of the process's storage after a while."""
+        """Does the work of the process's storage after the latency of the disk."""
         future = loop.create_future()
         self._hook("before_save", self)
         if not process.alive:
@@ -111,7 +114,7 @@
         self._work = None
         try:
             result = work()
-        except Exception as error:
+        except Exception as error:  # noqa: BLE001 - as an executor's: the caller of the storage gets it
             future.set_exception(error)
             return
         self._hook("after_save", self)
@@ -119,12 +122,12 @@
             future.set_result(result)
 
     def fill_disk(self) -> None:
-        """No more room than a few bytes."""
+        """Leaves at most a few hundred bytes of free disk space."""
         used = sum(self.disk.size(name) for name in self.disk.names())
         self.disk.capacity = used + self._rng.randint(0, 300)
 
     def repair_disk(self) -> None:
-        """Room and speed as before."""
+        """Restores the disk's capacity and speed."""
         self.disk.capacity = None
         self.slow_disk = False
         self.stalled = False
--- a/tests/simulation/named.py
+++ b/tests/simulation/named.py
@@ -1,9 +1,14 @@
-"""Named schedules: each brings about what one guard of the real code is for."""
+"""Named schedules, each with the breakage that it must catch.
+
+Each schedule creates the situation that one guard of the real code is there for.
+"""
 
 from tests.simulation.breakages import (
     Breakage,
+    acknowledged_before_persisted,
     base_not_checked,
     commit_before_majority,
+    decommissioning_ended_early,
     departed_forgotten,
     departure_ignored,
     digest_forgotten,
@@ -15,49 +20,49 @@
     patch_base_not_checked,
     patch_known_by_its_result,
     promotion_without_catch_up,
-    read_out_of_own_state,
-    relay_id_used_again,
-    retirement_ended_early,
+    read_without_barrier,
+    request_id_reused,
     snapshot_over_newer,
-    told_before_saved,
-    unsure_refused,
+    unknown_outcome_refused,
     vote_not_synced,
 )
 from tests.simulation.losses import CATCH_UP_S
-from tests.simulation.schedule import Fault, Kind, On, Point, Schedule, Target
+from tests.simulation.schedule import Fault, Kind, Point, Role, Schedule, Target
 
 LEADER, OLDEST, LOST, FOLLOWER = Target.LEADER, Target.OLDEST, Target.LOST, Target.FOLLOWER
-PLANNED_AT_S, PATIENCE_S = 6.0, 4.0  # a process that leaves waits half of its grace
+PLANNED_AT_S, PATIENCE_S = 6.0, 4.0  # a process that departs waits for half of its grace period
 STOPPED_AT_S = PLANNED_AT_S + CATCH_UP_S
 
 
-def again(*faults: Fault, times: int = 3, apart_s: float = 5.6) -> tuple[Fault, ...]:
-    """The same faults several times."""
+def repeated(*faults: Fault, times: int = 3, interval_s: float = 5.6) -> tuple[Fault, ...]:
+    """Repeats the faults, each time `interval_s` later."""
     return tuple(
-        Fault(fault.at + turn * apart_s, fault.kind, fault.target, fault.point, fault.lasts_s, fault.on)
+        Fault(
+            fault.at_s + turn * interval_s, fault.kind, fault.target, fault.point, fault.lasts_s, fault.role
+        )
         for turn in range(times)
         for fault in faults
     )
 
 
-def replaced_to_the_letter(seed: int, tolerated: int, on: On, ended_at: float) -> Schedule:
-    """A machine ends by plan, and as many of the oldest disks as may be lost go at that instant."""
-    wipe = Fault(ended_at - 0.5, Kind.WIPE, OLDEST, Point.REPLACED, 0.6, on)
-    faults = (Fault(PLANNED_AT_S, Kind.PLANNED, OLDEST, on=on), *(wipe,) * tolerated)
-    return Schedule(seed, tolerated, faults, stores=on is On.STORE)
+def replacement_at_full_tolerance(seed: int, tolerated: int, role: Role, ended_at: float) -> Schedule:
+    """Removes a machine by plan; at that instant as many of the oldest disks as tolerated are lost."""
+    wipe = Fault(ended_at - 0.5, Kind.WIPE, OLDEST, Point.REPLACED, 0.6, role)
+    faults = (Fault(PLANNED_AT_S, Kind.PLANNED, OLDEST, role=role), *(wipe,) * tolerated)
+    return Schedule(seed, tolerated, faults, stores=role is Role.STORE)
 
 
-FROZEN_LEADER = again(Fault(6.0, Kind.CUT_FREEZE, LEADER, Point.NOW, 0.7))
-CUT_LEADER = again(Fault(6.0, Kind.CUT, LEADER, Point.NOW, 2.0))
-CUT_STORE_LEADER = again(Fault(6.0, Kind.CUT, LEADER, Point.JOB_ACKED, 2.0, On.STORE))
-STALLED_STORES = again(Fault(3.5, Kind.STALLED_DISK, FOLLOWER, Point.NOW, 4.0, On.STORE), apart_s=9.0)
-POWER_AT_ACK = again(Fault(6.0, Kind.POWER_ALL, point=Point.ORDER_ACKED), times=8, apart_s=1.5)
+FROZEN_LEADER = repeated(Fault(6.0, Kind.PARTITION_FREEZE, LEADER, Point.NOW, 0.7))
+PARTITIONED_LEADER = repeated(Fault(6.0, Kind.PARTITION, LEADER, Point.NOW, 2.0))
+PARTITIONED_STORE_LEADER = repeated(Fault(6.0, Kind.PARTITION, LEADER, Point.JOB_ACKED, 2.0, Role.STORE))
+STALLED_STORES = repeated(Fault(3.5, Kind.STALLED_DISK, FOLLOWER, Point.NOW, 4.0, Role.STORE), interval_s=9.0)
+POWER_AT_ACK = repeated(Fault(6.0, Kind.POWER_ALL, point=Point.ORDER_ACKED), times=8, interval_s=1.5)
 LATE_KILLS = (Fault(16.0, Kind.KILL_ALL), Fault(18.0, Kind.KILL_ALL))
 
 NAMED: dict[str, tuple[Breakage, Schedule]] = {
     "lease not checked after a freeze": (lease_not_checked, Schedule(1, 1, FROZEN_LEADER)),
-    "lease not checked while cut off": (lease_not_checked, Schedule(1, 1, CUT_LEADER)),
-    "read answered out of own state": (read_out_of_own_state, Schedule(1, 1, CUT_LEADER)),
+    "lease not checked while cut off": (lease_not_checked, Schedule(1, 1, PARTITIONED_LEADER)),
+    "read answered out of own state": (read_without_barrier, Schedule(1, 1, PARTITIONED_LEADER)),
     "promotion without catch-up": (
         promotion_without_catch_up,
         Schedule(1, 1, (Fault(8.0, Kind.WIPE, OLDEST), Fault(13.0, Kind.WIPE, OLDEST))),
@@ -65,49 +70,53 @@
     "learner counted": (
         learner_counted,
         Schedule(
-            2, 1, again(Fault(5.5, Kind.PLANNED, FOLLOWER), Fault(7.0, Kind.CUT_VOTERS, LEADER, lasts_s=2.5))
+            2,
+            1,
+            repeated(
+                Fault(5.5, Kind.PLANNED, FOLLOWER), Fault(7.0, Kind.PARTITION_VOTERS, LEADER, lasts_s=2.5)
+            ),
         ),
     ),
     "departure ignored": (
         departure_ignored,
-        replaced_to_the_letter(1, 1, On.CONTROL, STOPPED_AT_S + PATIENCE_S),
+        replacement_at_full_tolerance(1, 1, Role.CONTROL, STOPPED_AT_S + PATIENCE_S),
     ),
     "a process ends without its departure": (
         ends_without_departure,
-        replaced_to_the_letter(1, 1, On.CONTROL, STOPPED_AT_S),
+        replacement_at_full_tolerance(1, 1, Role.CONTROL, STOPPED_AT_S),
     ),
     "a store ends without its departure": (
         ends_without_departure,
-        replaced_to_the_letter(1, 1, On.STORE, STOPPED_AT_S),
+        replacement_at_full_tolerance(1, 1, Role.STORE, STOPPED_AT_S),
     ),
-    "commit before majority": (commit_before_majority, Schedule(1, 1, CUT_LEADER)),
+    "commit before majority": (commit_before_majority, Schedule(1, 1, PARTITIONED_LEADER)),
     "digest forgotten": (digest_forgotten, Schedule(1, 1, LATE_KILLS)),
     "departed forgotten": (departed_forgotten, Schedule(3, 1, LATE_KILLS)),
     "old tag allowed to vote": (
         old_tag_votes,
-        Schedule(1, 1, again(Fault(6.0, Kind.WIPE_AND_POWER, point=Point.ORDER_ACKED))),
+        Schedule(1, 1, repeated(Fault(6.0, Kind.WIPE_AND_POWER, point=Point.ORDER_ACKED))),
     ),
     "snapshot applied over a newer one": (
         snapshot_over_newer,
         Schedule(
             1,
             1,
-            again(
+            repeated(
                 Fault(10.0, Kind.WIPE, OLDEST, lasts_s=0.3),
                 Fault(10.2, Kind.STALLED_DISK, LOST, Point.SNAPSHOT, 1.0),
             ),
         ),
     ),
-    "vote not synced": (vote_not_synced, Schedule(1, 1, again(Fault(6.0, Kind.POWER_ALL)))),
-    "told before saved": (told_before_saved, Schedule(1, 1, POWER_AT_ACK)),
-    "relay id used again": (relay_id_used_again, Schedule(1, 1, ())),
+    "vote not synced": (vote_not_synced, Schedule(1, 1, repeated(Fault(6.0, Kind.POWER_ALL)))),
+    "told before saved": (acknowledged_before_persisted, Schedule(1, 1, POWER_AT_ACK)),
+    "relay id used again": (request_id_reused, Schedule(1, 1, ())),
     "base not checked": (base_not_checked, Schedule(1, 1, ())),
     "base of a patch not checked": (patch_base_not_checked, Schedule(1, 1, ())),
     "patch known by its result": (patch_known_by_its_result, Schedule(1, 1, ())),
     "unsure order refused": (
-        unsure_refused,
-        Schedule(1, 1, again(Fault(6.0, Kind.CUT_IN, LEADER, Point.BEFORE_SAVE, lasts_s=2.0))),
+        unknown_outcome_refused,
+        Schedule(1, 1, repeated(Fault(6.0, Kind.PARTITION_INBOUND, LEADER, Point.BEFORE_SAVE, lasts_s=2.0))),
     ),
-    "job accepted early": (job_accepted_early, Schedule(1, 1, CUT_STORE_LEADER, stores=True)),
-    "retirement ended early": (retirement_ended_early, Schedule(1, 1, STALLED_STORES, stores=True)),
+    "job accepted early": (job_accepted_early, Schedule(1, 1, PARTITIONED_STORE_LEADER, stores=True)),
+    "retirement ended early": (decommissioning_ended_early, Schedule(1, 1, STALLED_STORES, stores=True)),
 }
--- a/tests/simulation/network.py
+++ b/tests/simulation/network.py
@@ -1,13 +1,13 @@
-"""Connections between simulated machines: ordered bytes that are delayed, held up by cuts, reset or lost.
+"""Connections between simulated machines: ordered bytes that are delayed, blocked by partitions or lost.
 
-As with TCP, what a cut holds up arrives after the cut, unless one end gives the connection up before. A
-program that ends resets its connections; a machine without power says nothing.
+As with TCP, bytes blocked by a partition arrive when it heals, unless one end times out before. A process
+that ends resets its connections; a machine without power sends nothing, so that its peers must time out.
 """
 
 import asyncio
 import random
 from collections.abc import Callable
-from typing import Any
+from typing import Any, NamedTuple
 
 from pewterring.transport.channel import USER_TIMEOUT_MS, Channel, MessageHandler, PeerWarnings
 from pewterring.transport.line_codec import MessageCodec
@@ -16,7 +16,7 @@
 
 USER_TIMEOUT_S = USER_TIMEOUT_MS / 1000
 OPEN_RETRY_S = 1.0  # before a lost opening packet is sent again
-RETRANSMIT_S = 0.8  # at most, from the end of a cut to the next try
+RETRANSMIT_S = 0.8  # at most, from the end of a partition to the next attempt
 KEEPALIVE_S = 5.0  # at most, until an idle end learns that the other is gone
 DELAY_S = (0.0005, 0.004)
 SLOW_DELAY_S = (0.02, 0.15)
@@ -25,14 +25,14 @@
 
 
 class _Socket:
-    """Takes options and forgets them."""
+    """Accepts socket options and ignores them."""
 
     def setsockopt(self, level: int, option: int, value: int) -> None:
         """Part of a socket."""
 
 
 class Transport(asyncio.Transport):
-    """One end of a connection."""
+    """One end of a connection; `network` carries its bytes to `peer`."""
 
     def __init__(self, network: "Network", owner: Process, local_ip: str, remote_ip: str) -> None:
         self.network = network
@@ -42,9 +42,9 @@
         self.protocol: Channel | None = None
         self.peer: Transport
         self.is_open = True
-        self.held: list[bytes] = []  # behind a cut
-        self.held_bytes = 0
-        self.watched = False  # for the user time-out
+        self.pending: list[bytes] = []  # blocked by a partition, in order
+        self.pending_bytes = 0
+        self.watched = False  # whether the user time-out is running
         self.last_arrival = 0.0
 
     def write(self, data: Any) -> None:
@@ -52,7 +52,7 @@
         self.owner.does(lambda: self.network.transmit(self, content))
 
     def get_write_buffer_size(self) -> int:
-        return self.held_bytes
+        return self.pending_bytes
 
     def get_extra_info(self, name: str, default: Any = None) -> Any:
         return {"peername": (self.remote_ip, 1), "socket": _Socket()}.get(name, default)
@@ -66,7 +66,7 @@
     abort = close
 
     def lost(self, reason: str) -> None:
-        """The owner learns that the connection is gone."""
+        """Tells the owner that the connection is lost."""
         if self.is_open:
             self.is_open = False
             self.network.forget(self)
@@ -74,18 +74,25 @@
                 self.protocol.connection_lost(ConnectionResetError(reason))
 
 
+class Listener(NamedTuple):
+    """A process that takes connections, and what makes its end of each."""
+
+    owner: Process
+    factory: Callable[[], Channel]
+
+
 class Network:
-    """All connections, listeners and cuts. Places are IPs, or `OUTSIDE`."""
+    """Owns all connections, listeners and blocked paths. A path's ends are IPs, or `OUTSIDE`."""
 
     def __init__(self, loop: VirtualLoop, rng: random.Random) -> None:
         self._loop = loop
         self._rng = rng
         self._seed = rng.random()
         self._paths: dict[tuple[str, str], random.Random] = {}
-        self.cuts: set[tuple[str, str]] = set()  # (from, to)
-        self.dark: set[str] = set()  # IPs without power
-        self.slow: set[str] = set()
-        self.listeners: dict[str, tuple[Process, Callable[[], Channel]]] = {}
+        self.blocked_paths: set[tuple[str, str]] = set()  # (from, to)
+        self.powered_off_ips: set[str] = set()  # IPs without power
+        self.slow_ips: set[str] = set()
+        self.listeners: dict[str, Listener] = {}  # by IP
         self._ends: dict[Transport, None] = {}
         loop.create_server_at = self._listen
 
@@ -93,65 +100,69 @@
 
     def blocked(self, source: str, target: str) -> bool:
         """Whether nothing passes from one to the other now."""
-        return (source, target) in self.cuts or source in self.dark or target in self.dark
+        return (
+            (source, target) in self.blocked_paths
+            or source in self.powered_off_ips
+            or target in self.powered_off_ips
+        )
 
     def delay_s(self, source: str, target: str) -> float:
-        """How long something takes on its way."""
-        slow = source in self.slow or target in self.slow
-        return self._path(source, target).uniform(*(SLOW_DELAY_S if slow else DELAY_S))
+        """Draws the latency of one transmission."""
+        slow_ips = source in self.slow_ips or target in self.slow_ips
+        return self._path(source, target).uniform(*(SLOW_DELAY_S if slow_ips else DELAY_S))
 
     def _path(self, source: str, target: str) -> random.Random:
-        """Each path has a generator of its own: programs send to sets of peers, in no order."""
+        """Returns the path's own generator: programs send to sets of peers, whose order must not matter."""
         path = self._paths.get((source, target))
         if path is None:
             path = self._paths[source, target] = random.Random(f"{self._seed} {source} {target}")
         return path
 
     def heal(self) -> None:
-        """To be called after cuts ended or power came back."""
+        """Resumes connections after a partition ended or power came back; every such caller must call it."""
         for end in tuple(self._ends):
             if self.blocked(end.local_ip, end.remote_ip) or self.blocked(end.remote_ip, end.local_ip):
                 continue
             end.watched = False
             if not end.peer.is_open:
-                longest_s = RETRANSMIT_S if end.held else KEEPALIVE_S
+                longest_s = RETRANSMIT_S if end.pending else KEEPALIVE_S
                 self._tell_lost(end, self._rng.uniform(0.01, longest_s), "the peer is gone")
-            elif end.held:
+            elif end.pending:
                 self._loop.call_outside(
                     self._loop.time() + self._rng.uniform(0.01, RETRANSMIT_S), self._release, end
                 )
 
     # Connections
 
-    def _listen(self, factory: Callable[[], Channel], ip: str, port: int, **_: Any) -> "_Server":
+    def _listen(self, factory: Callable[[], Channel], ip: str, *_: Any, **__: Any) -> "_Server":
         process = self._loop.current
         assert process is not None
-        self.listeners[ip] = (process, factory)
+        self.listeners[ip] = Listener(process, factory)
         return _Server(self, ip)
 
     async def connect(
         self,
         codec: MessageCodec,
         ip: str,
-        port: int,
+        _port: int,
         timeout_s: float,
         on_message: MessageHandler | None = None,
-        source_ip: str | None = None,
+        _source_ip: str | None = None,
         warnings: PeerWarnings | None = None,
     ) -> Channel:
         """Stands for `pewterring.transport.line_server.connect`."""
         process = self._loop.current
         assert process is not None
-        source = process.name.partition("/")[0]
+        source = process.ip
         try:
             async with asyncio.timeout(timeout_s):
                 await self._reach(source, ip)
         except TimeoutError as error:
             raise RequestNotSent(f"cannot connect to {ip}: no answer") from error
         listener = self.listeners.get(ip)
-        if listener is None or not listener[0].alive:
+        if listener is None or not listener.owner.alive:
             raise RequestNotSent(f"cannot connect to {ip}: refused")
-        return self._pair(process, source, ip, Channel(codec, on_message, warnings), *listener)
+        return self._pair(process, ip, Channel(codec, on_message, warnings), listener)
 
     async def _reach(self, source: str, ip: str) -> None:
         while True:
@@ -163,23 +174,22 @@
     def _pair(
         self,
         client: Process,
-        source: str,
         ip: str,
         channel: Channel,
-        server: Process,
-        factory: Callable[[], Channel],
+        listener: Listener,
     ) -> Channel:
+        source = client.ip
         here = Transport(self, client, source, ip)
-        there = Transport(self, server, ip, source)
+        there = Transport(self, listener.owner, ip, source)
         here.peer, there.peer = there, here
         self._ends[here] = self._ends[there] = None
         here.protocol = channel
 
         def accept() -> None:
-            there.protocol = factory()
+            there.protocol = listener.factory()
             there.protocol.connection_made(there)
 
-        self._loop.call_in(server, self._loop.time(), accept)
+        self._loop.call_in(listener.owner, self._loop.time(), accept)
         channel.connection_made(here)
         return channel
 
@@ -189,16 +199,16 @@
             return
         source, target = end.local_ip, end.remote_ip
         if self.blocked(source, target):
-            end.held.append(data)
-            end.held_bytes += len(data)
+            end.pending.append(data)
+            end.pending_bytes += len(data)
             self._watch(end)
             return
-        if end.held:
-            end.held.append(data)
-            end.held_bytes += len(data)
+        if end.pending:
+            end.pending.append(data)
+            end.pending_bytes += len(data)
             return
         if self.blocked(target, source):
-            self._watch(end)  # it arrives, but that is not confirmed
+            self._watch(end)  # the bytes arrive, but their acknowledgement does not
         if not end.peer.is_open:
             self._tell_lost(end, self.delay_s(source, target), "reset by the peer")
             return
@@ -211,16 +221,16 @@
         if not peer.is_open:
             return
         if self.blocked(end.local_ip, end.remote_ip):
-            end.held.append(data)
-            end.held_bytes += len(data)
+            end.pending.append(data)
+            end.pending_bytes += len(data)
             self._watch(end)
             return
         assert peer.protocol is not None
         peer.protocol.data_received(data)
 
     def _release(self, end: Transport) -> None:
-        held, end.held, end.held_bytes = end.held, [], 0
-        for data in held:
+        pending, end.pending, end.pending_bytes = end.pending, [], 0
+        for data in pending:
             self.transmit(end, data)
 
     def _watch(self, end: Transport) -> None:
@@ -239,7 +249,7 @@
         self._loop.call_in(end.owner, self._loop.time() + after_s, end.lost, reason)
 
     def end(self, end: Transport) -> None:
-        """The owner closes its end; what it wrote before arrives first."""
+        """Closes one end; what its owner wrote before arrives first."""
         if not end.is_open:
             return
         end.is_open = False
@@ -248,26 +258,26 @@
             after_s = max(self.delay_s(end.local_ip, end.remote_ip), end.last_arrival - self._loop.time())
             self._tell_lost(end.peer, after_s, "closed by the peer")
 
-    def process_ended(self, process: Process, silent: bool) -> None:
-        """All connections of a process end; the other ends are told, unless its machine lost its power."""
-        for ip, (owner, _) in tuple(self.listeners.items()):
-            if owner is process:
+    def process_ended(self, process: Process, power_lost: bool) -> None:
+        """Ends all connections of a process; the peers are reset, unless the machine lost its power."""
+        for ip, listener in tuple(self.listeners.items()):
+            if listener.owner is process:
                 del self.listeners[ip]
         for end in tuple(self._ends):
             if end.owner is not process:
                 continue
             end.is_open = False
             self.forget(end)
-            if not silent and not self.blocked(end.local_ip, end.remote_ip):
+            if not power_lost and not self.blocked(end.local_ip, end.remote_ip):
                 after_s = max(self.delay_s(end.local_ip, end.remote_ip), end.last_arrival - self._loop.time())
                 self._tell_lost(end.peer, after_s, "reset by the peer")
 
     def forget(self, end: Transport) -> None:
-        """An end that is closed."""
+        """Removes an end that is closed."""
         self._ends.pop(end, None)
 
     def reset_some(self, ip: str) -> None:
-        """Loses all connections of a machine; both ends are told."""
+        """Resets all connections of a machine at both ends."""
         for end in tuple(self._ends):
             if ip in (end.local_ip, end.remote_ip):
                 self._tell_lost(end, self.delay_s(end.local_ip, end.remote_ip), "reset on the way")
@@ -281,7 +291,7 @@
         self._ip = ip
 
     def close(self) -> None:
-        """Listens no longer."""
+        """Stops listening."""
         self._network.listeners.pop(self._ip, None)
 
     async def wait_closed(self) -> None:
--- a/tests/simulation/patches.py
+++ b/tests/simulation/patches.py
@@ -1,11 +1,15 @@
-"""What is replaced below the real programs: clocks, chance, sockets, files, and the sizes of logs."""
+"""Replacements below the real programs: clocks, randomness, sockets, files, and the sizes of logs.
+
+The list in `installed` names each replaced attribute; one that no longer exists fails the run at once.
+"""
 
 import contextlib
 import dataclasses
 import random
 from collections.abc import Callable, Iterator
 from functools import lru_cache, partial
-from typing import TYPE_CHECKING, Any
+from types import ModuleType, SimpleNamespace
+from typing import TYPE_CHECKING, Any, NamedTuple
 from unittest import mock
 
 from loguru import logger
@@ -39,41 +43,26 @@
 SEGMENT_BYTES = 8000
 SNAPSHOT_AFTER_BYTES = 12_000
 
-read_once = lru_cache(maxsize=4096)(read_configuration)  # it is a function of the document
-
+read_once = lru_cache(maxsize=4096)(read_configuration)  # pure, and the same documents recur in each process
 
-class _Clock:
-    """Stands for the module `time`."""
 
-    def __init__(self, world: "World") -> None:
-        self._world = world
+def _time_module(world: "World") -> SimpleNamespace:
+    """Stands for the module `time`: the steady clock of the process that runs now."""
+    return SimpleNamespace(monotonic=lambda: world.process().steady(world.loop.time()))
 
-    def monotonic(self) -> float:
-        return self._world.process().steady(self._world.loop.time())
 
+def _random_module(world: "World") -> SimpleNamespace:
+    """Stands for the module `random`: each generator is seeded by the world's."""
+    return SimpleNamespace(Random=lambda: random.Random(world.rng.random()))
 
-class _Chance:
-    """Stands for the module `random`: each generator has a seed."""
 
-    def __init__(self, world: "World") -> None:
-        self._world = world
-
-    def Random(self) -> random.Random:
-        return random.Random(self._world.rng.random())
-
-
-class _Secrets:
-    """Stands for the module `secrets`."""
-
-    def __init__(self, world: "World") -> None:
-        self._world = world
-
-    def token_hex(self, count: int) -> str:
-        return self._world.rng.randbytes(count).hex()
+def _secrets_module(world: "World") -> SimpleNamespace:
+    """Stands for the module `secrets`: tokens are drawn by the world's generator."""
+    return SimpleNamespace(token_hex=lambda count: world.rng.randbytes(count).hex())
 
 
 class ApiServer:
-    """Stands for the HTTP server of control: the network hands it its calls."""
+    """Stands for the HTTP server of control: the simulated network delivers its calls."""
 
     def __init__(self, world: "World", handler: Handler, address: Address) -> None:
         self._world = world
@@ -81,11 +70,11 @@
         self._ip = address.ip
 
     async def start(self) -> None:
-        """Takes calls from now on."""
+        """Starts to take calls."""
         self._world.http.listen(self._ip, self._world.process(), partial(call_handler, self._handler))
 
     async def stop(self) -> None:
-        """Takes no more."""
+        """Stops taking calls."""
         self._world.http.stop(self._ip)
 
 
@@ -106,7 +95,7 @@
 
 
 class ObservedDriver(RaftDriver):
-    """The real driver; it tells the world what it does."""
+    """The real driver; it reports its steps to the world."""
 
     world: "World"
     owner: ReplicatedGroup
@@ -115,7 +104,7 @@
         if entry.kind == "members":
             self.world.reach("members_applied")
         self.world.reach("before_apply")
-        self.world.watch.applied(self.owner, entry)
+        self.world.invariants.applied(self.owner, entry)
         super()._apply(entry)
 
     def _begin_save(self, save: Save) -> None:
@@ -126,16 +115,28 @@
     def _saved(self, save: Save) -> None:
         applied = self.owner.applied_index
         if save.snapshot is not None and save.snapshot.index < applied:
-            self.world.watch.violation(
+            self.world.invariants.violation(
                 f"{self.member} goes back from {applied} to the snapshot at {save.snapshot.index}"
             )
         super()._saved(save)
         if save.hard_state is not None:
-            self.world.watch.saved(self.owner, save.hard_state.term)
+            self.world.invariants.saved(self.owner, save.hard_state.term)
+
+
+def _small_logs(world: "World") -> GroupOptions:
+    """Limits so low that compaction and snapshots in flight are common."""
+    limits = RaftLimits(
+        message_bytes=4000,
+        window_bytes=16_000,
+        window_messages=8,
+        snapshot_chunk_bytes=world.snapshot_chunk_bytes,
+        retained_bytes=3000,
+    )
+    return GroupOptions(limits=limits, snapshot_after_bytes=SNAPSHOT_AFTER_BYTES)
 
 
 class ObservedGroup(ReplicatedGroup):
-    """The real group; it tells the world what it does."""
+    """The real group; it reports its steps to the world."""
 
     driver_class = ObservedDriver
 
@@ -147,18 +148,10 @@
         environment: GroupEnvironment,
         callbacks: GroupCallbacks,
     ) -> None:
-        limits = RaftLimits(
-            message_bytes=4000,
-            window_bytes=16_000,
-            window_messages=8,
-            snapshot_chunk_bytes=world.snapshot_chunk_bytes,
-            retained_bytes=3000,
-        )
-        options = GroupOptions(limits=limits, snapshot_after_bytes=SNAPSHOT_AFTER_BYTES)
         self.world = world
         self._notify_owner = callbacks.on_leadership
         observed = dataclasses.replace(callbacks, on_leadership=self._on_leadership)
-        super().__init__(group, member, environment, options, observed)
+        super().__init__(group, member, environment, _small_logs(world), observed)
         assert isinstance(self._driver, ObservedDriver)
         self._driver.world = world
         self._driver.owner = self
@@ -166,17 +159,17 @@
     async def start(self) -> None:
         """Part of `ReplicatedGroup`."""
         await super().start()
-        self.world.watch.starts(self)
+        self.world.invariants.starts(self)
 
     def _on_leadership(self, leads: bool) -> None:
         if leads:
             assert self.led_term is not None
-            self.world.watch.leads(self, self.led_term)
+            self.world.invariants.leads(self, self.led_term)
         self._notify_owner(leads)
 
     async def change_membership(self, membership: Membership) -> None:
         """Part of `ReplicatedGroup`."""
-        self.world.watch.changes_members(self, membership)
+        self.world.invariants.changes_members(self, membership)
         self.world.reach("members")
         await super().change_membership(membership)
 
@@ -189,39 +182,61 @@
     return disk
 
 
+class Replacement(NamedTuple):
+    """An attribute of a module, and what stands for it."""
+
+    module: ModuleType
+    name: str
+    value: Any
+
+
+def _control_replacements(world: "World") -> tuple[Replacement, ...]:
+    """What the control program gets."""
+    small_segments = partial(DiskGroupStorage, segment_bytes=SEGMENT_BYTES)
+    return (
+        Replacement(control_program, "time", _time_module(world)),
+        Replacement(control_program, "random", _random_module(world)),
+        Replacement(control_storage, "FolderDisk", _disk_of(world)),
+        Replacement(control_program, "ApiServer", partial(ApiServer, world)),
+        Replacement(control_program, "ReplicatedGroup", partial(ObservedGroup, world)),
+        Replacement(control_storage, "DiskGroupStorage", small_segments),
+    )
+
+
+def _batch_replacements(world: "World") -> tuple[Replacement, ...]:
+    """What the store program gets."""
+    small_segments = partial(DiskGroupStorage, segment_bytes=SEGMENT_BYTES)
+    return (
+        Replacement(batch_partition, "FolderDisk", _disk_of(world)),
+        Replacement(batch_partition, "ReplicatedGroup", partial(ObservedGroup, world)),
+        Replacement(batch_partition, "DiskGroupStorage", small_segments),
+        Replacement(batch_partitions, "FolderDisk", _disk_of(world)),
+        Replacement(batch_program, "secrets", _secrets_module(world)),
+        Replacement(batch_worker_access, "AdmissionHeartbeats", NoHeartbeats),
+        Replacement(batch_worker_access, "HttpItemRunner", lambda *_: world.items),
+    )
+
+
+def _shared_replacements(world: "World") -> tuple[Replacement, ...]:
+    """What all programs get."""
+    return (
+        Replacement(validation, "read_configuration", read_once),
+        Replacement(subscription, "read_configuration", read_once),
+        Replacement(identity, "FolderDisk", _disk_of(world)),
+        Replacement(identity, "secrets", _secrets_module(world)),
+        Replacement(link_pool, "connect", world.network.connect),
+        Replacement(subscriber, "connect", world.network.connect),
+    )
+
+
 @contextlib.contextmanager
 def installed(world: "World") -> Iterator[None]:
-    """All replacements, while a world runs."""
-    clock = _Clock(world)
-    replaced: tuple[tuple[Any, str, Any], ...] = (
-        (control_program, "time", clock),
-        (control_program, "random", _Chance(world)),
-        (control_storage, "FolderDisk", _disk_of(world)),
-        (control_program, "ApiServer", partial(ApiServer, world)),
-        (control_program, "ReplicatedGroup", partial(ObservedGroup, world)),
-        (
-            control_storage,
-            "DiskGroupStorage",
-            partial(DiskGroupStorage, segment_bytes=SEGMENT_BYTES),
-        ),
-        (validation, "read_configuration", read_once),
-        (subscription, "read_configuration", read_once),
-        (batch_partition, "FolderDisk", _disk_of(world)),
-        (batch_partition, "ReplicatedGroup", partial(ObservedGroup, world)),
-        (batch_partition, "DiskGroupStorage", partial(DiskGroupStorage, segment_bytes=SEGMENT_BYTES)),
-        (batch_partitions, "FolderDisk", _disk_of(world)),
-        (batch_program, "secrets", _Secrets(world)),
-        (batch_worker_access, "AdmissionHeartbeats", NoHeartbeats),
-        (batch_worker_access, "HttpItemRunner", lambda *_: world.items),
-        (identity, "FolderDisk", _disk_of(world)),
-        (identity, "secrets", _Secrets(world)),
-        (link_pool, "connect", world.network.connect),
-        (subscriber, "connect", world.network.connect),
-    )
+    """Installs all replacements while a world runs."""
+    replacements = (*_control_replacements(world), *_batch_replacements(world), *_shared_replacements(world))
     with contextlib.ExitStack() as stack:
-        for target, name, value in replaced:
-            stack.enter_context(mock.patch.object(target, name, value))
-        for watcher in world.watch.watchers():
+        for module, name, value in replacements:
+            stack.enter_context(mock.patch.object(module, name, value))
+        for watcher in world.invariants.watchers():
             stack.enter_context(watcher)
         logger.disable("pewterring")
         stack.callback(logger.enable, "pewterring")
--- a/tests/simulation/play.py
+++ b/tests/simulation/play.py
@@ -1,4 +1,8 @@
-"""Plays one schedule from the first start to the end, and judges it."""
+"""Plays one schedule from the first start to the end, and judges the run.
+
+`play` is the entry. Invariants are checked as the programs run (`watch.py`); here are the checks after the
+last fault: recovery, redundancy, gateways, jobs and the linearizability of the history.
+"""
 
 import asyncio
 import gc
@@ -10,41 +14,41 @@
 from pewterring.distribution.messages import RegistrationState
 from pewterring.distribution.tables import Tables
 from tests.simulation.adversary import Adversary
-from tests.simulation.batch import FINISH_S, BatchClient, Retirer
+from tests.simulation.batch import FINISH_S, BatchClient, StoreDecommissioner
 from tests.simulation.callers import Operator, Worker
 from tests.simulation.history import Outcome
-from tests.simulation.linearizability import NotLinearizable, check
+from tests.simulation.linearizability import NotLinearizableError, check
 from tests.simulation.losses import CATCH_UP_S
 from tests.simulation.patches import installed
 from tests.simulation.redundancy import Redundancy
-from tests.simulation.schedule import On, Schedule
+from tests.simulation.schedule import Role, Schedule
 from tests.simulation.world import World
 
 CALLERS_S = 0.5  # when operators and workers begin
 WORKERS = 5
 BATCH_CLIENTS = 2
-CONFIRMED_S = 4.0  # `ack_ms`: an order is confirmed so soon after the last fault
-LONGEST_S = 60.0  # no schedule goes on for longer
-CONFIG_S = 1.0  # half of `config_ms`: gateways know a version so soon, where nothing is in trouble
-DRAIN_S = 1.0  # half of `drain_ms`: and so soon that a worker has left
+CONFIRMED_S = 4.0  # `ack_ms`: an order is acknowledged within that after the last fault
+LONGEST_S = 60.0  # no schedule takes longer
+CONFIG_S = 1.0  # half of `config_ms`: gateways have a new version within that, without faults
+DRAIN_S = 1.0  # half of `drain_ms`: and know within that of a worker's departure
 STEP_S = 0.25
-CHANGE_S = 1.0  # a planned change of leader is over by then
+CHANGE_S = 1.0  # a leadership transfer takes at most that
 
 
 @dataclass(slots=True)
 class Verdict:
-    """What a run showed."""
+    """The result of a run."""
 
     schedule: Schedule
     violations: list[str] = field(default_factory=list)
     log: list[str] = field(default_factory=list)
-    orders: int = 0  # acknowledged
+    orders: int = 0  # distinct ones that were acknowledged
     ended_s: float = 0.0
-    repair_s: float = 0.0  # the longest time from the return of a machine to whole redundancy
+    repair_s: float = 0.0  # the longest time from the return of a machine to full redundancy
 
     @property
     def failed(self) -> bool:
-        """Whether anything was wrong."""
+        """Whether the run showed a violation."""
         return bool(self.violations)
 
 
@@ -60,9 +64,9 @@
         self.clients = [BatchClient(self.world, f"j{number}") for number in range(BATCH_CLIENTS)]
         self.world.loop.call_outside(CALLERS_S, self._begin_callers)
         losses = self.adversary.losses
-        self.redundancy = [Redundancy(self.world, losses, On.CONTROL, GROUP)]
+        self.redundancy = [Redundancy(self.world, losses, Role.CONTROL, GROUP)]
         if schedule.stores:
-            self.redundancy.append(Redundancy(self.world, losses, On.STORE, FIRST_GROUP))
+            self.redundancy.append(Redundancy(self.world, losses, Role.STORE, FIRST_GROUP))
         for redundancy in self.redundancy:
             self.world.loop.call_outside(CATCH_UP_S, redundancy.begin)
         self._failures: list[str] = []
@@ -71,12 +75,12 @@
         workers = [Worker(self.world, number) for number in range(1, WORKERS + 1)]
         works = [operator.work for operator in self.operators] + [worker.work for worker in workers]
         if self.schedule.stores:
-            works += [client.work for client in self.clients] + [Retirer(self.world).work]
+            works += [client.work for client in self.clients] + [StoreDecommissioner(self.world).work]
         for work in (*works, self.reader.read_often):
             self.world.loop.create_task(work())
 
     def play(self) -> Verdict:
-        """Runs it all."""
+        """Runs the schedule and returns the verdict."""
         world = self.world
         with installed(world):
             while not self.adversary.done and world.loop.time() < LONGEST_S and not world.failed:
@@ -86,7 +90,7 @@
             if not world.failed:
                 self._judge_recovery()
         world.loop.close()
-        violations = [*world.watch.violations, *world.loop.errors, *self._failures]
+        violations = [*world.invariants.violations, *world.loop.errors, *self._failures]
         if not violations:
             violations = self._judge_history()
         acknowledged = {order.state for order in world.history.orders if order.outcome is Outcome.DONE}
@@ -96,41 +100,41 @@
         )
 
     def _judge_recovery(self) -> None:
-        """After the last fault: orders go on, and as many voters as wanted hold everything."""
+        """Checks that after the last fault orders are accepted and enough voters hold everything."""
         world = self.world
         healed = max(world.loop.time(), CATCH_UP_S)
         world.run(healed + CATCH_UP_S - STEP_S)
-        committed = {group: world.watch.committed(group) for group in (GROUP, FIRST_GROUP)}
+        committed = {group: world.invariants.committed(group) for group in (GROUP, FIRST_GROUP)}
         world.run(healed + CATCH_UP_S)
         if world.failed:
             return
         confirmed = [
-            order.ended
+            order.ended_s
             for order in world.history.orders
-            if order.outcome is Outcome.DONE and order.began >= healed
+            if order.outcome is Outcome.DONE and order.began_s >= healed
         ]
         if min(confirmed, default=healed + CATCH_UP_S) > healed + CONFIRMED_S:
             self._failures.append(f"no order was confirmed between {healed:.2f} and {world.loop.time():.2f}")
-        self._judge_redundancy(On.CONTROL, committed[GROUP])
+        self._judge_redundancy(Role.CONTROL, committed[GROUP])
         if self.schedule.stores:
-            self._judge_redundancy(On.STORE, committed[FIRST_GROUP])
+            self._judge_redundancy(Role.STORE, committed[FIRST_GROUP])
         self._read_everywhere()
 
-    def _judge_redundancy(self, on: On, committed: int) -> None:
-        """A leader that a planned change takes away may leave the group without one for a moment."""
-        failure = self._redundancy_failure(on, committed)
+    def _judge_redundancy(self, role: Role, committed: int) -> None:
+        """Checks the redundancy; a leadership transfer may leave a group without leader for `CHANGE_S`."""
+        failure = self._redundancy_failure(role, committed)
         end = self.world.loop.time() + CHANGE_S
         while failure and self.world.loop.time() < end and not self.world.failed:
             self.world.run(self.world.loop.time() + STEP_S)
-            failure = self._redundancy_failure(on, committed)
+            failure = self._redundancy_failure(role, committed)
         if failure:
             self._failures.append(failure)
 
-    def _redundancy_failure(self, on: On, committed: int) -> str:
-        leader = self.world.leader(on)
+    def _redundancy_failure(self, role: Role, committed: int) -> str:
+        leader = self.world.leader(role)
         wanted = 2 * self.world.tolerated + 1
         if leader is None or leader.group is None:
-            return f"nobody leads the {on.value} machines"
+            return f"nobody leads the {role.value} machines"
         group = leader.group
         complete = [voter for voter in group.membership.voters if group.match(voter) >= committed]
         if len(complete) >= wanted:
@@ -141,7 +145,7 @@
         )
 
     def _read_everywhere(self) -> None:
-        """Each machine is asked for what is current, once the operators have ended."""
+        """Stops the callers, then reads the current configuration at each machine."""
         world = self.world
         for operator in (*self.operators, self.reader):
             operator.busy = False
@@ -151,7 +155,7 @@
         if self.schedule.stores:
             self._finish_jobs(world.loop.time() + FINISH_S)
         self._judge_gateways()
-        ips = [machine.ip for machine in world.core()]
+        ips = [machine.ip for machine in world.present_machines()]
         answers: list[object] = []
 
         async def read_all() -> None:
@@ -164,23 +168,23 @@
             self._failures.append(f"reads at the end: {answers}")
 
     def _judge_gateways(self) -> None:
-        """Once nothing changes any more, all gateways know the newest, and no worker that left."""
+        """Checks that all gateways have the newest version, and no worker that has left."""
         world = self.world
-        settled = world.loop.time() - DRAIN_S
+        left_before = world.loop.time() - DRAIN_S
         promised = world.history.acknowledged_before(world.loop.time() - CONFIG_S)
-        for node in world.nodes.values():
+        for node in world.gateways.values():
             tables = node.subscriber.tables if node.subscriber is not None else Tables()
             if node.seen_version < promised:
                 self._failures.append(f"{node.ip} has version {node.seen_version}, not {promised}")
             for worker in tables.workers.values():
                 if (
                     worker.state == RegistrationState.READY
-                    and world.watch.left.get(worker.id, settled) < settled
+                    and world.invariants.left.get(worker.id, left_before) < left_before
                 ):
                     self._failures.append(f"{node.ip} takes {worker.id} for ready, which has left")
 
     def _finish_jobs(self, until: float) -> None:
-        """All that was accepted is finished, and seen by its client."""
+        """Runs until the clients have all results of their accepted jobs, or until the deadline."""
         unfinished = [""]
         while unfinished and self.world.loop.time() < until and not self.world.failed:
             self.world.run(self.world.loop.time() + 2 * STEP_S)
@@ -190,13 +194,13 @@
     def _judge_history(self) -> list[str]:
         try:
             check(self.world.history)
-        except NotLinearizable as error:
+        except NotLinearizableError as error:
             return [str(error)]
         return []
 
 
 def play(schedule: Schedule) -> Verdict:
-    """Plays a schedule. Collecting garbage waits until the end: it would run finalizers at any moment."""
+    """Plays a schedule. Garbage collection waits until the end: it would run finalizers at random moments."""
     collecting = gc.isenabled()
     gc.disable()
     try:
--- a/tests/simulation/shrink.py
+++ b/tests/simulation/shrink.py
@@ -1,4 +1,4 @@
-"""Drops faults from a failing schedule for as long as it still fails."""
+"""Shrinks a failing schedule: removes faults for as long as it still fails."""
 
 from collections.abc import Callable
 from dataclasses import replace
@@ -7,7 +7,7 @@
 
 
 def shrink(schedule: Schedule, fails: Callable[[Schedule], bool]) -> Schedule:
-    """The shortest schedule found: none of its faults can be dropped alone."""
+    """Returns the shortest schedule found: none of its faults can be removed alone."""
     step = len(schedule.faults) // 2
     while step >= 1:
         start = 0
--- a/tests/simulation/test_schedules.py
+++ b/tests/simulation/test_schedules.py
@@ -3,7 +3,7 @@
 import pytest
 
 from tests.simulation.play import play
-from tests.simulation.schedule import Fault, Kind, On, Point, Schedule, Target, draw
+from tests.simulation.schedule import Fault, Kind, Point, Role, Schedule, Target, draw
 from tests.simulation.shrink import shrink
 
 SEEDS = range(1, 5)
@@ -22,10 +22,10 @@
         157,
         1,
         (
-            Fault(14.26, Kind.FULL_DISK, Target.OLDEST, Point.MEMBERS, 0.879, On.STORE),
-            Fault(15.53, Kind.CUT, Target.ANY, Point.DRAIN_ACKED, 0.768, On.STORE),
-            Fault(18.422, Kind.LOST_ANSWERS, Target.FOLLOWER, Point.BEFORE_APPLY, 0.798, On.STORE),
-            Fault(20.841, Kind.PLANNED, Target.LOST, Point.NOW, 2.3, On.STORE),
+            Fault(14.26, Kind.FULL_DISK, Target.OLDEST, Point.MEMBERS, 0.879, Role.STORE),
+            Fault(15.53, Kind.PARTITION, Target.ANY, Point.DRAIN_ACKED, 0.768, Role.STORE),
+            Fault(18.422, Kind.LOST_ANSWERS, Target.FOLLOWER, Point.BEFORE_APPLY, 0.798, Role.STORE),
+            Fault(20.841, Kind.PLANNED, Target.LOST, Point.NOW, 2.3, Role.STORE),
         ),
         stores=True,
     ),
@@ -33,18 +33,18 @@
         1001116,
         1,
         (
-            Fault(9.453, Kind.CUT_OUT, Target.NEWEST, Point.MEMBERS, 0.259, On.STORE),
-            Fault(14.11, Kind.FULL_DISK, Target.LOST, Point.BEFORE_SAVE, 4.171, On.STORE),
+            Fault(9.453, Kind.PARTITION_OUTBOUND, Target.NEWEST, Point.MEMBERS, 0.259, Role.STORE),
+            Fault(14.11, Kind.FULL_DISK, Target.LOST, Point.BEFORE_SAVE, 4.171, Role.STORE),
         ),
     ),
     "a process is killed while it ends by plan, with all others": Schedule(
         3000965,
         2,
         (
-            Fault(6.252, Kind.CUT_AWAY, Target.NEWEST, Point.NOW, 4.362),
+            Fault(6.252, Kind.ISOLATE, Target.NEWEST, Point.NOW, 4.362),
             Fault(7.897, Kind.KILL, Target.LEADER, Point.ANSWER, 0.989),
             Fault(12.804, Kind.PLANNED, Target.LEADER, Point.NOW, 0.352),
-            Fault(17.587, Kind.CUT_ALL, Target.OLDEST, Point.JOB_ACKED, 3.257),
+            Fault(17.587, Kind.PARTITION_ALL, Target.OLDEST, Point.JOB_ACKED, 3.257),
             Fault(20.965, Kind.WIPE_AND_POWER, Target.FOLLOWER, Point.MEMBERS_APPLIED, 0.057),
         ),
         stores=True,
@@ -57,7 +57,7 @@
             Fault(6.904, Kind.KILL_ALL, Target.LEADER, Point.NOW, 1.16),
             Fault(8.586, Kind.POWER_ALL, Target.OLDEST, Point.MEMBERS, 0.791),
             Fault(12.404, Kind.KILL_ALL, Target.ANY, Point.MEMBERS, 0.042),
-            Fault(14.334, Kind.GATEWAY_CUT, Target.OLDEST, Point.ORDER_ACKED, 0.439),
+            Fault(14.334, Kind.GATEWAY_PARTITION, Target.OLDEST, Point.ORDER_ACKED, 0.439),
             Fault(18.73, Kind.WIPE, Target.LEADER, Point.NOW, 0.783),
             Fault(19.562, Kind.KILL_ALL, Target.NEWEST, Point.MEMBERS_APPLIED, 1.641),
         ),
@@ -67,7 +67,7 @@
         2,
         (
             Fault(6.935, Kind.WIPE, Target.OLDEST, Point.AFTER_SAVE, 0.047),
-            Fault(7.326, Kind.CUT_FREEZE, Target.LEADER, Point.MEMBERS_APPLIED, 1.661),
+            Fault(7.326, Kind.PARTITION_FREEZE, Target.LEADER, Point.MEMBERS_APPLIED, 1.661),
         ),
     ),
 }
@@ -84,7 +84,7 @@
     assert (first.orders, first.log) == (second.orders, second.log)
 
 
-def test_a_schedule_is_cut_down_to_what_fails() -> None:
+def test_a_schedule_is_reduced_to_what_fails() -> None:
     needed = Fault(2.0, Kind.WIPE, Target.OLDEST)
     others = tuple(Fault(float(number), Kind.KILL) for number in range(7))
     schedule = Schedule(1, 1, (*others[:3], needed, *others[3:]))
--- a/tests/simulation/virtual_loop.py
+++ b/tests/simulation/virtual_loop.py
@@ -1,15 +1,18 @@
 """An event loop in virtual time that runs several processes, each of which can be frozen or killed alone.
 
-A process is told by a context variable, which tasks, timers and callbacks inherit. What a frozen process
-would run is kept for later; what a dead one would run is dropped.
+A context variable identifies the process; tasks, timers and callbacks inherit it. What a frozen process
+would run is postponed; what a dead one would run is dropped. An exception that nobody handles is kept in
+`errors`, and fails the run.
 """
 
 import asyncio
 import contextvars
 import heapq
 import inspect
+from abc import ABC, abstractmethod
 from collections import deque
 from collections.abc import Callable, Coroutine, Generator
+from dataclasses import dataclass
 from enum import IntEnum
 from operator import itemgetter
 from typing import Any
@@ -20,7 +23,7 @@
 
 
 class Turn(IntEnum):
-    """In which order a process that stood still goes on: as asyncio does, input comes before timers."""
+    """In which order a thawed process resumes: as in asyncio, input comes before timers."""
 
     OUTPUT = 0  # what it was about to send
     READY = 1
@@ -29,7 +32,7 @@
 
 
 class Process:
-    """One life of one program. `host` runs its blocking work; `rate` and `offset` make its steady clock."""
+    """One incarnation of one program. `host` does its blocking work; its clock has a `rate` and `offset`."""
 
     def __init__(self, name: str, host: "BlockingHost", rate: float = 1.0, offset: float = 0.0) -> None:
         self.name = name
@@ -43,16 +46,21 @@
         self.context = contextvars.copy_context()
         self.context.run(_PROCESS.set, self)
 
+    @property
+    def ip(self) -> str:
+        """The address of its machine, which its name begins with."""
+        return self.name.partition("/")[0]
+
     def steady(self, now: float) -> float:
-        """What its steady clock shows."""
+        """Converts virtual time to the process's steady clock."""
         return self.offset + self.rate * now
 
     def true_time(self, steady: float) -> float:
-        """When its steady clock showed that."""
+        """Converts a reading of the process's steady clock to virtual time."""
         return (steady - self.offset) / self.rate
 
     def does(self, output: Callable[[], object]) -> None:
-        """Lets an output leave: at once, after the freeze, or never."""
+        """Performs an output: at once, after the freeze, or never if the process is dead."""
         if not self.alive:
             return
         if self.frozen:
@@ -61,37 +69,25 @@
             output()
 
 
-class BlockingHost:
-    """Where blocking work of a process is done. This one does it at once."""
+class BlockingHost(ABC):
+    """Does the blocking work of the processes that run on it."""
 
+    @abstractmethod
     def run_blocking(self, loop: "VirtualLoop", process: Process, work: Callable[[], Any]) -> Any:
-        """A future for the result of `work`."""
-        future = loop.create_future()
-        future.set_result(work())
-        return future
+        """Returns a future for the result of `work`."""
 
 
+@dataclass(slots=True, eq=False)
 class _Handle:
-    """A callback that waits for its turn."""
-
-    __slots__ = ("args", "callback", "context", "is_cancelled", "process", "turn", "when_s")
+    """A scheduled callback: it is run in the context of `process`, at `when_s` of the virtual time."""
 
-    def __init__(
-        self,
-        callback: Callback,
-        args: tuple[Any, ...],
-        context: contextvars.Context,
-        process: Process | None,
-        when_s: float = 0.0,
-        turn: Turn = Turn.READY,
-    ) -> None:
-        self.callback = callback
-        self.args = args
-        self.context = context
-        self.process = process
-        self.when_s = when_s
-        self.turn = turn
-        self.is_cancelled = False
+    callback: Callback
+    args: tuple[Any, ...]
+    context: contextvars.Context
+    process: Process | None
+    when_s: float = 0.0
+    turn: Turn = Turn.READY
+    is_cancelled: bool = False
 
     def cancel(self) -> None:
         self.is_cancelled = True
@@ -108,7 +104,7 @@
 
     def __init__(self) -> None:
         self.current: Process | None = None
-        self.errors: list[str] = []  # of callbacks and tasks that nobody looked at
+        self.errors: list[str] = []  # exceptions of callbacks and tasks that nobody handled
         self._now = 0.0
         self._ready: deque[_Handle] = deque()
         self._timers: list[tuple[float, int, _Handle]] = []
@@ -135,12 +131,12 @@
             self._ready.append(handle)
         return handle
 
-    def call_later(  # type: ignore[override]
+    def call_later(  # type: ignore[override]  # typed more loosely
         self, delay: float, callback: Callback, *args: Any, context: contextvars.Context | None = None
     ) -> Any:
         return self.call_at(self._now + max(0.0, delay), callback, *args, context=context)
 
-    def call_at(  # type: ignore[override]
+    def call_at(  # type: ignore[override]  # typed more loosely
         self, when: float, callback: Callback, *args: Any, context: contextvars.Context | None = None
     ) -> Any:
         process = self.current
@@ -167,7 +163,7 @@
         return self.call_at(when, callback, *args, context=_OUTSIDE)
 
     def thaw(self, process: Process) -> None:
-        """The process goes on: first with what it had been about to do."""
+        """Resumes the process, first with what was postponed, in the order of `Turn`."""
         process.frozen = False
         postponed, process.postponed = process.postponed, []
         for _, action in sorted(postponed, key=itemgetter(0)):
@@ -176,12 +172,12 @@
     # Running
 
     def run_until(self, end: float, go_on: Callable[[], bool] = lambda: True) -> None:
-        """Runs what is due until `end`, or until `go_on` says no."""
-        asyncio._set_running_loop(self)
+        """Runs what is due until `end`, or until `go_on` returns false."""
+        asyncio._set_running_loop(self)  # noqa: SLF001 - asyncio's documented entry for event loops
         try:
             self._run(end, go_on)
         finally:
-            asyncio._set_running_loop(None)
+            asyncio._set_running_loop(None)  # noqa: SLF001 - as above
 
     def _run(self, end: float, go_on: Callable[[], bool]) -> None:
         ready, timers = self._ready, self._timers
@@ -209,7 +205,7 @@
         self.current = process
         try:
             handle.context.run(handle.callback, *handle.args)
-        except Exception as error:
+        except Exception as error:  # noqa: BLE001 - the outermost edge: each error fails the run
             self.errors.append(f"{process.name if process else 'outside'}: {error!r}")
         finally:
             self.current = None
@@ -221,7 +217,7 @@
         return self._closed
 
     def close(self) -> None:
-        """Nothing is scheduled any more."""
+        """Drops all that is scheduled; nothing runs any more."""
         self._closed = True
         self._ready.clear()
         self._timers.clear()
@@ -252,8 +248,8 @@
         self._tasks.append(task)
         return task
 
-    def run_in_executor(  # type: ignore[override]
-        self, executor: Any, func: Callable[..., Any], *args: Any
+    def run_in_executor(  # type: ignore[override]  # typed more loosely
+        self, _executor: Any, func: Callable[..., Any], *args: Any
     ) -> Any:
         process = self.current
         assert process is not None, "only processes have blocking work"
--- a/tests/simulation/watch.py
+++ b/tests/simulation/watch.py
@@ -1,4 +1,7 @@
-"""What must hold at every moment, noted as the programs run. A violation ends the run."""
+"""Invariants that must hold at every moment, checked as the programs run.
+
+The real classes report their steps here (`watchers` and `patches.py`). The first violation ends the run.
+"""
 
 from bisect import bisect_right
 from collections.abc import Iterator
@@ -14,18 +17,18 @@
 from pewterring.distribution.messages import RegistrationState, WorkerRecord
 from pewterring.distribution.subscription import FeedSubscription
 from pewterring.registry.workers import WorkerRegistry
-from tests.simulation.schedule import On
+from tests.simulation.schedule import Role
 
 if TYPE_CHECKING:
     from tests.simulation.world import World
 
 CHECK_INTERVAL_S = (
-    0.3  # planners compare with what was committed at their look before; entries flow meanwhile
+    0.3  # planners compare with what was committed at their previous check; entries are committed meanwhile
 )
 
 
-class Watch:
-    """Compares what members do with what others did, and what gateways are told with what was promised."""
+class InvariantChecker:
+    """Compares what members do with what others did, and what gateways receive with what was acknowledged."""
 
     def __init__(self, world: "World") -> None:
         self._world = world
@@ -39,19 +42,19 @@
         self.left: dict[str, float] = {}  # workers whose drain or end was acknowledged, and when
 
     def violation(self, text: str) -> None:
-        """Notes what must not be."""
+        """Records a violation, with the virtual time."""
         self.violations.append(f"{self._world.loop.time():.4f}: {text}")
 
     # Members
 
     def elected(self, group: str, member: str, term: int) -> None:
-        """A member begins to lead."""
+        """Checks that a member that was elected is its term's only leader."""
         other = self._leaders.setdefault((group, term), member)
         if other != member:
             self.violation(f"{member} and {other} lead in term {term}")
 
     def leads(self, group: ReplicatedGroup, term: int) -> None:
-        """A member has committed an entry of its own term: nobody else may hold a lease."""
+        """Checks, when a member has committed an entry of its own term, that nobody else has a lease."""
         if group.group == GROUP:
             self._newest_leader = max(self._newest_leader, (term, group.member))
         for machine in self._world.group_machines():
@@ -62,17 +65,17 @@
                 self.violation(f"{group.member} leads in term {term} while {other.member} has a lease")
 
     def saved(self, group: ReplicatedGroup, term: int) -> None:
-        """A member has its term on disk."""
+        """Records the term that a member has on disk."""
         self._saved_terms[group.group, group.member] = term
 
     def starts(self, group: ReplicatedGroup) -> None:
-        """A member has read its disk: under one name it never forgets."""
+        """Checks, when a member has read its disk, that it knows at least the term that it had saved."""
         saved = self._saved_terms.get((group.group, group.member), 0)
         if group.term < saved:
             self.violation(f"{group.member} comes back with term {group.term}; it had saved {saved}")
 
     def applied(self, group: ReplicatedGroup, entry: Entry) -> None:
-        """A member applies an entry."""
+        """Checks that all members apply the same entry at an index."""
         this = (entry.term, entry.kind, bytes(entry.data))
         known = self._applied.setdefault((group.group, entry.index), this)
         if known != this:
@@ -85,7 +88,7 @@
             self._committed.setdefault(group.group, []).append((self._world.loop.time(), entry.index))
 
     def changes_members(self, group: Any, membership: Membership) -> None:
-        """A leader proposes a change: whoever becomes a voter must hold all that was committed a look ago.
+        """Checks a proposed change: a new voter must hold all that was committed at the previous check.
 
         A leader that was deposed without knowing it does not know what was committed since: its change does
         no harm unless it is committed.
@@ -106,8 +109,8 @@
         return any(name == group.group and term > group.term for name, term in self._leaders)
 
     def emptied(self, ip: str) -> None:
-        """A store is said to be empty: as many others as wanted must hold all that is committed."""
-        leader = self._world.leader(On.STORE)
+        """Checks a store that is reported as empty: it is no member, and enough voters are left."""
+        leader = self._world.leader(Role.STORE)
         if leader is None or leader.group is None:
             return
         membership = leader.group.membership
@@ -117,17 +120,17 @@
             self.violation(f"{ip} is said to be empty, and too few are left: {membership}")
 
     def committed(self, group: str) -> int:
-        """The highest index that any member applied."""
+        """Returns the highest index that any member applied."""
         committed = self._committed.get(group)
         return committed[-1][1] if committed else 0
 
     def _committed_at(self, group: str, moment: float) -> int:
         committed = self._committed.get(group, [])
-        place = bisect_right(committed, (moment, inf))
-        return committed[place - 1][1] if place else 0
+        position = bisect_right(committed, (moment, inf))
+        return committed[position - 1][1] if position else 0
 
     def _judges_worker(self) -> None:
-        """A leader takes a heartbeat: no other may have led after it."""
+        """Checks, when a leader takes a heartbeat, that no other has led in a later term."""
         process = self._world.process()
         program = self._world.machine_of(process).program
         term = program.group.led_term if program is not None else None
@@ -137,10 +140,10 @@
 
     # Gateways
 
-    def _confirmed(self, version: int, workers: Iterator[WorkerRecord], asked_at: float) -> None:
-        """A node was told that its tables were current at `asked_at`."""
+    def _confirmed(self, version: int, workers: Iterator[WorkerRecord], requested_at_s: float) -> None:
+        """Checks tables that a node was told to be current at `requested_at` (its steady clock)."""
         process = self._world.process()
-        moment = process.true_time(asked_at)
+        moment = process.true_time(requested_at_s)
         promised = self._world.history.acknowledged_before(moment)
         if version < promised:
             self.violation(
@@ -152,28 +155,28 @@
                 self.violation(f"{process.name} was told that {worker.id} is ready after its end was taken")
 
     def watchers(self) -> Iterator[Any]:
-        """Replacements of methods that tell this object."""
-        watch = self
+        """Yields patches of the real methods that report to this object."""
+        invariants = self
 
         def begin(self: LeaderRole, state: Any, now: float, real: Any = LeaderRole.__init__) -> None:
-            watch.elected(state.group, state.member, state.term)
+            invariants.elected(state.group, state.member, state.term)
             real(self, state, now)
 
         def observe(self: Any, *arguments: Any, real: Any = WorkerRegistry.observe) -> Any:
-            watch._judges_worker()
+            invariants._judges_worker()
             return real(self, *arguments)
 
         def replace_all(
-            self: Any, message: Any, asked_at: float, real: Any = FeedSubscription.replace_all
+            self: Any, message: Any, requested_at_s: float, real: Any = FeedSubscription.replace_all
         ) -> Any:
-            watch._confirmed(message.versions.configuration, iter(message.workers), asked_at)
-            return real(self, message, asked_at)
+            invariants._confirmed(message.versions.configuration, iter(message.workers), requested_at_s)
+            return real(self, message, requested_at_s)
 
         def confirm(self: Any, message: Any, sent_at: float, real: Any = FeedSubscription.confirm) -> Any:
             confirmed = real(self, message, sent_at)
             if confirmed:
                 workers = iter(self.tables.workers.values())
-                watch._confirmed(message.versions.configuration, workers, sent_at)
+                invariants._confirmed(message.versions.configuration, workers, sent_at)
             return confirmed
 
         yield mock.patch.object(LeaderRole, "__init__", begin)
--- a/tests/simulation/world.py
+++ b/tests/simulation/world.py
@@ -1,4 +1,8 @@
-"""Control machines, gateways, stores, operators and workers in one virtual time."""
+"""Control machines, stores and gateways in one virtual time.
+
+The world owns the loop, the network and all machines, and starts and stops their programs. A program that
+reports a fatal error is a violation.
+"""
 
 import random
 from functools import partial
@@ -23,18 +27,18 @@
 from tests.simulation.http import Http
 from tests.simulation.machines import SAVE_S, Machine
 from tests.simulation.network import Network
-from tests.simulation.schedule import On
+from tests.simulation.schedule import Role
 from tests.simulation.virtual_loop import Process, VirtualLoop
-from tests.simulation.watch import Watch
+from tests.simulation.watch import InvariantChecker
 
 CONTROL_PORT = 8146
 INTERNAL_PORT = 7660
-FIRST_SEEDS = 3  # so many control machines a settings file names
+FIRST_SEEDS = 3  # number of control machines that a settings file names
 SEED_LAG_S = 3.0  # `seed_lag_s`: how old the operator's list is
 HEARTBEAT_S = 1.0
 GATEWAYS = 3
 SPARE_STORES = 1
-SNAPSHOT_PART_BYTES = (1500, 100_000)  # many parts, or one
+SNAPSHOT_CHUNK_BYTES = (1500, 100_000)  # many chunks, or one
 CODEC = MessageCodec(FEED_MESSAGES)
 BATCH_CODEC = MessageCodec(BATCH_MESSAGES)
 
@@ -42,18 +46,18 @@
 class GroupMachine(Machine):
     """A machine whose program is a member of a replicated group."""
 
-    on = On.CONTROL
-    added_s = 0.0  # to the operator's list
-    gone_s = inf  # for good
+    role = Role.CONTROL
+    added_s = 0.0  # virtual time at which the operator's list names it
+    gone_s = inf  # virtual time of its removal
 
     @property
     def gone(self) -> bool:
-        """Whether it never comes back."""
+        """Whether it was removed for good."""
         return self.gone_s < inf
 
     @property
     def group(self) -> ReplicatedGroup | None:
-        """The group of the process that runs now."""
+        """The group of the process that runs now, or None."""
         return None
 
 
@@ -64,26 +68,26 @@
 
     @property
     def group(self) -> ReplicatedGroup | None:
-        """The group of the process that runs now."""
+        """The group of the process that runs now, or None."""
         return self.program.group if self.running and self.program is not None else None
 
 
 class StoreMachine(GroupMachine):
     """A machine that runs the store program."""
 
-    on = On.STORE
+    role = Role.STORE
     program: StoreProgram | None = None
 
     @property
     def group(self) -> ReplicatedGroup | None:
-        """The group of the process that runs now."""
+        """The group of the process that runs now, or None."""
         if not self.running or self.program is None:
             return None
         return next((partition.group for partition in self.program.partitions), None)
 
 
 class Gateway(Machine):
-    """A machine whose program follows the feed, and passes batch calls on."""
+    """A machine whose program follows the feed, and forwards batch calls."""
 
     subscriber: FeedSubscriber | None = None
     seen_version = 0
@@ -95,17 +99,17 @@
     def __init__(self, seed: int, tolerated: int = 1, stores: bool = False) -> None:
         self.rng = random.Random(f"world {seed}")
         self.tolerated = tolerated
-        self.loop = VirtualLoop()  # type: ignore[abstract]  # files and sockets are left out
+        self.loop = VirtualLoop()  # type: ignore[abstract]  # has no files and sockets
         self.network = Network(self.loop, self.rng)
         self.http = Http(self)
         self.history = History()
-        self.watch = Watch(self)
+        self.invariants = InvariantChecker(self)
         self.machines: dict[str, ControlMachine] = {}
         self.stores: dict[str, StoreMachine] = {}
-        self.nodes: dict[str, Gateway] = {}
+        self.gateways: dict[str, Gateway] = {}
         self.items = Items(self)
         self.save_s = self.rng.choice(SAVE_S)
-        self.snapshot_chunk_bytes = self.rng.choice(SNAPSHOT_PART_BYTES)
+        self.snapshot_chunk_bytes = self.rng.choice(SNAPSHOT_CHUNK_BYTES)
         self.hooks: list[Any] = []  # called with the name of each point and the machine that reached it
         self._last_ip = 0
         self._last_store_ip = 0
@@ -117,11 +121,11 @@
             for _ in range(2 * tolerated + 1 + SPARE_STORES):
                 self.loop.call_outside(self.rng.uniform(0.0, 0.3), self.start, self.new_store())
         for number in range(1, GATEWAYS + 1):
-            self._new_node(f"10.2.0.{number}")
-        for node in self.nodes.values():
+            self._new_gateway(f"10.2.0.{number}")
+        for node in self.gateways.values():
             self.loop.call_outside(self.rng.uniform(0.0, 0.3), self.start_gateway, node)
 
-    # Whose turn it is
+    # The process that runs now
 
     def process(self) -> Process:
         """The process that runs now."""
@@ -130,31 +134,31 @@
         return process
 
     def machine_of(self, process: Process) -> Any:
-        """Where a process runs."""
+        """The machine on which a process runs."""
         return process.host
 
     def reach(self, point: str) -> None:
-        """The process that runs now has come to a point at which something may happen to it."""
+        """Tells the hooks that the process that runs now has reached a point."""
         self.reached(point, self.machine_of(self.process()))
 
     def reached(self, point: str, machine: Machine) -> None:
-        """A machine has come to a point, or something happened that all are to know."""
+        """Tells the hooks that a machine has reached a point."""
         for hook in tuple(self.hooks):
             hook(point, machine)
 
     @property
     def failed(self) -> bool:
-        """Whether the run has shown a fault."""
-        return bool(self.watch.violations or self.loop.errors)
+        """Whether the run has shown a violation."""
+        return bool(self.invariants.violations or self.loop.errors)
 
     def run(self, until: float) -> None:
-        """Runs until then, or until something is wrong."""
+        """Runs until the virtual time `until`, or until the first violation."""
         self.loop.run_until(until, lambda: not self.failed)
 
     # Control
 
     def new_control(self) -> ControlMachine:
-        """A control machine with an empty disk, not started."""
+        """Adds a control machine with an empty disk, not started."""
         self._last_ip += 1
         ip = f"10.0.0.{self._last_ip}"
         machine = ControlMachine(ip, self.loop, self.network, self.rng, self.reached)
@@ -164,7 +168,7 @@
         return machine
 
     def new_store(self) -> StoreMachine:
-        """A store with an empty disk, not started."""
+        """Adds a store with an empty disk, not started."""
         self._last_store_ip += 1
         ip = f"10.1.0.{self._last_store_ip}"
         machine = StoreMachine(ip, self.loop, self.network, self.rng, self.reached)
@@ -172,21 +176,21 @@
         machine.save_s = self.save_s
         return machine
 
-    def new_machine(self, on: On) -> GroupMachine:
-        """A machine with an empty disk, not started."""
-        return self.new_control() if on is On.CONTROL else self.new_store()
+    def new_machine(self, role: Role) -> GroupMachine:
+        """Adds a machine with an empty disk, not started."""
+        return self.new_control() if role is Role.CONTROL else self.new_store()
 
-    def core(self, on: On = On.CONTROL) -> list[GroupMachine]:
-        """The machines of a kind that are not gone for good."""
-        machines = self.machines if on is On.CONTROL else self.stores
+    def present_machines(self, role: Role = Role.CONTROL) -> list[GroupMachine]:
+        """Returns the machines of a role that were not removed for good."""
+        machines = self.machines if role is Role.CONTROL else self.stores
         return [machine for machine in machines.values() if not machine.gone]
 
     def group_machines(self) -> list[GroupMachine]:
-        """All machines that are members of groups."""
+        """Returns all control machines and stores, removed ones included."""
         return [*self.machines.values(), *self.stores.values()]
 
     def start(self, machine: GroupMachine, bootstrap: bool = False) -> None:
-        """Begins a life of the program."""
+        """Begins an incarnation of the machine's program, unless one runs."""
         if machine.running or machine.gone:
             return
         process = machine.new_process()
@@ -194,7 +198,7 @@
         self.loop.call_in(process, self.loop.time(), begin, machine, bootstrap)
 
     def _failed(self, error: Exception) -> None:
-        self.watch.violation(f"{self.process().name} stopped: {error!r}")
+        self.invariants.violation(f"{self.process().name} stopped: {error!r}")
 
     def _begin_control(self, machine: ControlMachine, bootstrap: bool) -> None:
         machine.program = None
@@ -213,7 +217,7 @@
         self.loop.create_task(machine.program.start())
 
     def stop(self, machine: GroupMachine, then: Any) -> None:
-        """A planned stop: the program gives up leadership and vote and ends; `then` is called outside.
+        """Stops a program by plan: it gives up leadership and vote and ends; `then` is called outside.
 
         It is called however the process ends: a loss of power of the whole group may come meanwhile.
         """
@@ -235,17 +239,17 @@
 
         self.loop.call_in(process, self.loop.time(), lambda: self.loop.create_task(end()))
 
-    def leader(self, on: On = On.CONTROL) -> GroupMachine | None:
-        """Where the newest leader runs, as far as members know."""
+    def leader(self, role: Role = Role.CONTROL) -> GroupMachine | None:
+        """Returns the machine of the leader with the highest term, as far as members know."""
         leading = [
             (machine.group.term, machine)
-            for machine in self.core(on)
+            for machine in self.present_machines(role)
             if machine.group is not None and machine.group.is_leader
         ]
         return max(leading, key=lambda each: each[0])[1] if leading else None
 
     def known_control(self) -> list[str]:
-        """The operator's list of control machines, which lags."""
+        """Returns the operator's list of control machines, which is `SEED_LAG_S` old."""
         moment = self.loop.time() - SEED_LAG_S
         return [
             machine.ip
@@ -275,27 +279,27 @@
             disk_mb=100,
         )
 
-    # Nodes that follow the feed
+    # Gateways
 
-    def _new_node(self, ip: str) -> None:
-        self.nodes[ip] = Gateway(ip, self.loop, self.network, self.rng, self.reached)
+    def _new_gateway(self, ip: str) -> None:
+        self.gateways[ip] = Gateway(ip, self.loop, self.network, self.rng, self.reached)
 
     def start_gateway(self, node: Gateway) -> None:
-        """Begins a life of a gateway."""
+        """Begins an incarnation of a gateway, unless one runs."""
         if node.running:
             return
         process = node.new_process()
         node.seen_version = 0
-        self.loop.call_in(process, self.loop.time(), self._begin_node, node)
+        self.loop.call_in(process, self.loop.time(), self._begin_gateway, node)
 
-    def _begin_node(self, node: Gateway) -> None:
+    def _begin_gateway(self, node: Gateway) -> None:
         process = self.process()
         record = NodeRecord(f"node-{node.ip}", "gateway", node.ip, "zone-1", process.name)
         subscriber = node.subscriber = FeedSubscriber(
             self._settings(node.ip, False),
             CODEC,
             NodeReport(lambda: record, self._no_status),
-            lambda old, new: self._swapped(node, new),
+            lambda _, new: self._on_tables(node, new),
             FeedEnvironment(random.Random(self.rng.random()), lambda: process.steady(self.loop.time())),
         )
         self.loop.create_task(subscriber.start())
@@ -312,8 +316,8 @@
     def _no_status() -> GroupStatus | None:
         return None
 
-    def _swapped(self, node: Gateway, tables: Tables) -> None:
+    def _on_tables(self, node: Gateway, tables: Tables) -> None:
         version = tables.configuration.version if tables.configuration is not None else 0
         if version < node.seen_version:
-            self.watch.violation(f"{node.ip} goes back from version {node.seen_version} to {version}")
+            self.invariants.violation(f"{node.ip} goes back from version {node.seen_version} to {version}")
         node.seen_version = version
