--- a/tests/simulation/adversary.py
+++ b/tests/simulation/adversary.py
@@ -33,6 +33,12 @@
 LOST_ANSWERS_FRACTION = 0.5  # of the answers to callers: most calls need a retry, none fails for ever
 REPLACED_S = (0.2, 3.0)  # from the loss of a machine to the start of its successor
 
+ENDS_OF_MACHINES: dict[Kind, Callable[[Machine], None]] = {
+    Kind.KILL: Machine.kill,
+    Kind.POWER: Machine.lose_power,
+    Kind.WIPE: Machine.wipe,
+}
+
 
 class Adversary:
     """Injects the faults of one run. `ended_s` is the virtual time at which the latest one ended."""
@@ -41,8 +47,8 @@
         self._world = world
         self._rng = rng
         self.losses = Losses(world.tolerated)
-        self.waiting = len(faults)
-        self.under_way = 0
+        self.not_begun = len(faults)
+        self.in_progress = 0
         self.ended_s = 0.0
         self.log: list[str] = []
         self._armed: list[tuple[Fault, float]] = []
@@ -54,7 +60,7 @@
     @property
     def done(self) -> bool:
         """Whether every fault has ended or was dropped."""
-        return not self.waiting and not self.under_way
+        return not self.not_begun and not self.in_progress
 
     def _arm(self, fault: Fault) -> None:
         if fault.point is Point.NOW:
@@ -84,7 +90,7 @@
         if self._begin(fault):
             return
         if self._now > fault.at_s + GIVE_UP_S:
-            self.waiting -= 1
+            self.not_begun -= 1
             return
         self._world.loop.call_outside(self._now + RETRY_S, self._begin_when_allowed, fault)
 
@@ -104,9 +110,9 @@
         if target is Target.FOLLOWER:
             running = [machine for machine in running if machine is not leader] or running
         if target is Target.OLDEST:
-            return min(running, key=lambda machine: (machine.disk_made_s, machine.ip))
+            return min(running, key=lambda machine: (machine.disk_created_s, machine.ip))
         if target is Target.NEWEST:
-            return max(running, key=lambda machine: (machine.disk_made_s, machine.ip))
+            return max(running, key=lambda machine: (machine.disk_created_s, machine.ip))
         return running[int(self._now * 1000) % len(running)]
 
     def _candidates(self, role: Role, catching_up: bool) -> list[GroupMachine]:
@@ -126,7 +132,7 @@
         """Begins the fault if it is allowed now; returns whether it did."""
         if fault.kind in HARMLESS:
             self._record_fault(fault, "")
-            self.waiting -= 1
+            self.not_begun -= 1
             self._begin_harmless(fault)
             return True
         if fault.kind in GROUP_WIDE:
@@ -135,8 +141,8 @@
         if machine is None or not self.losses.allows(machine.ip, self._now):
             return False
         self._record_fault(fault, machine.ip)
-        self.waiting -= 1
-        self.under_way += 1
+        self.not_begun -= 1
+        self.in_progress += 1
         if fault.kind is Kind.PLANNED:
             self._plan_replacement(machine)
             return True
@@ -146,27 +152,19 @@
 
     def _begin_loss(self, fault: Fault, machine: GroupMachine) -> None:
         match fault.kind:
-            case Kind.KILL:
-                machine.kill()
-                self._later(fault.lasts_s, lambda: self._restart(machine))
-            case Kind.POWER:
-                machine.lose_power()
-                self._later(fault.lasts_s, lambda: self._restart(machine))
-            case Kind.WIPE:
-                machine.wipe()
-                self._later(fault.lasts_s, lambda: self._restart(machine))
+            case Kind.KILL | Kind.POWER | Kind.WIPE:
+                ENDS_OF_MACHINES[fault.kind](machine)
+                self._later(fault.duration_s, lambda: self._restart(machine))
             case Kind.STOP:
-                self._stop_for(machine, fault.lasts_s)
+                self._stop_for(machine, fault.duration_s)
             case Kind.REPLACE:
-                machine.wipe()
-                machine.gone_s = self._now
-                self._later(self._rng.uniform(*REPLACED_S), lambda: self._succeed(machine))
+                self._replace(machine)
             case Kind.FREEZE:
-                self._freeze(machine, fault.lasts_s)
+                self._freeze(machine, fault.duration_s)
             case Kind.PARTITION_FREEZE:
                 self._partition_and_freeze(fault, machine)
             case Kind.STUTTER:
-                self._stutter(machine, self._now + fault.lasts_s)
+                self._stutter(machine, self._now + fault.duration_s)
             case (
                 Kind.PARTITION
                 | Kind.PARTITION_INBOUND
@@ -180,7 +178,7 @@
 
     def _record_fault(self, fault: Fault, ip: str) -> None:
         self.log.append(
-            f"{self._now:.4f} {fault.role.value} {ip} {fault.kind.value} for {fault.lasts_s} "
+            f"{self._now:.4f} {fault.role.value} {ip} {fault.kind.value} for {fault.duration_s} "
             f"at {fault.point.value}"
         )
 
@@ -189,32 +187,38 @@
 
     def _over(self, machine: GroupMachine) -> None:
         """Records that the machine is back."""
-        if machine.running or machine.gone:
+        if machine.running or machine.is_removed:
             self.losses.back(machine.ip, self._now)
         self._ended()
 
     def _ended(self) -> None:
-        self.under_way -= 1
+        self.in_progress -= 1
         self.ended_s = self._now
 
     def _restart(self, machine: GroupMachine) -> None:
         self._world.start(machine)
         self._over(machine)
 
-    def _restart_gateway(self, node: Gateway) -> None:
-        self._world.start_gateway(node)
+    def _restart_gateway(self, gateway: Gateway) -> None:
+        self._world.start_gateway(gateway)
         self._ended()
 
+    def _replace(self, machine: GroupMachine) -> None:
+        """Loses a machine for good; its successor starts later."""
+        machine.wipe()
+        machine.removed_s = self._now
+        self._later(self._rng.uniform(*REPLACED_S), lambda: self._succeed(machine))
+
     def _succeed(self, machine: GroupMachine) -> None:
         self._world.start(self._world.new_machine(machine.role))
         self._over(machine)
 
-    def _stop_for(self, machine: GroupMachine, lasts_s: float) -> None:
+    def _stop_for(self, machine: GroupMachine, duration_s: float) -> None:
         self.log.append(f"{self._now:.4f} {machine.role.value} {machine.ip} is told to end")
 
         def ended() -> None:
             self.log.append(f"{self._now:.4f} {machine.role.value} {machine.ip} has ended")
-            self._later(lasts_s, lambda: self._restart(machine))
+            self._later(duration_s, lambda: self._restart(machine))
 
         self._world.stop(machine, ended)
 
@@ -225,7 +229,7 @@
         self._later(CATCH_UP_S, lambda: self._remove(machine, successor))
 
     def _remove(self, machine: GroupMachine, successor: GroupMachine) -> None:
-        if machine.gone or successor.gone:  # without a successor it stays
+        if machine.is_removed or successor.is_removed:  # without a successor it stays
             self._ended()
             return
         lost = self.losses.is_faulty(machine.ip) or self.losses.counts(successor.ip, self._now)
@@ -236,16 +240,16 @@
         self.log.append(f"{self._now:.4f} {machine.role.value} {machine.ip} is told to end")
 
         def removed() -> None:
-            if not machine.gone:
+            if not machine.is_removed:
                 machine.wipe()
-                machine.gone_s = self._now
+                machine.removed_s = self._now
             self.log.append(f"{self._now:.4f} {machine.role.value} {machine.ip} is gone")
             self._ended()
             self._reached(Point.REPLACED.value, machine)
 
         self._world.stop(machine, removed)
 
-    def _freeze(self, machine: GroupMachine, lasts_s: float) -> None:
+    def _freeze(self, machine: GroupMachine, duration_s: float) -> None:
         process = machine.process
         assert process is not None
         process.frozen = True
@@ -254,18 +258,18 @@
             self._world.loop.thaw(process)
             self._over(machine)
 
-        self._later(lasts_s, thaw)
+        self._later(duration_s, thaw)
 
     def _partition_and_freeze(self, fault: Fault, machine: GroupMachine) -> None:
         """Freezes a machine and partitions it for longer: it resumes before any other can reach it."""
         process = machine.process
         assert process is not None
         process.frozen = True
-        self._later(fault.lasts_s, lambda: self._world.loop.thaw(process))
+        self._later(fault.duration_s, lambda: self._world.loop.thaw(process))
         others = {other.ip for other in self._world.present_machines(machine.role)} - {machine.ip}
         blocked_paths = {(other, machine.ip) for other in others} | {(machine.ip, other) for other in others}
         self._block_paths(
-            blocked_paths, fault.lasts_s + PARTITION_AFTER_FREEZE_S, lambda: self._over(machine)
+            blocked_paths, fault.duration_s + PARTITION_AFTER_FREEZE_S, lambda: self._over(machine)
         )
 
     def _stutter(self, machine: GroupMachine, until: float) -> None:
@@ -293,10 +297,10 @@
             {(other, machine.ip) for other in others} if fault.kind is not Kind.PARTITION_OUTBOUND else set()
         )
         out = {(machine.ip, other) for other in others} if fault.kind is not Kind.PARTITION_INBOUND else set()
-        self._block_paths(into | out, fault.lasts_s, lambda: self._over(machine))
+        self._block_paths(into | out, fault.duration_s, lambda: self._over(machine))
 
     def _block_paths(
-        self, blocked_paths: set[tuple[str, str]], lasts_s: float, then: Callable[[], object]
+        self, blocked_paths: set[tuple[str, str]], duration_s: float, then: Callable[[], object]
     ) -> None:
         network = self._world.network
         network.blocked_paths |= blocked_paths
@@ -306,7 +310,7 @@
             network.heal()
             then()
 
-        self._later(lasts_s, heal)
+        self._later(duration_s, heal)
 
     def _harm(self, fault: Fault, machine: GroupMachine) -> None:
         """Degrades the disk or the link of a machine."""
@@ -322,27 +326,27 @@
             machine.repair_disk()
             self._over(machine)
 
-        self._later(fault.lasts_s, repair)
+        self._later(fault.duration_s, repair)
 
     def _begin_harmless(self, fault: Fault) -> None:
         world = self._world
         machine = self._pick(fault.target, fault.role) or world.present_machines()[0]
-        node = tuple(world.gateways.values())[int(fault.at_s * 1000) % len(world.gateways)]
+        gateway = tuple(world.gateways.values())[int(fault.at_s * 1000) % len(world.gateways)]
         if fault.kind is Kind.RESET:
             world.network.reset_some(machine.ip)
             return
-        self.under_way += 1
+        self.in_progress += 1
         if fault.kind is Kind.GATEWAY_PARTITION:
-            blocked_paths = {(node.ip, machine.ip), (machine.ip, node.ip)}
-            self._block_paths(blocked_paths, fault.lasts_s, self._ended)
+            blocked_paths = {(gateway.ip, machine.ip), (machine.ip, gateway.ip)}
+            self._block_paths(blocked_paths, fault.duration_s, self._ended)
         elif fault.kind is Kind.GATEWAY_KILL:
-            if node.running:
-                node.kill()
-            self._later(fault.lasts_s, lambda: self._restart_gateway(node))
+            if gateway.running:
+                gateway.kill()
+            self._later(fault.duration_s, lambda: self._restart_gateway(gateway))
         else:
-            self._lose_answers(fault.lasts_s)
+            self._lose_answers(fault.duration_s)
 
-    def _lose_answers(self, lasts_s: float) -> None:
+    def _lose_answers(self, duration_s: float) -> None:
         http = self._world.http
         http.lost_answers = LOST_ANSWERS_FRACTION
 
@@ -350,7 +354,7 @@
             http.lost_answers = 0.0
             self._ended()
 
-        self._later(lasts_s, end)
+        self._later(duration_s, end)
 
     # Faults of the whole group
 
@@ -364,7 +368,7 @@
         if not self._allows_group_wide(fault.kind, ending, free):
             return False
         self._record_fault(fault, "")
-        self.waiting -= 1
+        self.not_begun -= 1
         if fault.kind is Kind.PARTITION_ALL:
             self._partition_group(fault, machines)
         else:
@@ -381,9 +385,9 @@
 
     def _end_all(self, kind: Kind, machines: list[GroupMachine], wiped: int) -> None:
         """Ends all processes at once, and loses the `wiped` oldest disks."""
-        machines.sort(key=lambda machine: (machine.disk_made_s, machine.ip))
+        machines.sort(key=lambda machine: (machine.disk_created_s, machine.ip))
         for position, machine in enumerate(machines):
-            self.under_way += 1
+            self.in_progress += 1
             self.losses.begin(machine.ip)
             if position < wiped:
                 machine.wipe()
@@ -397,7 +401,7 @@
         ips = [machine.ip for machine in machines]
         for ip in ips:
             self.losses.begin(ip)
-        self.under_way += 1
+        self.in_progress += 1
 
         def over() -> None:
             for ip in ips:
@@ -405,5 +409,5 @@
             self._ended()
 
         self._block_paths(
-            {(source, target) for source in ips for target in ips if source != target}, fault.lasts_s, over
+            {(source, target) for source in ips for target in ips if source != target}, fault.duration_s, over
         )
--- a/tests/simulation/batch.py
+++ b/tests/simulation/batch.py
@@ -26,12 +26,12 @@
 
 EVENTS = 3  # in the answer to each item: enough to resume in the middle
 EVENT_S = 0.03
-PATIENCE_S = 2.5
+CALL_TIMEOUT_S = 2.5
 CANCEL_S = 3.0  # `cancel_ms`: no item of a job runs later than that after its cancellation was acknowledged
 COMMIT_S = 1.0  # `settle_ms`: a job is known everywhere so long after its acknowledgement
 FINISH_S = 10.0  # `finish_s`: all accepted jobs finish within that after the last fault
 SUBMIT_ATTEMPTS = 12
-CONTROL_PATIENCE_S = 1.0
+CONTROL_TIMEOUT_S = 1.0
 
 
 class Items:
@@ -70,7 +70,7 @@
 
 async def answer_batch_call(calls: BatchCalls, subscriber: FeedSubscriber, call: Call) -> Answer:
     """Answers a batch call as a gateway does; the base version stands for the id of a job."""
-    request = BatchRequest(call.method, call.path, "h", call.base_version, 0.0, PATIENCE_S, call.body)
+    request = BatchRequest(call.method, call.path, "h", call.base_version, 0.0, CALL_TIMEOUT_S, call.body)
     if call.method != "POST":
         answer = await calls.call(request)
         return Answer(answer.status, answer.body)
@@ -142,18 +142,22 @@
 
     async def _call(self, call: Call) -> Answer | None:
         ip = self._rng.choice(tuple(self._world.gateways))
-        return await self._world.http.call(ip, call, PATIENCE_S)
+        return await self._world.http.call(ip, call, CALL_TIMEOUT_S)
 
-    async def _submit(self) -> None:
+    def _new_job(self) -> _Job:
         self._count += 1
         name = f"{self._name}-{self._count}"
         kinds = self._rng.choices(("", "fails", "impossible"), (8, 1, 1), k=self._rng.randint(1, 4))
-        job = _Job(name, tuple(f"{name}.{number}{kind}" for number, kind in enumerate(kinds)))
+        return _Job(name, tuple(f"{name}.{number}{kind}" for number, kind in enumerate(kinds)))
+
+    async def _submit(self) -> None:
+        """Submits a job until it is accepted; one that every attempt rejected must never run."""
+        job = self._new_job()
         body = base64.b64encode(b"body").decode()
         items = [
             {"id": item, "path": "/jobs/x", "headers": {}, "body": body, "tokens": 5} for item in job.items
         ]
-        call = Call("POST", "/jobs/", name, orjson.dumps({"requests": items}))
+        call = Call("POST", "/jobs/", job.name, orjson.dumps({"requests": items}))
         only_refusals = True
         for _ in range(SUBMIT_ATTEMPTS):
             answer = await self._call(call)
@@ -167,7 +171,7 @@
             only_refusals &= answer is not None and answer.status in (429, 503)
             await asyncio.sleep(self._rng.uniform(0.05, 0.4))
         if only_refusals:
-            self._world.items.refused.add(name)
+            self._world.items.refused.add(job.name)
 
     async def _read(self, job: _Job) -> None:
         requested_at_s = self._world.loop.time()
@@ -231,7 +235,7 @@
 
     async def _call(self, call: Call) -> Answer | None:
         ip = self._rng.choice(self._world.known_control())
-        return await self._world.http.call(ip, call, CONTROL_PATIENCE_S)
+        return await self._world.http.call(ip, call, CONTROL_TIMEOUT_S)
 
     async def _start(self, node_id: str) -> bool:
         for _ in range(8):
@@ -244,7 +248,7 @@
         return False
 
     async def _wait(self, ip: str) -> None:
-        while not self._world.stores[ip].gone:
+        while not self._world.stores[ip].is_removed:
             await asyncio.sleep(0.3)
             answer = await self._call(Call("GET", f"{DECOMMISSION_STATUS_PATH}node-{ip}"))
             if answer is not None and answer.status == 200 and b"succeeded" in answer.body:
@@ -252,11 +256,11 @@
 
     def _remove(self, ip: str) -> None:
         machine = self._world.stores[ip]
-        if machine.gone:
+        if machine.is_removed:
             return
         self._world.invariants.emptied(ip)
         machine.wipe()
-        machine.gone_s = self._world.loop.time()
+        machine.removed_s = self._world.loop.time()
         self._world.reached("retired", machine)
         successor = self._world.new_store()
         self._world.loop.call_outside(
--- a/tests/simulation/callers.py
+++ b/tests/simulation/callers.py
@@ -6,7 +6,7 @@
 import asyncio
 import random
 from collections.abc import Callable
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, NamedTuple
 
 import orjson
 
@@ -26,7 +26,7 @@
     from tests.simulation.world import World
 
 PATCHED_SHARE = 0.5  # of the orders that build on a configuration
-PATIENCE_S = 1.0  # a caller that got no answer for so long tries another machine
+CALL_TIMEOUT_S = 1.0  # a caller that got no answer for so long tries another machine
 REFUSALS = (400, 409, 412)
 HEARTBEAT_S = 1.0
 END_S = 3.0  # a worker stops after that time, acknowledged or not
@@ -65,6 +65,14 @@
     return State(orjson.loads(body)["version"], document_digest(body))
 
 
+class _SentOrder(NamedTuple):
+    """An order as it is sent, and sent again: the call, the state that it makes, and its base version."""
+
+    call: Call
+    state: State
+    base: int
+
+
 class Operator:
     """Reads, builds on what it read, retries until the outcome is known, and resends old orders at times."""
 
@@ -73,7 +81,7 @@
         self._rng = random.Random(world.rng.random())
         self._name = name
         self._count = 0
-        self._taken: list[tuple[Call, State, int]] = []  # acknowledged
+        self._acknowledged: list[_SentOrder] = []
         self._forms = random.Random()  # separate, so that the share of patches changes no other draw
         self._forms.setstate(self._rng.getstate())
         self.busy = True
@@ -83,9 +91,9 @@
         base = 0
         while self.busy:
             await asyncio.sleep(self._rng.uniform(0.05, 0.5))
-            if self._taken and self._rng.random() < 0.15:
+            if self._acknowledged and self._rng.random() < 0.15:
                 newest = self._rng.random() < 0.5
-                await self.send(*(self._taken[-1] if newest else self._rng.choice(self._taken)))
+                await self.send(self._acknowledged[-1] if newest else self._rng.choice(self._acknowledged))
                 continue
             if self._rng.random() < 0.6:
                 base = await self.read_version(base)
@@ -95,11 +103,11 @@
         """Sends a new configuration; returns the base of the next one."""
         self._count += 1
         version = base + self._rng.choice((1, 1, 2, 5))
-        call, state = self._new_call(base, version, f"{self._name}-{self._count}")
+        order = self._new_order(base, version, f"{self._name}-{self._count}")
         for _ in range(30):
-            answer = await self.send(call, state, base)
+            answer = await self.send(order)
             if answer is not None and answer.status == 200:
-                self._taken.append((call, state, base))
+                self._acknowledged.append(order)
                 return version
             if answer is not None and answer.status in REFUSALS:
                 break
@@ -108,18 +116,18 @@
             await asyncio.sleep(self._rng.uniform(0.02, 0.3))
         return await self.read_version(base)
 
-    def _new_call(self, base: int, version: int, text: str) -> tuple[Call, State]:
+    def _new_order(self, base: int, version: int, text: str) -> _SentOrder:
         """Returns a complete configuration, or a patch if there is one to build on."""
         if not base or self._forms.random() >= PATCHED_SHARE:
             body = document(version, text)
-            return Call("POST", REPLACE_PATH, str(base), body), state_of(body)
+            return _SentOrder(Call("POST", REPLACE_PATH, str(base), body), state_of(body), base)
         body, state = patch_of(version, text)
-        return Call("POST", UPDATE_PATH, str(base), body), state
+        return _SentOrder(Call("POST", UPDATE_PATH, str(base), body), state, base)
 
-    async def send(self, call: Call, state: State, base: int) -> Answer | None:
+    async def send(self, order: _SentOrder) -> Answer | None:
         """Sends an order once, to any machine, and records the outcome."""
         began_s = self._world.loop.time()
-        answer = await self._world.http.call(self._any_ip(), call, PATIENCE_S)
+        answer = await self._world.http.call(self._any_ip(), order.call, CALL_TIMEOUT_S)
         outcome = Outcome.UNKNOWN
         if answer is not None and answer.status == 200:
             outcome = Outcome.DONE
@@ -129,7 +137,7 @@
         if outcome is Outcome.UNKNOWN and status not in (0, 503):
             self._world.invariants.violation(f"an order was answered {status}")
         self._world.history.orders.append(
-            Order(state, base, began_s, self._world.loop.time(), outcome, status)
+            Order(order.state, order.base, began_s, self._world.loop.time(), outcome, status)
         )
         if outcome is Outcome.DONE:
             self._world.reached("order_acked", self._world.leader() or self._world.present_machines()[0])
@@ -143,7 +151,7 @@
     async def read(self, ip: str) -> State | None:
         """Reads the configuration at one machine; returns None where there was no answer."""
         began_s = self._world.loop.time()
-        answer = await self._world.http.call(ip, Call("GET", READ_PATH), PATIENCE_S)
+        answer = await self._world.http.call(ip, Call("GET", READ_PATH), CALL_TIMEOUT_S)
         if answer is None or answer.status == 503:
             return None
         try:
@@ -246,7 +254,7 @@
     async def _send(self, call: Call) -> bool:
         if not self._target:
             self._target = self._rng.choice(self._world.known_control())
-        answer = await self._world.http.call(self._target, call, PATIENCE_S)
+        answer = await self._world.http.call(self._target, call, CALL_TIMEOUT_S)
         if answer is not None and answer.status == 200:
             return True
         self._target = ""
--- a/tests/simulation/http.py
+++ b/tests/simulation/http.py
@@ -50,12 +50,12 @@
         """Removes the handler at an IP."""
         self._listeners.pop(ip, None)
 
-    async def call(self, ip: str, call: Call, patience_s: float) -> Answer | None:
-        """Sends a call; returns its answer, or None where none came within `patience_s`."""
+    async def call(self, ip: str, call: Call, timeout_s: float) -> Answer | None:
+        """Sends a call; returns its answer, or None where none came within `timeout_s`."""
         loop = self._world.loop
         network = self._world.network
         answer: asyncio.Future[Answer | None] = loop.create_future()
-        timer = loop.call_later(patience_s, _complete, answer, None)
+        timer = loop.call_later(timeout_s, _complete, answer, None)
         loop.call_later(network.delay_s(OUTSIDE, ip), self._arrive, ip, call, answer)
         result = await answer
         timer.cancel()
--- a/tests/simulation/machines.py
+++ b/tests/simulation/machines.py
@@ -28,7 +28,7 @@
         self.ip = ip
         self.process: Process | None = None
         self.disk = SimulatedDisk()
-        self.disk_made_s = loop.time()
+        self.disk_created_s = loop.time()
         self.slow_disk = False
         self.stalled = False
         self.incarnations = 0
@@ -75,7 +75,7 @@
             self._end(power_lost=True)
         self._network.powered_off_ips.add(self.ip)
         self.disk = SimulatedDisk()
-        self.disk_made_s = self._loop.time()
+        self.disk_created_s = self._loop.time()
 
     def _end(self, power_lost: bool) -> None:
         process = self.process
--- a/tests/simulation/named.py
+++ b/tests/simulation/named.py
@@ -30,7 +30,7 @@
 from tests.simulation.schedule import Fault, Kind, Point, Role, Schedule, Target
 
 LEADER, OLDEST, LOST, FOLLOWER = Target.LEADER, Target.OLDEST, Target.LOST, Target.FOLLOWER
-PLANNED_AT_S, PATIENCE_S = 6.0, 4.0  # a process that departs waits for half of its grace period
+PLANNED_AT_S, DEPARTURE_TIMEOUT_S = 6.0, 4.0  # a process that departs waits for half of its grace period
 STOPPED_AT_S = PLANNED_AT_S + CATCH_UP_S
 
 
@@ -38,7 +38,12 @@
     """Repeats the faults, each time `interval_s` later."""
     return tuple(
         Fault(
-            fault.at_s + turn * interval_s, fault.kind, fault.target, fault.point, fault.lasts_s, fault.role
+            fault.at_s + turn * interval_s,
+            fault.kind,
+            fault.target,
+            fault.point,
+            fault.duration_s,
+            fault.role,
         )
         for turn in range(times)
         for fault in faults
@@ -73,13 +78,13 @@
             2,
             1,
             repeated(
-                Fault(5.5, Kind.PLANNED, FOLLOWER), Fault(7.0, Kind.PARTITION_VOTERS, LEADER, lasts_s=2.5)
+                Fault(5.5, Kind.PLANNED, FOLLOWER), Fault(7.0, Kind.PARTITION_VOTERS, LEADER, duration_s=2.5)
             ),
         ),
     ),
     "departure ignored": (
         departure_ignored,
-        replacement_at_full_tolerance(1, 1, Role.CONTROL, STOPPED_AT_S + PATIENCE_S),
+        replacement_at_full_tolerance(1, 1, Role.CONTROL, STOPPED_AT_S + DEPARTURE_TIMEOUT_S),
     ),
     "a process ends without its departure": (
         ends_without_departure,
@@ -102,7 +107,7 @@
             1,
             1,
             repeated(
-                Fault(10.0, Kind.WIPE, OLDEST, lasts_s=0.3),
+                Fault(10.0, Kind.WIPE, OLDEST, duration_s=0.3),
                 Fault(10.2, Kind.STALLED_DISK, LOST, Point.SNAPSHOT, 1.0),
             ),
         ),
@@ -115,7 +120,9 @@
     "patch known by its result": (patch_known_by_its_result, Schedule(1, 1, ())),
     "unsure order refused": (
         unknown_outcome_refused,
-        Schedule(1, 1, repeated(Fault(6.0, Kind.PARTITION_INBOUND, LEADER, Point.BEFORE_SAVE, lasts_s=2.0))),
+        Schedule(
+            1, 1, repeated(Fault(6.0, Kind.PARTITION_INBOUND, LEADER, Point.BEFORE_SAVE, duration_s=2.0))
+        ),
     ),
     "job accepted early": (job_accepted_early, Schedule(1, 1, PARTITIONED_STORE_LEADER, stores=True)),
     "retirement ended early": (decommissioning_ended_early, Schedule(1, 1, STALLED_STORES, stores=True)),
--- a/tests/simulation/network.py
+++ b/tests/simulation/network.py
@@ -65,6 +65,11 @@
 
     abort = close
 
+    def enqueue(self, data: bytes) -> None:
+        """Keeps bytes until the path is open again."""
+        self.pending.append(data)
+        self.pending_bytes += len(data)
+
     def lost(self, reason: str) -> None:
         """Tells the owner that the connection is lost."""
         if self.is_open:
@@ -108,8 +113,8 @@
 
     def delay_s(self, source: str, target: str) -> float:
         """Draws the latency of one transmission."""
-        slow_ips = source in self.slow_ips or target in self.slow_ips
-        return self._path(source, target).uniform(*(SLOW_DELAY_S if slow_ips else DELAY_S))
+        is_slow = source in self.slow_ips or target in self.slow_ips
+        return self._path(source, target).uniform(*(SLOW_DELAY_S if is_slow else DELAY_S))
 
     def _path(self, source: str, target: str) -> random.Random:
         """Returns the path's own generator: programs send to sets of peers, whose order must not matter."""
@@ -199,13 +204,11 @@
             return
         source, target = end.local_ip, end.remote_ip
         if self.blocked(source, target):
-            end.pending.append(data)
-            end.pending_bytes += len(data)
+            end.enqueue(data)
             self._watch(end)
             return
         if end.pending:
-            end.pending.append(data)
-            end.pending_bytes += len(data)
+            end.enqueue(data)
             return
         if self.blocked(target, source):
             self._watch(end)  # the bytes arrive, but their acknowledgement does not
@@ -221,8 +224,7 @@
         if not peer.is_open:
             return
         if self.blocked(end.local_ip, end.remote_ip):
-            end.pending.append(data)
-            end.pending_bytes += len(data)
+            end.enqueue(data)
             self._watch(end)
             return
         assert peer.protocol is not None
--- a/tests/simulation/play.py
+++ b/tests/simulation/play.py
@@ -144,13 +144,16 @@
             f"{group.membership} at {[group.match(voter) for voter in group.membership.voters]}"
         )
 
-    def _read_everywhere(self) -> None:
-        """Stops the callers, then reads the current configuration at each machine."""
-        world = self.world
+    def _stop_callers(self) -> None:
         for operator in (*self.operators, self.reader):
             operator.busy = False
         for client in self.clients:
             client.busy = False
+
+    def _read_everywhere(self) -> None:
+        """Stops the callers, then reads the current configuration at each machine."""
+        world = self.world
+        self._stop_callers()
         world.run(world.loop.time() + 1.2)
         if self.schedule.stores:
             self._finish_jobs(world.loop.time() + FINISH_S)
@@ -172,16 +175,16 @@
         world = self.world
         left_before = world.loop.time() - DRAIN_S
         promised = world.history.acknowledged_before(world.loop.time() - CONFIG_S)
-        for node in world.gateways.values():
-            tables = node.subscriber.tables if node.subscriber is not None else Tables()
-            if node.seen_version < promised:
-                self._failures.append(f"{node.ip} has version {node.seen_version}, not {promised}")
+        for gateway in world.gateways.values():
+            tables = gateway.subscriber.tables if gateway.subscriber is not None else Tables()
+            if gateway.seen_version < promised:
+                self._failures.append(f"{gateway.ip} has version {gateway.seen_version}, not {promised}")
             for worker in tables.workers.values():
                 if (
                     worker.state == RegistrationState.READY
                     and world.invariants.left.get(worker.id, left_before) < left_before
                 ):
-                    self._failures.append(f"{node.ip} takes {worker.id} for ready, which has left")
+                    self._failures.append(f"{gateway.ip} takes {worker.id} for ready, which has left")
 
     def _finish_jobs(self, until: float) -> None:
         """Runs until the clients have all results of their accepted jobs, or until the deadline."""
--- a/tests/simulation/schedule.py
+++ b/tests/simulation/schedule.py
@@ -85,13 +85,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One fault: from `at_s` on, as soon as `point` is reached and the tolerance allows it, for `lasts_s`."""
+    """One fault: from `at_s` on, once `point` is reached and the tolerance allows it, for `duration_s`."""
 
     at_s: float
     kind: Kind
     target: Target = Target.ANY
     point: Point = Point.NOW
-    lasts_s: float = 1.0
+    duration_s: float = 1.0
     role: Role = Role.CONTROL
 
 
@@ -177,7 +177,7 @@
         kind=_pick(rng, WEIGHTS),
         target=_pick(rng, TARGETS),
         point=_pick(rng, POINTS),
-        lasts_s=round(rng.choice((0.05, 0.3, 0.5, 0.8, 1.0, 2.0, 4.0)) * rng.uniform(0.8, 1.2), 3),
+        duration_s=round(rng.choice((0.05, 0.3, 0.5, 0.8, 1.0, 2.0, 4.0)) * rng.uniform(0.8, 1.2), 3),
         role=Role.STORE if stores and rng.random() < 0.6 else Role.CONTROL,
     )
 
--- a/tests/simulation/test_planned.py
+++ b/tests/simulation/test_planned.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from tests.simulation.named import PATIENCE_S, STOPPED_AT_S, replacement_at_full_tolerance
+from tests.simulation.named import DEPARTURE_TIMEOUT_S, STOPPED_AT_S, replacement_at_full_tolerance
 from tests.simulation.play import Verdict, play
 from tests.simulation.schedule import Fault, Kind, Role, Schedule, Target
 
@@ -17,8 +17,10 @@
         verdict = play(replacement_at_full_tolerance(seed, tolerated, role, STOPPED_AT_S))
         assert not verdict.violations, verdict
         assert sum("wipe" in entry and "replaced" in entry for entry in verdict.log) == tolerated
-        gone = next(entry.split()[0] for entry in verdict.log if entry.endswith("is gone"))
-        assert all(entry.startswith(gone) for entry in verdict.log if "wipe" in entry), "at that instant"
+        removed_at = next(entry.split()[0] for entry in verdict.log if entry.endswith("is gone"))
+        assert all(entry.startswith(removed_at) for entry in verdict.log if "wipe" in entry), (
+            "at that instant"
+        )
 
 
 def stop_times(verdict: Verdict) -> tuple[float, float]:
@@ -41,4 +43,4 @@
     verdict = play(Schedule(1, 1, (Fault(6.0, Kind.STOP, target, role=Role.STORE),), stores=True))
     assert not verdict.violations, verdict
     requested_s, ended_s = stop_times(verdict)
-    assert ended_s - requested_s < PATIENCE_S / 2
+    assert ended_s - requested_s < DEPARTURE_TIMEOUT_S / 2
--- a/tests/simulation/watch.py
+++ b/tests/simulation/watch.py
@@ -6,7 +6,7 @@
 from bisect import bisect_right
 from collections.abc import Iterator
 from math import inf
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING, Any, NamedTuple
 from unittest import mock
 
 from pewterring.consensus.group import ReplicatedGroup
@@ -27,6 +27,14 @@
 )
 
 
+class _AppliedEntry(NamedTuple):
+    """What must be the same of an entry on all members."""
+
+    term: int
+    kind: str
+    data: bytes
+
+
 class InvariantChecker:
     """Compares what members do with what others did, and what gateways receive with what was acknowledged."""
 
@@ -34,7 +42,7 @@
         self._world = world
         self.violations: list[str] = []
         self._leaders: dict[tuple[str, int], str] = {}  # by group and term
-        self._applied: dict[tuple[str, int], tuple[int, str, bytes]] = {}  # by group and index
+        self._applied: dict[tuple[str, int], _AppliedEntry] = {}  # by group and index
         self._committed: dict[str, list[tuple[float, int]]] = {}  # by group: when the highest index rose
         self._saved_terms: dict[tuple[str, str], int] = {}  # by group and member
         self._newest_leader = (0, "")  # the highest term in which a member of control committed an entry
@@ -76,7 +84,7 @@
 
     def applied(self, group: ReplicatedGroup, entry: Entry) -> None:
         """Checks that all members apply the same entry at an index."""
-        this = (entry.term, entry.kind, bytes(entry.data))
+        this = _AppliedEntry(entry.term, entry.kind, bytes(entry.data))
         known = self._applied.setdefault((group.group, entry.index), this)
         if known != this:
             self.violation(f"{group.member} applied {this} at {entry.index}, others {known}")
@@ -156,6 +164,10 @@
 
     def watchers(self) -> Iterator[Any]:
         """Yields patches of the real methods that report to this object."""
+        yield from self._member_watchers()
+        yield from self._gateway_watchers()
+
+    def _member_watchers(self) -> Iterator[Any]:
         invariants = self
 
         def begin(self: LeaderRole, state: Any, now: float, real: Any = LeaderRole.__init__) -> None:
@@ -166,6 +178,12 @@
             invariants._judges_worker()
             return real(self, *arguments)
 
+        yield mock.patch.object(LeaderRole, "__init__", begin)
+        yield mock.patch.object(WorkerRegistry, "observe", observe)
+
+    def _gateway_watchers(self) -> Iterator[Any]:
+        invariants = self
+
         def replace_all(
             self: Any, message: Any, requested_at_s: float, real: Any = FeedSubscription.replace_all
         ) -> Any:
@@ -179,7 +197,5 @@
                 invariants._confirmed(message.versions.configuration, workers, sent_at)
             return confirmed
 
-        yield mock.patch.object(LeaderRole, "__init__", begin)
-        yield mock.patch.object(WorkerRegistry, "observe", observe)
         yield mock.patch.object(FeedSubscription, "replace_all", replace_all)
         yield mock.patch.object(FeedSubscription, "confirm", confirm)
--- a/tests/simulation/world.py
+++ b/tests/simulation/world.py
@@ -5,6 +5,7 @@
 """
 
 import random
+from collections.abc import Callable
 from functools import partial
 from math import inf
 from pathlib import Path
@@ -33,6 +34,7 @@
 
 CONTROL_PORT = 8146
 INTERNAL_PORT = 7660
+START_S = (0.0, 0.3)  # machines of a new site start within that
 FIRST_SEEDS = 3  # number of control machines that a settings file names
 SEED_LAG_S = 3.0  # `seed_lag_s`: how old the operator's list is
 HEARTBEAT_S = 1.0
@@ -48,12 +50,12 @@
 
     role = Role.CONTROL
     added_s = 0.0  # virtual time at which the operator's list names it
-    gone_s = inf  # virtual time of its removal
+    removed_s = inf  # virtual time of its removal
 
     @property
-    def gone(self) -> bool:
+    def is_removed(self) -> bool:
         """Whether it was removed for good."""
-        return self.gone_s < inf
+        return self.removed_s < inf
 
     @property
     def group(self) -> ReplicatedGroup | None:
@@ -110,20 +112,25 @@
         self.items = Items(self)
         self.save_s = self.rng.choice(SAVE_S)
         self.snapshot_chunk_bytes = self.rng.choice(SNAPSHOT_CHUNK_BYTES)
-        self.hooks: list[Any] = []  # called with the name of each point and the machine that reached it
+        self.hooks: list[
+            Callable[[str, Machine], None]
+        ] = []  # called with the name of each point and the machine that reached it
         self._last_ip = 0
         self._last_store_ip = 0
         first = [self.new_control() for _ in range(2 * tolerated + 1)]
         self.first_seeds = [machine.ip for machine in first[:FIRST_SEEDS]]
+        self._start_all(first, 2 * tolerated + 1 + SPARE_STORES if stores else 0)
+
+    def _start_all(self, first: list[ControlMachine], stores: int) -> None:
+        """Starts all machines, each at its own moment. The order of the draws is part of a seed's run."""
         for machine in first:
-            self.loop.call_outside(self.rng.uniform(0.0, 0.3), self.start, machine, True)
-        if stores:
-            for _ in range(2 * tolerated + 1 + SPARE_STORES):
-                self.loop.call_outside(self.rng.uniform(0.0, 0.3), self.start, self.new_store())
+            self.loop.call_outside(self.rng.uniform(*START_S), self.start, machine, True)
+        for _ in range(stores):
+            self.loop.call_outside(self.rng.uniform(*START_S), self.start, self.new_store())
         for number in range(1, GATEWAYS + 1):
             self._new_gateway(f"10.2.0.{number}")
-        for node in self.gateways.values():
-            self.loop.call_outside(self.rng.uniform(0.0, 0.3), self.start_gateway, node)
+        for gateway in self.gateways.values():
+            self.loop.call_outside(self.rng.uniform(*START_S), self.start_gateway, gateway)
 
     # The process that runs now
 
@@ -183,7 +190,7 @@
     def present_machines(self, role: Role = Role.CONTROL) -> list[GroupMachine]:
         """Returns the machines of a role that were not removed for good."""
         machines = self.machines if role is Role.CONTROL else self.stores
-        return [machine for machine in machines.values() if not machine.gone]
+        return [machine for machine in machines.values() if not machine.is_removed]
 
     def group_machines(self) -> list[GroupMachine]:
         """Returns all control machines and stores, removed ones included."""
@@ -191,7 +198,7 @@
 
     def start(self, machine: GroupMachine, bootstrap: bool = False) -> None:
         """Begins an incarnation of the machine's program, unless one runs."""
-        if machine.running or machine.gone:
+        if machine.running or machine.is_removed:
             return
         process = machine.new_process()
         begin = self._begin_control if isinstance(machine, ControlMachine) else self._begin_store
@@ -254,7 +261,7 @@
         return [
             machine.ip
             for machine in self.machines.values()
-            if machine.added_s <= max(0.0, moment) and machine.gone_s > moment
+            if machine.added_s <= max(0.0, moment) and machine.removed_s > moment
         ]
 
     def _seeds(self) -> list[str]:
@@ -284,22 +291,22 @@
     def _new_gateway(self, ip: str) -> None:
         self.gateways[ip] = Gateway(ip, self.loop, self.network, self.rng, self.reached)
 
-    def start_gateway(self, node: Gateway) -> None:
+    def start_gateway(self, gateway: Gateway) -> None:
         """Begins an incarnation of a gateway, unless one runs."""
-        if node.running:
+        if gateway.running:
             return
-        process = node.new_process()
-        node.seen_version = 0
-        self.loop.call_in(process, self.loop.time(), self._begin_gateway, node)
+        process = gateway.new_process()
+        gateway.seen_version = 0
+        self.loop.call_in(process, self.loop.time(), self._begin_gateway, gateway)
 
-    def _begin_gateway(self, node: Gateway) -> None:
+    def _begin_gateway(self, gateway: Gateway) -> None:
         process = self.process()
-        record = NodeRecord(f"node-{node.ip}", "gateway", node.ip, "zone-1", process.name)
-        subscriber = node.subscriber = FeedSubscriber(
-            self._settings(node.ip, False),
+        record = NodeRecord(f"node-{gateway.ip}", "gateway", gateway.ip, "zone-1", process.name)
+        subscriber = gateway.subscriber = FeedSubscriber(
+            self._settings(gateway.ip, False),
             CODEC,
             NodeReport(lambda: record, self._no_status),
-            lambda _, new: self._on_tables(node, new),
+            lambda _, new: self._on_tables(gateway, new),
             FeedEnvironment(random.Random(self.rng.random()), lambda: process.steady(self.loop.time())),
         )
         self.loop.create_task(subscriber.start())
@@ -310,14 +317,16 @@
             random.Random(self.rng.random()),
             lambda: process.steady(self.loop.time()),
         )
-        self.http.listen(node.ip, process, partial(answer_batch_call, calls, subscriber))
+        self.http.listen(gateway.ip, process, partial(answer_batch_call, calls, subscriber))
 
     @staticmethod
     def _no_status() -> GroupStatus | None:
         return None
 
-    def _on_tables(self, node: Gateway, tables: Tables) -> None:
+    def _on_tables(self, gateway: Gateway, tables: Tables) -> None:
         version = tables.configuration.version if tables.configuration is not None else 0
-        if version < node.seen_version:
-            self.invariants.violation(f"{node.ip} goes back from version {node.seen_version} to {version}")
-        node.seen_version = version
+        if version < gateway.seen_version:
+            self.invariants.violation(
+                f"{gateway.ip} goes back from version {gateway.seen_version} to {version}"
+            )
+        gateway.seen_version = version
