--- a/tests/simulation/adversary.py
+++ b/tests/simulation/adversary.py
@@ -16,7 +16,7 @@
 from tests.simulation.world import Gateway, GroupMachine, World
 
 PARTITION_AFTER_FREEZE_S = 0.4
-# Reached outside of any one machine: a fault at such a point may have any machine as its target.
+# These points matter to all machines: the target need not be the machine that reached the point.
 OUTSIDE_POINTS = {
     Point.ORDER_ACKED,
     Point.DRAIN_ACKED,
@@ -30,7 +30,7 @@
 POINT_S = 3.0  # after that time a fault no longer waits for its point
 GIVE_UP_S = 8.0  # a fault that was not allowed by then is dropped
 GROUP_BACK_S = (0.05, 0.9)  # processes that were killed all at once are back within a second
-LOST_ANSWERS_FRACTION = 0.5  # of the answers to callers: most calls need a retry, none fails for ever
+LOST_ANSWERS_FRACTION = 0.5  # of the answers to callers: half of the calls are sent again
 REPLACED_S = (0.2, 3.0)  # from the loss of a machine to the start of its successor
 
 ENDS_OF_MACHINES: dict[Kind, Callable[[Machine], None]] = {
@@ -47,7 +47,7 @@
         self._world = world
         self._rng = rng
         self.losses = Losses(world.tolerated)
-        self.not_begun = len(faults)
+        self.remaining = len(faults)
         self.in_progress = 0
         self.ended_s = 0.0
         self.log: list[str] = []
@@ -60,7 +60,7 @@
     @property
     def done(self) -> bool:
         """Whether every fault has ended or was dropped."""
-        return not self.not_begun and not self.in_progress
+        return not self.remaining and not self.in_progress
 
     def _arm(self, fault: Fault) -> None:
         if fault.point is Point.NOW:
@@ -90,7 +90,7 @@
         if self._begin(fault):
             return
         if self._now > fault.at_s + GIVE_UP_S:
-            self.not_begun -= 1
+            self.remaining -= 1
             return
         self._world.loop.call_outside(self._now + RETRY_S, self._begin_when_allowed, fault)
 
@@ -132,7 +132,7 @@
         """Begins the fault if it is allowed now; returns whether it did."""
         if fault.kind in HARMLESS:
             self._record_fault(fault, "")
-            self.not_begun -= 1
+            self.remaining -= 1
             self._begin_harmless(fault)
             return True
         if fault.kind in GROUP_WIDE:
@@ -141,7 +141,7 @@
         if machine is None or not self.losses.allows(machine.ip, self._now):
             return False
         self._record_fault(fault, machine.ip)
-        self.not_begun -= 1
+        self.remaining -= 1
         self.in_progress += 1
         if fault.kind is Kind.PLANNED:
             self._plan_replacement(machine)
@@ -368,7 +368,7 @@
         if not self._allows_group_wide(fault.kind, ending, free):
             return False
         self._record_fault(fault, "")
-        self.not_begun -= 1
+        self.remaining -= 1
         if fault.kind is Kind.PARTITION_ALL:
             self._partition_group(fault, machines)
         else:
--- a/tests/simulation/batch.py
+++ b/tests/simulation/batch.py
@@ -49,9 +49,9 @@
         job = name.partition(".")[0]
         now = self._world.loop.time()
         if job in self.refused:
-            self._world.invariants.violation(f"{name} runs, and its job was refused")
+            self._world.invariants.record_violation(f"{name} runs, and its job was refused")
         if now > self.ended.get(job, now) + CANCEL_S:
-            self._world.invariants.violation(f"{name} runs after the end of its job was acknowledged")
+            self._world.invariants.record_violation(f"{name} runs after the end of its job was acknowledged")
         self.runs[name] += 1
         if "impossible" in name:
             return Failure.IMPOSSIBLE
@@ -182,13 +182,17 @@
             return
         if answer.status != 200:
             if requested_at_s > job.accepted_at_s + COMMIT_S:
-                self._world.invariants.violation(f"{job.name} was answered {answer.status} after its 202")
+                self._world.invariants.record_violation(
+                    f"{job.name} was answered {answer.status} after its 202"
+                )
             return
         page = msgspec.json.decode(answer.body, type=_Page)
         if page.total != len(job.items):
-            self._world.invariants.violation(f"{job.name} has {page.total} items, {len(job.items)} were sent")
+            self._world.invariants.record_violation(
+                f"{job.name} has {page.total} items, {len(job.items)} were sent"
+            )
         if page.next_page_token < known:
-            self._world.invariants.violation(
+            self._world.invariants.record_violation(
                 f"{job.name} had {known} results, and now {page.next_page_token}"
             )
         for position, result in enumerate(page.results, after):
@@ -197,18 +201,18 @@
     def _take(self, job: _Job, position: int, result: _Result) -> None:
         if position < len(job.results):
             if job.results[position] != result:
-                self._world.invariants.violation(
+                self._world.invariants.record_violation(
                     f"{job.name} held {job.results[position]} at {position}, and now {result}"
                 )
             return
         if result.id not in job.items or any(other.id == result.id for other in job.results):
-            self._world.invariants.violation(
+            self._world.invariants.record_violation(
                 f"{job.name} lists {result.id} at {position}, as a stranger or again"
             )
         if result.state == "succeeded" and result.text != complete_text(result.id):
-            self._world.invariants.violation(f"{result.id} succeeded with {result.text!r}")
+            self._world.invariants.record_violation(f"{result.id} succeeded with {result.text!r}")
         if result.state != "succeeded" and "impossible" not in result.id and not job.ended:
-            self._world.invariants.violation(f"{result.id} is {result.state}")
+            self._world.invariants.record_violation(f"{result.id} is {result.state}")
         job.results.append(result)
 
     async def _end(self, job: _Job) -> None:
@@ -258,7 +262,7 @@
         machine = self._world.stores[ip]
         if machine.is_removed:
             return
-        self._world.invariants.emptied(ip)
+        self._world.invariants.on_store_emptied(ip)
         machine.wipe()
         machine.removed_s = self._world.loop.time()
         self._world.reached("retired", machine)
--- a/tests/simulation/callers.py
+++ b/tests/simulation/callers.py
@@ -135,7 +135,7 @@
             outcome = Outcome.REFUSED
         status = answer.status if answer is not None else 0
         if outcome is Outcome.UNKNOWN and status not in (0, 503):
-            self._world.invariants.violation(f"an order was answered {status}")
+            self._world.invariants.record_violation(f"an order was answered {status}")
         self._world.history.orders.append(
             Order(order.state, order.base, began_s, self._world.loop.time(), outcome, status)
         )
@@ -157,7 +157,7 @@
         try:
             state = NONE if answer.status == 404 else state_of(answer.body)
         except (KeyError, orjson.JSONDecodeError):
-            self._world.invariants.violation(f"a read was answered {answer.body!r}")
+            self._world.invariants.record_violation(f"a read was answered {answer.body!r}")
             return None
         self._world.history.reads.append(Read(state, began_s, self._world.loop.time()))
         return state
@@ -259,5 +259,5 @@
             return True
         self._target = ""
         if answer is not None and answer.status != 503:
-            self._world.invariants.violation(f"a worker's call was answered {answer.status}")
+            self._world.invariants.record_violation(f"a worker's call was answered {answer.status}")
         return False
--- a/tests/simulation/http.py
+++ b/tests/simulation/http.py
@@ -70,9 +70,7 @@
             _complete(answer, None)
             return
         process, handle = listener
-        process.at_death.append(
-            lambda: None if world.network.blocked(ip, OUTSIDE) else _complete(answer, None)
-        )
+        process.on_end.append(lambda: None if world.network.blocked(ip, OUTSIDE) else _complete(answer, None))
         world.loop.call_in(process, world.loop.time(), self._begin, ip, handle, call, answer)
 
     def _begin(self, *arguments: Any) -> None:
@@ -85,7 +83,7 @@
         result = await handle(call)
         process = self._world.process()
         self._world.reach("answer")
-        process.does(lambda: self._send_back(ip, result, answer))
+        process.perform(lambda: self._send_back(ip, result, answer))
 
     def _send_back(self, ip: str, result: Answer, answer: "asyncio.Future[Answer | None]") -> None:
         world = self._world
--- a/tests/simulation/linearizability.py
+++ b/tests/simulation/linearizability.py
@@ -19,7 +19,11 @@
 
 
 def check(history: History) -> list[State]:
-    """The states in the order in which they were in force; raises `NotLinearizable`."""
+    """Returns the states in the order in which they were in force.
+
+    Raises:
+        NotLinearizableError: no moments at which the orders took effect explain all answers.
+    """
     chain = _chain(history)
     positions = {state: position for position, state in enumerate(chain)}
     _check_refusals(history.orders, positions)
@@ -62,16 +66,7 @@
     state = seen[max(seen)]
     chain = [state]
     while state != NONE:
-        base = bases[state]
-        before = seen.get(base)
-        if before is None:
-            unseen = sent.get(base, set())
-            if not unseen:
-                raise NotLinearizableError(f"{state} builds on version {base}, which never was")
-            before = min(unseen, key=lambda each: each.digest)
-        if before.version >= state.version:
-            raise NotLinearizableError(f"{state} builds on {before}, which is not older")
-        state = before
+        state = _predecessor(state, bases[state], seen, sent)
         chain.append(state)
     missing = set(seen.values()) - set(chain)
     if missing:
@@ -82,6 +77,19 @@
     return chain
 
 
+def _predecessor(state: State, base: int, seen: dict[int, State], sent: dict[int, set[State]]) -> State:
+    """Returns the state that `state` replaced."""
+    before = seen.get(base)
+    if before is None:
+        unseen = sent.get(base, set())
+        if not unseen:
+            raise NotLinearizableError(f"{state} builds on version {base}, which never was")
+        before = min(unseen, key=lambda each: each.digest)
+    if before.version >= state.version:
+        raise NotLinearizableError(f"{state} builds on {before}, which is not older")
+    return before
+
+
 def _check_refusals(orders: Iterable[Order], positions: dict[State, int]) -> None:
     for order in orders:
         if order.outcome is Outcome.REFUSED and order.state in positions:
--- a/tests/simulation/machines.py
+++ b/tests/simulation/machines.py
@@ -88,9 +88,9 @@
             with contextlib.suppress(PowerLossError, StorageError):
                 work()
         self._network.process_ended(process, power_lost)
-        for action in process.at_death:
+        for action in process.on_end:
             action()
-        process.at_death.clear()
+        process.on_end.clear()
 
     # The disk
 
--- a/tests/simulation/network.py
+++ b/tests/simulation/network.py
@@ -49,7 +49,7 @@
 
     def write(self, data: Any) -> None:
         content = bytes(data)
-        self.owner.does(lambda: self.network.transmit(self, content))
+        self.owner.perform(lambda: self.network.transmit(self, content))
 
     def get_write_buffer_size(self) -> int:
         return self.pending_bytes
@@ -61,7 +61,7 @@
         return not self.is_open
 
     def close(self) -> None:
-        self.owner.does(lambda: self.network.end(self))
+        self.owner.perform(lambda: self.network.end(self))
 
     abort = close
 
--- a/tests/simulation/patches.py
+++ b/tests/simulation/patches.py
@@ -104,7 +104,7 @@
         if entry.kind == "members":
             self.world.reach("members_applied")
         self.world.reach("before_apply")
-        self.world.invariants.applied(self.owner, entry)
+        self.world.invariants.on_applied(self.owner, entry)
         super()._apply(entry)
 
     def _begin_save(self, save: Save) -> None:
@@ -115,12 +115,12 @@
     def _saved(self, save: Save) -> None:
         applied = self.owner.applied_index
         if save.snapshot is not None and save.snapshot.index < applied:
-            self.world.invariants.violation(
+            self.world.invariants.record_violation(
                 f"{self.member} goes back from {applied} to the snapshot at {save.snapshot.index}"
             )
         super()._saved(save)
         if save.hard_state is not None:
-            self.world.invariants.saved(self.owner, save.hard_state.term)
+            self.world.invariants.on_term_saved(self.owner, save.hard_state.term)
 
 
 def _small_logs(world: "World") -> GroupOptions:
@@ -159,17 +159,17 @@
     async def start(self) -> None:
         """Part of `ReplicatedGroup`."""
         await super().start()
-        self.world.invariants.starts(self)
+        self.world.invariants.on_started(self)
 
     def _on_leadership(self, leads: bool) -> None:
         if leads:
             assert self.led_term is not None
-            self.world.invariants.leads(self, self.led_term)
+            self.world.invariants.on_leading(self, self.led_term)
         self._notify_owner(leads)
 
     async def change_membership(self, membership: Membership) -> None:
         """Part of `ReplicatedGroup`."""
-        self.world.invariants.changes_members(self, membership)
+        self.world.invariants.on_membership_proposed(self, membership)
         self.world.reach("members")
         await super().change_membership(membership)
 
--- a/tests/simulation/redundancy.py
+++ b/tests/simulation/redundancy.py
@@ -45,7 +45,7 @@
         if self._calm_since is None:
             self._calm_since = now
         if now - max(self._calm_since, self._complete_at) > GRACE_S:
-            world.invariants.violation(
+            world.invariants.record_violation(
                 f"{self._group}: no machine is lost, and too few voters hold all "
                 f"since {self._complete_at:.2f}"
             )
--- a/tests/simulation/virtual_loop.py
+++ b/tests/simulation/virtual_loop.py
@@ -40,7 +40,7 @@
         self.alive = True
         self.frozen = False
         self.postponed: list[tuple[Turn, Callable[[], object]]] = []
-        self.at_death: list[Callable[[], object]] = []
+        self.on_end: list[Callable[[], object]] = []
         self.rate = rate
         self.offset = offset
         self.context = contextvars.copy_context()
@@ -59,7 +59,7 @@
         """Converts a reading of the process's steady clock to virtual time."""
         return (steady - self.offset) / self.rate
 
-    def does(self, output: Callable[[], object]) -> None:
+    def perform(self, output: Callable[[], object]) -> None:
         """Performs an output: at once, after the freeze, or never if the process is dead."""
         if not self.alive:
             return
@@ -167,21 +167,21 @@
         process.frozen = False
         postponed, process.postponed = process.postponed, []
         for _, action in sorted(postponed, key=itemgetter(0)):
-            process.does(action)
+            process.perform(action)
 
     # Running
 
-    def run_until(self, end: float, go_on: Callable[[], bool] = lambda: True) -> None:
-        """Runs what is due until `end`, or until `go_on` returns false."""
+    def run_until(self, end: float, should_continue: Callable[[], bool] = lambda: True) -> None:
+        """Runs what is due until `end`, or until `should_continue` returns false."""
         asyncio._set_running_loop(self)  # noqa: SLF001 - asyncio's documented entry for event loops
         try:
-            self._run(end, go_on)
+            self._run(end, should_continue)
         finally:
             asyncio._set_running_loop(None)  # noqa: SLF001 - as above
 
-    def _run(self, end: float, go_on: Callable[[], bool]) -> None:
+    def _run(self, end: float, should_continue: Callable[[], bool]) -> None:
         ready, timers = self._ready, self._timers
-        while go_on():
+        while should_continue():
             while ready:
                 self._run_handle(ready.popleft())
             if not timers or timers[0][0] > end:
--- a/tests/simulation/watch.py
+++ b/tests/simulation/watch.py
@@ -49,19 +49,19 @@
         self._unsafe_if_committed: dict[tuple[str, int, bytes], str] = {}  # changes by deposed leaders
         self.left: dict[str, float] = {}  # workers whose drain or end was acknowledged, and when
 
-    def violation(self, text: str) -> None:
+    def record_violation(self, text: str) -> None:
         """Records a violation, with the virtual time."""
         self.violations.append(f"{self._world.loop.time():.4f}: {text}")
 
     # Members
 
-    def elected(self, group: str, member: str, term: int) -> None:
+    def on_elected(self, group: str, member: str, term: int) -> None:
         """Checks that a member that was elected is its term's only leader."""
         other = self._leaders.setdefault((group, term), member)
         if other != member:
-            self.violation(f"{member} and {other} lead in term {term}")
+            self.record_violation(f"{member} and {other} lead in term {term}")
 
-    def leads(self, group: ReplicatedGroup, term: int) -> None:
+    def on_leading(self, group: ReplicatedGroup, term: int) -> None:
         """Checks, when a member has committed an entry of its own term, that nobody else has a lease."""
         if group.group == GROUP:
             self._newest_leader = max(self._newest_leader, (term, group.member))
@@ -70,32 +70,32 @@
             if other is None or other is group or other.group != group.group:
                 continue
             if process is not None and other.has_lease(process.steady(self._world.loop.time())):
-                self.violation(f"{group.member} leads in term {term} while {other.member} has a lease")
+                self.record_violation(f"{group.member} leads in term {term} while {other.member} has a lease")
 
-    def saved(self, group: ReplicatedGroup, term: int) -> None:
+    def on_term_saved(self, group: ReplicatedGroup, term: int) -> None:
         """Records the term that a member has on disk."""
         self._saved_terms[group.group, group.member] = term
 
-    def starts(self, group: ReplicatedGroup) -> None:
+    def on_started(self, group: ReplicatedGroup) -> None:
         """Checks, when a member has read its disk, that it knows at least the term that it had saved."""
         saved = self._saved_terms.get((group.group, group.member), 0)
         if group.term < saved:
-            self.violation(f"{group.member} comes back with term {group.term}; it had saved {saved}")
+            self.record_violation(f"{group.member} comes back with term {group.term}; it had saved {saved}")
 
-    def applied(self, group: ReplicatedGroup, entry: Entry) -> None:
+    def on_applied(self, group: ReplicatedGroup, entry: Entry) -> None:
         """Checks that all members apply the same entry at an index."""
         this = _AppliedEntry(entry.term, entry.kind, bytes(entry.data))
         known = self._applied.setdefault((group.group, entry.index), this)
         if known != this:
-            self.violation(f"{group.member} applied {this} at {entry.index}, others {known}")
+            self.record_violation(f"{group.member} applied {this} at {entry.index}, others {known}")
         if (
             unsafe := self._unsafe_if_committed.get((group.group, entry.term, bytes(entry.data)))
         ) is not None:
-            self.violation(f"{unsafe}, and the change was committed")
+            self.record_violation(f"{unsafe}, and the change was committed")
         if entry.index > self.committed(group.group):
             self._committed.setdefault(group.group, []).append((self._world.loop.time(), entry.index))
 
-    def changes_members(self, group: Any, membership: Membership) -> None:
+    def on_membership_proposed(self, group: Any, membership: Membership) -> None:
         """Checks a proposed change: a new voter must hold all that was committed at the previous check.
 
         A leader that was deposed without knowing it does not know what was committed since: its change does
@@ -110,22 +110,22 @@
                 change = (group.group, group.term, bytes(encode_membership(membership)))
                 self._unsafe_if_committed[change] = text
             else:
-                self.violation(text)
+                self.record_violation(text)
 
     def _is_deposed(self, group: ReplicatedGroup) -> bool:
         """Whether another member was elected in a later term."""
         return any(name == group.group and term > group.term for name, term in self._leaders)
 
-    def emptied(self, ip: str) -> None:
+    def on_store_emptied(self, ip: str) -> None:
         """Checks a store that is reported as empty: it is no member, and enough voters are left."""
         leader = self._world.leader(Role.STORE)
         if leader is None or leader.group is None:
             return
         membership = leader.group.membership
         if any(address_of(member) == ip for member in (*membership.voters, *membership.learners)):
-            self.violation(f"{ip} is said to be empty, and is a member: {membership}")
+            self.record_violation(f"{ip} is said to be empty, and is a member: {membership}")
         elif len(membership.voters) < 2 * self._world.tolerated + 1:
-            self.violation(f"{ip} is said to be empty, and too few are left: {membership}")
+            self.record_violation(f"{ip} is said to be empty, and too few are left: {membership}")
 
     def committed(self, group: str) -> int:
         """Returns the highest index that any member applied."""
@@ -137,30 +137,36 @@
         position = bisect_right(committed, (moment, inf))
         return committed[position - 1][1] if position else 0
 
-    def _judges_worker(self) -> None:
+    def on_worker_observed(self) -> None:
         """Checks, when a leader takes a heartbeat, that no other has led in a later term."""
         process = self._world.process()
         program = self._world.machine_of(process).program
         term = program.group.led_term if program is not None else None
         newest, other = self._newest_leader
         if newest > (term or 0):
-            self.violation(f"{process.name} answers a heartbeat in term {term}; {other} leads in {newest}")
+            self.record_violation(
+                f"{process.name} answers a heartbeat in term {term}; {other} leads in {newest}"
+            )
 
     # Gateways
 
-    def _confirmed(self, version: int, workers: Iterator[WorkerRecord], requested_at_s: float) -> None:
-        """Checks tables that a node was told to be current at `requested_at` (its steady clock)."""
+    def on_tables_confirmed(
+        self, version: int, workers: Iterator[WorkerRecord], requested_at_s: float
+    ) -> None:
+        """Checks tables that a node was told to be current at `requested_at_s` (its steady clock)."""
         process = self._world.process()
         moment = process.true_time(requested_at_s)
         promised = self._world.history.acknowledged_before(moment)
         if version < promised:
-            self.violation(
+            self.record_violation(
                 f"{process.name} was told at {moment:.3f} that {version} is current; "
                 f"{promised} was acknowledged before"
             )
         for worker in workers:
             if worker.state == RegistrationState.READY and self.left.get(worker.id, moment) < moment:
-                self.violation(f"{process.name} was told that {worker.id} is ready after its end was taken")
+                self.record_violation(
+                    f"{process.name} was told that {worker.id} is ready after its end was taken"
+                )
 
     def watchers(self) -> Iterator[Any]:
         """Yields patches of the real methods that report to this object."""
@@ -171,11 +177,11 @@
         invariants = self
 
         def begin(self: LeaderRole, state: Any, now: float, real: Any = LeaderRole.__init__) -> None:
-            invariants.elected(state.group, state.member, state.term)
+            invariants.on_elected(state.group, state.member, state.term)
             real(self, state, now)
 
         def observe(self: Any, *arguments: Any, real: Any = WorkerRegistry.observe) -> Any:
-            invariants._judges_worker()
+            invariants.on_worker_observed()
             return real(self, *arguments)
 
         yield mock.patch.object(LeaderRole, "__init__", begin)
@@ -187,14 +193,16 @@
         def replace_all(
             self: Any, message: Any, requested_at_s: float, real: Any = FeedSubscription.replace_all
         ) -> Any:
-            invariants._confirmed(message.versions.configuration, iter(message.workers), requested_at_s)
+            invariants.on_tables_confirmed(
+                message.versions.configuration, iter(message.workers), requested_at_s
+            )
             return real(self, message, requested_at_s)
 
         def confirm(self: Any, message: Any, sent_at: float, real: Any = FeedSubscription.confirm) -> Any:
             confirmed = real(self, message, sent_at)
             if confirmed:
                 workers = iter(self.tables.workers.values())
-                invariants._confirmed(message.versions.configuration, workers, sent_at)
+                invariants.on_tables_confirmed(message.versions.configuration, workers, sent_at)
             return confirmed
 
         yield mock.patch.object(FeedSubscription, "replace_all", replace_all)
--- a/tests/simulation/world.py
+++ b/tests/simulation/world.py
@@ -49,7 +49,7 @@
     """A machine whose program is a member of a replicated group."""
 
     role = Role.CONTROL
-    added_s = 0.0  # virtual time at which the operator's list names it
+    added_s = 0.0  # virtual time of its addition; the operator's list lags behind
     removed_s = inf  # virtual time of its removal
 
     @property
@@ -204,12 +204,12 @@
         begin = self._begin_control if isinstance(machine, ControlMachine) else self._begin_store
         self.loop.call_in(process, self.loop.time(), begin, machine, bootstrap)
 
-    def _failed(self, error: Exception) -> None:
-        self.invariants.violation(f"{self.process().name} stopped: {error!r}")
+    def _on_fatal_error(self, error: Exception) -> None:
+        self.invariants.record_violation(f"{self.process().name} stopped: {error!r}")
 
     def _begin_control(self, machine: ControlMachine, bootstrap: bool) -> None:
         machine.program = None
-        machine.program = ControlProgram(self._settings(machine.ip, bootstrap), self._failed)
+        machine.program = ControlProgram(self._settings(machine.ip, bootstrap), self._on_fatal_error)
         self.loop.create_task(machine.program.start())
 
     def _begin_store(self, machine: StoreMachine, bootstrap: bool) -> None:
@@ -217,7 +217,7 @@
         process = self.process()
         machine.program = StoreProgram(
             self._settings(machine.ip, bootstrap),
-            self._failed,
+            self._on_fatal_error,
             lambda: process.steady(self.loop.time()),
             random.Random(self.rng.random()),
         )
@@ -230,7 +230,7 @@
         """
         process = machine.process
         assert process is not None
-        process.at_death.append(lambda: self.loop.call_outside(self.loop.time(), then))
+        process.on_end.append(lambda: self.loop.call_outside(self.loop.time(), then))
 
         async def end() -> None:
             group = machine.group
@@ -326,7 +326,7 @@
     def _on_tables(self, gateway: Gateway, tables: Tables) -> None:
         version = tables.configuration.version if tables.configuration is not None else 0
         if version < gateway.seen_version:
-            self.invariants.violation(
+            self.invariants.record_violation(
                 f"{gateway.ip} goes back from version {gateway.seen_version} to {version}"
             )
         gateway.seen_version = version
