--- a/pewterring/consensus/errors.py
+++ b/pewterring/consensus/errors.py
@@ -1,26 +1,26 @@
 """The errors of the consensus layer.
 
 ConsensusError
-├── NotLeaderError             nothing was done: ask the leader
-├── TooManyUncommittedError    nothing was done: try again later
-├── MembershipRejectedError    nothing was done: the text says what stands against it
-├── OutcomeUnknownError        may be carried out later, or never: read before trying again
-├── InvariantError             a rule of the protocol is broken: the member stops
-├── GroupFailedError           the member has stopped: restart the process once the cause is repaired
+├── NotLeaderError             the call had no effect: retry at the leader
+├── TooManyUncommittedError    the call had no effect: retry later
+├── MembershipRejectedError    the call had no effect: the message states the reason
+├── OutcomeUnknownError        the command may still be committed: read the state before a retry
+├── InvariantError             a rule of the protocol is violated: the member stops
+├── GroupFailedError           the member has stopped: restart the process after the cause is repaired
 └── StorageError               the disk failed: the member stops
-    └── StorageFullError       nothing was saved: try again when there is free space
+    └── StorageFullError       nothing was saved: retry when there is free disk space
 """
 
 
 class ConsensusError(Exception):
-    """Base of all errors that this layer raises."""
+    """Base class of the errors of the consensus layer."""
 
 
 class NotLeaderError(ConsensusError):
-    """The call needs the leader and did nothing here.
+    """The call must be made at the leader; it had no effect at this member.
 
     Attributes:
-        leader: the leader's member name, which the caller may ask instead; None if unknown.
+        leader: the member name of the leader, at which the caller may retry; None if it is unknown.
     """
 
     def __init__(self, leader: str | None) -> None:
@@ -29,38 +29,42 @@
 
 
 class TooManyUncommittedError(ConsensusError):
-    """The leader's uncommitted entries have reached their limit; it did nothing, and may be asked later."""
+    """The leader rejected the command because its uncommitted entries reached their size limit."""
 
     def __init__(self, size_bytes: int) -> None:
-        super().__init__(f"not taken: {size_bytes} bytes before it are not committed yet")
+        super().__init__(f"command rejected: {size_bytes} bytes of earlier entries are not committed yet")
 
 
 class OutcomeUnknownError(ConsensusError):
-    """Leadership was lost after the command had been appended: it may still be committed, or never."""
+    """Leadership was lost after the command was appended: the command may be committed later, or never."""
 
 
 class MembershipRejectedError(ConsensusError):
-    """The change of membership is not allowed now and nothing was done; the text says why."""
+    """The membership change is not allowed now and had no effect; the message states the reason."""
 
 
 class RecoveryRefusedError(ConsensusError):
-    """The member cannot go on alone, or need not; nothing was changed, and the text says what was found."""
+    """The member cannot, or need not, be recovered as the only voter; nothing was changed.
+
+    The message states the reason.
+    """
 
 
 class InvariantError(ConsensusError):
-    """A rule of the protocol was broken, such as a committed entry that would be overwritten.
+    """A rule of the protocol was violated; for example, a committed entry would be overwritten.
 
-    No caller can go on from it: the member that raises it must stop, so as not to spread the damage.
+    Callers cannot recover from this error. The member that raises it must stop, so that inconsistent state
+    does not spread to other members.
     """
 
 
 class GroupFailedError(ConsensusError):
-    """This member stopped because its storage or its state machine failed; the text says how."""
+    """This member stopped because its storage or its state machine failed; the message states the cause."""
 
 
 class StorageError(ConsensusError):
-    """The storage of a group failed: what was to be saved may or may not be on disk."""
+    """The storage of a group failed: the data of the failed call may or may not be on disk."""
 
 
 class StorageFullError(StorageError):
-    """There is no free disk space. Nothing of the call counts as saved; the same call may succeed later."""
+    """There is no free disk space. The call saved nothing; the same call may succeed later."""
--- a/pewterring/consensus/messages.py
+++ b/pewterring/consensus/messages.py
@@ -1,38 +1,39 @@
-"""Owns the messages between members of a replicated group, as JSON lines (msgspec structs with a tag).
+"""The messages between members of a replicated group, encoded as JSON lines (tagged msgspec structs).
 
-What may go wrong: members of an older and a newer version talk to each other, and logs outlive versions. A
-type that is renamed here keeps its tag, a field its name, by `tag=` and `msgspec.field(name=)`.
+Members of different versions exchange these messages, and logs are read by later versions. So a type that is
+renamed in the code keeps its old tag (`tag=`), and a renamed field its old name (`msgspec.field(name=)`).
 
-Members are named by strings: `IP#tag`. The address is the part before `#`; the tag is drawn when a data
-folder is made, so a member whose disk was lost comes back under another name.
+A member is named by a string, `IP#tag`: the part before `#` is its address. The tag is generated at random
+when the data directory is created, so a member that lost its disk returns under a new name.
 """
 
 import msgspec
 
-# The kinds of entries, as they stand on the wire and on disk.
-ENTRY_EMPTY = "empty"  # the first of each leader; commits what earlier terms left (Raft paper, section 8)
+# The kinds of log entries, as written on the wire and on disk.
+# The first entry of each leader; committing it commits all entries of earlier terms (Raft paper, section 8).
+ENTRY_EMPTY = "empty"
 ENTRY_COMMAND = "command"
 ENTRY_MEMBERS = "members"
 
 
 class Entry(msgspec.Struct, frozen=True):
-    """One entry of the log. `data` is JSON: a command, a `Membership`, or null, by its `kind`."""
+    """One entry of the log. `data` is JSON: a command, a `Membership` or null, depending on `kind`."""
 
     index: int
     term: int
-    kind: str  # one of the kinds above
+    kind: str  # one of the ENTRY_ constants
     data: msgspec.Raw = msgspec.Raw(b"null")
 
 
 class Membership(msgspec.Struct, frozen=True):
-    """The members of a group: voters count for majorities, learners only receive the log."""
+    """The members of a group. Voters count towards majorities; learners only receive the log."""
 
     voters: tuple[str, ...]
     learners: tuple[str, ...] = ()
 
 
 class Message(msgspec.Struct, frozen=True, tag=True, kw_only=True):
-    """What all messages carry. `group` names the replicated group, `target` and `sender` members of it."""
+    """The fields common to all messages. `sender` and `target` are the names of members of `group`."""
 
     group: str
     sender: str
@@ -41,9 +42,9 @@
 
 
 class VoteRequest(Message, frozen=True, tag=True, kw_only=True):
-    """Asks for a vote. With `prevote` it only asks whether a vote would be granted at `term`.
+    """Requests a vote. With `prevote` it only requests whether a vote would be granted in `term`.
 
-    With `leadership_transferred` the leader of the term before has given up its lease for a successor.
+    With `leadership_transferred` the leader of the previous term has given up its lease to the sender.
     """
 
     last_index: int
@@ -53,16 +54,16 @@
 
 
 class VoteReply(Message, frozen=True, tag=True, kw_only=True):
-    """Answers `VoteRequest`. `term` is the voter's own, or the requested one if a pre-vote is granted."""
+    """The reply to `VoteRequest`. `term` is the voter's own, or the requested one for a granted pre-vote."""
 
     granted: bool
     prevote: bool
 
 
 class AppendRequest(Message, frozen=True, tag=True, kw_only=True):
-    """Replicates `entries` behind (`previous_index`, `previous_term`); without entries it is a heartbeat.
+    """Replicates the entries that follow (`previous_index`, `previous_term`); without entries, a heartbeat.
 
-    `round` numbers the leader's heartbeats; the reply returns it, for leases and read barriers.
+    `round` is the number of the leader's heartbeat round. The reply returns it; leases and reads rely on it.
     """
 
     previous_index: int
@@ -73,9 +74,11 @@
 
 
 class AppendReply(Message, frozen=True, tag=True, kw_only=True, omit_defaults=True):
-    """Answers `AppendRequest`. `match` is the last index known to agree, or a hint which to try next.
+    """The reply to `AppendRequest`.
 
-    `departing` says that the member's process is about to end.
+    If accepted, `match` is the last index up to which both logs agree and the member's log is on disk;
+    otherwise it is the index that the leader should try next. `departing` announces that the member's
+    process is about to end.
     """
 
     accepted: bool
@@ -85,9 +88,9 @@
 
 
 class SnapshotChunk(Message, frozen=True, tag="SnapshotPart", kw_only=True):  # the wire's name
-    """One chunk of a snapshot: `data` is base64 of bytes from `offset`; `total` is its size in bytes.
+    """One chunk of a snapshot. `data` holds the bytes from `offset` on, written as base64.
 
-    `checksum` is the CRC-32 of all of it.
+    `total` is the size of the complete snapshot in bytes, and `checksum` its CRC-32.
     """
 
     last_index: int
@@ -101,7 +104,7 @@
 
 
 class SnapshotReply(Message, frozen=True, tag=True, kw_only=True):
-    """Answers `SnapshotChunk`: how many bytes the member has of that snapshot."""
+    """The reply to `SnapshotChunk`: `received` is the number of bytes of the snapshot that the member has."""
 
     last_index: int
     received: int
@@ -109,21 +112,21 @@
 
 
 class TimeoutNow(Message, frozen=True, tag=True, kw_only=True):
-    """Tells a voter to stand for election at once; the leader of `term` claims no lease any more."""
+    """Requests that a voter start an election at once; the leader of `term` has given up its lease."""
 
 
 class DepartureNotice(Message, frozen=True, tag="Leave", kw_only=True):  # the wire's name
-    """A voter's process is about to end, and a learner that is ready may replace it.
+    """Announces that a voter's process is about to end, so that a caught-up learner may replace it.
 
-    `round` is the last one of the leader of `term` that this incarnation of the member has received: what a
-    later incarnation answers outweighs it.
+    `round` is the last heartbeat round of the leader of `term` that this incarnation of the member received.
+    A reply of a later incarnation to a later round cancels the notice.
     """
 
     round: int
 
 
 class DepartureAck(Message, frozen=True, tag="Left", kw_only=True):  # the wire's name
-    """Answers `DepartureNotice`, whose round it returns: a committed change has removed the voter."""
+    """The reply to `DepartureNotice`, with its round: a committed membership change has removed the voter."""
 
     round: int
 
--- a/pewterring/consensus/types.py
+++ b/pewterring/consensus/types.py
@@ -1,6 +1,7 @@
-"""The values that go into and come out of the consensus core: timing, limits, tickets, what is to be done.
+"""The types in the interface of the Raft core: configuration, snapshots, read tickets and pending work.
 
-`Ready` and `Save` state the core's contract with its caller (as in etcd's raft): persist before you send.
+`Ready` and `Save` define the contract between the core and its caller, as in etcd's raft: the caller persists
+state before it sends the messages that depend on that state.
 """
 
 from collections.abc import Sequence
@@ -10,11 +11,12 @@
 from pewterring.consensus.messages import ConsensusMessage, Entry, Membership
 from pewterring.consensus.persistent import HardState
 
-LEASE_FRACTION = 0.75  # of the shortest election time-out; the rest allows for clocks of other rates
+# Fraction of the shortest election timeout; the remainder is the margin for clock drift between members.
+LEASE_FRACTION = 0.75
 
 
 class Role(Enum):
-    """What a member is doing in its term."""
+    """The role of a member in its current term."""
 
     FOLLOWER = "follower"
     PRECANDIDATE = "precandidate"
@@ -24,37 +26,43 @@
 
 @dataclass(frozen=True, slots=True)
 class RaftTiming:
-    """Times of the protocol in seconds. All members of a group use the same."""
+    """Intervals and timeouts of the protocol, in seconds. All members of a group use the same values."""
 
-    heartbeat_s: float = 0.08  # five within the shortest election time-out, so that lost ones do no harm
-    election_min_s: float = 0.4  # votes are withheld so long after a leader's message
-    election_max_s: float = 0.8  # a leader steps down after so long without a majority
+    # Five heartbeats fit into the shortest election timeout, so a few lost ones cause no election.
+    heartbeat_s: float = 0.08
+    # Shortest election timeout; a voter also withholds its vote for this long after a leader's message.
+    election_min_s: float = 0.4
+    # Longest election timeout; a leader also steps down after this long without answers from a majority.
+    election_max_s: float = 0.8
 
     @property
     def lease_s(self) -> float:
-        """How long after a heartbeat was sent a majority's answers to it keep others from being elected."""
+        """Duration of a leader's lease, counted from when a heartbeat that a majority answered was sent."""
         return LEASE_FRACTION * self.election_min_s
 
 
 @dataclass(frozen=True, slots=True)
 class RaftLimits:
-    """Bounds on memory and on what is in flight to one member, in bytes and in messages."""
-
-    message_bytes: int = 250_000  # entries in one message
-    window_bytes: int = 1_000_000  # heartbeats wait behind it: half a second on a link or processor of 2 MB/s
-    window_messages: int = 32  # bounds the messages in flight where entries are small
-    snapshot_chunk_bytes: int = 256 * 1024  # small, so that a heartbeat gets in between two
-    snapshot_chunks_in_flight: int = 4  # together about as many bytes as the window has
-    uncommitted_bytes: int = 32_000_000  # a larger command is accepted while no other is uncommitted
-    # Entries that stay in memory after a snapshot covers them: a member that lags a little needs no snapshot.
+    """Limits on the memory of a member and on the messages in flight to another member."""
+
+    message_bytes: int = 250_000  # maximum size of the entries in one message
+    # Maximum size of the entries in flight to one member. Heartbeats queue behind them: for half a second on
+    # a link or processor of 2 MB/s.
+    window_bytes: int = 1_000_000
+    window_messages: int = 32  # maximum number of messages in flight, which limits small entries
+    snapshot_chunk_bytes: int = 256 * 1024  # small, so that heartbeats can be sent between two chunks
+    snapshot_chunks_in_flight: int = 4  # about `window_bytes` in total
+    # Maximum size of the leader's uncommitted entries. A larger command is accepted when it is the only one.
+    uncommitted_bytes: int = 32_000_000
+    # Entries kept in memory after a snapshot covers them, so that a member that lags a little needs none.
     retained_bytes: int = 4_000_000
-    # The same while an older snapshot is being sent, however slowly: its member goes on with these entries.
+    # The same limit while an older snapshot is being sent: its receiver needs the entries that follow it.
     retained_for_transfers_bytes: int = 16_000_000
 
 
 @dataclass(frozen=True, slots=True)
 class RaftConfig:
-    """Who a member is, and the figures that it goes by."""
+    """The names of the group and of this member, with the timing and the limits of the protocol."""
 
     group: str
     member: str
@@ -64,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """The state machine after the entry (`index`, `term`), and the membership in force there."""
+    """The state machine after the entry (`index`, `term`), and the membership in force at that entry."""
 
     index: int
     term: int
@@ -74,22 +82,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Save:
-    """What must be on disk before `messages_after_sync` may be sent.
+    """State that must be on disk before `messages_after_sync` may be sent.
 
-    Saved in the order of the fields. The messages go out, and `Raft.persisted` is called, only when all has
-    been synced. At most one save is in progress.
+    The caller saves the fields in their order. It sends the messages and calls `Raft.persisted` only after
+    everything has been synced. At most one save is in progress.
     """
 
     hard_state: HardState | None
     snapshot: Snapshot | None  # replaces the log and the state machine
-    truncate_from: int | None
+    truncate_from: int | None  # index of the first entry to delete from the log
     entries: Sequence[Entry]
     messages_after_sync: Sequence[ConsensusMessage]
 
 
 @dataclass(frozen=True, slots=True)
 class ReadTicket:
-    """A request to read. When confirmed, `index` says up to where entries must be applied before the read."""
+    """A request to read. Once it is confirmed, entries up to `index` must be applied before the read."""
 
     number: int
     index: int | None = None
@@ -97,10 +105,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Ready:
-    """What the core needs done now. `messages_before_sync` claim nothing that is not on disk yet."""
+    """Work for the caller. `messages_before_sync` do not depend on unsaved state and may be sent at once."""
 
     messages_before_sync: Sequence[ConsensusMessage]
     save: Save | None
-    committed: Sequence[Entry]  # to apply, in order; given once
+    committed: Sequence[Entry]  # to be applied in this order; each entry is returned once
     confirmed_reads: Sequence[ReadTicket]
-    snapshot_wanted: bool  # a member needs a snapshot: call `Raft.offer_snapshot`
+    snapshot_wanted: bool  # whether a member needs a snapshot, to be passed to `Raft.offer_snapshot`
