--- a/pewterring/consensus/pending.py
+++ b/pewterring/consensus/pending.py
@@ -1,4 +1,4 @@
-"""Calls that wait for an entry to be applied, a read to be confirmed, or the leadership to end."""
+"""Pending calls: proposals until they are applied, reads until they are confirmed, leadership transfers."""
 
 import asyncio
 from dataclasses import dataclass
@@ -7,13 +7,13 @@
 
 
 def _resolve(future: asyncio.Future[object], result: object) -> None:
-    """Gives the result to a caller that still waits."""
+    """Sets the result of the future, unless its caller cancelled it."""
     if not future.done():
         future.set_result(result)
 
 
 def _fail(future: asyncio.Future[object], error: Exception) -> None:
-    """Raises `error` in a caller that still waits."""
+    """Fails the future with `error`, unless its caller cancelled it."""
     if not future.done():
         future.set_exception(error)
 
@@ -25,9 +25,10 @@
 
 
 class PendingCalls:
-    """Proposals by index and reads by ticket, each with the term in which this member led.
+    """The futures of pending calls: proposals by index, and reads by ticket number.
 
-    It owns the futures until they end; the future of a caller that gave up ends too, read by nobody.
+    Each call belongs to the term in which this member led when the call was made. The future of a caller that
+    timed out stays here until its call completes, although nobody awaits it any more.
     """
 
     def __init__(self) -> None:
@@ -48,33 +49,33 @@
         return future
 
     def end_of_leadership(self) -> asyncio.Future[object]:
-        """Returns a future that ends when this member leads no longer, or stops."""
+        """Returns a future that completes once this member is no longer the leader, or stops."""
         future: asyncio.Future[object] = asyncio.get_running_loop().create_future()
         self._transfers.append(future)
         return future
 
     def applied(self, index: int, term: int, result: object) -> None:
-        """Resolves the proposal whose entry was applied, but not by an entry of another term in its place."""
+        """Resolves the proposal whose entry was applied, unless an entry of another term took its index."""
         proposal = self._proposals.get(index)
         if proposal is not None and proposal.term == term:
             del self._proposals[index]
             _resolve(proposal.future, result)
 
     def confirmed(self, term: int, ticket: int) -> None:
-        """Resolves a read that is confirmed, and for which what it must see is applied."""
+        """Resolves a read that is confirmed and whose required entries are applied."""
         future = self._reads.pop((term, ticket), None)
         if future is not None:
             _resolve(future, None)
 
     def leadership_ended(self) -> None:
-        """Resolves what waits for the end of the leadership."""
+        """Resolves the futures of `end_of_leadership`."""
         if self._transfers:
             transfers, self._transfers = self._transfers, []
             for future in transfers:
                 _resolve(future, None)
 
     def keep_term(self, led_term: int | None, leader: str | None) -> None:
-        """Fails the calls of all terms but `led_term`, in which this member leads now."""
+        """Fails the calls of all terms except `led_term`, the term in which this member leads, if any."""
         if not self._proposals and not self._reads:
             return
         for index, proposal in list(self._proposals.items()):
--- a/pewterring/consensus/persistent.py
+++ b/pewterring/consensus/persistent.py
@@ -1,8 +1,8 @@
-"""What a member of a group keeps on disk, and the interface of the storage that keeps it.
+"""The state that a member of a group keeps on disk, and the interface of its storage.
 
-Raft's safety rests on `GroupStorage.save`: a vote or an entry that was acknowledged and is gone after a loss
-of power can elect two leaders in one term, or lose a committed entry (Raft paper, figure 2, "persistent
-state").
+Raft's safety depends on `GroupStorage.save`: if an acknowledged vote or entry is missing after a power
+failure, two leaders can be elected in one term, or a committed entry can be lost (Raft paper, figure 2,
+"persistent state").
 """
 
 from collections.abc import Sequence
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HardState:
-    """The term and the vote given in it (`vote` is a member's name, or None)."""
+    """The current term, and the name of the member that got this member's vote in it, if any."""
 
     term: int = 0
     vote: str | None = None
@@ -25,9 +25,9 @@
 
 @dataclass(slots=True)
 class PersistentState:
-    """What a member finds on its disk when it starts, except the bytes of the snapshot.
+    """The state that a member reads from its disk at start, without the bytes of the snapshot.
 
-    `entries` follow the snapshot without a gap. A new group's first voters start with the same
+    `entries` follow the snapshot without a gap. The first voters of a new group all start with the same
     `snapshot_membership` at index 0; a member that joins later starts with an empty one.
     """
 
@@ -41,41 +41,41 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadedGroup:
-    """What `GroupStorage.load` returns. `snapshot` is None before the first snapshot was saved."""
+    """The result of `GroupStorage.load`. `snapshot` is None if no snapshot has been saved yet."""
 
     state: PersistentState
     snapshot: bytes | None = None
-    snapshot_file: str = ""  # named in the error if the content cannot be read
+    snapshot_file: str = ""  # the file name for the error message if the snapshot cannot be decoded
 
 
 class GroupStorage(Protocol):
-    """Storage of one member of one group.
+    """The storage of one member of one group.
 
-    All calls block, come from one thread at a time, and raise `StorageError` when they fail. No call follows
-    one that failed, but for a repeat of one that raised `StorageFullError`.
+    All calls block, are made by one thread at a time, and raise `StorageError` when they fail. After a failed
+    call no further call is made, except to repeat a call that raised `StorageFullError`.
     """
 
     def load(self) -> LoadedGroup:
-        """Reads everything. What a crash left half-written at the end of the log is dropped."""
+        """Reads the complete state. Drops an incomplete record that a crash left at the end of the log."""
         ...
 
     def save(self, hard_state: HardState | None, truncate_from: int | None, entries: Sequence[Entry]) -> None:
-        """Writes and syncs: when it returns, all of it outlasts a loss of power.
+        """Writes and syncs: once it returns, the data survives a power failure.
 
-        First `hard_state`, if given; then the entries from index `truncate_from` on are forgotten, if
-        given; then `entries`, which follow what is kept without a gap, are appended.
+        In this order: writes `hard_state`, if given; deletes the entries from index `truncate_from` on, if
+        given; appends `entries`, which follow the remaining entries without a gap.
         """
         ...
 
     def save_snapshot(self, index: int, term: int, membership: Membership, data: bytes) -> None:
-        """Writes and syncs a snapshot that stands for all entries up to `index`, and forgets those.
+        """Writes and syncs a snapshot that replaces all entries up to `index`, and deletes those entries.
 
-        Entries after `index` are kept if the log holds the entry (`index`, `term`); otherwise the whole
-        log is forgotten, and the next entry saved is `index` + 1. `index` only rises.
+        Entries after `index` are kept if the log holds the entry (`index`, `term`); otherwise the complete
+        log is deleted, and the next entry saved is `index` + 1. `index` never decreases.
         """
         ...
 
     @property
     def size_bytes(self) -> int:
-        """Bytes on disk."""
+        """The size of the stored data on disk, in bytes."""
         ...
--- a/pewterring/consensus/state.py
+++ b/pewterring/consensus/state.py
@@ -1,8 +1,8 @@
-"""Owns the state of one member that election, follower and leader share.
+"""The state of one member that is shared by the election, follower and leader code.
 
-The fields are those of figure 2 of the Raft paper, and the deadlines of elections. What may go wrong: a
-message put into `outbox` claims what is on disk already; one that depends on unsaved state must go through
-`send_when_persisted`.
+It consists of the fields of figure 2 of the Raft paper and the deadlines of elections. Messages in `outbox`
+are sent without waiting for the disk; a message that depends on unsaved state must go through
+`send_when_persisted` instead.
 """
 
 import random
@@ -15,12 +15,13 @@
 from pewterring.consensus.types import RaftConfig, Role
 from pewterring.consensus.unpersisted import UnpersistedState
 
-# Of the shortest election time-out: how soon a poll that was not won is repeated.
+# Bounds of the random delay before a poll that was not won is repeated, as fractions of the shortest election
+# timeout.
 POLL_RETRY_FRACTIONS = (0.25, 0.5)
 
 
 class MemberState:
-    """Term, vote, role, log, and messages that may be sent. Times are of the steady clock, in seconds."""
+    """Term, vote, role, log, and messages ready to be sent. All times are monotonic times in seconds."""
 
     def __init__(
         self, config: RaftConfig, rng: random.Random, persisted: PersistentState, now: float
@@ -39,9 +40,10 @@
         self.members = MembershipHistory(persisted.snapshot_membership, persisted.entries)
         self.unpersisted = UnpersistedState(self.log, self.hard_state)
         self.outbox: list[ConsensusMessage] = []
-        self.last_leader_round = 0  # the newest heartbeat round that came from this term's leader
-        self.departing = False  # the process is about to end
-        is_new = persisted.term == 0  # it cannot have answered a leader before this start
+        self.last_leader_round = 0  # the highest heartbeat round received from the leader of this term
+        self.departing = False  # whether the process is about to end
+        # A new member cannot have answered a leader before this start, so no lease depends on its vote.
+        is_new = persisted.term == 0
         self.votes_withheld_until = now if is_new else now + config.timing.election_min_s
         self.election_due_at = self.next_poll_time(now) if is_new else self.next_election_time(now)
 
@@ -56,16 +58,16 @@
         return self.members.current.voters
 
     def next_election_time(self, now: float) -> float:
-        """When to stand for election if no leader is heard from after `now`."""
+        """When to start an election if no message of a leader arrives after `now`."""
         return now + self._rng.uniform(self.timing.election_min_s, self.timing.election_max_s)
 
     def next_poll_time(self, now: float) -> float:
-        """When to repeat a poll that begins now, should it not be won."""
+        """When to repeat a poll that starts at `now`, unless it is won."""
         shortest, longest = POLL_RETRY_FRACTIONS
         return now + self._rng.uniform(shortest, longest) * self.timing.election_min_s
 
     def become_follower(self, now: float, term: int, leader: str | None) -> None:
-        """Gives up its role and follows `leader`, or nobody yet; in a later `term` without a vote."""
+        """Becomes a follower of `leader` (None if unknown); a later `term` starts without a vote."""
         if term > self.term:
             self.hard_state = HardState(term)
             self.last_leader_round = 0
@@ -75,12 +77,12 @@
         self.leader = leader
 
     def append(self, entries: Sequence[Entry]) -> None:
-        """Adds entries to the log; changes of membership among them are in force at once."""
+        """Appends entries to the log; membership changes among them take effect at once."""
         self.log.append(entries)
         self.members.append(entries)
 
     def truncate(self, first_dropped: int) -> None:
-        """Drops entries from the log, and the changes of membership among them."""
+        """Deletes the entries from `first_dropped` on, and reverts the membership changes among them."""
         self.log.truncate(first_dropped)
         self.members.truncate(first_dropped)
         self.unpersisted.on_truncated(first_dropped)
