--- a/pewterring/consensus/election.py
+++ b/pewterring/consensus/election.py
@@ -1,8 +1,8 @@
-"""Owns elections: standing for one after a poll that changes nothing (a pre-vote), and voting.
+"""Elections: a member's candidacy, preceded by a pre-vote, and its votes for other candidates.
 
-Raft paper, sections 5.2 and 5.4; pre-votes as in section 9.6 of the dissertation. What may go wrong: a vote
-that leaves before it is on disk can be given twice in one term, and a vote given within a leader's lease
-breaks that lease. So votes go out by `send_when_persisted`, and only if `_must_withhold_vote` allows it.
+See sections 5.2 and 5.4 of the Raft paper, and section 9.6 of the dissertation for pre-votes, which change no
+state. A vote sent before it is on disk can be given twice in one term, so votes are sent by
+`send_when_persisted`. A vote given during a leader's lease violates that lease; see `_must_withhold_vote`.
 """
 
 from collections.abc import Iterable
@@ -15,23 +15,23 @@
 
 
 class Poll:
-    """Which members granted their vote in one term."""
+    """The members that granted their vote or pre-vote in one term."""
 
     def __init__(self, term: int) -> None:
         self.term = term
         self._granted: set[str] = set()
 
     def grant(self, member: str) -> None:
-        """Counts the vote of `member`."""
+        """Records the vote of `member`."""
         self._granted.add(member)
 
     def is_won(self, voters: Iterable[str]) -> bool:
-        """Whether a majority of `voters` granted theirs."""
+        """Whether a majority of `voters` granted their votes."""
         return majority_value([int(voter in self._granted) for voter in voters]) == 1
 
 
 class Election:
-    """Stands for election, and votes in the elections of others, for one member."""
+    """Runs the elections of one member, and votes in those of other members."""
 
     def __init__(self, state: MemberState) -> None:
         self._state = state
@@ -39,11 +39,11 @@
 
     @property
     def may_campaign(self) -> bool:
-        """Whether the member is a voter by the membership that it knows."""
+        """Whether this member is a voter in the latest membership that it knows."""
         return self._state.member in self._state.voters
 
     def start(self, now: float) -> None:
-        """Starts a poll: would the others vote for this member?"""
+        """Starts a pre-vote, which asks whether the other voters would vote for this member."""
         state = self._state
         state.role = Role.PRECANDIDATE
         state.leader = None
@@ -53,7 +53,7 @@
         self._count_vote(now, state.member)
 
     def on_timeout_now(self, now: float, message: TimeoutNow) -> None:
-        """Stands without a poll, as the leader of this term requests; a late message changes nothing."""
+        """Starts an election without a pre-vote at the request of the leader; ignores delayed messages."""
         state = self._state
         if message.term == state.term and state.role is Role.FOLLOWER and self.may_campaign:
             self._campaign(now, leadership_transferred=True)
@@ -96,37 +96,37 @@
         return True
 
     def on_persisted(self, now: float) -> bool:
-        """Counts the member's own vote once it is on disk; True if that makes this member the leader."""
+        """Counts this member's own vote once it is on disk; True if that makes this member the leader."""
         state = self._state
         if state.role is not Role.CANDIDATE or not state.unpersisted.is_persisted(state.hard_state):
             return False
         return self._count_vote(now, state.member)
 
     def on_reply(self, now: float, reply: VoteReply) -> bool:
-        """Takes an answer; True if it makes this member the leader."""
+        """Processes the reply to a vote request; True if it makes this member the leader."""
         state = self._state
         if not reply.granted:
-            # A leader learns of a later term by the answers to its heartbeats, and may then transfer.
+            # A leader handles later terms in the replies to its heartbeats, where it may transfer leadership.
             if reply.term > state.term and state.role is not Role.LEADER:
                 state.become_follower(now, reply.term, None)
             return False
-        polled_as = Role.PRECANDIDATE if reply.prevote else Role.CANDIDATE
-        if state.role is not polled_as or reply.term != self._poll.term:
+        expected_role = Role.PRECANDIDATE if reply.prevote else Role.CANDIDATE
+        if state.role is not expected_role or reply.term != self._poll.term:
             return False
         return self._count_vote(now, reply.sender)
 
     def _must_withhold_vote(self, now: float, request: VoteRequest) -> bool:
-        """Whether a leader's lease may rest on this member's voting for nobody else.
+        """Whether a leader's lease may depend on this member voting for no other candidate.
 
-        A leader that transfers its leadership has given up its lease before; such a request that comes late,
-        when its term is over, gets no vote by its term.
+        A leader that transfers its leadership has given up its lease beforehand. A delayed request of such a
+        transfer gets no vote if its term is over.
         """
         if request.leadership_transferred:
             return False
         return self._state.role is Role.LEADER or now < self._state.votes_withheld_until
 
     def on_request(self, now: float, request: VoteRequest) -> None:
-        """Votes, or leaves the request unanswered while a leader was in contact not long ago."""
+        """Replies to a vote request, or ignores it if a leader was in contact recently."""
         if self._must_withhold_vote(now, request):
             return
         if request.prevote:
@@ -143,8 +143,8 @@
         state = self._state
         if request.term > state.term:
             state.become_follower(now, request.term, None)
-        is_free = state.hard_state.vote in (None, request.sender)
-        granted = request.term == state.term and is_free and self._is_up_to_date(request)
+        may_vote_for_sender = state.hard_state.vote in (None, request.sender)
+        granted = request.term == state.term and may_vote_for_sender and self._is_up_to_date(request)
         if granted:
             state.hard_state = HardState(state.term, request.sender)
             state.election_due_at = state.next_election_time(now)
--- a/pewterring/consensus/follower.py
+++ b/pewterring/consensus/follower.py
@@ -1,7 +1,7 @@
-"""Owns the follower's side of replication: what a leader's entries and snapshots do to the log.
+"""The follower role in replication: applies a leader's entries and snapshots to the log.
 
-What may go wrong: a committed entry that the leader would overwrite, or two leaders in one term, break Raft's
-safety (Raft paper, figure 3); each is an `InvariantError`, and the member stops.
+A committed entry that a leader would overwrite, or a second leader in one term, violates Raft's safety
+properties (Raft paper, figure 3). Each raises `InvariantError`, and the member stops.
 """
 
 from dataclasses import dataclass
@@ -16,18 +16,18 @@
 
 @dataclass(frozen=True, slots=True)
 class LogMerge:
-    """How entries go into the log: drop those from `truncate_from` on, then append `new_entries`."""
+    """The changes to the log: delete the entries from `truncate_from` on, then append `new_entries`."""
 
-    agreed_index: int  # the log agrees with the leader's up to here, `new_entries` included
+    agreed_index: int  # once merged, the log agrees with the leader's up to this index
     truncate_from: int | None
     new_entries: tuple[Entry, ...]
 
 
 def rejection_hint(log: Log, request: AppendRequest) -> int | None:
-    """The index that the leader should try next; None if the log has the entry before the request's."""
+    """The index that the leader should try next; None if the log contains the request's previous entry."""
     previous = request.previous_index
     if previous <= log.base_index:
-        return None  # what a snapshot covers is committed, so the leader has the same
+        return None  # entries covered by a snapshot are committed, so the leader's are the same
     if previous > log.last_index:
         return log.last_index
     if log.term_at(previous) == request.previous_term:
@@ -36,7 +36,7 @@
 
 
 def plan_merge(log: Log, request: AppendRequest, commit_index: int) -> LogMerge:
-    """Compares the request's entries with the log's; the entry before them must agree.
+    """Compares the request's entries with those of the log, which contains the request's previous entry.
 
     Raises:
         InvariantError: a committed entry would be overwritten.
@@ -57,12 +57,14 @@
     if own_term is None:
         return LogMerge(new_entries[-1].index, None, new_entries)
     if first <= commit_index:
-        raise InvariantError(f"entry {first} is committed with term {own_term}, and the leader has another")
+        raise InvariantError(
+            f"entry {first} is committed with term {own_term}, but the leader has another term for it"
+        )
     return LogMerge(new_entries[-1].index, first, new_entries)
 
 
 class FollowerRole:
-    """Takes a leader's messages for one member, and answers them."""
+    """Processes the messages of a leader for one member, and replies to them."""
 
     def __init__(self, state: MemberState) -> None:
         self._state = state
@@ -71,21 +73,22 @@
     def _on_leader_contact(self, now: float, request: AppendRequest | SnapshotChunk) -> None:
         state = self._state
         if state.role is Role.LEADER and request.term == state.term:
-            raise InvariantError(f"{request.sender} leads in term {request.term}, in which this member leads")
+            raise InvariantError(f"{request.sender} leads in term {request.term}, but so does this member")
         state.become_follower(now, request.term, request.sender)
         state.last_leader_round = max(state.last_leader_round, request.round)
         state.votes_withheld_until = now + state.timing.election_min_s
         state.election_due_at = state.next_election_time(now)
 
     def on_append(self, now: float, request: AppendRequest) -> None:
-        """Takes entries, or a heartbeat.
+        """Processes an append request or a heartbeat.
 
         Raises:
-            InvariantError: the sender's log or leadership contradicts this member's.
+            InvariantError: the sender's log or leadership contradicts that of this member.
         """
         state = self._state
         if request.term < state.term:
-            # Round 0: another term's rounds must not be taken for this one's, should the sender lead in it.
+            # The reply carries round 0: if the sender leads in the newer term by now, it must not mistake the
+            # round of the older term for one of its own.
             self._reply_append(request, False, 0, round_number=0)
             return
         self._on_leader_contact(now, request)
@@ -95,7 +98,7 @@
             return
         agreed_index = self._merge(request)
         state.commit_index = max(state.commit_index, min(request.commit, agreed_index))
-        # A heartbeat's answer does not wait for the disk: it claims only what is there already.
+        # The reply to a heartbeat does not wait for the disk: it acknowledges only entries already on disk.
         match = agreed_index if request.entries else min(agreed_index, state.unpersisted.persisted_index)
         self._reply_append(request, True, match, request.round)
 
@@ -121,10 +124,10 @@
         state.send_when_persisted(reply, match if accepted else 0)
 
     def on_snapshot_chunk(self, now: float, chunk: SnapshotChunk) -> None:
-        """Takes a chunk of a snapshot, and installs the snapshot once it is complete.
+        """Processes a chunk of a snapshot, and installs the snapshot once it is complete.
 
         Raises:
-            InvariantError: the sender leads in the term in which this member leads.
+            InvariantError: the sender leads in a term in which this member leads.
         """
         if chunk.term < self._state.term:
             self._reply_snapshot(chunk, 0, round_number=0)
@@ -133,7 +136,7 @@
         self._reply_snapshot(chunk, self._take_chunk(chunk), chunk.round)
 
     def _take_chunk(self, chunk: SnapshotChunk) -> int:
-        """How many bytes of the chunk's snapshot are there; all if it is not needed any more."""
+        """Returns how many bytes of the snapshot were received; all of them if it is not needed any more."""
         if chunk.last_index <= self._state.commit_index:
             return chunk.total
         received_bytes = self._assembly.add(chunk)
--- a/pewterring/consensus/leader.py
+++ b/pewterring/consensus/leader.py
@@ -1,8 +1,9 @@
-"""Owns what a member has only while it leads, in one term: heartbeats, replication, commitment, reads.
+"""The leader role in one term: heartbeats, replication, commits and reads.
 
-What may go wrong: an entry of an earlier term that is committed by counting can still be overwritten (Raft
-paper, figure 8; `may_commit`), a membership changed before the last change is committed allows majorities
-that do not overlap (`append_membership`), and a leader that nobody hears must step down (`tick`).
+It prevents three failures. An entry of an earlier term that is committed by counting replicas can still be
+overwritten (Raft paper, figure 8; see `may_commit`). A membership change that starts before the previous one
+is committed allows majorities that do not overlap (see `append_membership`). A leader that no majority
+answers must step down (see `tick`).
 """
 
 from collections.abc import Sequence
@@ -34,7 +35,7 @@
 
 
 class LeaderRole:
-    """A member's leadership of one term; it begins with an empty entry and a heartbeat round."""
+    """A member's leadership in one term. It starts with an empty log entry and a heartbeat round."""
 
     def __init__(self, state: MemberState, now: float) -> None:
         state.role = Role.LEADER
@@ -44,7 +45,8 @@
         self._leadership_transfer = LeadershipTransfer(state.timing)
         self._departing_members = DepartingMembers()
         self._replication = Replication(state.group, state.member, state.term, state.log, state.limits)
-        # When an answer of a member came, even to a round of long ago: one that reads slowly is responsive.
+        # When the last reply of each member arrived, to whichever round: a member that is slow to read its
+        # messages is responsive.
         self._last_reply_at: dict[str, float] = {}
         self._uncommitted_limit = UncommittedLimit(state.limits.uncommitted_bytes)
         self._first_index = self.append(ENTRY_EMPTY, b"null")
@@ -56,17 +58,17 @@
 
     @property
     def due_at(self) -> float:
-        """When `tick` has something to do."""
+        """When `tick` must be called next."""
         return self._rounds.due_at
 
     @property
     def round_number(self) -> int:
-        """The number of the newest heartbeat round."""
-        return self._rounds.number
+        """The round_number of the latest heartbeat round."""
+        return self._rounds.latest_round
 
-    def is_recent_round(self, number: int, now: float) -> bool:
-        """Whether a round was sent no longer ago than the longest election time-out."""
-        return self._rounds.is_recent(number, now)
+    def is_recent_round(self, round_number: int, now: float) -> bool:
+        """Whether round `round_number` was sent within the longest election timeout."""
+        return self._rounds.is_recent(round_number, now)
 
     @property
     def has_committed(self) -> bool:
@@ -78,22 +80,22 @@
         return not self._leadership_transfer.has_notified and self._rounds.has_lease(self._state.voters, now)
 
     def match(self, member: str) -> int:
-        """Up to which index `member` is known to have the log on disk."""
+        """The index up to which `member` is known to have the log on disk."""
         if member == self._state.member:
             return self._state.unpersisted.persisted_index
         peer = self._replication.peers.get(member)
         return peer.match if peer else 0
 
     def seconds_since_contact(self, member: str, now: float) -> float:
-        """For how long `member` has answered no heartbeat of this leadership; 0 for the leader itself."""
+        """Seconds since `member` last answered a heartbeat of this leader; 0 for the leader itself."""
         return 0.0 if member == self._state.member else self._rounds.seconds_since_contact(member, now)
 
     def is_departing(self, member: str) -> bool:
-        """Whether the process of `member` announced its end, and no later incarnation answered."""
+        """Whether `member` announced its departure and no later incarnation of it has answered since."""
         return self._departing_members.is_departing(member)
 
     def on_departure_notice(self, message: DepartureNotice) -> None:
-        """Takes a departure notice, and answers that of a member which is no voter any more."""
+        """Records the departure notice of a voter, or acknowledges that of a member already removed."""
         state = self._state
         if message.sender in state.voters:
             if message.term == state.term:
@@ -101,17 +103,19 @@
         elif state.members.last_change <= state.commit_index:
             self._acknowledge_departure(message.sender, message.round)
 
-    def _acknowledge_departure(self, member: str, number: int) -> None:
+    def _acknowledge_departure(self, member: str, round_number: int) -> None:
         state = self._state
         state.outbox.append(
-            DepartureAck(group=state.group, sender=state.member, target=member, term=state.term, round=number)
+            DepartureAck(
+                group=state.group, sender=state.member, target=member, term=state.term, round=round_number
+            )
         )
 
     def _acknowledge_departures(self) -> None:
-        """Acknowledges the departures of members that a committed change has removed from the voters."""
-        for member, number in self._departing_members.departing().items():
+        """Acknowledges the departures of members that a committed change removed from the voters."""
+        for member, round_number in self._departing_members.departing().items():
             if member not in self._state.voters:
-                self._acknowledge_departure(member, number)
+                self._acknowledge_departure(member, round_number)
 
     def append(self, kind: str, data: bytes) -> int:
         """Appends an entry of this leader's term and returns its index."""
@@ -131,26 +135,26 @@
         return self.append(ENTRY_COMMAND, data)
 
     def append_membership(self, membership: Membership) -> int:
-        """Appends a change of membership and returns its index.
+        """Appends a membership change and returns its index.
 
-        The first check closes the gap of single-server changes (Ongaro, raft-dev, 10 July 2015).
+        The first check fixes the safety bug of single-server changes (Ongaro, raft-dev, 10 July 2015).
 
         Raises:
-            MembershipRejectedError: majorities before and after the change need not overlap; nothing was
+            MembershipRejectedError: majorities before and after the change might not overlap; nothing was
             appended.
         """
         state = self._state
         if not self.has_committed:
             raise MembershipRejectedError("no entry of the leader's term is committed yet")
         if state.members.last_change > state.commit_index:
-            raise MembershipRejectedError("the change before is not committed yet")
+            raise MembershipRejectedError("the previous membership change is not committed yet")
         check_change(state.members.current, membership)
         index = self.append(ENTRY_MEMBERS, encode_membership(membership))
         self._set_members(membership)
         return index
 
     def tick(self, now: float) -> None:
-        """Steps down if a majority is unresponsive; otherwise begins a round when one is due."""
+        """Steps down if a majority is unresponsive; otherwise starts a heartbeat round if one is due."""
         state = self._state
         if now < self.due_at:
             return
@@ -163,33 +167,34 @@
         self._begin_round(now)
 
     def _mark_unresponsive(self, now: float) -> None:
-        oldest = now - self._state.timing.election_max_s
+        cutoff = now - self._state.timing.election_max_s
         for name in self._replication.peers:
-            if self._last_reply_at.get(name, -inf) < oldest:
+            if self._last_reply_at.get(name, -inf) < cutoff:
                 self._replication.mark_unresponsive(name)
 
     def _begin_round(self, now: float) -> None:
-        number = self._rounds.begin(now)
-        self._state.outbox += self._replication.heartbeats(number, self._state.commit_index)
+        round_number = self._rounds.begin(now)
+        self._state.outbox += self._replication.heartbeats(round_number, self._state.commit_index)
 
     @property
     def is_transferring_leadership(self) -> bool:
-        """Whether the leadership is being transferred, so that no more is appended."""
+        """Whether a leadership transfer is in progress, during which no entry is appended."""
         return self._leadership_transfer.is_active
 
     def transfer_leadership(self, now: float) -> bool:
-        """Begins to transfer the leadership; False without another voter."""
+        """Starts a leadership transfer; False if there is no other voter."""
         if all(voter == self._state.member for voter in self._state.voters):
             return False
         self._leadership_transfer.begin(now)
         return True
 
     def yield_to_later_term(self, now: float) -> bool:
-        """Transfers the leadership because of a member in a later term; False if the leader must step down.
+        """Starts a leadership transfer if a member has a later term; False if the leader must step down.
 
-        The member cannot follow this leader, and while a majority does, nobody leads in the later term. The
-        successor's term takes the member in. Symptom answered: a member that stood for election just before
-        it was cut off comes back, and for an election time-out nobody leads.
+        That member cannot follow this leader, and the later term has no leader while a majority follows this
+        one. The successor leads in a still later term, which the member can join. Without the transfer, the
+        group has no leader for an election timeout whenever a member that started an election just before it
+        was partitioned reconnects.
         """
         return self._rounds.has_lease(self._state.voters, now) and self.transfer_leadership(now)
 
@@ -204,31 +209,33 @@
             )
 
     def _possible_successors(self, now: float) -> list[str]:
-        """Responsive voters with the complete log: staying ones first, then by last answer."""
+        """Responsive voters with the complete log: departing ones last, then by the latest answered round."""
         state = self._state
-        oldest = now - state.timing.election_min_s
-        complete = [
+        cutoff = now - state.timing.election_min_s
+        up_to_date = [
             voter
             for voter in state.voters
             if voter != state.member
             and self.match(voter) == state.log.last_index
-            and self._rounds.last_answered_at(voter) > oldest
+            and self._rounds.last_answered_at(voter) > cutoff
         ]
         return sorted(
-            complete,
+            up_to_date,
             key=lambda voter: (not self.is_departing(voter), self._rounds.last_answered_at(voter)),
             reverse=True,
         )
 
     def flush(self, now: float) -> None:
-        """Sends what may be sent now."""
+        """Puts the messages that may be sent now into the outbox."""
         self._notify_successor(now)
         if self._rounds.is_next_requested:
             self._begin_round(now)
-        self._state.outbox += self._replication.flush(now, self._rounds.number, self._state.commit_index)
+        self._state.outbox += self._replication.flush(
+            now, self._rounds.latest_round, self._state.commit_index
+        )
 
     def on_reply(self, now: float, reply: AppendReply | SnapshotReply) -> None:
-        """Takes a member's answer in this leader's term."""
+        """Processes a member's reply in this leader's term."""
         self._last_reply_at[reply.sender] = now
         self._rounds.record_answer(reply.sender, reply.round)
         if isinstance(reply, AppendReply):
@@ -240,7 +247,7 @@
             self.advance_commit(now)
 
     def advance_commit(self, now: float) -> None:
-        """Commits what a majority has on disk; steps down if that was the leader's own removal."""
+        """Commits the entries that a majority has on disk; steps down if one of them removes the leader."""
         state = self._state
         index = majority_value([self.match(voter) for voter in state.voters])
         if index <= state.commit_index or not self.may_commit(index):
@@ -250,36 +257,36 @@
         if has_changed_members:
             self._acknowledge_departures()
         if state.member not in state.voters and state.members.last_change <= index:
-            self._begin_round(now)  # so that the others learn what is committed
+            self._begin_round(now)  # announces the new commit index to the other members
             state.become_follower(now, state.term, None)
 
     def may_commit(self, index: int) -> bool:
-        """Whether entries up to `index` may be committed by counting: only those of this leader's term."""
+        """Whether entries up to `index` may be committed by counting replicas, as `index` has this term."""
         return self._state.log.term_at(index) == self._state.term
 
-    def new_ticket(self, at_once: bool) -> ReadTicket:
-        """A ticket to read, confirmed at once or by a later round."""
-        return self._rounds.new_ticket(self._state.commit_index if at_once else None)
+    def new_read_ticket(self, is_confirmed: bool) -> ReadTicket:
+        """A read ticket, confirmed at once or by a later heartbeat round."""
+        return self._rounds.new_read_ticket(self._state.commit_index if is_confirmed else None)
 
     def take_confirmed_reads(self) -> Sequence[ReadTicket]:
-        """Tickets whose round a majority has answered."""
+        """The tickets whose round a majority has answered; each is returned once."""
         if not self.has_committed:
             return ()
         return self._rounds.take_confirmed_reads(self._state.voters, self._state.commit_index)
 
     @property
     def snapshot_wanted(self) -> bool:
-        """Whether a member waits for a snapshot to be made."""
+        """Whether a member needs a snapshot to be made."""
         return self._replication.snapshot_wanted
 
     def offer_snapshot(self, snapshot: Snapshot) -> None:
-        """Sends `snapshot` to the members that wait for one."""
+        """Starts to send `snapshot` to the members that need one."""
         self._replication.offer_snapshot(snapshot)
 
     def oldest_snapshot_index(self) -> int | None:
-        """The index of the oldest snapshot being sent."""
+        """The index of the oldest snapshot being sent; None if none is being sent."""
         return self._replication.oldest_snapshot_index()
 
     def on_log_compacted(self) -> None:
-        """The log dropped entries that a snapshot covers."""
+        """Adapts replication to a log that dropped entries covered by a snapshot."""
         self._replication.on_log_compacted()
--- a/pewterring/consensus/log.py
+++ b/pewterring/consensus/log.py
@@ -1,7 +1,7 @@
-"""Owns the log of one member in memory: the entries after a base, whose own index and term are remembered.
+"""The in-memory log of one member: the entries after a base entry, of which only index and term are kept.
 
-What may go wrong: a gap, a term that falls, or a change to what a snapshot covers would make members apply
-different commands; each is an `InvariantError`, and the member stops.
+A gap, a decreasing term, or a change to entries that a snapshot covers would make members apply different
+commands. Each raises `InvariantError`, and the member stops.
 """
 
 from collections.abc import Iterable, Sequence
@@ -9,16 +9,16 @@
 from pewterring.consensus.errors import InvariantError
 from pewterring.consensus.messages import Entry
 
-ENTRY_OVERHEAD_BYTES = 64  # of one entry in a message besides its data, roughly
+ENTRY_OVERHEAD_BYTES = 64  # approximate size of an entry in a message without its data
 
 
 def entry_size(entry: Entry) -> int:
-    """Size of one entry in a message, in bytes, roughly."""
+    """Approximate size of an entry in a message, in bytes."""
     return len(entry.data) + ENTRY_OVERHEAD_BYTES
 
 
 class Log:
-    """Entries from `base_index` + 1 on, without gaps. Terms never fall from one entry to the next."""
+    """The entries from `base_index` + 1 on, without gaps. Terms never decrease from one entry to the next."""
 
     def __init__(self, base_index: int, base_term: int, entries: Iterable[Entry] = ()) -> None:
         self.base_index = base_index
@@ -28,26 +28,26 @@
 
     @property
     def last_index(self) -> int:
-        """Index of the last entry, or the base's."""
+        """Index of the last entry, or of the base if there is none."""
         return self.base_index + len(self._entries)
 
     @property
     def last_term(self) -> int:
-        """Term of the last entry, or the base's."""
+        """Term of the last entry, or of the base if there is none."""
         return self._entries[-1].term if self._entries else self.base_term
 
     @property
     def size_bytes(self) -> int:
-        """Bytes of the entries, roughly."""
+        """Approximate size of the entries, in bytes."""
         return self.bytes_after(self.base_index)
 
     def bytes_after(self, index: int) -> int:
-        """Bytes of the entries after `index`, roughly."""
+        """Approximate size of the entries after `index`, in bytes."""
         start = max(0, index - self.base_index)
         return sum(entry_size(entry) for entry in self._entries[start:])
 
     def term_at(self, index: int) -> int | None:
-        """The term of the entry at `index`; None if it is compacted or not there yet."""
+        """The term of the entry at `index`; None if the entry is compacted or does not exist yet."""
         offset = index - self.base_index
         if offset == 0:
             return self.base_term
@@ -56,7 +56,10 @@
         return self._entries[offset - 1].term
 
     def is_no_newer_than(self, last_index: int, last_term: int) -> bool:
-        """Whether a log that ends so is at least as up to date as this one (Raft paper, section 5.4.1)."""
+        """Whether a log whose last entry has this index and term is at least as up to date as this log.
+
+        See section 5.4.1 of the Raft paper.
+        """
         return (last_term, last_index) >= (self.last_term, self.last_index)
 
     def between(self, first: int, last: int) -> Sequence[Entry]:
@@ -70,11 +73,11 @@
     def _offset(self, index: int) -> int:
         offset = index - self.base_index - 1
         if offset < 0:
-            raise InvariantError(f"entry {index} is no longer kept; the log starts at {self.base_index + 1}")
+            raise InvariantError(f"entry {index} is compacted; the log starts at {self.base_index + 1}")
         return offset
 
     def batch(self, first: int, limit_bytes: int) -> tuple[tuple[Entry, ...], int]:
-        """Entries from `first` on up to about `limit_bytes`, at least one, and their size in bytes.
+        """Entries from `first` on, at least one and at most about `limit_bytes`, and their size in bytes.
 
         Raises:
             InvariantError: entry `first` has been compacted.
@@ -91,10 +94,10 @@
         return tuple(self._entries[start:end]), size
 
     def append(self, entries: Iterable[Entry]) -> None:
-        """Adds entries at the end.
+        """Appends entries.
 
         Raises:
-            InvariantError: an entry leaves a gap, or its term is lower than that of the one before.
+            InvariantError: an entry leaves a gap, or its term is lower than that of the previous entry.
         """
         for entry in entries:
             if entry.index != self.last_index + 1 or entry.term < self.last_term:
@@ -105,23 +108,23 @@
             self._entries.append(entry)
 
     def truncate(self, first_dropped: int) -> None:
-        """Drops the entries from `first_dropped` on.
+        """Deletes the entries from `first_dropped` on.
 
         Raises:
-            InvariantError: a snapshot covers the entry.
+            InvariantError: a snapshot covers entry `first_dropped`.
         """
         if first_dropped <= self.base_index:
-            raise InvariantError(f"entry {first_dropped} is covered by a snapshot and cannot be dropped")
+            raise InvariantError(f"entry {first_dropped} is covered by a snapshot and cannot be deleted")
         del self._entries[first_dropped - self.base_index - 1 :]
 
     def reset(self, index: int, term: int) -> None:
-        """Starts again after a snapshot that ends with the given entry."""
+        """Replaces all entries by a base: the last entry of a snapshot, with its `index` and `term`."""
         self._entries = []
         self.base_index = index
         self.base_term = term
 
     def compact(self, index: int, retained_bytes: int) -> None:
-        """Drops entries up to `index`, except the last of them, of which `retained_bytes` stay."""
+        """Drops entries up to `index`, except for the latest of them, up to `retained_bytes` in size."""
         drop = min(index - self.base_index, len(self._entries))
         retained = 0
         while drop > 0:
@@ -135,7 +138,7 @@
             del self._entries[:drop]
 
     def term_start(self, index: int) -> int:
-        """The first index in memory that has the same term as `index`, the base not counted."""
+        """The first of the entries in memory that have the same term as entry `index`, without the base."""
         term = self.term_at(index)
         while index - 1 > self.base_index and self.term_at(index - 1) == term:
             index -= 1
--- a/pewterring/consensus/raft.py
+++ b/pewterring/consensus/raft.py
@@ -1,12 +1,13 @@
-"""Owns the Raft consensus algorithm for one member of a group, without input or output.
+"""The Raft consensus algorithm for one member of a group, without any input or output.
 
-The caller passes in the steady clock's time, messages, and what has been saved, and takes out with
-`take_ready` what is to be sent, saved and applied. Besides the algorithm as published (Ongaro and Ousterhout,
-2014): pre-votes, leases for reads, learners, changes of membership by one voter at a time, and pipelined
-replication in which the leader's entries may be sent before its own disk has them (dissertation, 10.2.1).
+The caller passes in the monotonic time, received messages and completed saves. `take_ready` returns the
+messages to send, the state to save and the entries to apply. Beyond the published algorithm (Ongaro and
+Ousterhout, 2014) this implementation has pre-votes, read leases, learners, membership changes of one voter
+at a time, and pipelined replication in which a leader may send entries before they are on its own disk
+(Raft dissertation, section 10.2.1).
 
-What may go wrong is written at the head of the module that guards against it: `election`, `follower`,
-`leader`, `replication`, `unpersisted`.
+The modules `election`, `follower`, `leader`, `replication` and `unpersisted` each document the failures that
+they prevent.
 """
 
 import random
@@ -37,7 +38,7 @@
 
 
 class Raft:
-    """One member of one group. All times are of the steady clock, in seconds; calls come from one thread."""
+    """One member of one group. All times are monotonic times in seconds. Not thread-safe."""
 
     def __init__(
         self, config: RaftConfig, rng: random.Random, persisted: PersistentState, now: float
@@ -48,7 +49,7 @@
         self._election = Election(self._state)
         self._follower_role = FollowerRole(self._state)
         self._departure = Departure(self._state)
-        self._last_leader_role: LeaderRole | None = None  # of the term in which it led last
+        self._last_leader_role: LeaderRole | None = None  # from the last term in which this member led
 
     @property
     def term(self) -> int:
@@ -57,7 +58,7 @@
 
     @property
     def role(self) -> Role:
-        """What this member does in the current term."""
+        """The role of this member in the current term."""
         return self._state.role
 
     @property
@@ -67,7 +68,7 @@
 
     @property
     def is_leader(self) -> bool:
-        """Whether this member leads, as far as it knows."""
+        """Whether this member believes itself the leader; another member may lead a later term already."""
         return self._state.role is Role.LEADER
 
     @property
@@ -82,7 +83,7 @@
 
     @property
     def applied_index(self) -> int:
-        """Index of the last entry that `take_ready` gave to be applied, or of a snapshot after that."""
+        """Index of the last entry returned by `take_ready`, or of a later installed snapshot."""
         return self._state.applied_index
 
     @property
@@ -92,7 +93,7 @@
 
     @property
     def membership_is_committed(self) -> bool:
-        """Whether the membership in force can no longer be taken back."""
+        """Whether the membership in force is committed, so that it cannot be reverted any more."""
         return self._state.members.last_change <= self._state.commit_index
 
     @property
@@ -102,7 +103,7 @@
 
     @property
     def unpersisted_bytes(self) -> int:
-        """Bytes of the entries that this member's own disk does not have yet, roughly."""
+        """Approximate size of the entries that are not on this member's own disk yet, in bytes."""
         return self._state.log.bytes_after(self._state.unpersisted.persisted_index)
 
     @property
@@ -116,68 +117,68 @@
         return role
 
     def _require_accepting_leader_role(self) -> LeaderRole:
-        """The leader's role where it takes commands; while it transfers its leadership it takes none."""
+        """The leader role, unless a leadership transfer is in progress, during which no entry is appended."""
         role = self._require_leader_role()
         if role.is_transferring_leadership:
             raise NotLeaderError(None)
         return role
 
     def match(self, member: str) -> int:
-        """Up to which index `member` has the log on disk, as far as this leader knows; 0 elsewhere."""
+        """The index up to which `member` is known to have the log on disk; 0 if this member does not lead."""
         return self._leader_role.match(member) if self._leader_role is not None else 0
 
     def seconds_since_contact(self, member: str, now: float) -> float:
-        """For how long `member` has answered no heartbeat of this leadership; 0 elsewhere."""
+        """Seconds since `member` last answered a heartbeat of this leader; 0 if this member does not lead."""
         return self._leader_role.seconds_since_contact(member, now) if self._leader_role is not None else 0.0
 
     def is_departing(self, member: str) -> bool:
-        """Whether `member` has announced its departure to this leader; False elsewhere."""
+        """Whether `member` has announced its departure to this leader; False if this member does not lead."""
         return self._leader_role is not None and self._leader_role.is_departing(member)
 
     def announce_departure(self) -> None:
-        """Announces to all voters that this process is about to end, again and again until `has_departed`."""
+        """Announces to all voters that this process is about to end. Call repeatedly until `has_departed`."""
         self._departure.announce()
 
     @property
     def has_departed(self) -> bool:
-        """Whether this member announced its departure and has no vote any more, or never had one."""
+        """Whether this member's departure was acknowledged, or it is no voter of the committed membership."""
         is_voter = self.member in self.membership.voters or not self.membership_is_committed
         return self._departure.is_acknowledged or not is_voter
 
     def has_lease(self, now: float) -> bool:
-        """Whether this member leads and no other can have been elected by `now`."""
+        """Whether this member leads and no other member can have been elected by `now`."""
         return self._leader_role is not None and self._leader_role.has_lease(now)
 
     @property
     def newest_round(self) -> int:
-        """The leader's newest round in the current term, as far as this member knows."""
+        """The number of the leader's latest heartbeat round in the current term, as known to this member."""
         return (
             self._leader_role.round_number if self._leader_role is not None else self._state.last_leader_round
         )
 
-    def is_recent_round(self, term: int, number: int, now: float) -> bool:
-        """Whether this member leads in `term` and sent that round within the longest election time-out."""
+    def is_recent_round(self, term: int, round_number: int, now: float) -> bool:
+        """Whether this member leads in `term` and sent the round within the longest election timeout."""
         role = self._leader_role
-        return role is not None and term == self.term and role.is_recent_round(number, now)
+        return role is not None and term == self.term and role.is_recent_round(round_number, now)
 
     def next_deadline(self) -> float | None:
-        """When `tick` has something to do; None if never without a message."""
+        """When `tick` must be called next; None if nothing is due until a message arrives."""
         if self._leader_role is not None:
             return self._leader_role.due_at
         return self._state.election_due_at if self._election.may_campaign else None
 
     def tick(self, now: float) -> None:
-        """Does what is due by `now`."""
+        """Starts the heartbeat round or the election that is due by `now`, if any."""
         if self._leader_role is not None:
             self._leader_role.tick(now)
         elif self._election.may_campaign and now >= self._state.election_due_at:
             self._election.start(now)
 
     def step(self, now: float, message: ConsensusMessage) -> None:
-        """Takes a message. Messages to other members are ignored.
+        """Processes a received message; messages addressed to other members or groups are ignored.
 
         Raises:
-            InvariantError: a member breaks a rule of the protocol; this one must stop.
+            InvariantError: a member violated the protocol; this member must stop.
         """
         if message.target != self.member or message.group != self.group:
             return
@@ -220,44 +221,47 @@
             self._leader_role.on_reply(now, reply)
 
     def propose(self, data: bytes) -> tuple[int, int]:
-        """Appends a command, JSON on one line, and returns the entry's index and term.
+        """Appends a command, JSON on one line, and returns the index and the term of its entry.
 
         Raises:
-            NotLeaderError: this member does not lead, or transfers its leadership; nothing was done.
-            TooManyUncommittedError: the limit of uncommitted bytes is reached; nothing was done.
+            NotLeaderError: this member is not the leader, or is transferring its leadership; the call had no
+                effect.
+            TooManyUncommittedError: the size limit of uncommitted entries is reached; the call had no effect.
         """
         return self._require_accepting_leader_role().append_command(data), self.term
 
     def propose_membership(self, membership: Membership) -> tuple[int, int]:
-        """Appends a change of membership, in force at once, and returns the entry's index and term.
+        """Appends a membership change, which takes effect at once, and returns its index and term.
 
         Raises:
-            NotLeaderError: this member does not lead, or transfers its leadership; nothing was done.
-            MembershipRejectedError: the change is not allowed now; nothing was done.
+            NotLeaderError: this member is not the leader, or is transferring its leadership; the call had no
+                effect.
+            MembershipRejectedError: the change is not allowed now; the call had no effect.
         """
         return self._require_accepting_leader_role().append_membership(membership), self.term
 
     def transfer_leadership(self, now: float) -> bool:
-        """Begins to transfer the leadership; False if this member does not lead, or is the only voter.
+        """Starts a leadership transfer; False if this member does not lead or there is no other voter.
 
-        No commands are taken from then on. The leader steps down after the shortest election time-out
-        even if no successor was elected.
+        From then on the leader accepts no commands. It steps down after the shortest election timeout even if
+        no successor was elected.
         """
         return self._leader_role is not None and self._leader_role.transfer_leadership(now)
 
     def request_read(self, now: float) -> ReadTicket:
-        """Requests a read of what was committed before; the ticket is confirmed now or in a later `Ready`.
+        """Requests a read that sees everything committed before this call.
 
-        Tickets that were not confirmed when leadership is lost never will be.
+        The ticket is confirmed immediately or in a later `Ready`. Tickets that are still unconfirmed when the
+        leadership is lost are never confirmed.
 
         Raises:
-            NotLeaderError: this member does not lead.
+            NotLeaderError: this member is not the leader.
         """
         role = self._require_leader_role()
-        return role.new_ticket(at_once=role.has_committed and self.has_lease(now))
+        return role.new_read_ticket(is_confirmed=role.has_committed and self.has_lease(now))
 
     def take_ready(self, now: float, can_save: bool = True) -> Ready:
-        """What is to be done now; each thing is given once. Without `can_save` no save is begun."""
+        """Returns the work due at `now`, each item once. Without `can_save` no save is started."""
         state = self._state
         leader_role = self._leader_role
         if leader_role is not None:
@@ -284,10 +288,10 @@
         return entries
 
     def persisted(self, now: float, save: Save) -> None:
-        """All of `save` is on disk; a snapshot in it is in the state machine.
+        """Reports that `save` is on disk and that its snapshot, if any, is installed in the state machine.
 
         Raises:
-            InvariantError: `save` is not the one in progress.
+            InvariantError: `save` is not the save in progress.
         """
         state = self._state
         state.unpersisted.on_saved(save)
@@ -299,18 +303,18 @@
             self._lead_if(self._election.on_persisted(now), now)
 
     def make_snapshot(self, data: bytes) -> Snapshot:
-        """A snapshot of the state machine, which has applied all that `take_ready` has given."""
+        """Makes a snapshot from `data`, the state machine after all entries that `take_ready` returned."""
         state = self._state
         index = state.applied_index
         return Snapshot(index, state.log.term_at(index) or 0, state.members.at(index), data)
 
     def offer_snapshot(self, snapshot: Snapshot) -> None:
-        """Sends `snapshot` to the members that want one."""
+        """Starts to send `snapshot` to the members that need one."""
         if self._leader_role is not None:
             self._leader_role.offer_snapshot(snapshot)
 
     def compact(self, snapshot: Snapshot) -> None:
-        """`snapshot`, made by this member, is on disk: drops entries that it covers."""
+        """Drops log entries covered by `snapshot`, which this member made and which is on disk."""
         state = self._state
         leader_role = self._leader_role
         state.unpersisted.on_compacted(snapshot.index)
--- a/pewterring/consensus/replication.py
+++ b/pewterring/consensus/replication.py
@@ -1,8 +1,8 @@
-"""Owns the leader's side of replication: what each other member has, and what to send it next.
+"""The leader's side of replication: the progress of each other member, and the messages to send to it.
 
-Entries go in one of three modes (as `Progress` of etcd's raft). What may go wrong: a member that does not
-answer must cost nothing but heartbeats, or its messages fill the links and the memory; and what a slow one
-has already been sent must not be sent again.
+A member is in one of three replication modes, as in `Progress` of etcd's raft. An unresponsive member is sent
+only heartbeats, since other messages would fill up links and memory. A slow member is not sent the same
+entries twice.
 """
 
 from collections import deque
@@ -19,15 +19,15 @@
 
 
 class ReplicationMode(Enum):
-    """How entries go to a member."""
+    """How the leader sends entries to a member."""
 
-    PROBE = "probe"  # one message at a time, until one is accepted
+    PROBE = "probe"  # one message at a time, until the member accepts one
     PIPELINE = "pipeline"  # as many messages as the window allows
-    SNAPSHOT = "snapshot"  # needs a snapshot first
+    SNAPSHOT = "snapshot"  # the member needs a snapshot before further entries
 
 
 class InFlightAppend(NamedTuple):
-    """A message with entries that was not answered yet."""
+    """A message with entries that has not been answered yet."""
 
     last_index: int
     size_bytes: int
@@ -35,20 +35,20 @@
 
 @dataclass(slots=True)
 class Peer:
-    """The leader's view of one other member."""
+    """The replication progress of one other member, as known to the leader."""
 
     name: str
-    next_index: int
-    match: int = 0  # entries up to here are on its disk
+    next_index: int  # index of the next entry to send
+    match: int = 0  # the member has the log on disk up to this index
     mode: ReplicationMode = ReplicationMode.PROBE
     is_probe_in_flight: bool = False
     in_flight: deque[InFlightAppend] = field(default_factory=deque)
     in_flight_bytes: int = 0
     transfer: SnapshotTransfer | None = None
-    is_unresponsive: bool = True  # nothing but heartbeats is sent to it until it answers one
+    is_unresponsive: bool = True  # only heartbeats are sent to the member until it answers one
 
     def probe(self, next_index: int) -> None:
-        """Goes back to one message at a time."""
+        """Switches to PROBE mode, starting at `next_index` or the first unmatched entry if that is later."""
         self.mode = ReplicationMode.PROBE
         self.next_index = max(next_index, self.match + 1)
         self.is_probe_in_flight = False
@@ -57,7 +57,7 @@
         self.transfer = None
 
     def on_matched(self, index: int) -> bool:
-        """Entries up to `index` are on the member's disk; False if that is nothing new."""
+        """Records that the member has the log on disk up to `index`; False if that was known before."""
         while self.in_flight and self.in_flight[0].last_index <= index:
             self.in_flight_bytes -= self.in_flight.popleft().size_bytes
         self.next_index = max(self.next_index, index + 1)
@@ -67,7 +67,7 @@
         return True
 
     def on_sent(self, last_index: int, size_bytes: int) -> None:
-        """A message with entries up to `last_index` was sent."""
+        """Records that a message with entries up to `last_index` was sent."""
         self.next_index = last_index + 1
         self.in_flight.append(InFlightAppend(last_index, size_bytes))
         self.in_flight_bytes += size_bytes
@@ -80,7 +80,7 @@
 
     @property
     def needs_snapshot(self) -> bool:
-        """Whether the member answers, and waits for a snapshot that was not made yet."""
+        """Whether the member is responsive and needs a snapshot that has not been made yet."""
         return self.mode is ReplicationMode.SNAPSHOT and self.transfer is None and not self.is_unresponsive
 
 
@@ -88,7 +88,7 @@
 
 
 class Replication:
-    """Makes the leader's messages to the other members and takes their answers, in one term."""
+    """Creates the leader's messages to the other members and processes their replies, in one term."""
 
     def __init__(self, group: str, member: str, term: int, log: Log, limits: RaftLimits) -> None:
         self._group = group
@@ -99,20 +99,20 @@
         self.peers: dict[str, Peer] = {}
 
     def set_members(self, members: Iterable[str]) -> None:
-        """Keeps a `Peer` for each of `members` except the leader itself."""
+        """Replicates to `members`, except to the leader itself; keeps the progress of those known before."""
         others = [member for member in members if member != self._member]
         self.peers = {
             other: self.peers.get(other) or Peer(other, self._log.last_index + 1) for other in others
         }
 
     def heartbeats(self, round_number: int, commit_index: int) -> Outgoing:
-        """A message without entries for each member."""
+        """Creates a heartbeat, which is an append request without entries, for each other member."""
         return [self._heartbeat(peer, round_number, commit_index) for peer in self.peers.values()]
 
     def _heartbeat(self, peer: Peer, round_number: int, commit_index: int) -> AppendRequest:
         previous = peer.next_index - 1
         if peer.mode is ReplicationMode.SNAPSHOT or self._log.term_at(previous) is None:
-            previous = 0  # agrees with any log, and claims nothing about this one
+            previous = 0  # index 0 matches every log, so the reply verifies nothing about the member's log
         return self._append_request(peer, previous, commit_index, round_number, ())
 
     def _append_request(
@@ -131,7 +131,7 @@
         )
 
     def flush(self, now: float, round_number: int, commit_index: int) -> Outgoing:
-        """Whatever entries and snapshot chunks may be sent now."""
+        """Creates the messages with entries and snapshot chunks that may be sent now."""
         outgoing: Outgoing = []
         for peer in self.peers.values():
             if peer.is_unresponsive:
@@ -180,10 +180,10 @@
         )
 
     def on_append_reply(self, reply: AppendReply) -> bool:
-        """Takes an answer; True if more entries are known to be on the member's disk.
+        """Processes a reply; True if more entries than before are known to be on the member's disk.
 
         Raises:
-            InvariantError: the member claims entries that the leader does not have.
+            InvariantError: the member acknowledges entries that the leader does not have.
         """
         peer = self.peers.get(reply.sender)
         if peer is None:
@@ -196,7 +196,9 @@
                 peer.probe(min(reply.match + 1, peer.next_index))
             return False
         if reply.match > self._log.last_index:
-            raise InvariantError(f"{peer.name} claims entry {reply.match}, which the leader does not have")
+            raise InvariantError(
+                f"{peer.name} acknowledged entry {reply.match}, which the leader does not have"
+            )
         return self._on_accepted(peer, reply.match)
 
     def _on_accepted(self, peer: Peer, match: int) -> bool:
@@ -209,7 +211,7 @@
         return advanced
 
     def on_snapshot_reply(self, reply: SnapshotReply) -> bool:
-        """Takes an answer; True if more entries are known to be on the member's disk."""
+        """Processes a reply; True if more entries than before are known to be on the member's disk."""
         peer = self.peers.get(reply.sender)
         if peer is None or peer.transfer is None or peer.transfer.snapshot.index != reply.last_index:
             return False
@@ -222,26 +224,26 @@
 
     @property
     def snapshot_wanted(self) -> bool:
-        """Whether a member waits for a snapshot to be made."""
+        """Whether a member needs a snapshot to be made."""
         return any(peer.needs_snapshot for peer in self.peers.values())
 
     def offer_snapshot(self, snapshot: Snapshot) -> None:
-        """Starts to send `snapshot` to the members that wait for one."""
+        """Starts to send `snapshot` to the members that need one."""
         for peer in self.peers.values():
             if peer.needs_snapshot:
                 peer.transfer = SnapshotTransfer.begin(snapshot)
 
-    def retransmit_overdue(self, now: float, patience_s: float) -> None:
-        """Sends snapshot chunks again that were not answered in `patience_s`."""
+    def retransmit_overdue(self, now: float, timeout_s: float) -> None:
+        """Schedules the retransmission of snapshot chunks that were not answered within `timeout_s`."""
         for peer in self.peers.values():
             if peer.transfer is not None:
-                peer.transfer.retransmit_if_overdue(now, patience_s, self._limits)
+                peer.transfer.retransmit_if_overdue(now, timeout_s, self._limits)
 
     def mark_unresponsive(self, name: str) -> None:
-        """The member does not answer: what is in flight to it counts as lost.
+        """Marks a member as unresponsive; messages in flight to it count as lost.
 
-        What it has of a snapshot is remembered. A member that is paused now and then, longer than a leader
-        waits, would otherwise begin each time at the first byte and never have a complete one.
+        The received bytes of a snapshot are kept. Otherwise a member that repeatedly pauses for longer than
+        the timeout would restart at the first byte each time and never receive a complete snapshot.
         """
         peer = self.peers[name]
         if peer.is_unresponsive:
@@ -254,7 +256,7 @@
             peer.probe(peer.next_index if is_probing else peer.match + 1)
 
     def oldest_snapshot_index(self) -> int | None:
-        """The index of the oldest snapshot being sent; the entries after it will be needed."""
+        """The index of the oldest snapshot being sent, whose receiver needs the entries after it, or None."""
         indexes = [
             peer.transfer.snapshot.index
             for peer in self.peers.values()
@@ -263,7 +265,7 @@
         return min(indexes, default=None)
 
     def on_log_compacted(self) -> None:
-        """Drops snapshots to unresponsive members that could not go on from them with the entries left."""
+        """Drops transfers to unresponsive members if the log no longer has the entries after the snapshot."""
         for peer in self.peers.values():
             if peer.transfer is None or not peer.is_unresponsive:
                 continue
--- a/pewterring/consensus/snapshot_transfer.py
+++ b/pewterring/consensus/snapshot_transfer.py
@@ -1,9 +1,9 @@
-"""Owns a snapshot on its way from the leader to a member: cut into chunks, and put together again.
+"""The transfer of a snapshot from the leader to a member, in chunks (Raft paper, section 7).
 
-What may go wrong: chunks are lost, doubled, late and out of order, and no two members encode one state in the
-same bytes. So chunks are tied together by index, term, size and checksum, the assembled bytes are compared
-with that checksum, and a chunk that is merely slow is never taken for a lost one (a retransmission to a slow
-member would make it slower still). Raft paper, section 7 (`InstallSnapshot`).
+Chunks may be lost, duplicated, delayed or reordered, and each member encodes the same state in different
+bytes. So the chunks of one snapshot are identified by index, term, size and checksum, and the assembled bytes
+are verified with the checksum. A delayed chunk must not be mistaken for a lost one, since retransmissions
+would slow down a slow member even more.
 """
 
 import zlib
@@ -14,12 +14,12 @@
 from pewterring.consensus.messages import SnapshotChunk
 from pewterring.consensus.types import RaftLimits, Snapshot
 
-# How far behind a missing chunk later ones are kept. A leader's window of chunks in flight is smaller.
+# Chunks that start more than this after the received bytes are not buffered. A leader's window is smaller.
 MAX_REORDERED_BYTES = 4_000_000
 
 
 class ChunkRange(NamedTuple):
-    """Bytes of a snapshot from `offset` on."""
+    """A range of the bytes of a snapshot, from `offset` on."""
 
     offset: int
     data: bytes
@@ -27,26 +27,27 @@
 
 @dataclass(slots=True)
 class SnapshotTransfer:
-    """The leader's side: a window of chunks is in flight, from `received_bytes` on.
+    """The leader's side of a transfer, with a window of chunks in flight from `received_bytes` on.
 
-    After a loss it goes back to what the member has (go-back-N). What the member kept of the chunks behind a
-    lost one, it acknowledges as soon as that one arrives. Times are in seconds of the steady clock.
+    After a loss, chunks are sent again from the acknowledged bytes on (go-back-N). The member buffers the
+    chunks that follow a lost one, and acknowledges them once that one arrives. Times are monotonic times in
+    seconds.
     """
 
     snapshot: Snapshot
     checksum: int
-    received_bytes: int = 0  # that the member said it has
-    sent_bytes: int = 0  # up to which chunks were sent
-    is_awaiting_reply: bool = False  # a chunk was sent and not answered
-    _idle_since: float = -inf  # when a chunk was sent last, or an answer said something new
+    received_bytes: int = 0  # the number of bytes that the member acknowledged
+    sent_bytes: int = 0  # the number of bytes sent in chunks
+    is_awaiting_reply: bool = False  # whether a chunk that was sent has not been answered
+    _idle_since: float = -inf  # when the last chunk was sent, or when progress was last noticed
     _last_sent_round: int = 0  # the heartbeat round in which the last chunk was sent
-    _is_overtaken: bool = False  # a heartbeat was answered that was sent after the last chunk
-    _has_advanced: bool = False  # since `_idle_since`
-    _last_acknowledged_bytes: int = 0  # by the answer that came last, which may be an old one
+    _is_overtaken: bool = False  # whether the member answered a heartbeat sent after the last chunk
+    _has_advanced: bool = False  # whether the member acknowledged more bytes since `_idle_since`
+    _last_acknowledged_bytes: int = 0  # as stated in the last reply, which may be a delayed one
 
     @classmethod
     def begin(cls, snapshot: Snapshot) -> "SnapshotTransfer":
-        """A transfer of which nothing was sent."""
+        """Creates a transfer of which no chunk has been sent yet."""
         return cls(snapshot, zlib.crc32(snapshot.data))
 
     def next_chunk(self, limits: RaftLimits) -> ChunkRange | None:
@@ -57,14 +58,14 @@
         return ChunkRange(self.sent_bytes, self.snapshot.data[self.sent_bytes : end])
 
     def _has_window(self, limits: RaftLimits) -> bool:
-        """Whether a chunk may be sent behind others; the first goes alone, as it begins the assembly."""
+        """Whether a chunk may follow others in flight; the first is sent alone, as it starts the assembly."""
         window_bytes = limits.snapshot_chunks_in_flight * limits.snapshot_chunk_bytes
         in_flight_bytes = self.sent_bytes - self.received_bytes
         has_more = self.sent_bytes < len(self.snapshot.data)
         return self.received_bytes > 0 and has_more and in_flight_bytes < window_bytes
 
     def on_chunk_sent(self, size_bytes: int, now: float, round_number: int) -> None:
-        """The next chunk, of `size_bytes`, was sent during a heartbeat round."""
+        """Records that the next chunk, of `size_bytes`, was sent during heartbeat round `round_number`."""
         self.sent_bytes += size_bytes
         self.is_awaiting_reply = True
         self._idle_since = now
@@ -73,33 +74,34 @@
         self._is_overtaken = False
 
     def on_heartbeat_answered(self, round_number: int) -> None:
-        """The member answered a heartbeat of that round."""
+        """Records that the member answered the heartbeat of round `round_number`."""
         self._is_overtaken = self._is_overtaken or round_number > self._last_sent_round
 
-    def retransmit_if_overdue(self, now: float, patience_s: float, limits: RaftLimits) -> None:
-        """Rewinds if chunks were not answered in time: each chunk in flight has `patience_s` of its own.
+    def retransmit_if_overdue(self, now: float, timeout_s: float, limits: RaftLimits) -> None:
+        """Rewinds if chunks were not answered in time; the timeout is `timeout_s` per chunk in flight.
 
-        Messages keep their order on a link, so an answer to a later heartbeat shows at once that the chunks
-        are not merely waiting in it. A member that is only slow is sent nothing twice.
+        Links keep messages in order. So once a later heartbeat is answered, the chunks are not queued on the
+        link any more, and the timeout is only `timeout_s`. A member that is only slow is sent nothing twice.
         """
         if self._has_advanced:
             self._has_advanced = False
             self._idle_since = now
-        patience_s *= 1 if self._is_overtaken else limits.snapshot_chunks_in_flight
-        if self.is_awaiting_reply and now - self._idle_since > patience_s:
+        timeout_s *= 1 if self._is_overtaken else limits.snapshot_chunks_in_flight
+        if self.is_awaiting_reply and now - self._idle_since > timeout_s:
             self.rewind()
 
     def rewind(self) -> None:
-        """Counts what is in flight as lost: goes on from what the member acknowledged last."""
+        """Counts the chunks in flight as lost, and continues after the last acknowledged bytes."""
         self.received_bytes = self.sent_bytes = self._last_acknowledged_bytes
         self.is_awaiting_reply = False
 
     def acknowledge(self, received_bytes: int) -> bool:
-        """Takes an answer; True if the member has everything.
+        """Processes a reply; True if the member has the complete snapshot.
 
-        An answer that says nothing new does not send chunks again: a chunk that was sent twice is answered
-        twice, and each answer would double all chunks after it. What a member has shrinks only when it starts
-        anew, at nothing; an answer with less, but something, is one that came late.
+        A reply without progress causes no retransmission: a chunk that was sent twice is answered twice, and
+        each of these replies would duplicate all later chunks. The received bytes decrease only when the
+        member restarts the assembly, at 0. So a reply with fewer bytes than before, but more than 0, is a
+        delayed one.
         """
         self._last_acknowledged_bytes = min(received_bytes, len(self.snapshot.data))
         if received_bytes >= len(self.snapshot.data):
@@ -116,7 +118,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _SnapshotId:
-    """What ties chunks together. Members encode one state differently, so the index alone does not."""
+    """Identifies the chunks of one snapshot; the index is not enough, since encodings of a state differ."""
 
     index: int
     term: int
@@ -125,19 +127,19 @@
 
 
 class SnapshotAssembly:
-    """The follower's side: puts the chunks of one snapshot together."""
+    """The follower's side of a transfer: assembles the chunks of one snapshot."""
 
     def __init__(self) -> None:
         self._id: _SnapshotId | None = None
-        self._leader_term = 0  # the term of the leader that sends it
+        self._leader_term = 0  # the term of the leader that sends the snapshot
         self._data = bytearray()
-        self._reordered: dict[int, bytes] = {}  # by offset: chunks that arrived before one that they follow
+        self._reordered: dict[int, bytes] = {}  # chunks that arrived before an earlier one, by offset
 
     def add(self, chunk: SnapshotChunk) -> int:
-        """Takes a chunk and returns how many bytes of its snapshot are there without a gap.
+        """Adds a chunk and returns how many bytes of its snapshot were received without a gap.
 
-        Only a first chunk begins a snapshot, and none that the same leader made before the one in progress:
-        a chunk that comes late neither mixes with it nor undoes what is there.
+        Only a first chunk starts a new assembly, and only if the same leader did not make its snapshot before
+        the one in progress. So a delayed chunk neither mixes with the assembly in progress nor discards it.
         """
         snapshot_id = _SnapshotId(chunk.last_index, chunk.last_term, chunk.total, chunk.checksum)
         if snapshot_id != self._id:
@@ -146,17 +148,17 @@
             self._begin(snapshot_id, chunk.term)
         if 0 <= chunk.offset - len(self._data) <= MAX_REORDERED_BYTES:
             self._reordered[chunk.offset] = chunk.data
-            self._join()
+            self._append_contiguous()
         return len(self._data)
 
-    def _join(self) -> None:
+    def _append_contiguous(self) -> None:
         while data := self._reordered.pop(len(self._data), b""):
             self._data += data
         size = len(self._data)
         self._reordered = {offset: data for offset, data in self._reordered.items() if offset > size}
 
     def take_complete(self, chunk: SnapshotChunk) -> Snapshot | None:
-        """The snapshot whose last chunk was added; None if its bytes are not as sent. Starts afresh."""
+        """Returns the snapshot whose last chunk was added, or None if its checksum is wrong; then resets."""
         data = bytes(self._data)
         self._id = None
         self._discard()
--- a/pewterring/consensus/uncommitted_limit.py
+++ b/pewterring/consensus/uncommitted_limit.py
@@ -1,7 +1,7 @@
-"""Owns the bound on what a leader has appended and a majority has not committed yet.
+"""The limit on the size of a leader's uncommitted entries.
 
-What may go wrong without it: while no majority can save, callers time out, but what they proposed stays in
-the memory of the leader and of every member that it was sent to.
+Without it, while no majority can save entries, callers time out but their commands stay in the memory of the
+leader and of every member that received them.
 """
 
 from collections import deque
@@ -18,7 +18,7 @@
 
 
 class UncommittedLimit:
-    """Counts the bytes of the entries that a leader appended in its term, until they are committed."""
+    """Limits the total size of the entries that a leader appended in its term and that are not committed."""
 
     def __init__(self, limit_bytes: int) -> None:
         self._limit_bytes = limit_bytes
@@ -26,18 +26,18 @@
         self.size_bytes = 0
 
     def on_appended(self, entry: Entry) -> None:
-        """Counts an entry."""
+        """Adds an appended entry to the total size."""
         size = entry_size(entry)
         self._entries.append(_UncommittedEntry(entry.index, size))
         self.size_bytes += size
 
     def on_committed(self, index: int) -> None:
-        """Counts the entries up to `index` no longer."""
+        """Removes the entries up to `index`, which are committed, from the total size."""
         while self._entries and self._entries[0].entry_index <= index:
             self.size_bytes -= self._entries.popleft().size_bytes
 
     def check(self, size_bytes: int) -> None:
-        """Checks whether an entry of `size_bytes` may be appended; alone, an entry of any size may.
+        """Checks whether an entry of `size_bytes` may be appended; if all others are committed, any size may.
 
         Raises:
             TooManyUncommittedError: the entry would exceed the limit.
--- a/tests/consensus/raft_breakages.py
+++ b/tests/consensus/raft_breakages.py
@@ -62,7 +62,7 @@
 
 class _AcceptsLateDepartures(LeaderRole):
     def on_departure_notice(self, message: DepartureNotice) -> None:
-        self._departing_members.on_notice(message.sender, self._rounds.number)
+        self._departing_members.on_notice(message.sender, self._rounds.latest_round)
 
 
 class AcceptsLateDepartures(Raft):
@@ -187,7 +187,7 @@
 class _RoundsConfirmEarlier(HeartbeatRounds):
     @property
     def _confirming_round(self) -> int:
-        return self.number
+        return self.latest_round
 
 
 class _ReadsByEarlierRound(LeaderRole):
@@ -294,7 +294,7 @@
 
 
 class _NeverGoesBack(Replication):
-    def retransmit_overdue(self, now: float, patience_s: float) -> None:
+    def retransmit_overdue(self, now: float, timeout_s: float) -> None:
         pass
 
 
--- a/tests/consensus/test_unpersisted.py
+++ b/tests/consensus/test_unpersisted.py
@@ -134,10 +134,10 @@
     assert first.messages_after_sync == ()
 
 
-def test_a_save_that_is_not_under_way_is_refused() -> None:
+def test_a_save_that_is_not_in_progress_is_rejected() -> None:
     on_disk = LogOnDisk()
     on_disk.append(12)
     save = take(on_disk.unpersisted)
     on_disk.unpersisted.on_saved(save)
-    with pytest.raises(InvariantError, match="under way"):
+    with pytest.raises(InvariantError, match="not the one in progress"):
         on_disk.unpersisted.on_saved(save)
