--- a/tests/consensus/test_snapshot_transfer.py
+++ b/tests/consensus/test_snapshot_transfer.py
@@ -1,4 +1,7 @@
-"""Snapshots on their way: chunks do not mix, and neither silence nor compaction sends one for ever."""
+"""Snapshot transfers under loss, duplication, reordering, restarts and leader changes.
+
+Chunks of different snapshots must not mix, and each transfer must complete without keeping the log for ever.
+"""
 
 import dataclasses
 import itertools
@@ -31,16 +34,16 @@
 MEMBERS = Membership(voters=("a", "b", "c"))
 CHUNK_BYTES = 10
 WINDOW = RaftLimits().snapshot_chunks_in_flight
-PATIENCE_S = 0.4
+TIMEOUT_S = 0.4
 
 
-def chunk(data: bytes, offset: int, index: int = 7, sent_in: int = 3) -> SnapshotChunk:
-    """The chunk of `data` from `offset` on."""
+def chunk(data: bytes, offset: int, index: int = 7, leader_term: int = 3) -> SnapshotChunk:
+    """Returns the chunk at `offset` of a snapshot with the content `data`."""
     return SnapshotChunk(
         group="g",
         sender="a",
         target="b",
-        term=sent_in,
+        term=leader_term,
         last_index=index,
         last_term=2,
         membership=MEMBERS,
@@ -66,17 +69,17 @@
 
 
 def test_chunks_of_two_snapshots_of_one_index_do_not_mix() -> None:
-    """A second leader encodes the same state in other bytes, of the same length."""
+    """A second leader encodes the same state in different bytes of the same length."""
     assert len(OLD) == len(NEW)
     assembly = SnapshotAssembly()
-    assembly.add(chunk(OLD, 0, sent_in=3))
-    assert assembly.add(chunk(NEW, CHUNK_BYTES, sent_in=4)) == 0
-    assert assembly.add(chunk(NEW, 0, sent_in=4)) == CHUNK_BYTES
-    assert assembly.add(chunk(OLD, CHUNK_BYTES, sent_in=4)) == 0
-    assert assembly.add(chunk(NEW, CHUNK_BYTES, sent_in=4)) == 2 * CHUNK_BYTES
+    assembly.add(chunk(OLD, 0, leader_term=3))
+    assert assembly.add(chunk(NEW, CHUNK_BYTES, leader_term=4)) == 0
+    assert assembly.add(chunk(NEW, 0, leader_term=4)) == CHUNK_BYTES
+    assert assembly.add(chunk(OLD, CHUNK_BYTES, leader_term=4)) == 0
+    assert assembly.add(chunk(NEW, CHUNK_BYTES, leader_term=4)) == 2 * CHUNK_BYTES
 
 
-def test_a_late_chunk_of_an_older_snapshot_undoes_nothing() -> None:
+def test_a_delayed_chunk_of_an_older_snapshot_does_not_reset_the_assembly() -> None:
     assembly = SnapshotAssembly()
     assembly.add(chunk(NEW, 0, index=9))
     assert assembly.add(chunk(OLD, 0, index=7)) == 0
@@ -85,11 +88,11 @@
 
 def test_a_new_leader_may_send_an_older_snapshot() -> None:
     assembly = SnapshotAssembly()
-    assembly.add(chunk(NEW, 0, index=9, sent_in=3))
-    assert assembly.add(chunk(OLD, 0, index=7, sent_in=4)) == CHUNK_BYTES
+    assembly.add(chunk(NEW, 0, index=9, leader_term=3))
+    assert assembly.add(chunk(OLD, 0, index=7, leader_term=4)) == CHUNK_BYTES
 
 
-def test_a_chunk_that_comes_twice_undoes_nothing() -> None:
+def test_a_duplicated_chunk_does_not_reset_the_assembly() -> None:
     assembly = SnapshotAssembly()
     assembly.add(chunk(NEW, 0))
     assembly.add(chunk(NEW, CHUNK_BYTES))
@@ -98,19 +101,19 @@
     assert assembly.add(chunk(NEW, 2 * CHUNK_BYTES)) == 3 * CHUNK_BYTES
 
 
-def test_bytes_that_are_not_as_sent_are_no_snapshot() -> None:
+def test_a_snapshot_with_a_wrong_checksum_is_discarded() -> None:
     assembly = SnapshotAssembly()
-    short = chunk(NEW[:CHUNK_BYTES], 0)
-    damaged = msgspec.structs.replace(short, data=b"x" * CHUNK_BYTES)
+    valid = chunk(NEW[:CHUNK_BYTES], 0)
+    damaged = msgspec.structs.replace(valid, data=b"x" * CHUNK_BYTES)
     assert assembly.add(damaged) == damaged.total
     assert assembly.take_complete(damaged) is None
-    assert assembly.add(short) == CHUNK_BYTES
-    assert assembly.take_complete(short) is not None
+    assert assembly.add(valid) == CHUNK_BYTES
+    assert assembly.take_complete(valid) is not None
 
 
 @dataclass
-class Sending:
-    """A leader's replication to one member that needs a snapshot of some chunks."""
+class LeaderSide:
+    """The leader's replication to one member, b, that needs a snapshot of several chunks."""
 
     replication: Replication
     log: Log
@@ -118,228 +121,230 @@
     now: float = 0.0
 
     @classmethod
-    def begin(cls, chunks_in_flight: int = 1) -> "Sending":
+    def start(cls, chunks_in_flight: int = 1) -> "LeaderSide":
+        """Starts a transfer to b, which has an empty log; no chunk is sent yet."""
         log = Log(100, 1)
         limits = RaftLimits(snapshot_chunk_bytes=CHUNK_BYTES, snapshot_chunks_in_flight=chunks_in_flight)
         replication = Replication("g", "a", 1, log, limits)
         replication.set_members(("a", "b"))
-        sending = cls(replication, log, NEW * 3)
-        sending.hear(accepted=False)
-        sending.chunks()
-        replication.offer_snapshot(Snapshot(100, 1, MEMBERS, sending.data))
-        return sending
-
-    def hear(self, accepted: bool = True, round_number: int = 1) -> None:
-        """The member answers a heartbeat, having nothing."""
+        leader = cls(replication, log, NEW * 3)
+        leader.receive_heartbeat_reply(accepted=False)
+        leader.send_offsets()
+        replication.offer_snapshot(Snapshot(100, 1, MEMBERS, leader.data))
+        return leader
+
+    def receive_heartbeat_reply(self, accepted: bool = True, round_number: int = 1) -> None:
+        """Receives the reply to a heartbeat, from a member without any entries."""
         self.replication.on_append_reply(
             AppendReply(
                 group="g", sender="b", target="a", term=1, accepted=accepted, match=0, round=round_number
             )
         )
 
-    def answer(self, received: int) -> None:
+    def receive_snapshot_reply(self, received: int) -> None:
+        """Receives the member's acknowledgement of `received` bytes."""
         self.replication.on_snapshot_reply(
             SnapshotReply(
                 group="g", sender="b", target="a", term=1, last_index=100, received=received, round=1
             )
         )
 
-    def chunks(self) -> list[int]:
-        """Offsets of the chunks that are sent now."""
-        return [message.offset for message in self.messages()]
+    def send_offsets(self) -> list[int]:
+        """Sends the chunks that may be sent now, and returns their offsets."""
+        return [message.offset for message in self.send_chunks()]
 
-    def messages(self) -> list[SnapshotChunk]:
-        """The chunks that are sent now."""
+    def send_chunks(self) -> list[SnapshotChunk]:
+        """Sends the chunks that may be sent now, and returns them."""
         outgoing = self.replication.flush(self.now, 1, 100)
         return [message for message in outgoing if isinstance(message, SnapshotChunk)]
 
     @property
-    def is_over(self) -> bool:
-        """Whether the leader knows that the member has all."""
+    def is_complete(self) -> bool:
+        """Whether the leader knows that the member has the complete snapshot."""
         return self.replication.peers["b"].match == 100
 
 
-def test_an_answer_that_comes_twice_sends_one_chunk() -> None:
-    sending = Sending.begin()
-    assert sending.chunks() == [0]
-    sending.answer(CHUNK_BYTES)
-    assert sending.chunks() == [CHUNK_BYTES]
-    sending.answer(CHUNK_BYTES)
-    assert sending.chunks() == []
-    sending.now = 1.0
-    sending.replication.retransmit_overdue(sending.now, 0.4)
-    assert sending.chunks() == [CHUNK_BYTES]
-
-
-def test_a_member_that_lost_the_chunks_gets_them_again() -> None:
-    sending = Sending.begin()
-    sending.chunks()
-    sending.answer(CHUNK_BYTES)
-    sending.chunks()
-    sending.answer(0)
-    assert sending.chunks() == [0]
-
-
-def test_an_unresponsive_member_keeps_what_it_has() -> None:
-    sending = Sending.begin()
-    sending.chunks()
-    sending.answer(CHUNK_BYTES)
-    sending.chunks()
-    sending.replication.mark_unresponsive("b")
-    assert sending.chunks() == []
-    assert not sending.replication.snapshot_wanted
-    sending.hear()
-    assert not sending.replication.snapshot_wanted
-    assert sending.chunks() == [CHUNK_BYTES]
-
-
-def test_a_snapshot_to_an_unresponsive_member_is_dropped_when_the_log_left_it_behind() -> None:
-    sending = Sending.begin()
-    sending.log.append(Entry(index, 1, "empty") for index in range(101, 121))
-    sending.replication.mark_unresponsive("b")
-    assert sending.replication.oldest_snapshot_index() is None
-    sending.log.compact(110, 0)
-    sending.replication.on_log_compacted()
-    sending.hear()
-    assert sending.replication.snapshot_wanted
-    assert sending.replication.peers["b"].mode is ReplicationMode.SNAPSHOT
-
-
-def offsets(*chunks: int) -> list[int]:
-    return [number * CHUNK_BYTES for number in chunks]
-
-
-def _with_a_window() -> tuple[Sending, SnapshotAssembly, list[SnapshotChunk]]:
-    """A member that has the first chunk, and the window of chunks that is on the way to it."""
-    sending = Sending.begin(WINDOW)
+def test_a_duplicated_reply_causes_no_retransmission() -> None:
+    leader = LeaderSide.start()
+    assert leader.send_offsets() == [0]
+    leader.receive_snapshot_reply(CHUNK_BYTES)
+    assert leader.send_offsets() == [CHUNK_BYTES]
+    leader.receive_snapshot_reply(CHUNK_BYTES)
+    assert leader.send_offsets() == []
+    leader.now = 1.0
+    leader.replication.retransmit_overdue(leader.now, 0.4)
+    assert leader.send_offsets() == [CHUNK_BYTES]
+
+
+def test_a_member_that_lost_its_chunks_receives_them_again() -> None:
+    leader = LeaderSide.start()
+    leader.send_offsets()
+    leader.receive_snapshot_reply(CHUNK_BYTES)
+    leader.send_offsets()
+    leader.receive_snapshot_reply(0)
+    assert leader.send_offsets() == [0]
+
+
+def test_the_transfer_to_an_unresponsive_member_continues_once_it_answers() -> None:
+    leader = LeaderSide.start()
+    leader.send_offsets()
+    leader.receive_snapshot_reply(CHUNK_BYTES)
+    leader.send_offsets()
+    leader.replication.mark_unresponsive("b")
+    assert leader.send_offsets() == []
+    assert not leader.replication.snapshot_wanted
+    leader.receive_heartbeat_reply()
+    assert not leader.replication.snapshot_wanted
+    assert leader.send_offsets() == [CHUNK_BYTES]
+
+
+def test_a_transfer_to_an_unresponsive_member_is_dropped_once_its_following_entries_are_compacted() -> None:
+    leader = LeaderSide.start()
+    leader.log.append(Entry(index, 1, "empty") for index in range(101, 121))
+    leader.replication.mark_unresponsive("b")
+    assert leader.replication.oldest_snapshot_index() is None
+    leader.log.compact(110, 0)
+    leader.replication.on_log_compacted()
+    leader.receive_heartbeat_reply()
+    assert leader.replication.snapshot_wanted
+    assert leader.replication.peers["b"].mode is ReplicationMode.SNAPSHOT
+
+
+def offsets(*chunk_numbers: int) -> list[int]:
+    return [number * CHUNK_BYTES for number in chunk_numbers]
+
+
+def _with_window_in_flight() -> tuple[LeaderSide, SnapshotAssembly, list[SnapshotChunk]]:
+    """Returns a leader, a member that has the first chunk, and the window of chunks in flight to it."""
+    leader = LeaderSide.start(WINDOW)
     assembly = SnapshotAssembly()
-    (first,) = sending.messages()
-    sending.answer(assembly.add(first))
-    window = sending.messages()
+    (first,) = leader.send_chunks()
+    leader.receive_snapshot_reply(assembly.add(first))
+    window = leader.send_chunks()
     assert [chunk.offset for chunk in window] == offsets(1, 2, 3, 4)
-    return sending, assembly, window
+    return leader, assembly, window
 
 
-def _finish(sending: Sending, assembly: SnapshotAssembly) -> None:
-    """All further chunks come in order, and their answers."""
+def _finish(leader: LeaderSide, assembly: SnapshotAssembly) -> None:
+    """Delivers all further chunks and replies in order, until the transfer is complete."""
     for _ in range(100):
-        for message in sending.messages():
+        for message in leader.send_chunks():
             received = assembly.add(message)
             if received == message.total:
                 snapshot = assembly.take_complete(message)
                 assert snapshot is not None
-                assert snapshot.data == sending.data
-            sending.answer(received)
-        if sending.is_over:
+                assert snapshot.data == leader.data
+            leader.receive_snapshot_reply(received)
+        if leader.is_complete:
             return
-    raise AssertionError("the snapshot never came")
+    raise AssertionError("the snapshot transfer did not complete")
 
 
-def test_a_window_of_chunks_is_on_the_way() -> None:
-    sending, assembly, window = _with_a_window()
-    assert sending.chunks() == []
+def test_a_window_of_chunks_is_kept_in_flight() -> None:
+    leader, assembly, window = _with_window_in_flight()
+    assert leader.send_offsets() == []
     for number, message in enumerate(window):
-        sending.answer(assembly.add(message))
-        assert sending.chunks() == offsets(5 + number)
+        leader.receive_snapshot_reply(assembly.add(message))
+        assert leader.send_offsets() == offsets(5 + number)
 
 
 def test_a_member_that_is_only_slow_is_sent_nothing_twice() -> None:
-    """Each chunk takes longer than a leader waits for one, and heartbeats wait behind the chunks."""
-    sending, _, _ = _with_a_window()
+    """Each chunk takes longer than the timeout for one chunk, and heartbeats queue behind the chunks."""
+    leader, _, _ = _with_window_in_flight()
     sent = offsets(0, 1, 2, 3, 4)
-    for received in range(2, len(sending.data) // CHUNK_BYTES + 1):
-        sending.now += 3 * PATIENCE_S
-        sending.replication.retransmit_overdue(sending.now, PATIENCE_S)
-        sending.hear(round_number=1)
-        sending.answer(received * CHUNK_BYTES)
-        sent += sending.chunks()
-    assert sent == offsets(*range(-(-len(sending.data) // CHUNK_BYTES)))
-
-
-def test_chunks_that_a_later_heartbeat_overtook_are_lost() -> None:
-    sending, _, window = _with_a_window()
-    sending.hear(round_number=2)
-    sending.replication.retransmit_overdue(sending.now, PATIENCE_S)
-    assert sending.chunks() == []
-    sending.now += 1.1 * PATIENCE_S
-    sending.replication.retransmit_overdue(sending.now, PATIENCE_S)
-    assert sending.chunks() == [chunk.offset for chunk in window]
-
-
-def test_chunks_of_which_nothing_is_heard_are_lost_after_the_time_of_all() -> None:
-    sending, _, window = _with_a_window()
-    sending.now += 0.9 * WINDOW * PATIENCE_S
-    sending.replication.retransmit_overdue(sending.now, PATIENCE_S)
-    assert sending.chunks() == []
-    sending.now += 0.2 * WINDOW * PATIENCE_S
-    sending.replication.retransmit_overdue(sending.now, PATIENCE_S)
-    assert sending.chunks() == [chunk.offset for chunk in window]
+    for received in range(2, len(leader.data) // CHUNK_BYTES + 1):
+        leader.now += 3 * TIMEOUT_S
+        leader.replication.retransmit_overdue(leader.now, TIMEOUT_S)
+        leader.receive_heartbeat_reply(round_number=1)
+        leader.receive_snapshot_reply(received * CHUNK_BYTES)
+        sent += leader.send_offsets()
+    assert sent == offsets(*range(-(-len(leader.data) // CHUNK_BYTES)))
+
+
+def test_chunks_count_as_lost_after_the_timeout_for_one_if_a_later_heartbeat_was_answered() -> None:
+    leader, _, window = _with_window_in_flight()
+    leader.receive_heartbeat_reply(round_number=2)
+    leader.replication.retransmit_overdue(leader.now, TIMEOUT_S)
+    assert leader.send_offsets() == []
+    leader.now += 1.1 * TIMEOUT_S
+    leader.replication.retransmit_overdue(leader.now, TIMEOUT_S)
+    assert leader.send_offsets() == [chunk.offset for chunk in window]
+
+
+def test_unanswered_chunks_count_as_lost_after_the_sum_of_their_timeouts() -> None:
+    leader, _, window = _with_window_in_flight()
+    leader.now += 0.9 * WINDOW * TIMEOUT_S
+    leader.replication.retransmit_overdue(leader.now, TIMEOUT_S)
+    assert leader.send_offsets() == []
+    leader.now += 0.2 * WINDOW * TIMEOUT_S
+    leader.replication.retransmit_overdue(leader.now, TIMEOUT_S)
+    assert leader.send_offsets() == [chunk.offset for chunk in window]
 
 
 @pytest.mark.parametrize("lost", range(WINDOW))
-def test_a_chunk_that_is_lost_comes_again(lost: int) -> None:
-    """The chunks behind it are kept, so the next answer tells all of the window."""
-    sending, assembly, window = _with_a_window()
+def test_a_lost_chunk_is_sent_again(lost: int) -> None:
+    """The member buffers the later chunks, so its next reply acknowledges the complete window."""
+    leader, assembly, window = _with_window_in_flight()
     for number, message in enumerate(window):
         if number != lost:
-            sending.answer(assembly.add(message))
-    following = sending.messages()
-    assert len(following) == lost
-    sending.hear(round_number=2)
-    sending.now += 1.1 * PATIENCE_S
-    sending.replication.retransmit_overdue(sending.now, PATIENCE_S)
-    again = sending.messages()
-    assert again[0].offset == window[lost].offset
-    assert assembly.add(again[0]) == window[-1].offset + CHUNK_BYTES
-    for message in (*again, *following):
-        sending.answer(assembly.add(message))
-    _finish(sending, assembly)
+            leader.receive_snapshot_reply(assembly.add(message))
+    later_chunks = leader.send_chunks()
+    assert len(later_chunks) == lost
+    leader.receive_heartbeat_reply(round_number=2)
+    leader.now += 1.1 * TIMEOUT_S
+    leader.replication.retransmit_overdue(leader.now, TIMEOUT_S)
+    resent = leader.send_chunks()
+    assert resent[0].offset == window[lost].offset
+    assert assembly.add(resent[0]) == window[-1].offset + CHUNK_BYTES
+    for message in (*resent, *later_chunks):
+        leader.receive_snapshot_reply(assembly.add(message))
+    _finish(leader, assembly)
 
 
 @pytest.mark.parametrize("order", list(itertools.permutations(range(WINDOW))))
-def test_chunks_and_answers_in_any_order_send_nothing_twice(order: tuple[int, ...]) -> None:
-    sending, assembly, window = _with_a_window()
-    answers = [assembly.add(window[number]) for number in order]
+def test_reordered_chunks_and_replies_cause_no_retransmission(order: tuple[int, ...]) -> None:
+    leader, assembly, window = _with_window_in_flight()
+    replies = [assembly.add(window[number]) for number in order]
     sent = [chunk.offset for chunk in window]
     for number in order:
-        sending.answer(answers[number])
-        sending.answer(answers[number])
-        sent += sending.chunks()
+        leader.receive_snapshot_reply(replies[number])
+        leader.receive_snapshot_reply(replies[number])
+        sent += leader.send_offsets()
     assert sent == offsets(*range(1, 9))
 
 
-def test_a_member_that_begins_anew_amid_the_window_is_sent_the_first_chunk_once() -> None:
-    """All chunks that are on the way are answered with nothing."""
-    sending, _, window = _with_a_window()
-    anew = SnapshotAssembly()
+def test_a_member_that_restarts_during_a_window_is_sent_the_first_chunk_once() -> None:
+    """Its replies to the chunks in flight acknowledge 0 bytes."""
+    leader, _, window = _with_window_in_flight()
+    restarted = SnapshotAssembly()
     sent = []
     for message in window:
-        sending.answer(anew.add(message))
-        sent += sending.chunks()
+        leader.receive_snapshot_reply(restarted.add(message))
+        sent += leader.send_offsets()
     assert sent == [0]
-    sending.now += 2 * PATIENCE_S
-    sending.hear(round_number=2)
-    sending.replication.retransmit_overdue(sending.now, PATIENCE_S)
-    _finish(sending, anew)
-
-
-def test_an_answer_of_before_the_member_began_anew_is_overcome() -> None:
-    """It tells more than the member has, and the answers that tell less look late."""
-    sending, assembly, window = _with_a_window()
-    old = [assembly.add(message) for message in window]
-    anew = SnapshotAssembly()
-    sending.answer(anew.add(window[0]))
-    (first,) = sending.messages()
-    sending.answer(anew.add(first))
-    sending.messages()
-    sending.answer(old[-1])
+    leader.now += 2 * TIMEOUT_S
+    leader.receive_heartbeat_reply(round_number=2)
+    leader.replication.retransmit_overdue(leader.now, TIMEOUT_S)
+    _finish(leader, restarted)
+
+
+def test_a_transfer_recovers_from_a_delayed_reply_sent_before_the_member_restarted() -> None:
+    """It acknowledges more bytes than the member has, so the later replies look like delayed ones."""
+    leader, assembly, window = _with_window_in_flight()
+    replies_before_restart = [assembly.add(message) for message in window]
+    restarted = SnapshotAssembly()
+    leader.receive_snapshot_reply(restarted.add(window[0]))
+    (first,) = leader.send_chunks()
+    leader.receive_snapshot_reply(restarted.add(first))
+    leader.send_chunks()
+    leader.receive_snapshot_reply(replies_before_restart[-1])
     for round_number in range(2, 6):
-        for message in sending.messages():
-            sending.answer(anew.add(message))
-        sending.now += 2 * PATIENCE_S
-        sending.hear(round_number=round_number)
-        sending.replication.retransmit_overdue(sending.now, PATIENCE_S)
-    _finish(sending, anew)
+        for message in leader.send_chunks():
+            leader.receive_snapshot_reply(restarted.add(message))
+        leader.now += 2 * TIMEOUT_S
+        leader.receive_heartbeat_reply(round_number=round_number)
+        leader.replication.retransmit_overdue(leader.now, TIMEOUT_S)
+    _finish(leader, restarted)
 
 
 class _ObservedAssembly(SnapshotAssembly):
@@ -359,106 +364,106 @@
 
 
 @dataclass
-class Lossy:
-    """A leader and a member; chunks and answers on the way are lost, doubled and come in any order."""
+class LossyTransfer:
+    """A transfer whose chunks and replies in flight may be lost, duplicated and reordered."""
 
-    sending: Sending
+    leader: LeaderSide
     assembly: SnapshotAssembly = dataclasses.field(default_factory=SnapshotAssembly)
     chunks: list[SnapshotChunk] = dataclasses.field(default_factory=list)
-    answers: list[int] = dataclasses.field(default_factory=list)
-    snapshot: Snapshot | None = None
+    replies: list[int] = dataclasses.field(default_factory=list)  # acknowledged bytes
+    snapshot: Snapshot | None = None  # the complete snapshot that the member received
     round_number: int = 1
 
-    def send(self) -> None:
-        sent = self.sending.messages()
+    def send_chunks(self) -> None:
+        sent = self.leader.send_chunks()
         assert len(sent) <= WINDOW
         self.chunks += sent
 
-    def chunk_comes(self, position: int, is_doubled: bool) -> None:
+    def deliver_chunk(self, position: int, is_duplicated: bool) -> None:
         if not self.chunks:
             return
         message = self.chunks[position % len(self.chunks)]
-        if not is_doubled:
+        if not is_duplicated:
             self.chunks.remove(message)
-        self.answers.append(message.total if self.snapshot is not None else self._take(message))
+        self.replies.append(message.total if self.snapshot is not None else self._add_chunk(message))
 
-    def _take(self, message: SnapshotChunk) -> int:
+    def _add_chunk(self, message: SnapshotChunk) -> int:
         received = self.assembly.add(message)
         if received < message.total:
             return received
         self.snapshot = self.assembly.take_complete(message)
         return message.total if self.snapshot is not None else 0
 
-    def answer_comes(self, position: int, is_doubled: bool) -> None:
-        if not self.answers:
+    def deliver_reply(self, position: int, is_duplicated: bool) -> None:
+        if not self.replies:
             return
-        answer = self.answers[position % len(self.answers)]
-        if not is_doubled:
-            self.answers.remove(answer)
-        self.sending.answer(answer)
+        reply = self.replies[position % len(self.replies)]
+        if not is_duplicated:
+            self.replies.remove(reply)
+        self.leader.receive_snapshot_reply(reply)
 
-    def chunk_is_lost(self, position: int, _: bool) -> None:
+    def lose_chunk(self, position: int, _: bool) -> None:
         if self.chunks:
             del self.chunks[position % len(self.chunks)]
 
-    def answer_is_lost(self, position: int, _: bool) -> None:
-        if self.answers:
-            del self.answers[position % len(self.answers)]
+    def lose_reply(self, position: int, _: bool) -> None:
+        if self.replies:
+            del self.replies[position % len(self.replies)]
 
-    def time_passes(self, position: int, is_heard: bool) -> None:
-        self.sending.now += position / 4
+    def advance_time(self, quarter_seconds: int, is_heartbeat_answered: bool) -> None:
+        self.leader.now += quarter_seconds / 4
         self.round_number += 1
-        if is_heard:
-            self.sending.hear(round_number=self.round_number)
-        self.sending.replication.retransmit_overdue(self.sending.now, PATIENCE_S)
+        if is_heartbeat_answered:
+            self.leader.receive_heartbeat_reply(round_number=self.round_number)
+        self.leader.replication.retransmit_overdue(self.leader.now, TIMEOUT_S)
 
-    def becomes_unresponsive(self, _: int, is_heard: bool) -> None:
-        self.sending.replication.mark_unresponsive("b")
-        if is_heard:
-            self.sending.hear(round_number=self.round_number)
+    def mark_unresponsive(self, _: int, is_heartbeat_answered: bool) -> None:
+        self.leader.replication.mark_unresponsive("b")
+        if is_heartbeat_answered:
+            self.leader.receive_heartbeat_reply(round_number=self.round_number)
 
-    def begins_anew(self, _: int, __: bool) -> None:
+    def restart_member(self, _: int, __: bool) -> None:
         if self.snapshot is None:
             self.assembly = SnapshotAssembly()
 
 
 EVENTS = (
-    Lossy.chunk_comes,
-    Lossy.chunk_comes,
-    Lossy.answer_comes,
-    Lossy.answer_comes,
-    Lossy.chunk_is_lost,
-    Lossy.answer_is_lost,
-    Lossy.time_passes,
-    Lossy.becomes_unresponsive,
-    Lossy.begins_anew,
+    LossyTransfer.deliver_chunk,
+    LossyTransfer.deliver_chunk,
+    LossyTransfer.deliver_reply,
+    LossyTransfer.deliver_reply,
+    LossyTransfer.lose_chunk,
+    LossyTransfer.lose_reply,
+    LossyTransfer.advance_time,
+    LossyTransfer.mark_unresponsive,
+    LossyTransfer.restart_member,
 )
 
 
 @settings(derandomize=True, deadline=None)
 @given(st.lists(st.tuples(st.sampled_from(EVENTS), st.integers(0, 8), st.booleans()), max_size=60))
-def test_a_snapshot_arrives_complete_whatever_became_of_chunks_and_answers(
-    events: list[tuple[Callable[[Lossy, int, bool], None], int, bool]],
+def test_a_transfer_completes_after_any_loss_duplication_and_reordering(
+    events: list[tuple[Callable[[LossyTransfer, int, bool], None], int, bool]],
 ) -> None:
-    lossy = Lossy(Sending.begin(WINDOW))
+    transfer = LossyTransfer(LeaderSide.start(WINDOW))
     for event, position, flag in events:
-        lossy.send()
-        event(lossy, position, flag)
-        assert not lossy.sending.is_over or lossy.snapshot is not None
+        transfer.send_chunks()
+        event(transfer, position, flag)
+        assert not transfer.leader.is_complete or transfer.snapshot is not None
     for _ in range(30):
-        lossy.send()
-        while lossy.chunks or lossy.answers:
-            lossy.chunk_comes(0, False)
-            lossy.answer_comes(0, False)
-            lossy.send()
-        lossy.time_passes(8, True)
-    assert lossy.sending.is_over
-    assert lossy.snapshot is not None
-    assert lossy.snapshot.data == lossy.sending.data
-
-
-def _leader_and_absent(simulation: Simulation, changes: int) -> tuple[str, str]:
-    """A leader, and a member that was away during so many changes."""
+        transfer.send_chunks()
+        while transfer.chunks or transfer.replies:
+            transfer.deliver_chunk(0, False)
+            transfer.deliver_reply(0, False)
+            transfer.send_chunks()
+        transfer.advance_time(8, True)
+    assert transfer.leader.is_complete
+    assert transfer.snapshot is not None
+    assert transfer.snapshot.data == transfer.leader.data
+
+
+def _crash_follower_and_commit(simulation: Simulation, changes: int) -> tuple[str, str]:
+    """Crashes a follower, then commits `changes` commands; returns the leader and that follower."""
     simulation.run_until(lambda: simulation.leader() is not None and simulation.leader_raft().is_ready_leader)
     leader = simulation.leader() or ""
     absent = next(name for name in simulation.members if name != leader)
@@ -470,10 +475,10 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_a_member_that_is_paused_again_and_again_gets_its_snapshot(seed: int) -> None:
-    """Each time longer than a leader waits for an answer, while changes go on."""
+def test_a_member_that_is_paused_repeatedly_receives_its_snapshot(seed: int) -> None:
+    """Each pause is longer than the leader's timeout for replies, and commands are committed meanwhile."""
     simulation = Simulation(seed)
-    _, absent = _leader_and_absent(simulation, 300)
+    _, absent = _crash_follower_and_commit(simulation, 300)
     simulation.start(absent)
     for step in range(12):
         simulation.run(0.25)
@@ -486,19 +491,19 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_newer_snapshots_do_not_begin_one_anew(seed: int) -> None:
-    """Half of the chunks are lost; the leader makes several snapshots before the one on its way is there."""
+def test_a_newer_snapshot_does_not_restart_a_transfer(seed: int) -> None:
+    """Half of the chunks are lost; the leader makes several snapshots before the transfer completes."""
     simulation = Simulation(seed)
-    leader, absent = _leader_and_absent(simulation, 60)
-    fate = random.Random(seed)
+    leader, absent = _crash_follower_and_commit(simulation, 60)
+    loss_rng = random.Random(seed)
     sent: set[int] = set()
 
-    def loses(message: ConsensusMessage) -> bool:
+    def drop_half_of_chunks(message: ConsensusMessage) -> bool:
         if isinstance(message, SnapshotChunk) and not simulation.members[absent].disk.snapshot_index:
             sent.add(message.last_index)
-        return isinstance(message, SnapshotChunk) and fate.random() < 0.5
+        return isinstance(message, SnapshotChunk) and loss_rng.random() < 0.5
 
-    simulation.drops = loses
+    simulation.drops = drop_half_of_chunks
     before = simulation.members[leader].disk.snapshot_index
     simulation.start(absent)
     for number in range(400):
@@ -512,63 +517,63 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_a_snapshot_that_is_never_taken_up_does_not_keep_the_log(seed: int) -> None:
-    """The member answers heartbeats, and no chunk of a snapshot reaches it."""
+def test_a_transfer_that_never_completes_does_not_keep_the_log(seed: int) -> None:
+    """The member replies heartbeats, but receives no chunk of a snapshot."""
     simulation = Simulation(seed)
-    leader, absent = _leader_and_absent(simulation, 40)
+    leader, absent = _crash_follower_and_commit(simulation, 40)
     simulation.drops = lambda message: isinstance(message, SnapshotChunk)
     simulation.start(absent)
-    longest = 0
+    peak_bytes = 0
     for number in range(600):
         simulation.propose(f"more {number} {'x' * 50}")
         simulation.run(0.02)
         raft = simulation.members[leader].raft
         assert raft is not None
-        longest = max(longest, log_of(raft).size_bytes)
-    bound = LIMITS.retained_for_transfers_bytes + 40 * 150  # and what comes until the next snapshot
-    assert longest < bound
+        peak_bytes = max(peak_bytes, log_of(raft).size_bytes)
+    bound = LIMITS.retained_for_transfers_bytes + 40 * 150  # plus the entries until the next snapshot
+    assert peak_bytes < bound
     simulation.check_converges()
 
 
 @pytest.mark.parametrize("count", range(1, 10))
-def test_a_leader_that_goes_amid_the_window_mixes_nothing(count: int) -> None:
-    """With so many chunks sent; those of the old leader come as late as those of the next."""
+def test_chunks_of_a_crashed_leader_do_not_mix_with_those_of_its_successor(count: int) -> None:
+    """The leader crashes after `count` chunks, which arrive again together with those of the next leader."""
     simulation = Simulation(count)
-    leader, absent = _leader_and_absent(simulation, 60)
+    leader, absent = _crash_follower_and_commit(simulation, 60)
     chunks: list[SnapshotChunk] = []
 
-    def is_recorded(message: ConsensusMessage) -> bool:
+    def record_chunk(message: ConsensusMessage) -> bool:
         if isinstance(message, SnapshotChunk) and message.sender == leader:
             chunks.append(message)
         return False
 
-    simulation.drops = is_recorded
+    simulation.drops = record_chunk
     simulation.start(absent)
     simulation.run_until(lambda: len(chunks) >= count)
     simulation.crash(leader)
     simulation.run_until(lambda: simulation.leader() not in (None, leader))
-    for late in chunks:
-        simulation.deliver_again(late)
+    for delayed_chunk in chunks:
+        simulation.deliver_again(delayed_chunk)
         simulation.run(0.002)
     simulation.run(2.0)
     assert simulation.members[absent].disk.snapshot_index > 0
     simulation.check_converges()
 
 
-def test_a_snapshot_takes_fewer_journeys_than_it_has_chunks() -> None:
+def test_a_transfer_takes_fewer_round_trips_than_it_has_chunks() -> None:
     simulation = Simulation(1)
-    _, absent = _leader_and_absent(simulation, 300)
-    journey_s = 0.2
-    simulation.weather = Weather(delay_s=(journey_s / 2, journey_s / 2))
-    chunks: list[int] = []
+    _, absent = _crash_follower_and_commit(simulation, 300)
+    round_trip_s = 0.2
+    simulation.weather = Weather(delay_s=(round_trip_s / 2, round_trip_s / 2))
+    chunk_offsets: list[int] = []
 
-    def is_lost(message: ConsensusMessage) -> bool:
+    def record_offset(message: ConsensusMessage) -> bool:
         if isinstance(message, SnapshotChunk):
-            chunks.append(message.offset)
+            chunk_offsets.append(message.offset)
         return False
 
-    simulation.drops = is_lost
+    simulation.drops = record_offset
     simulation.start(absent)
-    began = simulation.now
+    started_at = simulation.now
     simulation.run_until(lambda: simulation.members[absent].disk.snapshot_index > 0)
-    assert simulation.now - began < len(chunks) * journey_s / 2
+    assert simulation.now - started_at < len(chunk_offsets) * round_trip_s / 2
