--- a/tests/consensus/scenarios.py
+++ b/tests/consensus/scenarios.py
@@ -2,7 +2,7 @@
 
 from pewterring.consensus.messages import AppendRequest, ConsensusMessage, SnapshotChunk
 from pewterring.consensus.raft import Raft
-from tests.consensus.simulated_members import SafetyViolationError, Weather, drops_nothing
+from tests.consensus.simulated_members import SafetyViolationError, Weather, drop_nothing
 from tests.consensus.simulation import Simulation
 
 NEVER_S = 1000.0
@@ -116,7 +116,7 @@
     simulation.run(0.5)
     simulation.crash(first)
     simulation.crash(second)
-    simulation.drops = drops_nothing
+    simulation.drops = drop_nothing
     simulation.start(later)
     simulation.start(fourth)
     _converges(simulation)
@@ -186,7 +186,7 @@
     step_s = 0.005
     for _ in range(200):
         simulation.run(step_s)
-        without_s += 0.0 if simulation.has_leader() else step_s
+        without_s += 0.0 if simulation.has_leader_with_lease() else step_s
     if without_s > AT_ONCE_S:
         raise SafetyViolationError(f"nobody led for {without_s:.2f} s because one member came back")
     simulation.check_converges()
@@ -218,7 +218,7 @@
     simulation.drops = lambda message: _record(message, chunks)
     simulation.start(absent)
     simulation.run(1.0)
-    simulation.drops = drops_nothing
+    simulation.drops = drop_nothing
     _propose_many(simulation, "after ")
     for chunk in chunks:
         simulation.deliver_again(chunk)
@@ -243,7 +243,7 @@
     simulation.crash(leader)
     simulation.run_while(lambda: not chunks, 5.0)
     simulation.run(0.5)
-    simulation.drops = drops_nothing
+    simulation.drops = drop_nothing
     simulation.run(2.0)
     simulation.check_converges()
 
@@ -276,7 +276,7 @@
     simulation.isolate(isolated)
     simulation.run(0.2)
     count = 0
-    while simulation.members[slow].since_snapshot < 19:
+    while simulation.members[slow].entries_since_snapshot < 19:
         simulation.propose(f"{count}")
         count += 1
         simulation.run(0.03)
--- a/tests/consensus/simulated_members.py
+++ b/tests/consensus/simulated_members.py
@@ -1,4 +1,4 @@
-"""The members of the simulation, and how their network and disks behave."""
+"""The members of the simulation, and the faults of their network and disks."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -17,46 +17,48 @@
     retained_bytes=500,
     retained_for_transfers_bytes=10_000,
 )
-SNAPSHOT_AFTER = 20  # entries
+SNAPSHOT_INTERVAL_ENTRIES = 20
 
 
 class SafetyViolationError(AssertionError):
-    """Something that must always hold did not."""
+    """An invariant of the simulated group was violated."""
 
 
-def drops_nothing(_: ConsensusMessage) -> bool:
-    """A network that loses no message by choice."""
+def drop_nothing(_: ConsensusMessage) -> bool:
+    """The default of `Simulation.drops`: drops no message."""
     return False
 
 
 @dataclass
 class Weather:
-    """How the network and the disks behave."""
+    """Random message faults, and the ranges of message delays and disk syncs."""
 
-    lost: float = 0.0  # fraction of the messages
-    repeated: float = 0.0
+    lost: float = 0.0  # fraction of messages that are lost
+    repeated: float = 0.0  # fraction of messages that are delivered twice
     delay_s: tuple[float, float] = (0.001, 0.005)
-    late: float = 0.0  # fraction of the messages that take up to half a second
+    late: float = 0.0  # fraction of messages that take up to half a second
     sync_s: tuple[float, float] = (0.001, 0.01)
 
 
 @dataclass
 class Member:
-    """One machine: its disk, and its process while it runs."""
+    """One machine: its disk, its clock, and the state of its process while it runs."""
 
     name: str
     disk: MemoryStorage
     clock_rate: float
     clock_start: float = 1000.0
-    raft: Raft | None = None
-    incarnation: int = 0
-    frozen: bool = False
-    sync_s: float | None = None  # a disk of its own slowness
-    postponed: list[Callable[[], None]] = field(default_factory=list)
-    applied: list[list[object]] = field(default_factory=list)  # [index, term, text] of commands
-    job: Callable[[], None] | None = None
-    since_snapshot: int = 0
-    applied_to: int = 0  # index, in this incarnation
+    raft: Raft | None = None  # None while the process is down
+    incarnation: int = 0  # number of starts of the process
+    frozen: bool = False  # whether the process is paused, as by SIGSTOP
+    sync_s: float | None = None  # duration of a disk sync, if it differs from that of the other members
+    postponed_actions: list[Callable[[], None]] = field(
+        default_factory=list
+    )  # due while the process was frozen
+    applied: list[list[object]] = field(default_factory=list)  # applied commands: [index, term, text]
+    disk_write: Callable[[], None] | None = None  # the write in progress
+    entries_since_snapshot: int = 0
+    applied_index: int = 0  # last entry applied in this incarnation
     timer_at: float | None = None
-    proposals: dict[tuple[int, int], str] = field(default_factory=dict)
-    reads: dict[tuple[int, int], int] = field(default_factory=dict)  # (term, ticket) -> least index to see
+    proposals: dict[tuple[int, int], str] = field(default_factory=dict)  # command text by (index, term)
+    reads: dict[tuple[int, int], int] = field(default_factory=dict)  # required index by (term, ticket)
--- a/tests/consensus/simulation.py
+++ b/tests/consensus/simulation.py
@@ -1,4 +1,4 @@
-"""A group whose network, disks and clocks are simulated, with what must hold checked at every step."""
+"""A group with a simulated network, disks and clocks, whose invariants are checked at every step."""
 
 import heapq
 import json
@@ -12,22 +12,22 @@
 from tests.consensus.memory_storage import MemoryStorage
 from tests.consensus.simulated_members import (
     LIMITS,
-    SNAPSHOT_AFTER,
+    SNAPSHOT_INTERVAL_ENTRIES,
     TIMING,
     Member,
     SafetyViolationError,
     Weather,
-    drops_nothing,
+    drop_nothing,
 )
 
 
-def _encoded(member: Member) -> bytes:
-    """The member's state. As with the ages in real ones, no two members have the same bytes for it."""
+def _encode_state(member: Member) -> bytes:
+    """Encodes the member's state. As in production, members encode the same state in different bytes."""
     return json.dumps({"applied": member.applied}, indent=ord(member.name[0]) % 3 or None).encode()
 
 
 class Simulation:
-    """Members by name, simulated time, and the history that all members must agree with."""
+    """The members by name, simulated time, and the history with which all members must agree."""
 
     def __init__(self, seed: int, voters: int = 3, raft_class: type[Raft] = Raft) -> None:
         self.rng = random.Random(seed)
@@ -35,15 +35,15 @@
         self.now = 0.0
         self.weather = Weather()
         self.cut_links: set[tuple[str, str]] = set()  # (sender, target)
-        self.drops: Callable[[ConsensusMessage], bool] = drops_nothing
+        self.drops: Callable[[ConsensusMessage], bool] = drop_nothing
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._sequence = 0
         self.members: dict[str, Member] = {}
         self.leaders: dict[int, str] = {}  # by term
-        self.history: dict[int, tuple[int, bytes]] = {}  # applied entries by index
-        self.acknowledged: dict[str, int] = {}  # text -> index
-        self.seen_index = 0  # what a read that begins now must see
-        self.reads_done = 0
+        self.history: dict[int, tuple[int, bytes]] = {}  # term and data of the applied entries, by index
+        self.acknowledged: dict[str, int] = {}  # index of each acknowledged command, by its text
+        self.required_index = 0  # a read that starts now must see all entries up to this index
+        self.completed_reads = 0
         names = tuple("abcdefg"[:voters])
         for name in names:
             self._add(name, MemoryStorage(names))
@@ -55,7 +55,7 @@
         self.start(name)
 
     def join(self, name: str) -> None:
-        """A machine with an empty disk comes up."""
+        """Starts a new machine with an empty disk."""
         self._add(name, MemoryStorage())
 
     def start(self, name: str) -> None:
@@ -65,7 +65,7 @@
         member.incarnation += 1
         member.timer_at = None
         loaded = member.disk.load()
-        member.applied_to = loaded.state.snapshot_index
+        member.applied_index = loaded.state.snapshot_index
         member.applied = json.loads(loaded.snapshot)["applied"] if loaded.snapshot else []
         member.raft = self.raft_class(
             RaftConfig("g", name, TIMING, LIMITS),
@@ -76,29 +76,29 @@
         self._pump(member)
 
     def crash(self, name: str, saves_lost: bool = False) -> None:
-        """The process dies; a save under way is on disk or is not."""
+        """Kills the process. A disk write in progress may complete, unless `saves_lost`."""
         member = self.members[name]
         if member.raft is None:
             return
-        if member.job is not None and not saves_lost and self.rng.random() < 0.5:
-            member.job()
-        member.job = None
+        if member.disk_write is not None and not saves_lost and self.rng.random() < 0.5:
+            member.disk_write()
+        member.disk_write = None
         member.raft = None
         member.frozen = False
-        member.postponed.clear()
+        member.postponed_actions.clear()
         member.proposals.clear()
         member.reads.clear()
-        member.since_snapshot = 0
+        member.entries_since_snapshot = 0
 
     def freeze(self, name: str) -> None:
         self.members[name].frozen = self.members[name].raft is not None
 
     def thaw(self, name: str, reading: bool = False) -> None:
-        """The process goes on; `reading`: it is asked for a read before each thing that waited for it."""
+        """Resumes a frozen process; with `reading`, requests a read before each postponed action."""
         member = self.members[name]
         member.frozen = False
-        postponed, member.postponed = member.postponed, []
-        for action in postponed:
+        postponed_actions, member.postponed_actions = member.postponed_actions, []
+        for action in postponed_actions:
             if reading:
                 self.read(name)
             action()
@@ -109,7 +109,7 @@
         return member.clock_start + self.now * member.clock_rate
 
     def set_clock_rate(self, name: str, rate: float) -> None:
-        """From now on the member's clock runs at another rate; it does not jump."""
+        """Changes the rate of the member's clock, without a jump of its time."""
         member = self.members[name]
         member.clock_start += self.now * (member.clock_rate - rate)
         member.clock_rate = rate
@@ -126,12 +126,12 @@
         self.now = end
 
     def run_until(self, condition: Callable[[], bool], limit: float = 30.0) -> None:
-        """Runs until `condition` holds, which must come."""
+        """Runs until `condition` holds; fails if it does not within `limit` seconds."""
         if not self.run_while(lambda: not condition(), limit):
-            raise SafetyViolationError("what was waited for did not come")
+            raise SafetyViolationError(f"the condition did not hold within {limit} s")
 
     def run_while(self, condition: Callable[[], bool], limit: float) -> bool:
-        """Runs while `condition` holds; False if it still does at the limit."""
+        """Runs while `condition` holds; False if it still does after `limit` seconds."""
         end = self.now + limit
         while condition():
             if not self._events or self._events[0][0] > end:
@@ -142,14 +142,14 @@
         return True
 
     def _in_incarnation(self, member: Member, action: Callable[[Raft], None]) -> Callable[[], None]:
-        """The action, done if the process still lives then; when it is frozen, after that."""
+        """Binds an action to the member's current process: dropped if that ends, postponed while frozen."""
         incarnation = member.incarnation
 
-        def act() -> None:
+        def run_or_postpone() -> None:
             if member.raft is None or member.incarnation != incarnation:
                 return
             if member.frozen:
-                member.postponed.append(act)
+                member.postponed_actions.append(run_or_postpone)
                 return
             try:
                 action(member.raft)
@@ -157,21 +157,21 @@
                 raise SafetyViolationError(str(error)) from error
             self._pump(member)
 
-        return act
+        return run_or_postpone
 
-    # What a process does.
+    # Processes.
 
     def _pump(self, member: Member) -> None:
         raft = member.raft
         assert raft is not None
         self._compact_if_due(member, raft)
-        wanted = True
-        while wanted:
-            ready = raft.take_ready(self._clock(member), can_save=member.job is None)
-            self._do(member, raft, ready)
-            wanted = ready.snapshot_wanted
-            if wanted:
-                raft.offer_snapshot(raft.make_snapshot(_encoded(member)))
+        snapshot_wanted = True
+        while snapshot_wanted:
+            ready = raft.take_ready(self._clock(member), can_save=member.disk_write is None)
+            self._handle_ready(member, raft, ready)
+            snapshot_wanted = ready.snapshot_wanted
+            if snapshot_wanted:
+                raft.offer_snapshot(raft.make_snapshot(_encode_state(member)))
         self._check_leader(member, raft)
         self._arm_timer(member, raft)
 
@@ -191,7 +191,7 @@
 
         self._at(time, self._in_incarnation(member, tick))
 
-    def _do(self, member: Member, raft: Raft, ready: Ready) -> None:
+    def _handle_ready(self, member: Member, raft: Raft, ready: Ready) -> None:
         for message in ready.messages_before_sync:
             self._send(message)
         for entry in ready.committed:
@@ -202,20 +202,22 @@
         if ready.save is not None:
             self._begin_save(member, ready.save)
 
-    def _decoded(self, member: Member, snapshot: Snapshot) -> list[list[object]]:
+    def _decode_state(self, member: Member, snapshot: Snapshot) -> list[list[object]]:
         try:
             applied: list[list[object]] = json.loads(snapshot.data)["applied"]
         except ValueError as error:
-            raise SafetyViolationError(f"{member.name} got a snapshot that is none: {error}") from error
+            raise SafetyViolationError(f"{member.name} received an invalid snapshot: {error}") from error
         return applied
 
-    def _begin_job(self, member: Member, work: Callable[[], None], done: Callable[[Raft], None]) -> None:
-        member.job = work
+    def _begin_disk_write(
+        self, member: Member, write: Callable[[], None], on_done: Callable[[Raft], None]
+    ) -> None:
+        member.disk_write = write
 
         def finish(raft: Raft) -> None:
-            work()
-            member.job = None
-            done(raft)
+            write()
+            member.disk_write = None
+            on_done(raft)
 
         sync_s = self.rng.uniform(*self.weather.sync_s) if member.sync_s is None else member.sync_s
         self._at(self.now + sync_s, self._in_incarnation(member, finish))
@@ -230,45 +232,51 @@
             else:
                 member.disk.save(save.hard_state, save.truncate_from, save.entries)
 
-        def done(raft: Raft) -> None:
+        def on_done(raft: Raft) -> None:
             if save.snapshot is not None:
-                member.applied = self._decoded(member, save.snapshot)
+                member.applied = self._decode_state(member, save.snapshot)
                 self._check_restored(member, save.snapshot)
-                if save.snapshot.index < member.applied_to:
-                    raise SafetyViolationError(f"{member.name} went back from {member.applied_to}")
-                member.applied_to = save.snapshot.index
-                member.since_snapshot = 0
+                if save.snapshot.index < member.applied_index:
+                    raise SafetyViolationError(
+                        f"{member.name} went back from entry {member.applied_index} to an older snapshot"
+                    )
+                member.applied_index = save.snapshot.index
+                member.entries_since_snapshot = 0
             raft.persisted(self._clock(member), save)
             for message in save.messages_after_sync:
                 self._send(message)
 
-        self._begin_job(member, write, done)
+        self._begin_disk_write(member, write, on_done)
 
     def _compact_if_due(self, member: Member, raft: Raft) -> None:
-        if member.since_snapshot < SNAPSHOT_AFTER or member.job is not None or raft.is_installing_snapshot:
+        if (
+            member.entries_since_snapshot < SNAPSHOT_INTERVAL_ENTRIES
+            or member.disk_write is not None
+            or raft.is_installing_snapshot
+        ):
             return
-        member.since_snapshot = 0
-        snapshot = raft.make_snapshot(_encoded(member))
+        member.entries_since_snapshot = 0
+        snapshot = raft.make_snapshot(_encode_state(member))
 
         def write() -> None:
             member.disk.save_snapshot(snapshot.index, snapshot.term, snapshot.membership, snapshot.data)
 
-        self._begin_job(member, write, lambda raft: raft.compact(snapshot))
+        self._begin_disk_write(member, write, lambda raft: raft.compact(snapshot))
 
     def _apply(self, member: Member, entry: Entry) -> None:
-        known = self.history.setdefault(entry.index, (entry.term, bytes(entry.data)))
-        if known != (entry.term, bytes(entry.data)):
-            raise SafetyViolationError(f"{member.name} applied {entry}, others {known}")
-        if entry.index != member.applied_to + 1:
-            raise SafetyViolationError(f"{member.name} applied {entry.index} after {member.applied_to}")
-        member.applied_to = entry.index
-        member.since_snapshot += 1
+        expected = self.history.setdefault(entry.index, (entry.term, bytes(entry.data)))
+        if expected != (entry.term, bytes(entry.data)):
+            raise SafetyViolationError(f"{member.name} applied {entry}, other members {expected}")
+        if entry.index != member.applied_index + 1:
+            raise SafetyViolationError(f"{member.name} applied {entry.index} after {member.applied_index}")
+        member.applied_index = entry.index
+        member.entries_since_snapshot += 1
         if entry.kind == ENTRY_COMMAND:
             text = json.loads(bytes(entry.data))
             member.applied.append([entry.index, entry.term, text])
             if member.proposals.pop((entry.index, entry.term), None) is not None:
                 self.acknowledged[text] = entry.index
-                self.seen_index = max(self.seen_index, entry.index)
+                self.required_index = max(self.required_index, entry.index)
 
     # The network.
 
@@ -288,7 +296,7 @@
         self._at(self.now + delay, lambda: self._deliver(message))
 
     def deliver_again(self, message: ConsensusMessage) -> None:
-        """A message that came before comes once more."""
+        """Delivers a duplicate of a message that was sent before."""
         self._deliver_later(message)
 
     def _deliver(self, message: ConsensusMessage) -> None:
@@ -297,35 +305,37 @@
             self._in_incarnation(member, lambda raft: raft.step(self._clock(member), message))()
 
     def _at_address(self, target: str) -> Member | None:
-        """Who has the address of a member that is gone: it gets what is meant for that one."""
+        """The member at the address of `target`, which receives the messages to a replaced member."""
         address = target.partition("#")[0]
-        return next((each for each in self.members.values() if each.name.partition("#")[0] == address), None)
+        return next(
+            (member for member in self.members.values() if member.name.partition("#")[0] == address), None
+        )
 
     def stand(self, name: str) -> None:
-        """The member stands for election now, as if the others had wished it."""
+        """Makes the member start an election now, as if it had won a pre-vote."""
         member = self.members[name]
         assert member.raft is not None
-        # No message makes a member stand without a poll, but for a transfer, which voters treat otherwise.
-        member.raft._election._campaign(self._clock(member))  # noqa: SLF001 - the line above
+        # Only `TimeoutNow` starts an election without a pre-vote, but voters treat that election differently.
+        member.raft._election._campaign(self._clock(member))  # noqa: SLF001 - see the comment above
         self._pump(member)
 
-    def has_leader(self) -> bool:
-        """Whether some member leads and may answer."""
+    def has_leader_with_lease(self) -> bool:
+        """Whether a member leads and has a lease, so that it may answer reads."""
         return any(
             member.raft is not None and member.raft.has_lease(self._clock(member))
             for member in self.members.values()
         )
 
     def disconnect(self, name: str, other: str) -> None:
-        """No message passes between the two."""
+        """Drops all messages between two members from now on."""
         self.cut_links |= {(name, other), (other, name)}
 
     def isolate(self, name: str) -> None:
-        """No message reaches or leaves the member."""
+        """Drops all messages to and from the member from now on."""
         for other in self.members:
             self.disconnect(name, other)
 
-    # What must hold.
+    # Invariants.
 
     def _check_leader(self, member: Member, raft: Raft) -> None:
         if raft.is_leader and self.leaders.setdefault(raft.term, member.name) != member.name:
@@ -333,13 +343,15 @@
                 f"{member.name} and {self.leaders[raft.term]} lead in term {raft.term}"
             )
         if raft.is_leader and raft.is_installing_snapshot:
-            raise SafetyViolationError(f"{member.name} leads while it takes over a snapshot")
+            raise SafetyViolationError(f"{member.name} leads while it installs a snapshot")
 
-    def _check_read(self, raft: Raft, index: int, least: int) -> None:
-        if index < least:
-            raise SafetyViolationError(f"{raft.member} reads at {index} what was {least} before")
-        self.seen_index = max(self.seen_index, index)
-        self.reads_done += 1
+    def _check_read(self, raft: Raft, index: int, required_index: int) -> None:
+        if index < required_index:
+            raise SafetyViolationError(
+                f"{raft.member} reads at index {index}, but {required_index} is required"
+            )
+        self.required_index = max(self.required_index, index)
+        self.completed_reads += 1
 
     def _check_restored(self, member: Member, snapshot: Snapshot) -> None:
         expected = [
@@ -348,13 +360,13 @@
             if index <= snapshot.index and isinstance(json.loads(data), str)
         ]
         if member.applied != expected:
-            raise SafetyViolationError(f"{member.name} restored what the others never were")
+            raise SafetyViolationError(f"{member.name} restored a state that contradicts the history")
 
     def check_converges(self) -> None:
-        """With all machines and links well, the group takes commands and all members agree."""
+        """Removes all faults, then checks that the group accepts commands and all members agree."""
         self.weather = Weather()
         self.cut_links.clear()
-        self.drops = drops_nothing
+        self.drops = drop_nothing
         for name, member in self.members.items():
             self.start(name)
             member.sync_s = None
@@ -370,15 +382,15 @@
         membership = self.leader_raft().membership
         texts = {entry[2] for entry in leader.applied}
         if not texts >= self.acknowledged.keys():
-            raise SafetyViolationError(f"lost: {self.acknowledged.keys() - texts}")
+            raise SafetyViolationError(f"lost commands: {self.acknowledged.keys() - texts}")
         for name in (*membership.voters, *membership.learners):
             if name in self.members and self.members[name].applied != leader.applied:
-                raise SafetyViolationError(f"{name} and {leader.name} differ")
+                raise SafetyViolationError(f"{name} and {leader.name} have different commands")
 
-    # What clients do.
+    # Clients.
 
     def leader(self) -> str | None:
-        """The member that leads in the highest term."""
+        """The member that leads in the highest term, if any."""
         leading = [member for member in self.members.values() if member.raft and member.raft.is_leader]
         return (
             max(leading, key=lambda member: member.raft.term if member.raft else 0).name if leading else None
@@ -390,7 +402,7 @@
         return raft
 
     def propose(self, text: str, name: str | None = None) -> bool:
-        """Proposes a command at a member, or at the leader; False if that was refused."""
+        """Proposes a command at a member, by default the leader; False if it was rejected."""
         member = self.members.get(name or self.leader() or "")
         if member is None or member.raft is None or member.frozen:
             return False
@@ -403,7 +415,7 @@
         return True
 
     def read(self, name: str | None = None) -> bool:
-        """Reads at a member, or at the leader; False if that was refused."""
+        """Requests a read at a member, by default the leader; False if it was rejected."""
         member = self.members.get(name or self.leader() or "")
         if member is None or member.raft is None or member.frozen:
             return False
@@ -412,14 +424,14 @@
         except NotLeaderError:
             return False
         if ticket.index is not None:
-            self._check_read(member.raft, ticket.index, self.seen_index)
+            self._check_read(member.raft, ticket.index, self.required_index)
         else:
-            member.reads[member.raft.term, ticket.number] = self.seen_index
+            member.reads[member.raft.term, ticket.number] = self.required_index
         self._pump(member)
         return True
 
     def change(self, membership: Membership, name: str | None = None) -> bool:
-        """Proposes a membership at a member, or at the leader; False if that was refused."""
+        """Proposes a membership at a member, by default the leader; False if it was rejected."""
         member = self.members.get(name or self.leader() or "")
         if member is None or member.raft is None or member.frozen:
             return False
@@ -430,22 +442,22 @@
         self._pump(member)
         return True
 
-    def replace_step(self, old: str, new: str) -> bool:
-        """The next change on the way from `old` to `new`; True when there is none left."""
+    def advance_replacement(self, old: str, new: str) -> bool:
+        """Proposes the next membership change to replace `old` by `new`; True once all are done."""
         name = self.leader()
         if name is None:
             return False
         raft = self.leader_raft()
-        now = raft.membership
-        if new not in (*now.voters, *now.learners):
-            self.change(Membership(voters=now.voters, learners=(*now.learners, new)))
-        elif new in now.learners:
+        current = raft.membership
+        if new not in (*current.voters, *current.learners):
+            self.change(Membership(voters=current.voters, learners=(*current.learners, new)))
+        elif new in current.learners:
             if raft.match(new) >= raft.commit_index - 5:
-                learners = tuple(learner for learner in now.learners if learner != new)
-                self.change(Membership(voters=(*now.voters, new), learners=learners))
-        elif old in now.voters:
-            voters = tuple(voter for voter in now.voters if voter != old)
-            self.change(Membership(voters=voters, learners=now.learners))
+                learners = tuple(learner for learner in current.learners if learner != new)
+                self.change(Membership(voters=(*current.voters, new), learners=learners))
+        elif old in current.voters:
+            voters = tuple(voter for voter in current.voters if voter != old)
+            self.change(Membership(voters=voters, learners=current.learners))
         else:
             return raft.commit_index >= raft.applied_index and raft.is_ready_leader
         return False
--- a/tests/consensus/test_leases.py
+++ b/tests/consensus/test_leases.py
@@ -143,7 +143,7 @@
 
 def test_leases_across_changes_of_members() -> None:
     played = [play_changes(seed) for seed in range(10)]
-    assert sum(simulation.reads_done for simulation in played) > 100
+    assert sum(simulation.completed_reads for simulation in played) > 100
     assert any(len(simulation.leader_raft().membership.voters) != 3 for simulation in played)
 
 
--- a/tests/consensus/test_raft.py
+++ b/tests/consensus/test_raft.py
@@ -22,7 +22,7 @@
 
     @rule(duration=st.sampled_from((0.01, 0.1, 0.5, 2.0)))
     def run(self, duration: float) -> None:
-        if self.joining is not None and self.simulation.replace_step(*self.joining):
+        if self.joining is not None and self.simulation.advance_replacement(*self.joining):
             self.joining = None
         self.simulation.run(duration)
 
@@ -101,7 +101,7 @@
         simulation = self.simulation
         simulation.check_converges()
         for _ in range(200):
-            if self.joining is None or simulation.replace_step(*self.joining):
+            if self.joining is None or simulation.advance_replacement(*self.joining):
                 break
             simulation.run(0.2)
         else:
--- a/tests/consensus/test_schedules.py
+++ b/tests/consensus/test_schedules.py
@@ -12,7 +12,7 @@
 def test_schedules(voters: int) -> None:
     played = [play(seed, voters, STEPS) for seed in range(10)]
     assert all(simulation.acknowledged for simulation in played)
-    assert sum(simulation.reads_done for simulation in played) > 0
+    assert sum(simulation.completed_reads for simulation in played) > 0
 
 
 def test_lost_disks_are_replaced_under_load() -> None:
@@ -40,7 +40,7 @@
 
 def _replace(simulation: Simulation, old: str, new: str) -> None:
     for step in range(400):
-        if simulation.replace_step(old, new):
+        if simulation.advance_replacement(old, new):
             return
         simulation.propose(f"while {new} joins {step}")
         simulation.run(0.05)
