--- a/tests/consensus/raft_breakages.py
+++ b/tests/consensus/raft_breakages.py
@@ -1,4 +1,4 @@
-"""Cores that break one rule each: the checks of the simulation must catch every one of them."""
+"""Variants of the Raft core that each break one rule; the simulation's checks must detect all of them."""
 
 import dataclasses
 from random import Random
@@ -26,9 +26,9 @@
 
 
 class _SendsEarly(Raft):
-    """Sends some messages before the disk has what they claim."""
+    """Sends messages of one type before the state that they acknowledge is on disk."""
 
-    early: type[ConsensusMessage]
+    early_type: type[ConsensusMessage]
     _real_save: Save | None = None
 
     def take_ready(self, now: float, can_save: bool = True) -> Ready:
@@ -36,12 +36,12 @@
         if ready.save is None:
             return ready
         self._real_save = ready.save
-        waiting = ready.save.messages_after_sync
-        early = [message for message in waiting if isinstance(message, self.early)]
-        late = [message for message in waiting if not isinstance(message, self.early)]
+        after_sync = ready.save.messages_after_sync
+        early = [message for message in after_sync if isinstance(message, self.early_type)]
+        late = [message for message in after_sync if not isinstance(message, self.early_type)]
         save = dataclasses.replace(ready.save, messages_after_sync=late)
-        at_once = [*ready.messages_before_sync, *early]
-        return dataclasses.replace(ready, messages_before_sync=at_once, save=save)
+        before_sync = [*ready.messages_before_sync, *early]
+        return dataclasses.replace(ready, messages_before_sync=before_sync, save=save)
 
     def persisted(self, now: float, _save: Save) -> None:
         assert self._real_save is not None
@@ -54,7 +54,7 @@
 
 
 class IgnoresDepartures(Raft):
-    """Leads as if no voter had said its departure."""
+    """As leader, ignores the departures that voters announce."""
 
     def _begin_leading(self, now: float) -> LeaderRole:
         return _IgnoresDepartures(self._state, now)
@@ -66,22 +66,22 @@
 
 
 class AcceptsLateDepartures(Raft):
-    """Takes a departure of an earlier life of the member for one of the life that runs now."""
+    """As leader, takes a departure notice of an earlier incarnation of a member for one of the current."""
 
     def _begin_leading(self, now: float) -> LeaderRole:
         return _AcceptsLateDepartures(self._state, now)
 
 
 class VoteBeforeSync(_SendsEarly):
-    """Tells its vote before it is on disk."""
+    """Sends its vote before it is on disk."""
 
-    early = VoteReply
+    early_type = VoteReply
 
 
-class AnswerBeforeSync(_SendsEarly):
-    """Claims entries before they are on disk."""
+class ReplyBeforeSync(_SendsEarly):
+    """Acknowledges entries before they are on disk."""
 
-    early = AppendReply
+    early_type = AppendReply
 
 
 class _CountsUnpersisted(LeaderRole):
@@ -111,39 +111,39 @@
 
 
 class ReadsWithoutLease(Raft):
-    """Takes itself for the leader as long as nobody tells it otherwise."""
+    """Answers reads as leader without a lease, until it learns of a later term."""
 
     def has_lease(self, _now: float) -> bool:
         return self.is_leader
 
 
-class _CountsEarlierCommits(LeaderRole):
+class _ReadsBeforeOwnEntry(LeaderRole):
     @property
     def has_committed(self) -> bool:
         return True
 
 
 class ReadsBeforeOwnEntry(Raft):
-    """Reads before an entry of its own term is committed, when it does not know yet what is."""
+    """Answers reads before an entry of its own term is committed, when its commit index may be stale."""
 
     @property
     def is_ready_leader(self) -> bool:
         return self.is_leader
 
     def _begin_leading(self, now: float) -> LeaderRole:
-        return _CountsEarlierCommits(self._state, now)
+        return _ReadsBeforeOwnEntry(self._state, now)
 
 
-class VotesAgainAtOnce(Raft):
-    """Votes at once after a start, though a leader may still count on its silence."""
+class VotesRightAfterRestart(Raft):
+    """Votes immediately after a restart, though a leader's lease may still depend on its withheld vote."""
 
     def __init__(self, config: RaftConfig, rng: Random, persisted: PersistentState, now: float) -> None:
         super().__init__(config, rng, persisted, now)
         self._state.votes_withheld_until = 0.0
 
 
-class VotesWhileLed(Raft):
-    """Votes for others though it heard the leader just now."""
+class VotesDuringLease(Raft):
+    """Votes for other candidates shortly after a message of the leader."""
 
     def step(self, now: float, message: ConsensusMessage) -> None:
         if isinstance(message, VoteRequest):
@@ -152,7 +152,7 @@
 
 
 class ChecksLeaseBeforeFreeze(Raft):
-    """Goes by the time at which it last did something, as if nothing could come between check and answer."""
+    """Checks its lease with the time of the last received message, as if it could not freeze since then."""
 
     _checked_at = 0.0
 
@@ -165,23 +165,23 @@
 
 
 class _RoundsByArrival(HeartbeatRounds):
-    def count_from(self, member: str, now: float) -> None:
+    def record_arrival(self, member: str, now: float) -> None:
         self._answered_sent_at[member] = now
 
 
-class _CountsFromArrival(LeaderRole):
+class _CountsLeaseFromArrival(LeaderRole):
     def on_reply(self, now: float, reply: AppendReply | SnapshotReply) -> None:
         super().on_reply(now, reply)
         self._rounds.__class__ = _RoundsByArrival
         assert isinstance(self._rounds, _RoundsByArrival)
-        self._rounds.count_from(reply.sender, now)
+        self._rounds.record_arrival(reply.sender, now)
 
 
-class CountsFromArrival(Raft):
-    """Counts its lease from when an answer came, not from when it asked."""
+class CountsLeaseFromArrival(Raft):
+    """Counts its lease from the arrival of a reply instead of the sending of the heartbeat."""
 
     def _begin_leading(self, now: float) -> LeaderRole:
-        return _CountsFromArrival(self._state, now)
+        return _CountsLeaseFromArrival(self._state, now)
 
 
 class _RoundsConfirmEarlier(HeartbeatRounds):
@@ -197,40 +197,40 @@
 
 
 class ReadsByEarlierRound(Raft):
-    """Confirms a read by the answers to what it sent before the read."""
+    """Confirms a read by the replies to a heartbeat round that started before the read."""
 
     def _begin_leading(self, now: float) -> LeaderRole:
         return _ReadsByEarlierRound(self._state, now)
 
 
-class LeaseOutlastsHoldback(Raft):
-    """Takes its lease to last for longer than voters hold their votes back."""
+class LeaseOutlastsWithheldVotes(Raft):
+    """Counts on a lease that lasts longer than voters withhold their votes."""
 
     def has_lease(self, now: float) -> bool:
         return super().has_lease(now - self._state.timing.election_min_s)
 
 
-class KeepsItsName(Raft):
-    """Comes back with an empty disk under the name that it had, and votes."""
+class KeepsNameAfterDiskLoss(Raft):
+    """Returns with an empty disk under its old name, and votes."""
 
     def __init__(self, config: RaftConfig, rng: Random, persisted: PersistentState, now: float) -> None:
         old_name = dataclasses.replace(config, member=config.member.partition("#")[0])
         super().__init__(old_name, rng, persisted, now)
 
 
-class _StepsDownAtOnce(LeaderRole):
+class _StepsDownForLaterTerm(LeaderRole):
     def yield_to_later_term(self, _now: float) -> bool:
         return False
 
 
-class StepsDownAtOnce(Raft):
-    """Gives up a leadership that a majority follows because of one member in a later term."""
+class StepsDownForLaterTerm(Raft):
+    """Steps down because of one member in a later term, although a majority follows this leader."""
 
     def _begin_leading(self, now: float) -> LeaderRole:
-        return _StepsDownAtOnce(self._state, now)
+        return _StepsDownForLaterTerm(self._state, now)
 
 
-class _TakesOlderSnapshots(FollowerRole):
+class _InstallsOlderSnapshot(FollowerRole):
     def _take_chunk(self, chunk: SnapshotChunk) -> int:
         received = self._assembly.add(chunk)
         if received < chunk.total:
@@ -241,15 +241,15 @@
         return chunk.total
 
 
-class SnapshotOverNewer(Raft):
-    """Takes a snapshot in place of a state that is newer."""
+class InstallsOlderSnapshot(Raft):
+    """Installs a snapshot over newer state."""
 
     def __init__(self, config: RaftConfig, rng: Random, persisted: PersistentState, now: float) -> None:
         super().__init__(config, rng, persisted, now)
-        self._follower_role = _TakesOlderSnapshots(self._state)
+        self._follower_role = _InstallsOlderSnapshot(self._state)
 
 
-class _MixesChunks(SnapshotAssembly):
+class _AssemblyThatMixesChunks(SnapshotAssembly):
     def add(self, chunk: SnapshotChunk) -> int:
         return super().add(msgspec.structs.replace(chunk, total=0, checksum=0))
 
@@ -259,60 +259,60 @@
         return Snapshot(chunk.last_index, chunk.last_term, chunk.membership, data)
 
 
-class _MixesSnapshots(FollowerRole):
+class _FollowerThatMixesChunks(FollowerRole):
     def __init__(self, state: MemberState) -> None:
         super().__init__(state)
-        self._assembly = _MixesChunks()
+        self._assembly = _AssemblyThatMixesChunks()
 
 
-class ChunksOfTwoSnapshots(Raft):
-    """Goes by index and term alone as it puts the chunks of a snapshot together."""
+class MixesChunksOfSnapshots(Raft):
+    """Identifies the chunks of a snapshot only by index and term."""
 
     def __init__(self, config: RaftConfig, rng: Random, persisted: PersistentState, now: float) -> None:
         super().__init__(config, rng, persisted, now)
-        self._follower_role = _MixesSnapshots(self._state)
+        self._follower_role = _FollowerThatMixesChunks(self._state)
 
 
-class _IgnoresGaps(SnapshotAssembly):
+class _AssemblyThatIgnoresGaps(SnapshotAssembly):
     def add(self, chunk: SnapshotChunk) -> int:
-        following = msgspec.structs.replace(chunk, offset=len(self._data) if chunk.offset else 0)
-        return super().add(following)
+        moved = msgspec.structs.replace(chunk, offset=len(self._data) if chunk.offset else 0)
+        return super().add(moved)
 
 
-class _IgnoresLostChunks(FollowerRole):
+class _FollowerThatIgnoresGaps(FollowerRole):
     def __init__(self, state: MemberState) -> None:
         super().__init__(state)
-        self._assembly = _IgnoresGaps()
+        self._assembly = _AssemblyThatIgnoresGaps()
 
 
-class ChunksWithGaps(Raft):
-    """Appends each chunk of a snapshot to those before, whether or not one between them was lost."""
+class IgnoresChunkGaps(Raft):
+    """Appends each chunk of a snapshot to the previous ones, even if a chunk between them was lost."""
 
     def __init__(self, config: RaftConfig, rng: Random, persisted: PersistentState, now: float) -> None:
         super().__init__(config, rng, persisted, now)
-        self._follower_role = _IgnoresLostChunks(self._state)
+        self._follower_role = _FollowerThatIgnoresGaps(self._state)
 
 
-class _NeverGoesBack(Replication):
+class _ReplicationWithoutRetransmission(Replication):
     def retransmit_overdue(self, now: float, timeout_s: float) -> None:
         pass
 
 
-class _GoesOnBehindLosses(LeaderRole):
+class _NeverRetransmitsChunks(LeaderRole):
     def __init__(self, state: MemberState, now: float) -> None:
         super().__init__(state, now)
-        self._replication.__class__ = _NeverGoesBack
+        self._replication.__class__ = _ReplicationWithoutRetransmission
 
 
-class GoesOnBehindLosses(Raft):
-    """Takes each chunk of a snapshot that was sent to a member that runs for one that will arrive."""
+class NeverRetransmitsChunks(Raft):
+    """Never retransmits a chunk of a snapshot to a responsive member."""
 
     def _begin_leading(self, now: float) -> LeaderRole:
-        return _GoesOnBehindLosses(self._state, now)
+        return _NeverRetransmitsChunks(self._state, now)
 
 
-class CompactedIsSaved(Raft):
-    """Takes all entries for saved once a snapshot of some of them is on disk."""
+class CountsCompactedAsPersisted(Raft):
+    """Counts the complete log as persisted once a snapshot of some of its entries is on disk."""
 
     def compact(self, snapshot: Snapshot) -> None:
         super().compact(snapshot)
@@ -321,22 +321,22 @@
 
 BREAKAGES: tuple[type[Raft], ...] = (
     VoteBeforeSync,
-    AnswerBeforeSync,
+    ReplyBeforeSync,
     CountsOwnUnpersisted,
     CommitsOldTerm,
     ReadsWithoutLease,
     ReadsBeforeOwnEntry,
-    VotesAgainAtOnce,
-    VotesWhileLed,
+    VotesRightAfterRestart,
+    VotesDuringLease,
     ChecksLeaseBeforeFreeze,
-    CountsFromArrival,
+    CountsLeaseFromArrival,
     ReadsByEarlierRound,
-    LeaseOutlastsHoldback,
-    KeepsItsName,
-    StepsDownAtOnce,
-    SnapshotOverNewer,
-    ChunksOfTwoSnapshots,
-    ChunksWithGaps,
-    GoesOnBehindLosses,
-    CompactedIsSaved,
+    LeaseOutlastsWithheldVotes,
+    KeepsNameAfterDiskLoss,
+    StepsDownForLaterTerm,
+    InstallsOlderSnapshot,
+    MixesChunksOfSnapshots,
+    IgnoresChunkGaps,
+    NeverRetransmitsChunks,
+    CountsCompactedAsPersisted,
 )
--- a/tests/consensus/raft_internals.py
+++ b/tests/consensus/raft_internals.py
@@ -1,6 +1,6 @@
-"""The tests' one view of what a group and its core keep private: how much memory the log takes, and the like.
+"""Access of the tests to private state of a group and its Raft core, such as the log in memory.
 
-The program has no use for these, so they are no part of its interface.
+The program itself does not need this state, so it is not part of the public interface.
 """
 
 from pewterring.consensus.group import ReplicatedGroup
@@ -9,13 +9,13 @@
 
 
 def raft_of(group: ReplicatedGroup) -> Raft:
-    """The core of a group that runs."""
-    raft = group._driver.raft  # noqa: SLF001 - see the module
+    """Returns the Raft core of a running group."""
+    raft = group._driver.raft  # noqa: SLF001 - see the module docstring
     assert raft is not None
     return raft
 
 
 def log_of(member: ReplicatedGroup | Raft) -> Log:
-    """The log in the memory of a group that runs, or of a core."""
+    """Returns the in-memory log of a running group or of a Raft core."""
     raft = member if isinstance(member, Raft) else raft_of(member)
-    return raft._state.log  # noqa: SLF001 - see the module
+    return raft._state.log  # noqa: SLF001 - see the module docstring
--- a/tests/consensus/scenarios.py
+++ b/tests/consensus/scenarios.py
@@ -1,19 +1,19 @@
-"""Courses of events in which one broken rule does harm."""
+"""Sequences of faults, each of which violates an invariant if one rule of the protocol is broken."""
 
 from pewterring.consensus.messages import AppendRequest, ConsensusMessage, SnapshotChunk
 from pewterring.consensus.raft import Raft
 from tests.consensus.simulated_members import SafetyViolationError, Weather, drop_nothing
 from tests.consensus.simulation import Simulation
 
-NEVER_S = 1000.0
+STALLED_SYNC_S = 1000.0  # a disk sync that does not complete within the scenario
 ISOLATED_S = 20.0
-COMPLETE_S = 5.0  # for a snapshot of which one chunk is lost
-SNAPSHOT_CHUNKS = 8  # at least, of those that members need here
-AT_ONCE_S = 0.15  # far below the shortest election time-out
+SNAPSHOT_TIMEOUT_S = 5.0  # for the transfer of a snapshot of which one chunk is lost
+SNAPSHOT_CHUNKS = 8  # least number of chunks of the snapshots in these scenarios
+MAX_LEADERLESS_S = 0.15  # far below the shortest election timeout
 
 
 def _with_leader(seed: int, voters: int, raft_class: type[Raft]) -> tuple[Simulation, str, list[str]]:
-    """A group with a leader that has committed; the leader, and the others."""
+    """Starts a group and waits for a leader; returns the group, the leader and the other members."""
     simulation = Simulation(seed, voters, raft_class)
     simulation.run_until(lambda: simulation.leader() is not None and simulation.leader_raft().is_ready_leader)
     simulation.run(1.0)
@@ -22,46 +22,46 @@
     return simulation, leader, [name for name in simulation.members if name != leader]
 
 
-def _converges(simulation: Simulation) -> None:
-    """All that are up agree after a while."""
+def _check_converges_later(simulation: Simulation) -> None:
+    """Checks that the members agree, after the members that are up ran for 5 s."""
     simulation.run(5.0)
     simulation.check_converges()
 
 
-def _comes_back(simulation: Simulation, member: str) -> None:
-    """All cuts end, and a member that lost power starts again, its disk as fast as before."""
+def _restart_and_check(simulation: Simulation, member: str) -> None:
+    """Ends all partitions and starts a member whose disk is normal again; checks that the group converges."""
     simulation.members[member].sync_s = None
     simulation.cut_links.clear()
     simulation.start(member)
-    _converges(simulation)
+    _check_converges_later(simulation)
 
 
 def _lose_power(simulation: Simulation, member: str, other: str) -> None:
-    """A member loses power and what its disk has not saved; another dies with it, and keeps its disk."""
+    """Crashes two members; `member` loses its unsynced writes, `other` may keep its own."""
     simulation.crash(member, saves_lost=True)
     simulation.crash(other)
 
 
 def _propose_unsaved(simulation: Simulation, member: str, isolated: str) -> None:
-    """An entry is committed by two of three while the disk of `member` stands still."""
+    """Proposes a command to a leader with one reachable follower while the disk of `member` is stalled."""
     simulation.isolate(isolated)
-    simulation.members[member].sync_s = NEVER_S
+    simulation.members[member].sync_s = STALLED_SYNC_S
     simulation.propose("x")
     simulation.run(0.3)
 
 
 def _propose_many(simulation: Simulation, prefix: str) -> None:
-    """More entries than are kept behind a snapshot."""
+    """Proposes more entries than the log retains after a snapshot."""
     for number in range(60):
         simulation.propose(f"{prefix}{number} {'x' * 30}")
         simulation.run(0.05)
 
 
 def vote_lost_with_power(seed: int, raft_class: type[Raft]) -> None:
-    """A voter loses power before its first vote is on disk, and is asked by another candidate."""
+    """A voter loses power before its vote is on disk, and then receives another candidate's vote request."""
     simulation = Simulation(seed, 3, raft_class)
     simulation.disconnect("a", "c")
-    simulation.members["b"].sync_s = NEVER_S
+    simulation.members["b"].sync_s = STALLED_SYNC_S
     simulation.run_while(lambda: simulation.leader() is None, 5.0)
     first = simulation.leader() or "a"
     simulation.crash("b", saves_lost=True)
@@ -69,29 +69,29 @@
     simulation.cut_links.clear()
     simulation.isolate(first)
     simulation.start("b")
-    _converges(simulation)
+    _check_converges_later(simulation)
 
 
 def follower_loses_entry(seed: int, raft_class: type[Raft]) -> None:
-    """The follower whose answer made the majority loses power before its disk has the entry."""
+    """The follower that completes the majority loses power before the entry is on its disk."""
     simulation, leader, (slow, isolated) = _with_leader(seed, 3, raft_class)
     _propose_unsaved(simulation, slow, isolated)
     _lose_power(simulation, slow, leader)
-    _comes_back(simulation, slow)
+    _restart_and_check(simulation, slow)
 
 
 def leader_loses_entry(seed: int, raft_class: type[Raft]) -> None:
-    """The leader loses power before its disk has an entry that one follower of two has."""
+    """The leader loses power before an entry is on its disk; one of its two followers has it on disk."""
     simulation, leader, (follower, isolated) = _with_leader(seed, 3, raft_class)
     _propose_unsaved(simulation, leader, isolated)
     _lose_power(simulation, leader, follower)
-    _comes_back(simulation, leader)
+    _restart_and_check(simulation, leader)
 
 
 def old_entry_overwritten(seed: int, raft_class: type[Raft]) -> None:
-    """A majority gets an old term's entry from a new leader, and a member with a later term's wins then.
+    """A new leader replicates an entry of an old term to a majority; then a member with a newer entry leads.
 
-    This is figure 8 of the paper on Raft (Ongaro and Ousterhout, 2014).
+    See figure 8 of the Raft paper (Ongaro and Ousterhout, 2014).
     """
     simulation, first, (second, third, fourth, fifth) = _with_leader(seed, 5, raft_class)
     for name in (third, fourth, fifth):
@@ -119,7 +119,7 @@
     simulation.drops = drop_nothing
     simulation.start(later)
     simulation.start(fourth)
-    _converges(simulation)
+    _check_converges_later(simulation)
 
 
 def _has_entry_after(message: ConsensusMessage, index: int) -> bool:
@@ -127,7 +127,7 @@
 
 
 def rival_under_lease(seed: int, raft_class: type[Raft]) -> None:
-    """A member without a link to the leader stands for election, and its voter restarts under the lease."""
+    """A member without a link to the leader starts an election; its voter restarts during the lease."""
     simulation, leader, (voter, rival) = _with_leader(seed, 3, raft_class)
     simulation.disconnect(leader, rival)
     read_and_write(simulation, leader, 1.5)
@@ -139,14 +139,14 @@
     simulation.check_converges()
 
 
-def answers_wait_out_a_freeze(seed: int, raft_class: type[Raft]) -> None:
-    """The leader freezes while answers are on their way; they wait in its sockets until others have led."""
+def leader_frozen_with_replies_in_flight(seed: int, raft_class: type[Raft]) -> None:
+    """The leader freezes with replies in flight, and processes them only after another leader was elected."""
     simulation, leader, (other, _) = _with_leader(seed, 3, raft_class)
     simulation.weather = Weather(delay_s=(0.02, 0.03))
     simulation.run(1.0)
     simulation.freeze(leader)
     simulation.run_until(
-        lambda: simulation.members[other].raft is not None and _leads_anew(simulation, leader)
+        lambda: simulation.members[other].raft is not None and _has_new_leader(simulation, leader)
     )
     while f"after {leader}" not in simulation.acknowledged:
         simulation.propose(f"after {leader}")
@@ -155,12 +155,12 @@
     simulation.check_converges()
 
 
-def _leads_anew(simulation: Simulation, old: str) -> bool:
+def _has_new_leader(simulation: Simulation, old: str) -> bool:
     return simulation.leader() != old and simulation.leader_raft().is_ready_leader
 
 
 def wiped_voter_and_rival(seed: int, raft_class: type[Raft]) -> None:
-    """A voter loses its disk, and the one that was isolated all the while stands for election."""
+    """A voter loses its disk; a member that was isolated until then starts an election."""
     simulation, leader, (wiped, rival) = _with_leader(seed, 3, raft_class)
     simulation.isolate(rival)
     simulation.propose("x")
@@ -170,11 +170,11 @@
     simulation.join(f"{wiped}#2")
     simulation.crash(leader)
     simulation.cut_links.clear()
-    _converges(simulation)
+    _check_converges_later(simulation)
 
 
-def back_in_a_later_term(seed: int, raft_class: type[Raft]) -> None:
-    """A member stands for election at the moment it is isolated, and comes back behind the others."""
+def reconnects_in_a_later_term(seed: int, raft_class: type[Raft]) -> None:
+    """A member starts an election just as it is isolated, and reconnects with a later term but an old log."""
     simulation, leader, (absent, _) = _with_leader(seed, 3, raft_class)
     simulation.isolate(absent)
     simulation.stand(absent)
@@ -182,18 +182,18 @@
     simulation.run(ISOLATED_S)
     assert simulation.leader() == leader
     simulation.cut_links.clear()
-    without_s = 0.0
+    leaderless_s = 0.0
     step_s = 0.005
     for _ in range(200):
         simulation.run(step_s)
-        without_s += 0.0 if simulation.has_leader_with_lease() else step_s
-    if without_s > AT_ONCE_S:
-        raise SafetyViolationError(f"nobody led for {without_s:.2f} s because one member came back")
+        leaderless_s += 0.0 if simulation.has_leader_with_lease() else step_s
+    if leaderless_s > MAX_LEADERLESS_S:
+        raise SafetyViolationError(f"no leader for {leaderless_s:.2f} s after one member reconnected")
     simulation.check_converges()
 
 
 def read_and_write(simulation: Simulation, reader: str, duration: float) -> None:
-    """Reads at `reader`, and writes at another that leads after it."""
+    """Reads at `reader` again and again, and writes at the leader whenever another member leads."""
     end = simulation.now + duration
     while simulation.now < end:
         if simulation.leader() != reader:
@@ -203,7 +203,7 @@
 
 
 def _needs_snapshot(seed: int, raft_class: type[Raft]) -> tuple[Simulation, str, str, str]:
-    """A group in which one member that is down needs a snapshot; the leader, the other, and that member."""
+    """Returns a group with the leader, a follower, and a member that is down and needs a snapshot."""
     simulation, leader, (other, absent) = _with_leader(seed, 3, raft_class)
     simulation.crash(absent)
     _propose_many(simulation, "")
@@ -212,7 +212,7 @@
 
 
 def late_snapshot(seed: int, raft_class: type[Raft]) -> None:
-    """The chunks of a snapshot come once more after its member has gone on."""
+    """The chunks of an installed snapshot arrive again after their receiver applied newer entries."""
     simulation, _, _, absent = _needs_snapshot(seed, raft_class)
     chunks: list[SnapshotChunk] = []
     simulation.drops = lambda message: _record(message, chunks)
@@ -232,8 +232,8 @@
     return False
 
 
-def leader_lost_amid_snapshot(seed: int, raft_class: type[Raft]) -> None:
-    """The leader ends when a member has the first chunks of a snapshot; the next sends one of that index."""
+def leader_crashes_during_snapshot(seed: int, raft_class: type[Raft]) -> None:
+    """The leader crashes while it sends a snapshot; its successor sends another one of the same index."""
     simulation, leader, _, absent = _needs_snapshot(seed, raft_class)
     chunks: list[SnapshotChunk] = []
     simulation.drops = lambda message: isinstance(message, SnapshotChunk) and message.offset > 1000
@@ -248,8 +248,8 @@
     simulation.check_converges()
 
 
-def chunk_lost_amid_window(seed: int, raft_class: type[Raft]) -> None:
-    """One chunk of a snapshot is lost, while others are on the way behind it; each in its turn."""
+def chunk_lost_within_window(seed: int, raft_class: type[Raft]) -> None:
+    """One chunk of a snapshot is lost while later ones are in flight; repeated for each chunk."""
     for lost in range(SNAPSHOT_CHUNKS):
         simulation, _, _, absent = _needs_snapshot(seed, raft_class)
         chunks: list[SnapshotChunk] = []
@@ -258,8 +258,10 @@
         )
         simulation.start(absent)
         disk = simulation.members[absent].disk
-        if not simulation.run_while(lambda disk=disk: disk.snapshot_index == 0, COMPLETE_S):  # type: ignore[misc]
-            raise SafetyViolationError(f"{absent} has no snapshot {COMPLETE_S} s after one chunk was lost")
+        if not simulation.run_while(lambda disk=disk: disk.snapshot_index == 0, SNAPSHOT_TIMEOUT_S):  # type: ignore[misc]
+            raise SafetyViolationError(
+                f"no snapshot at {absent} within {SNAPSHOT_TIMEOUT_S} s of a lost chunk"
+            )
         simulation.check_converges()
 
 
@@ -268,9 +270,9 @@
 
 
 def power_lost_after_snapshot(seed: int, raft_class: type[Raft]) -> None:
-    """A member makes a snapshot while entries come, and loses power before those are on its disk.
+    """A member makes a snapshot while entries arrive, and loses power before those are on its disk.
 
-    It is one of the two that make the majority; the other goes with it, and keeps its disk.
+    Only this member and the leader make up the majority; the leader crashes too, but keeps its disk.
     """
     simulation, leader, (slow, isolated) = _with_leader(seed, 3, raft_class)
     simulation.isolate(isolated)
@@ -285,4 +287,4 @@
         simulation.propose(f"meanwhile {number}")
         simulation.run(0.06)
     _lose_power(simulation, slow, leader)
-    _comes_back(simulation, slow)
+    _restart_and_check(simulation, slow)
--- a/tests/consensus/schedules.py
+++ b/tests/consensus/schedules.py
@@ -1,4 +1,4 @@
-"""Random schedules of faults and calls, drawn from a seed."""
+"""Random schedules of faults and client calls, generated from a seed."""
 
 import random
 from collections.abc import Callable
@@ -8,7 +8,7 @@
 from tests.consensus.simulated_members import Weather
 from tests.consensus.simulation import Simulation
 
-PAUSES_S = (0.01, 0.05, 0.2, 0.7)  # between two steps
+STEP_INTERVALS_S = (0.01, 0.05, 0.2, 0.7)
 WEATHERS = (
     Weather(),
     Weather(lost=0.1, repeated=0.1, late=0.1),
@@ -17,22 +17,22 @@
 )
 
 
-def play(seed: int, voters: int, steps: int, raft_class: type[Raft] = Raft) -> Simulation:
-    """Plays a schedule and checks that the group comes to agree after it."""
+def run_schedule(seed: int, voters: int, steps: int, raft_class: type[Raft] = Raft) -> Simulation:
+    """Runs a schedule, then checks that the group converges."""
     rng = random.Random(f"schedule {seed}")
     simulation = Simulation(seed, voters, raft_class)
     for number in range(steps):
         name = rng.choice(list(simulation.members))
-        (act,) = rng.choices(tuple(STEP_WEIGHTS), tuple(STEP_WEIGHTS.values()))
-        act(Step(rng, simulation, number, name))
-        simulation.run(rng.choice(PAUSES_S))
+        (action,) = rng.choices(tuple(STEP_WEIGHTS), tuple(STEP_WEIGHTS.values()))
+        action(Step(rng, simulation, number, name))
+        simulation.run(rng.choice(STEP_INTERVALS_S))
     simulation.check_converges()
     return simulation
 
 
 @dataclass(frozen=True)
 class Step:
-    """One step of a schedule: a fault or calls, at the member `name` where it concerns one."""
+    """One step of a schedule: a fault, its end, or client calls; some steps concern the member `name`."""
 
     rng: random.Random
     simulation: Simulation
@@ -43,26 +43,26 @@
         return self.rng.choice((self.name, self.simulation.leader() or self.name))
 
     def propose(self) -> None:
-        for each in range(self.rng.choice((1, 1, 5, 20))):
-            self.simulation.propose(f"{self.number}.{each}", self.rng.choice((None, self.name)))
+        for command in range(self.rng.choice((1, 1, 5, 20))):
+            self.simulation.propose(f"{self.number}.{command}", self.rng.choice((None, self.name)))
 
     def read(self) -> None:
-        for reader in list(self.simulation.members):
-            self.simulation.read(reader)
+        for member in list(self.simulation.members):
+            self.simulation.read(member)
 
     def crash(self) -> None:
         self.simulation.crash(self._name_or_leader())
 
     def start(self) -> None:
-        for stopped in list(self.simulation.members):
-            self.simulation.start(stopped)
+        for member in list(self.simulation.members):
+            self.simulation.start(member)
 
     def freeze(self) -> None:
         self.simulation.freeze(self._name_or_leader())
 
     def thaw(self) -> None:
-        for frozen in list(self.simulation.members):
-            self.simulation.thaw(frozen)
+        for member in list(self.simulation.members):
+            self.simulation.thaw(member)
 
     def isolate(self) -> None:
         self.simulation.isolate(self._name_or_leader())
--- a/tests/consensus/test_schedules.py
+++ b/tests/consensus/test_schedules.py
@@ -1,22 +1,22 @@
-"""Seeded schedules of crashes, freezes, cuts, lost, late and repeated messages, and slow disks."""
+"""Seeded schedules of crashes, frozen processes, partitions, message faults and slow disks."""
 
 import pytest
 
-from tests.consensus.schedules import play
+from tests.consensus.schedules import run_schedule
 from tests.consensus.simulation import Simulation
 
 STEPS = 150
 
 
 @pytest.mark.parametrize("voters", [1, 2, 3, 5])
-def test_schedules(voters: int) -> None:
-    played = [play(seed, voters, STEPS) for seed in range(10)]
-    assert all(simulation.acknowledged for simulation in played)
-    assert sum(simulation.completed_reads for simulation in played) > 0
+def test_random_schedules_violate_no_invariant(voters: int) -> None:
+    simulations = [run_schedule(seed, voters, STEPS) for seed in range(10)]
+    assert all(simulation.acknowledged for simulation in simulations)
+    assert sum(simulation.completed_reads for simulation in simulations) > 0
 
 
-def test_lost_disks_are_replaced_under_load() -> None:
-    """Machines lose their disks one after the other, each replaced by a new member."""
+def test_members_with_lost_disks_are_replaced_under_load() -> None:
+    """Machines lose their disks one after another, and a new member replaces each of them."""
     for seed in range(3):
         simulation = Simulation(seed)
         simulation.weather.lost = 0.02
@@ -44,10 +44,10 @@
             return
         simulation.propose(f"while {new} joins {step}")
         simulation.run(0.05)
-    raise AssertionError(f"{new} did not take the place of {old}")
+    raise AssertionError(f"{new} did not replace {old}")
 
 
-def test_removed_leader_steps_down() -> None:
+def test_a_removed_leader_steps_down() -> None:
     simulation = Simulation(1)
     simulation.run_until(lambda: simulation.leader() is not None and simulation.leader_raft().is_ready_leader)
     old = simulation.leader() or ""
@@ -62,7 +62,7 @@
     assert raft.next_deadline() is None
 
 
-def test_leader_sends_a_snapshot_to_a_member_that_was_long_absent() -> None:
+def test_a_leader_sends_a_snapshot_to_a_member_that_was_down_for_long() -> None:
     simulation = Simulation(2)
     simulation.run_until(lambda: simulation.leader() is not None)
     absent = next(name for name in simulation.members if name != simulation.leader())
@@ -76,14 +76,14 @@
     simulation.check_converges()
 
 
-def test_quiet_group_keeps_its_leader() -> None:
+def test_an_idle_group_keeps_its_leader() -> None:
     simulation = Simulation(3, voters=5)
     simulation.run_until(lambda: simulation.leader() is not None)
     simulation.run(60.0)
     assert len(simulation.leaders) == 1
 
 
-def test_member_isolated_for_long_does_not_disturb_when_it_comes_back() -> None:
+def test_a_member_that_reconnects_after_a_long_partition_causes_no_election() -> None:
     simulation = Simulation(4)
     simulation.run_until(lambda: simulation.leader() is not None)
     leader = simulation.leader()
@@ -96,11 +96,11 @@
     assert len(simulation.leaders) == 1
 
 
-def test_new_leader_within_two_seconds_of_a_crash() -> None:
+def test_a_new_leader_is_elected_within_two_seconds_of_a_crash() -> None:
     for seed in range(20):
         simulation = Simulation(seed)
-        simulation.run_until(lambda s=simulation: s.leader() is not None)  # type: ignore[misc]
+        simulation.run_until(lambda group=simulation: group.leader() is not None)  # type: ignore[misc]
         simulation.run(1.0)
         crashed = simulation.leader() or ""
         simulation.crash(crashed)
-        assert simulation.run_while(lambda s=simulation: s.leader() is None, 2.0)  # type: ignore[misc]
+        assert simulation.run_while(lambda group=simulation: group.leader() is None, 2.0)  # type: ignore[misc]
