--- a/tests/consensus/test_leases.py
+++ b/tests/consensus/test_leases.py
@@ -1,4 +1,4 @@
-"""Leases: the inequality that they rest on, at clocks of other rates and across changes of members."""
+"""Leader leases with clocks that drift, and across membership changes."""
 
 import random
 
@@ -12,16 +12,16 @@
 from tests.consensus.simulated_members import TIMING, SafetyViolationError
 from tests.consensus.simulation import Simulation
 
-DRIFT = 0.1  # a clock that runs faster or slower by more than this is not allowed for
+DRIFT = 0.1  # maximum deviation of a clock's rate that leases tolerate
 
 
-def test_a_lease_ends_before_a_vote_is_free() -> None:
-    """By a slow clock of the leader, from the sending on; by a fast one of the voter, from the arrival on."""
+def test_a_lease_ends_before_voters_may_vote_again() -> None:
+    """In the worst case: the leader's clock is slow and the voter's fast, and the heartbeat takes no time."""
     assert TIMING.lease_s / (1 - DRIFT) < TIMING.election_min_s / (1 + DRIFT)
 
 
-def rival_at_other_rates(seed: int, drift: float) -> None:
-    """The leader's clock goes slow and the others' fast; it is isolated, and they elect another."""
+def isolate_leader_with_drift(seed: int, drift: float) -> None:
+    """Isolates a leader whose clock is slow, while the others, whose clocks are fast, elect a new one."""
     simulation = Simulation(seed, 3)
     simulation.run_until(lambda: simulation.leader() is not None and simulation.leader_raft().is_ready_leader)
     simulation.run(1.0)
@@ -34,22 +34,22 @@
     simulation.check_converges()
 
 
-def rivals_at_other_rates(drift: float) -> None:
+def isolate_leaders_with_drift(drift: float) -> None:
     for seed in range(20):
-        rival_at_other_rates(seed, drift)
+        isolate_leader_with_drift(seed, drift)
 
 
-def test_no_stale_read_at_clocks_of_other_rates() -> None:
-    rivals_at_other_rates(DRIFT)
+def test_no_read_is_stale_with_tolerated_clock_drift() -> None:
+    isolate_leaders_with_drift(DRIFT)
 
 
-def test_clocks_far_beyond_what_is_allowed_for_are_noticed() -> None:
+def test_stale_reads_with_excessive_clock_drift_are_detected() -> None:
     with pytest.raises(SafetyViolationError, match="reads at"):
-        rivals_at_other_rates(4 * DRIFT)
+        isolate_leaders_with_drift(4 * DRIFT)
 
 
-class _ChangesFreely(LeaderRole):
-    """Changes members while the change before, or the own term's first entry, is not committed."""
+class _LeaderWithUncheckedChanges(LeaderRole):
+    """Appends membership changes before the previous change, or the first entry of its term, is committed."""
 
     def append_membership(self, membership: Membership) -> int:
         index = self.append(ENTRY_MEMBERS, bytes(encode_membership(membership)))
@@ -57,11 +57,11 @@
         return index
 
 
-class ChangesFreely(Raft):
-    """Has majorities that do not overlap, so that a lease of the one lets the other elect."""
+class UncheckedChanges(Raft):
+    """Allows majorities that do not overlap, of which one can elect a leader during the lease of another."""
 
     def _begin_leading(self, now: float) -> LeaderRole:
-        return _ChangesFreely(self._state, now)
+        return _LeaderWithUncheckedChanges(self._state, now)
 
 
 NAMES = ("a", "b", "c", "d", "e")
@@ -76,20 +76,20 @@
 }
 
 
-def play_changes(seed: int, raft_class: type[Raft] = Raft, steps: int = 120) -> Simulation:
-    """Members come and go one by one while links are cut and leaders get requests."""
+def run_membership_changes(seed: int, raft_class: type[Raft] = Raft, steps: int = 120) -> Simulation:
+    """Adds and removes members one by one, amid network partitions and requests."""
     rng = random.Random(f"changes {seed}")
     simulation = Simulation(seed, 3, raft_class)
     for name in NAMES[3:]:
         simulation.join(name)
     for step in range(steps):
-        _act(rng, simulation, step)
+        _take_step(rng, simulation, step)
         simulation.run(rng.choice((0.01, 0.05, 0.1, 0.4)))
     simulation.check_converges()
     return simulation
 
 
-def _act(rng: random.Random, simulation: Simulation, step: int) -> None:
+def _take_step(rng: random.Random, simulation: Simulation, step: int) -> None:
     (kind,) = rng.choices(tuple(STEP_WEIGHTS), tuple(STEP_WEIGHTS.values()))
     name = rng.choice(NAMES)
     match kind:
@@ -110,47 +110,47 @@
 
 
 def _request_everywhere(simulation: Simulation, step: int) -> None:
-    for each in NAMES:
-        simulation.propose(f"{step} {each}", each)
-        simulation.read(each)
+    for name in NAMES:
+        simulation.propose(f"{step} {name}", name)
+        simulation.read(name)
 
 
 def _partition(rng: random.Random, simulation: Simulation) -> None:
-    side = rng.sample(NAMES, 2)
-    for one in side:
-        for other in set(NAMES) - set(side):
-            simulation.disconnect(one, other)
+    minority = rng.sample(NAMES, 2)
+    for name in minority:
+        for other in set(NAMES) - set(minority):
+            simulation.disconnect(name, other)
 
 
 def _thaw_all(simulation: Simulation) -> None:
-    for frozen in NAMES:
-        simulation.thaw(frozen, reading=True)
+    for name in NAMES:
+        simulation.thaw(name, reading=True)
 
 
 def _change(rng: random.Random, simulation: Simulation) -> None:
-    """Takes in a member or lets one go, and at once another, at all that believe they lead."""
+    """Adds or removes two members in succession, at each member that believes it leads."""
     for name in NAMES:
         for other in rng.sample(NAMES, 2):
             raft = simulation.members[name].raft
             if raft is None or not raft.is_leader:
                 continue
             voters = raft.membership.voters
-            rest = tuple(voter for voter in voters if voter != other)
-            changed = rest if other in voters else (*voters, other)
+            remaining = tuple(voter for voter in voters if voter != other)
+            changed = remaining if other in voters else (*voters, other)
             if len(changed) >= 2:
                 simulation.change(Membership(changed), name)
 
 
-def test_leases_across_changes_of_members() -> None:
-    played = [play_changes(seed) for seed in range(10)]
-    assert sum(simulation.completed_reads for simulation in played) > 100
-    assert any(len(simulation.leader_raft().membership.voters) != 3 for simulation in played)
+def test_leases_hold_across_membership_changes() -> None:
+    simulations = [run_membership_changes(seed) for seed in range(10)]
+    assert sum(simulation.completed_reads for simulation in simulations) > 100
+    assert any(len(simulation.leader_raft().membership.voters) != 3 for simulation in simulations)
 
 
-def test_changes_whose_majorities_do_not_overlap_are_caught() -> None:
-    def play_all() -> None:
+def test_changes_whose_majorities_do_not_overlap_are_detected() -> None:
+    def run_seeds() -> None:
         for seed in range(60):
-            play_changes(seed, ChangesFreely)
+            run_membership_changes(seed, UncheckedChanges)
 
     with pytest.raises(SafetyViolationError, match=r"applied|lead in term|is committed|reads at"):
-        play_all()
+        run_seeds()
--- a/tests/consensus/test_pending.py
+++ b/tests/consensus/test_pending.py
@@ -1,4 +1,4 @@
-"""Calls end with their result, or with what became of the leadership under which they were made."""
+"""Pending calls complete with their result, or fail when the leadership in which they were made is lost."""
 
 import asyncio
 
@@ -9,7 +9,7 @@
 from tests.consensus.virtual_time import run
 
 
-def test_a_proposal_gets_the_result_of_its_entry_only() -> None:
+def test_a_proposal_completes_with_the_result_of_its_own_entry_only() -> None:
     async def scenario() -> None:
         pending = PendingCalls()
         proposal = pending.proposal(7, term=2)
@@ -22,22 +22,22 @@
     run(scenario())
 
 
-def test_a_lost_leadership_fails_the_calls_of_its_term() -> None:
+def test_loss_of_leadership_fails_the_calls_of_its_term() -> None:
     async def scenario() -> None:
         pending = PendingCalls()
         lost, read = pending.proposal(7, term=2), pending.read(2, 1)
-        of_this_term = pending.proposal(8, term=3)
+        current = pending.proposal(8, term=3)
         pending.keep_term(3, "b")
         with pytest.raises(OutcomeUnknownError, match="the leader is b"):
             await lost
         with pytest.raises(NotLeaderError, match="the leader is b"):
             await read
-        assert not of_this_term.done()
+        assert not current.done()
 
     run(scenario())
 
 
-def test_a_failure_fails_what_waits_for_the_log() -> None:
+def test_a_failure_of_the_member_fails_all_proposals_and_reads() -> None:
     async def scenario() -> None:
         pending = PendingCalls()
         calls = [pending.proposal(7, term=2), pending.read(2, 1)]
@@ -49,15 +49,15 @@
     run(scenario())
 
 
-def test_one_who_gives_up_does_not_end_the_wait_of_others_for_the_end_of_the_leadership() -> None:
+def test_a_cancelled_leadership_transfer_call_does_not_complete_other_calls() -> None:
     async def scenario() -> None:
         pending = PendingCalls()
-        given_up, waiting = pending.end_of_leadership(), pending.end_of_leadership()
-        given_up.cancel()
+        cancelled, other = pending.end_of_leadership(), pending.end_of_leadership()
+        cancelled.cancel()
         await asyncio.sleep(0)
-        assert not waiting.done()
+        assert not other.done()
         pending.leadership_ended()
-        assert await waiting is None
-        assert given_up.cancelled()
+        assert await other is None
+        assert cancelled.cancelled()
 
     run(scenario())
--- a/tests/consensus/test_raft.py
+++ b/tests/consensus/test_raft.py
@@ -1,4 +1,4 @@
-"""Hypothesis chooses the faults and calls, and shrinks what breaks an invariant."""
+"""Stateful property test of a group: Hypothesis generates and shrinks sequences of faults and calls."""
 
 from hypothesis import HealthCheck, settings
 from hypothesis import strategies as st
@@ -11,19 +11,19 @@
 
 
 class GroupMachine(RuleBasedStateMachine):
-    """Three members; one at a time may lose its disk and be replaced."""
+    """A group of three members, of which one at a time may lose its disk and be replaced."""
 
     @initialize(seed=st.integers(0, 1000))
     def begin(self, seed: int) -> None:
         self.simulation = Simulation(seed)
-        self.current_members = {name: name for name in "abc"}  # the member that is there now
-        self.joining: tuple[str, str] | None = None
+        self.current_members = {name: name for name in "abc"}  # the current member of each machine
+        self.replacement: tuple[str, str] | None = None  # old and new member of a replacement in progress
         self.count = 0
 
     @rule(duration=st.sampled_from((0.01, 0.1, 0.5, 2.0)))
     def run(self, duration: float) -> None:
-        if self.joining is not None and self.simulation.advance_replacement(*self.joining):
-            self.joining = None
+        if self.replacement is not None and self.simulation.advance_replacement(*self.replacement):
+            self.replacement = None
         self.simulation.run(duration)
 
     @rule(number=st.sampled_from((1, 3, 30)))
@@ -77,15 +77,15 @@
     def heal(self) -> None:
         self.simulation.cut_links.clear()
 
-    @rule(bad=st.booleans(), slow=st.booleans())
-    def change_weather(self, bad: bool, slow: bool) -> None:
-        fraction = 0.2 if bad else 0.0
-        sync_s = (0.01, 0.3) if slow else (0.001, 0.01)
+    @rule(faulty_network=st.booleans(), slow_disks=st.booleans())
+    def change_weather(self, faulty_network: bool, slow_disks: bool) -> None:
+        fraction = 0.2 if faulty_network else 0.0
+        sync_s = (0.01, 0.3) if slow_disks else (0.001, 0.01)
         self.simulation.weather = Weather(lost=fraction, repeated=fraction, late=fraction, sync_s=sync_s)
 
     @rule(name=NAMES)
     def lose_disk(self, name: str) -> None:
-        if self.joining is not None:
+        if self.replacement is not None:
             return
         self.count += 1
         old, new = self.current_members[name], f"{name}#{self.count}"
@@ -93,7 +93,7 @@
         del self.simulation.members[old]
         self.simulation.join(new)
         self.current_members[name] = new
-        self.joining = (old, new)
+        self.replacement = (old, new)
 
     def teardown(self) -> None:
         if not hasattr(self, "simulation"):
@@ -101,7 +101,7 @@
         simulation = self.simulation
         simulation.check_converges()
         for _ in range(200):
-            if self.joining is None or simulation.advance_replacement(*self.joining):
+            if self.replacement is None or simulation.advance_replacement(*self.replacement):
                 break
             simulation.run(0.2)
         else:
--- a/tests/consensus/test_uncommitted_limit.py
+++ b/tests/consensus/test_uncommitted_limit.py
@@ -1,4 +1,4 @@
-"""What a leader accepts while nothing is committed: a limit of bytes, however long its callers wait."""
+"""The leader's limit on the size of uncommitted entries, while its group cannot commit."""
 
 import asyncio
 import contextlib
@@ -19,8 +19,8 @@
 COMMAND = "x" * 500
 
 
-async def started() -> tuple[Network, dict[str, LimitedStorage], ReplicatedGroup]:
-    """A group whose leader takes `LIMIT_BYTES`."""
+async def start_group() -> tuple[Network, dict[str, LimitedStorage], ReplicatedGroup]:
+    """Starts a group whose leader accepts up to `LIMIT_BYTES` of uncommitted entries."""
     limits = RaftLimits(retained_bytes=RETAINED_BYTES, uncommitted_bytes=LIMIT_BYTES)
     network, disks = limited_network(limits=limits)
     leader = await network.start()
@@ -43,36 +43,36 @@
                 rejected.append(text)
 
 
-def test_memory_is_bounded_while_no_majority_can_save_and_what_is_rejected_never_comes() -> None:
+def test_memory_is_bounded_while_no_majority_can_save_and_rejected_commands_are_never_applied() -> None:
     async def scenario() -> None:
-        network, disks, leader = await started()
+        network, disks, leader = await start_group()
         set_full(disks, True)
         calls: list[asyncio.Task[None]] = []
         rejected: list[str] = []
         texts = [f"{number} {COMMAND}" for number in range(500)]
-        most = 0
+        peak_bytes = 0
         for text in texts:
             calls.append(asyncio.create_task(propose_with_timeout(leader, text, rejected)))
             await asyncio.sleep(0.01)
-            most = max(most, *(log_of(group).size_bytes for group in network.groups.values()))
+            peak_bytes = max(peak_bytes, *(log_of(group).size_bytes for group in network.groups.values()))
         await asyncio.gather(*calls)
         assert leader.is_leader
         assert 400 < len(rejected) < 500
-        assert LIMIT_BYTES / 2 < most < LIMIT_BYTES + RETAINED_BYTES
+        assert LIMIT_BYTES / 2 < peak_bytes < LIMIT_BYTES + RETAINED_BYTES
         set_full(disks, False)
         await leader.propose(command("last"))
         await wait_until(lambda: len({len(machine.commands) for machine in network.machines.values()}) == 1)
-        taken = [text for text in texts if text not in rejected]
+        accepted = [text for text in texts if text not in rejected]
         for machine in network.machines.values():
-            assert machine.commands == ["first", *taken, "last"]
+            assert machine.commands == ["first", *accepted, "last"]
         await network.stop()
 
     run(scenario())
 
 
-def test_capacity_comes_back_as_entries_are_committed() -> None:
+def test_committed_entries_do_not_count_towards_the_limit() -> None:
     async def scenario() -> None:
-        network, _, leader = await started()
+        network, _, leader = await start_group()
         for number in range(10 * LIMIT_BYTES // len(COMMAND)):
             await leader.propose(command(f"{number} {COMMAND}"))
         await network.stop()
@@ -80,9 +80,9 @@
     run(scenario())
 
 
-def test_a_command_over_the_bound_is_taken_alone() -> None:
+def test_a_command_above_the_limit_is_accepted_if_no_other_entry_is_uncommitted() -> None:
     async def scenario() -> None:
-        network, disks, leader = await started()
+        network, disks, leader = await start_group()
         large = "y" * (2 * LIMIT_BYTES)
         assert await leader.propose(command(large)) == 2
         set_full(disks, True)
@@ -98,11 +98,11 @@
     run(scenario())
 
 
-def test_entries_of_the_leaders_own_go_on_above_the_bound() -> None:
-    """A change of members is how a group comes by disks that can save."""
+def test_the_limit_does_not_apply_to_membership_changes() -> None:
+    """A membership change may be needed to add members whose disks can save entries."""
 
     async def scenario() -> None:
-        network, disks, leader = await started()
+        network, disks, leader = await start_group()
         set_full(disks, True)
         pending = asyncio.ensure_future(leader.propose(command("y" * (LIMIT_BYTES + ENTRY_OVERHEAD_BYTES))))
         await asyncio.sleep(0.1)
