--- a/tests/consensus/slow_members.py
+++ b/tests/consensus/slow_members.py
@@ -1,4 +1,4 @@
-"""Members on disks and processors of a given speed: virtual time, real storage, encoded messages."""
+"""Members with disks and processors of a given speed, in virtual time, with real storage and messages."""
 
 import asyncio
 import random
@@ -20,7 +20,7 @@
 
 
 class DiskTimer(Executor):
-    """Does the work at once; its result comes when a disk of that speed would have done it."""
+    """Does disk work immediately, but completes its future only when a disk of the given speed would."""
 
     def __init__(self, disk: SimulatedDisk, sync_s: float, bytes_per_s: float) -> None:
         self._disk = disk
@@ -53,7 +53,7 @@
 
 
 class Processor:
-    """Takes one message after the other; each costs by its bytes."""
+    """Processes one message after another, each for a time proportional to its size."""
 
     def __init__(self, bytes_per_s: float) -> None:
         self._bytes_per_s = bytes_per_s
@@ -65,31 +65,31 @@
 
 
 class SlowGroup:
-    """Three members; `running` has those that run, `disks` all."""
+    """A group of three members; `running` contains those that are up, `disks` has the disks of all."""
 
-    def __init__(self, machine: Callable[[], StateMachine], seed: int = 1) -> None:
-        self._machine = machine
+    def __init__(self, create_machine: Callable[[], StateMachine], seed: int = 1) -> None:
+        self._create_machine = create_machine
         self._rng = random.Random(seed)
         self._codec = MessageCodec(CONSENSUS_MESSAGES)
         self.disks = {name: SimulatedDisk() for name in NAMES}
-        self.timers: dict[str, DiskTimer] = {}
+        self.executors: dict[str, DiskTimer] = {}
         self.processors: dict[str, Processor] = {}
         self.running: dict[str, ReplicatedGroup] = {}
         self.machines: dict[str, StateMachine] = {}
         self.sent_bytes = dict.fromkeys(NAMES, 0)  # by target
-        self.led: list[tuple[str, float]] = []  # who began to lead, and when
+        self.elections: list[tuple[str, float]] = []  # each elected leader, and when it was elected
 
     async def start(
-        self, name: str, sync_s: float = 0.001, disk_bytes_per_s: float = 120e6, processor: float = 50e6
+        self, name: str, sync_s: float = 0.001, disk_bytes_per_s: float = 120e6, cpu_bytes_per_s: float = 50e6
     ) -> ReplicatedGroup:
         disk = self.disks[name]
-        first = DiskGroupStorage(disk, "g")
-        first.load()
-        first.initialize(Membership(NAMES))
-        first.close()
-        self.timers[name] = DiskTimer(disk, sync_s, disk_bytes_per_s)
-        self.processors[name] = Processor(processor)
-        self.machines[name] = self._machine()
+        storage = DiskGroupStorage(disk, "g")
+        storage.load()
+        storage.initialize(Membership(NAMES))
+        storage.close()
+        self.executors[name] = DiskTimer(disk, sync_s, disk_bytes_per_s)
+        self.processors[name] = Processor(cpu_bytes_per_s)
+        self.machines[name] = self._create_machine()
         group = ReplicatedGroup(
             "g",
             name,
@@ -99,26 +99,26 @@
                 send=self._send,
                 clock=asyncio.get_running_loop().time,
                 rng=random.Random(self._rng.random()),
-                executor=self.timers[name],
+                executor=self.executors[name],
             ),
-            callbacks=GroupCallbacks(on_leadership=lambda leads: self._note(name, leads)),
+            callbacks=GroupCallbacks(on_leadership=lambda leads: self._record_election(name, leads)),
         )
         await group.start()
         self.running[name] = group
         return group
 
-    async def end(self, name: str) -> None:
-        """The process dies; what it had begun to write is on its disk."""
+    async def kill(self, name: str) -> None:
+        """Kills the process; the writes that it started are on its disk."""
         await self.running.pop(name).stop()
         self.disks[name].kill()
 
     async def stop(self) -> None:
         for name in list(self.running):
-            await self.end(name)
+            await self.kill(name)
 
-    def _note(self, name: str, leads: bool) -> None:
+    def _record_election(self, name: str, leads: bool) -> None:
         if leads:
-            self.led.append((name, asyncio.get_running_loop().time()))
+            self.elections.append((name, asyncio.get_running_loop().time()))
 
     def _send(self, message: ConsensusMessage) -> None:
         loop = asyncio.get_running_loop()
@@ -142,6 +142,7 @@
             group.receive(message)
 
     async def leader(self) -> ReplicatedGroup:
+        """Waits for a leader and returns it."""
         while True:
             for group in self.running.values():
                 if group.is_leader:
--- a/tests/consensus/test_losses.py
+++ b/tests/consensus/test_losses.py
@@ -1,7 +1,7 @@
-"""Losses at the first instant that the deployment allows, always of the disks that have lasted longest.
+"""Disk and machine losses as early as the deployment allows them, each time of the oldest disks.
 
-A machine counts as lost until `catch_up_s` after it is back, or after its successor's start. The group must
-be whole again in half of that, and nothing that was acknowledged may be lost.
+A machine counts as lost until `catch_up_s` after its return or after the start of its replacement. The group
+must have its full number of voters again within half of that time, without losing an acknowledged command.
 """
 
 import pytest
@@ -16,7 +16,7 @@
 tolerated_losses = pytest.mark.parametrize("tolerated", [1, 2])
 
 
-def started(seed: int, tolerated: int, spare_learners: int, spares: int = 0) -> PlannedSimulation:
+def start_group(seed: int, tolerated: int, spare_learners: int, spares: int = 0) -> PlannedSimulation:
     simulation = PlannedSimulation(seed, tolerated, spare_learners, spares)
     simulation.run_until(simulation.is_complete)
     simulation.write(0.5)
@@ -25,24 +25,28 @@
 
 @kinds
 @tolerated_losses
-def test_the_oldest_disks_are_wiped_again_and_again(tolerated: int, spare_learners: int) -> None:
+def test_the_group_recovers_from_repeated_loss_of_the_oldest_disks(
+    tolerated: int, spare_learners: int
+) -> None:
     for seed in range(2):
-        simulation = started(seed, tolerated, spare_learners)
+        simulation = start_group(seed, tolerated, spare_learners)
         for _ in range(ROUNDS):
             simulation.write(0.3)
             simulation.wipe(*simulation.oldest(tolerated))
-            back_at = simulation.now
+            wiped_at = simulation.now
             assert simulation.until_complete() < HALF_S
-            simulation.write(back_at + CATCH_UP_S - simulation.now)
+            simulation.write(wiped_at + CATCH_UP_S - simulation.now)
         simulation.check_converges()
 
 
 @kinds
 @tolerated_losses
-def test_the_oldest_machines_are_replaced_one_after_the_other(tolerated: int, spare_learners: int) -> None:
-    """The machines go for good at the instant of an acknowledgement; empty ones start a second later."""
+def test_the_group_recovers_from_repeated_loss_of_the_oldest_machines(
+    tolerated: int, spare_learners: int
+) -> None:
+    """Machines are lost as soon as a command is acknowledged; empty replacements start a second later."""
     for seed in range(2):
-        simulation = started(seed, tolerated, spare_learners)
+        simulation = start_group(seed, tolerated, spare_learners)
         for number in range(ROUNDS):
             simulation.propose_and_wait(f"last words {number}")
             for name in simulation.oldest(tolerated):
@@ -58,11 +62,11 @@
 
 @kinds
 @tolerated_losses
-def test_all_others_lose_power_as_the_oldest_disks_are_lost_at_an_acknowledgement(
+def test_the_group_recovers_when_the_oldest_disks_are_lost_and_all_other_machines_lose_power(
     tolerated: int, spare_learners: int
 ) -> None:
     for seed in range(6):
-        simulation = started(seed, tolerated, spare_learners, spares=1)
+        simulation = start_group(seed, tolerated, spare_learners, spares=1)
         simulation.propose_and_wait("last words")
         wiped = simulation.oldest(tolerated)
         others = [name for name in simulation.members if name not in wiped]
@@ -80,10 +84,12 @@
 
 
 @kinds
-def test_a_planned_replacement_leaves_the_group_complete_before_the_next_loss(spare_learners: int) -> None:
-    """The new machine starts, a second later the old one ends, and the next loss comes as soon as it may."""
+def test_the_group_has_all_voters_after_a_planned_replacement_before_the_next_loss(
+    spare_learners: int,
+) -> None:
+    """A new machine starts, the old one stops a second later, and the next loss is as early as allowed."""
     for seed in range(2):
-        simulation = started(seed, 1, spare_learners)
+        simulation = start_group(seed, 1, spare_learners)
         for number in range(ROUNDS):
             simulation.join(f"new{number}")
             started_at = simulation.now
@@ -95,28 +101,32 @@
 
 
 @kinds
-def test_a_leader_is_wiped_at_each_point_of_a_change_of_members(spare_learners: int) -> None:
-    """Another machine is already away for good; with two losses allowed the leader may go as well."""
+def test_the_group_recovers_from_the_loss_of_its_leader_at_any_point_of_a_membership_change(
+    spare_learners: int,
+) -> None:
+    """Another machine was lost before; as two losses are tolerated, the leader may be lost as well."""
     for point in range(12):
-        simulation = started(point, 2, spare_learners, spares=1)
+        simulation = start_group(point, 2, spare_learners, spares=1)
         follower = next(name for name in simulation.oldest(5) if name != simulation.leader())
         simulation.lose_for_good(follower)
         simulation.write(1.2)
         simulation.run(point * 0.07)
         simulation.wipe(simulation.leader() or "")
-        back_at = simulation.now
+        wiped_at = simulation.now
         assert simulation.until_complete() < HALF_S
-        simulation.write(back_at + CATCH_UP_S - simulation.now)
+        simulation.write(wiped_at + CATCH_UP_S - simulation.now)
         simulation.wipe(*simulation.oldest(2))
         simulation.check_converges()
 
 
 @kinds
 @tolerated_losses
-def test_others_are_wiped_the_instant_that_a_retirement_succeeds(tolerated: int, spare_learners: int) -> None:
-    """While another voter was frozen the one that leaves was the only one beside the leader that held all."""
+def test_disks_lost_right_after_a_decommissioning_lose_no_acknowledged_command(
+    tolerated: int, spare_learners: int
+) -> None:
+    """While another voter was frozen, only the leader and the decommissioned voter had all entries."""
     for seed in range(3):
-        simulation = started(seed, tolerated, spare_learners, spares=1)
+        simulation = start_group(seed, tolerated, spare_learners, spares=1)
         others = [name for name in simulation.oldest(5) if name != simulation.leader()]
         simulation.freeze(others[0])
         simulation.decommissioning = {others[1]}
@@ -131,32 +141,32 @@
         simulation.check_converges()
 
 
-def test_a_member_that_was_removed_and_returns_with_its_old_disk_does_not_count() -> None:
-    simulation = started(1, 1, 0, spares=1)
-    gone = next(name for name in simulation.oldest(3) if name != simulation.leader())
-    simulation.crash(gone)
+def test_a_removed_member_that_returns_with_its_old_disk_has_no_vote() -> None:
+    simulation = start_group(1, 1, 0, spares=1)
+    removed = next(name for name in simulation.oldest(3) if name != simulation.leader())
+    simulation.crash(removed)
     simulation.run(1.5)
     assert simulation.until_complete() < HALF_S
-    assert gone not in simulation.leader_raft().membership.voters
+    assert removed not in simulation.leader_raft().membership.voters
     term = simulation.leader_raft().term
-    simulation.start(gone)
+    simulation.start(removed)
     simulation.write(3.0)
-    assert simulation.leader_raft().term == term, "it unsettles nobody"
-    assert gone not in simulation.leader_raft().membership.voters
+    assert simulation.leader_raft().term == term, "the removed member must cause no election"
+    assert removed not in simulation.leader_raft().membership.voters
     other = next(name for name in simulation.oldest(3) if name != simulation.leader())
     simulation.crash(other)
     simulation.isolate("spare0")
     simulation.written += 1
     before = len(simulation.acknowledged)
-    simulation.propose("not by the one that was removed")
+    simulation.propose("not committed with the removed member")
     simulation.run(0.6)
     assert len(simulation.acknowledged) == before
     simulation.check_converges()
 
 
-def test_two_losses_at_once_are_more_than_one_may_bear() -> None:
-    """The check itself: where the second loss comes too early, the group does not come back."""
-    simulation = started(1, 1, 0)
+def test_two_simultaneous_losses_are_detected_where_one_is_tolerated() -> None:
+    """Verifies the check itself: the group does not recover if the second loss is too early."""
+    simulation = start_group(1, 1, 0)
     simulation.wipe(*simulation.oldest(2))
     with pytest.raises(SafetyViolationError):
         simulation.check_converges()
