--- a/tests/consensus/scenarios.py
+++ b/tests/consensus/scenarios.py
@@ -177,7 +177,7 @@
     """A member starts an election just as it is isolated, and reconnects with a later term but an old log."""
     simulation, leader, (absent, _) = _with_leader(seed, 3, raft_class)
     simulation.isolate(absent)
-    simulation.stand(absent)
+    simulation.start_election(absent)
     simulation.propose("meanwhile")
     simulation.run(ISOLATED_S)
     assert simulation.leader() == leader
--- a/tests/consensus/simulation.py
+++ b/tests/consensus/simulation.py
@@ -311,7 +311,7 @@
             (member for member in self.members.values() if member.name.partition("#")[0] == address), None
         )
 
-    def stand(self, name: str) -> None:
+    def start_election(self, name: str) -> None:
         """Makes the member start an election now, as if it had won a pre-vote."""
         member = self.members[name]
         assert member.raft is not None
