--- a/tests/consensus/scenarios.py
+++ b/tests/consensus/scenarios.py
@@ -2,7 +2,7 @@
 
 from pewterring.consensus.messages import AppendRequest, ConsensusMessage, SnapshotChunk
 from pewterring.consensus.raft import Raft
-from tests.consensus.simulated_members import SafetyViolationError, Weather, drop_nothing
+from tests.consensus.simulated_members import FaultProfile, SafetyViolationError, drop_nothing
 from tests.consensus.simulation import Simulation
 
 STALLED_SYNC_S = 1000.0  # a disk sync that does not complete within the scenario
@@ -142,7 +142,7 @@
 def leader_frozen_with_replies_in_flight(seed: int, raft_class: type[Raft]) -> None:
     """The leader freezes with replies in flight, and processes them only after another leader was elected."""
     simulation, leader, (other, _) = _with_leader(seed, 3, raft_class)
-    simulation.weather = Weather(delay_s=(0.02, 0.03))
+    simulation.faults = FaultProfile(delay_s=(0.02, 0.03))
     simulation.run(1.0)
     simulation.freeze(leader)
     simulation.run_until(
--- a/tests/consensus/schedules.py
+++ b/tests/consensus/schedules.py
@@ -5,15 +5,15 @@
 from dataclasses import dataclass
 
 from pewterring.consensus.raft import Raft
-from tests.consensus.simulated_members import Weather
+from tests.consensus.simulated_members import FaultProfile
 from tests.consensus.simulation import Simulation
 
 STEP_INTERVALS_S = (0.01, 0.05, 0.2, 0.7)
-WEATHERS = (
-    Weather(),
-    Weather(lost=0.1, repeated=0.1, late=0.1),
-    Weather(lost=0.3, repeated=0.3, late=0.3, sync_s=(0.001, 0.2)),
-    Weather(delay_s=(0.01, 0.05), sync_s=(0.01, 0.1)),
+FAULT_PROFILES = (
+    FaultProfile(),
+    FaultProfile(loss_rate=0.1, duplicate_rate=0.1, long_delay_rate=0.1),
+    FaultProfile(loss_rate=0.3, duplicate_rate=0.3, long_delay_rate=0.3, sync_s=(0.001, 0.2)),
+    FaultProfile(delay_s=(0.01, 0.05), sync_s=(0.01, 0.1)),
 )
 
 
@@ -73,8 +73,8 @@
     def heal(self) -> None:
         self.simulation.cut_links.clear()
 
-    def change_weather(self) -> None:
-        self.simulation.weather = self.rng.choice(WEATHERS)
+    def change_faults(self) -> None:
+        self.simulation.faults = self.rng.choice(FAULT_PROFILES)
 
 
 STEP_WEIGHTS: dict[Callable[[Step], None], int] = {
@@ -87,5 +87,5 @@
     Step.isolate: 2,
     Step.disconnect_one_way: 2,
     Step.heal: 3,
-    Step.change_weather: 2,
+    Step.change_faults: 2,
 }
--- a/tests/consensus/simulated_members.py
+++ b/tests/consensus/simulated_members.py
@@ -30,13 +30,13 @@
 
 
 @dataclass
-class Weather:
+class FaultProfile:
     """Random message faults, and the ranges of message delays and disk syncs."""
 
-    lost: float = 0.0  # fraction of messages that are lost
-    repeated: float = 0.0  # fraction of messages that are delivered twice
+    loss_rate: float = 0.0  # fraction of messages that are lost
+    duplicate_rate: float = 0.0  # fraction of messages that are delivered twice
     delay_s: tuple[float, float] = (0.001, 0.005)
-    late: float = 0.0  # fraction of messages that take up to half a second
+    long_delay_rate: float = 0.0  # fraction of messages that take up to half a second
     sync_s: tuple[float, float] = (0.001, 0.01)
 
 
--- a/tests/consensus/simulation.py
+++ b/tests/consensus/simulation.py
@@ -14,9 +14,9 @@
     LIMITS,
     SNAPSHOT_INTERVAL_ENTRIES,
     TIMING,
+    FaultProfile,
     Member,
     SafetyViolationError,
-    Weather,
     drop_nothing,
 )
 
@@ -33,7 +33,7 @@
         self.rng = random.Random(seed)
         self.raft_class = raft_class
         self.now = 0.0
-        self.weather = Weather()
+        self.faults = FaultProfile()
         self.cut_links: set[tuple[str, str]] = set()  # (sender, target)
         self.drops: Callable[[ConsensusMessage], bool] = drop_nothing
         self._events: list[tuple[float, int, Callable[[], None]]] = []
@@ -219,7 +219,7 @@
             member.disk_write = None
             on_done(raft)
 
-        sync_s = self.rng.uniform(*self.weather.sync_s) if member.sync_s is None else member.sync_s
+        sync_s = self.rng.uniform(*self.faults.sync_s) if member.sync_s is None else member.sync_s
         self._at(self.now + sync_s, self._in_incarnation(member, finish))
 
     def _begin_save(self, member: Member, save: Save) -> None:
@@ -283,15 +283,15 @@
     def _send(self, message: ConsensusMessage) -> None:
         if (message.sender, message.target) in self.cut_links or self.drops(message):
             return
-        if self.rng.random() < self.weather.lost:
+        if self.rng.random() < self.faults.loss_rate:
             return
         self._deliver_later(message)
-        if self.rng.random() < self.weather.repeated:
+        if self.rng.random() < self.faults.duplicate_rate:
             self._deliver_later(message)
 
     def _deliver_later(self, message: ConsensusMessage) -> None:
-        delay = self.rng.uniform(*self.weather.delay_s)
-        if self.rng.random() < self.weather.late:
+        delay = self.rng.uniform(*self.faults.delay_s)
+        if self.rng.random() < self.faults.long_delay_rate:
             delay = self.rng.uniform(0.0, 0.5)
         self._at(self.now + delay, lambda: self._deliver(message))
 
@@ -364,7 +364,7 @@
 
     def check_converges(self) -> None:
         """Removes all faults, then checks that the group accepts commands and all members agree."""
-        self.weather = Weather()
+        self.faults = FaultProfile()
         self.cut_links.clear()
         self.drops = drop_nothing
         for name, member in self.members.items():
--- a/tests/consensus/test_leadership_transfer.py
+++ b/tests/consensus/test_leadership_transfer.py
@@ -160,7 +160,7 @@
     for seed in range(25):
         rng = random.Random(f"handover {seed}")
         simulation = TransferSimulation(seed, rng.choice((3, 3, 5)))
-        simulation.weather.lost = simulation.weather.late = rng.choice((0.0, 0.1))
+        simulation.faults.loss_rate = simulation.faults.long_delay_rate = rng.choice((0.0, 0.1))
         for step in range(80):
             name = rng.choice(list(simulation.members))
             action = rng.choice(("propose", "propose", "read", "transfer", "crash", "cut", "heal"))
--- a/tests/consensus/test_raft.py
+++ b/tests/consensus/test_raft.py
@@ -4,7 +4,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, rule
 
-from tests.consensus.simulated_members import Weather
+from tests.consensus.simulated_members import FaultProfile
 from tests.consensus.simulation import Simulation
 
 NAMES = st.sampled_from("abc")
@@ -78,10 +78,12 @@
         self.simulation.cut_links.clear()
 
     @rule(faulty_network=st.booleans(), slow_disks=st.booleans())
-    def change_weather(self, faulty_network: bool, slow_disks: bool) -> None:
+    def change_faults(self, faulty_network: bool, slow_disks: bool) -> None:
         fraction = 0.2 if faulty_network else 0.0
         sync_s = (0.01, 0.3) if slow_disks else (0.001, 0.01)
-        self.simulation.weather = Weather(lost=fraction, repeated=fraction, late=fraction, sync_s=sync_s)
+        self.simulation.faults = FaultProfile(
+            loss_rate=fraction, duplicate_rate=fraction, long_delay_rate=fraction, sync_s=sync_s
+        )
 
     @rule(name=NAMES)
     def lose_disk(self, name: str) -> None:
--- a/tests/consensus/test_schedules.py
+++ b/tests/consensus/test_schedules.py
@@ -19,7 +19,7 @@
     """Machines lose their disks one after another, and a new member replaces each of them."""
     for seed in range(3):
         simulation = Simulation(seed)
-        simulation.weather.lost = 0.02
+        simulation.faults.loss_rate = 0.02
         for number, lost in enumerate(("a", "b", "c")):
             _commit_some(simulation, f"{number}")
             simulation.crash(lost)
--- a/tests/consensus/test_snapshot_transfer.py
+++ b/tests/consensus/test_snapshot_transfer.py
@@ -28,7 +28,7 @@
 from pewterring.consensus.snapshot_transfer import MAX_REORDERED_BYTES, SnapshotAssembly
 from pewterring.consensus.types import RaftLimits, Snapshot
 from tests.consensus.raft_internals import log_of
-from tests.consensus.simulated_members import LIMITS, Weather
+from tests.consensus.simulated_members import LIMITS, FaultProfile
 from tests.consensus.simulation import Simulation
 
 MEMBERS = Membership(voters=("a", "b", "c"))
@@ -564,7 +564,7 @@
     simulation = Simulation(1)
     _, absent = _crash_follower_and_commit(simulation, 300)
     round_trip_s = 0.2
-    simulation.weather = Weather(delay_s=(round_trip_s / 2, round_trip_s / 2))
+    simulation.faults = FaultProfile(delay_s=(round_trip_s / 2, round_trip_s / 2))
     chunk_offsets: list[int] = []
 
     def record_offset(message: ConsensusMessage) -> bool:
