--- a/tests/consensus/scenarios.py
+++ b/tests/consensus/scenarios.py
@@ -31,7 +31,7 @@
 def _restart_and_check(simulation: Simulation, member: str) -> None:
     """Ends all partitions and starts a member whose disk is normal again; checks that the group converges."""
     simulation.members[member].sync_s = None
-    simulation.cut_links.clear()
+    simulation.blocked_links.clear()
     simulation.start(member)
     _check_converges_later(simulation)
 
@@ -66,7 +66,7 @@
     first = simulation.leader() or "a"
     simulation.crash("b", saves_lost=True)
     simulation.members["b"].sync_s = None
-    simulation.cut_links.clear()
+    simulation.blocked_links.clear()
     simulation.isolate(first)
     simulation.start("b")
     _check_converges_later(simulation)
@@ -107,7 +107,7 @@
     simulation.crash(later)
     third, fourth = (name for name in (third, fourth, fifth) if name != later)
     simulation.crash(fourth)
-    simulation.cut_links.clear()
+    simulation.blocked_links.clear()
     old = simulation.members[first].disk.last_index
     simulation.drops = lambda message: _has_entry_after(message, old)
     simulation.start(first)
@@ -169,7 +169,7 @@
     del simulation.members[wiped]
     simulation.join(f"{wiped}#2")
     simulation.crash(leader)
-    simulation.cut_links.clear()
+    simulation.blocked_links.clear()
     _check_converges_later(simulation)
 
 
@@ -181,7 +181,7 @@
     simulation.propose("meanwhile")
     simulation.run(ISOLATED_S)
     assert simulation.leader() == leader
-    simulation.cut_links.clear()
+    simulation.blocked_links.clear()
     leaderless_s = 0.0
     step_s = 0.005
     for _ in range(200):
--- a/tests/consensus/schedules.py
+++ b/tests/consensus/schedules.py
@@ -68,10 +68,10 @@
         self.simulation.isolate(self._name_or_leader())
 
     def disconnect_one_way(self) -> None:
-        self.simulation.cut_links.add((self.name, self.rng.choice(list(self.simulation.members))))
+        self.simulation.blocked_links.add((self.name, self.rng.choice(list(self.simulation.members))))
 
     def heal(self) -> None:
-        self.simulation.cut_links.clear()
+        self.simulation.blocked_links.clear()
 
     def change_faults(self) -> None:
         self.simulation.faults = self.rng.choice(FAULT_PROFILES)
--- a/tests/consensus/simulation.py
+++ b/tests/consensus/simulation.py
@@ -34,7 +34,7 @@
         self.raft_class = raft_class
         self.now = 0.0
         self.faults = FaultProfile()
-        self.cut_links: set[tuple[str, str]] = set()  # (sender, target)
+        self.blocked_links: set[tuple[str, str]] = set()  # (sender, target)
         self.drops: Callable[[ConsensusMessage], bool] = drop_nothing
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._sequence = 0
@@ -281,7 +281,7 @@
     # The network.
 
     def _send(self, message: ConsensusMessage) -> None:
-        if (message.sender, message.target) in self.cut_links or self.drops(message):
+        if (message.sender, message.target) in self.blocked_links or self.drops(message):
             return
         if self.rng.random() < self.faults.loss_rate:
             return
@@ -301,7 +301,7 @@
 
     def _deliver(self, message: ConsensusMessage) -> None:
         member = self.members.get(message.target) or self._at_address(message.target)
-        if member is not None and (message.sender, member.name) not in self.cut_links:
+        if member is not None and (message.sender, member.name) not in self.blocked_links:
             self._in_incarnation(member, lambda raft: raft.step(self._clock(member), message))()
 
     def _at_address(self, target: str) -> Member | None:
@@ -328,7 +328,7 @@
 
     def disconnect(self, name: str, other: str) -> None:
         """Drops all messages between two members from now on."""
-        self.cut_links |= {(name, other), (other, name)}
+        self.blocked_links |= {(name, other), (other, name)}
 
     def isolate(self, name: str) -> None:
         """Drops all messages to and from the member from now on."""
@@ -365,7 +365,7 @@
     def check_converges(self) -> None:
         """Removes all faults, then checks that the group accepts commands and all members agree."""
         self.faults = FaultProfile()
-        self.cut_links.clear()
+        self.blocked_links.clear()
         self.drops = drop_nothing
         for name, member in self.members.items():
             self.start(name)
--- a/tests/consensus/test_departure.py
+++ b/tests/consensus/test_departure.py
@@ -275,7 +275,7 @@
     simulation.write(1.0)
     simulation.isolate(old)
     may_end = simulation.depart(old)
-    simulation.cut_links.clear()
+    simulation.blocked_links.clear()
     simulation.drops = lambda message: (
         isinstance(message, DepartureNotice | AppendReply) and message.sender == old
     )
--- a/tests/consensus/test_leadership_transfer.py
+++ b/tests/consensus/test_leadership_transfer.py
@@ -176,7 +176,7 @@
             elif action == "cut":
                 simulation.isolate(name)
             else:
-                simulation.cut_links.clear()
+                simulation.blocked_links.clear()
                 for stopped in simulation.members:
                     simulation.start(stopped)
             simulation.run(rng.choice((0.003, 0.02, 0.3)))
--- a/tests/consensus/test_leases.py
+++ b/tests/consensus/test_leases.py
@@ -100,9 +100,9 @@
         case "partition":
             _partition(rng, simulation)
         case "one way":
-            simulation.cut_links.add((name, rng.choice(NAMES)))
+            simulation.blocked_links.add((name, rng.choice(NAMES)))
         case "heal":
-            simulation.cut_links.clear()
+            simulation.blocked_links.clear()
         case "freeze":
             simulation.freeze(simulation.leader() or name)
         case "thaw":
--- a/tests/consensus/test_raft.py
+++ b/tests/consensus/test_raft.py
@@ -67,7 +67,7 @@
 
     @rule(sender=NAMES, receiver=NAMES)
     def disconnect_one_way(self, sender: str, receiver: str) -> None:
-        self.simulation.cut_links.add((self.current_members[sender], self.current_members[receiver]))
+        self.simulation.blocked_links.add((self.current_members[sender], self.current_members[receiver]))
 
     @rule(name=NAMES)
     def isolate(self, name: str) -> None:
@@ -75,7 +75,7 @@
 
     @rule()
     def heal(self) -> None:
-        self.simulation.cut_links.clear()
+        self.simulation.blocked_links.clear()
 
     @rule(faulty_network=st.booleans(), slow_disks=st.booleans())
     def change_faults(self, faulty_network: bool, slow_disks: bool) -> None:
--- a/tests/consensus/test_schedules.py
+++ b/tests/consensus/test_schedules.py
@@ -90,7 +90,7 @@
     absent = next(name for name in simulation.members if name != leader)
     simulation.isolate(absent)
     simulation.run(20.0)
-    simulation.cut_links.clear()
+    simulation.blocked_links.clear()
     simulation.run(5.0)
     assert simulation.leader() == leader
     assert len(simulation.leaders) == 1
