--- a/tests/consensus/planned_simulation.py
+++ b/tests/consensus/planned_simulation.py
@@ -85,7 +85,7 @@
             return
         with contextlib.suppress(ConsensusError):
             raft.propose_membership(change)
-            self._pump(member)
+            self._process_ready(member)
         self._at(self.now + 0.02, self._plan_members)  # it is committed then, and the next one follows
 
     def _candidates(self) -> Candidates:
@@ -109,7 +109,7 @@
         member = self.members[name]
         if member.raft is not None and member.raft.is_leader:
             member.raft.transfer_leadership(self._clock(member))
-            self._pump(member)
+            self._process_ready(member)
             self.run(0.1)
         self.lose_for_good(name)
 
@@ -138,7 +138,7 @@
             else:
                 member.raft.announce_departure()
                 self._at(self.now + TIMING.heartbeat_s, announce)
-            self._pump(member)
+            self._process_ready(member)
 
         announce()
         return may_end
--- a/tests/consensus/simulation.py
+++ b/tests/consensus/simulation.py
@@ -73,7 +73,7 @@
             loaded.state,
             self._clock(member),
         )
-        self._pump(member)
+        self._process_ready(member)
 
     def crash(self, name: str, saves_lost: bool = False) -> None:
         """Kills the process. A disk write in progress may complete, unless `saves_lost`."""
@@ -155,13 +155,13 @@
                 action(member.raft)
             except ConsensusError as error:
                 raise SafetyViolationError(str(error)) from error
-            self._pump(member)
+            self._process_ready(member)
 
         return run_or_postpone
 
     # Processes.
 
-    def _pump(self, member: Member) -> None:
+    def _process_ready(self, member: Member) -> None:
         raft = member.raft
         assert raft is not None
         self._compact_if_due(member, raft)
@@ -317,7 +317,7 @@
         assert member.raft is not None
         # Only `TimeoutNow` starts an election without a pre-vote, but voters treat that election differently.
         member.raft._election._campaign(self._clock(member))  # noqa: SLF001 - see the comment above
-        self._pump(member)
+        self._process_ready(member)
 
     def has_leader_with_lease(self) -> bool:
         """Whether a member leads and has a lease, so that it may answer reads."""
@@ -411,7 +411,7 @@
         except NotLeaderError:
             return False
         member.proposals[key] = text
-        self._pump(member)
+        self._process_ready(member)
         return True
 
     def read(self, name: str | None = None) -> bool:
@@ -427,7 +427,7 @@
             self._check_read(member.raft, ticket.index, self.required_index)
         else:
             member.reads[member.raft.term, ticket.number] = self.required_index
-        self._pump(member)
+        self._process_ready(member)
         return True
 
     def change(self, membership: Membership, name: str | None = None) -> bool:
@@ -439,7 +439,7 @@
             member.raft.propose_membership(membership)
         except ConsensusError:
             return False
-        self._pump(member)
+        self._process_ready(member)
         return True
 
     def advance_replacement(self, old: str, new: str) -> bool:
--- a/tests/consensus/test_leadership_transfer.py
+++ b/tests/consensus/test_leadership_transfer.py
@@ -32,7 +32,7 @@
         if member is None or member.raft is None or member.frozen:
             return False
         begun = member.raft.transfer_leadership(self._clock(member))
-        self._pump(member)
+        self._process_ready(member)
         return begun
 
     def is_succeeded_within(self, old: str, limit_s: float) -> bool:
