--- a/pewterring/consensus/pending.py
+++ b/pewterring/consensus/pending.py
@@ -74,7 +74,7 @@
             for future in transfers:
                 _resolve(future, None)
 
-    def keep_term(self, led_term: int | None, leader: str | None) -> None:
+    def fail_other_terms(self, led_term: int | None, leader: str | None) -> None:
         """Fails the calls of all terms except `led_term`, the term in which this member leads, if any."""
         if not self._proposals and not self._reads:
             return
--- a/pewterring/consensus/raft_driver.py
+++ b/pewterring/consensus/raft_driver.py
@@ -192,7 +192,7 @@
         """Tells calls and the owner what has changed, after all entries were applied."""
         for ticket in ready.confirmed_reads:
             self.pending.confirmed(raft.term, ticket.number)
-        self.pending.keep_term(raft.term if raft.is_leader else None, raft.leader)
+        self.pending.fail_other_terms(raft.term if raft.is_leader else None, raft.leader)
         self.leadership.update(raft.term if raft.is_ready_leader else None)
         if not raft.is_leader:
             self.pending.leadership_ended()
--- a/tests/consensus/test_pending.py
+++ b/tests/consensus/test_pending.py
@@ -27,7 +27,7 @@
         pending = PendingCalls()
         lost, read = pending.proposal(7, term=2), pending.read(2, 1)
         current = pending.proposal(8, term=3)
-        pending.keep_term(3, "b")
+        pending.fail_other_terms(3, "b")
         with pytest.raises(OutcomeUnknownError, match="the leader is b"):
             await lost
         with pytest.raises(NotLeaderError, match="the leader is b"):
