--- a/benchmarks/redundancy.py
+++ b/benchmarks/redundancy.py
@@ -58,7 +58,7 @@
 from pewterring.storage.group import DiskGroupStorage
 from pewterring.transport.line_codec import MessageCodec
 from tests.configuration.documents import numbered_routes
-from tests.consensus.slow_members import DiskTimer
+from tests.consensus.slow_members import SlowDiskExecutor
 from tests.consensus.virtual_time import run
 from tests.storage.simulated_disk import SimulatedDisk
 
@@ -274,7 +274,7 @@
                 send=self._send,
                 clock=asyncio.get_running_loop().time,
                 rng=random.Random(self._rng.random()),
-                executor=DiskTimer(node.disk, self._speeds.sync_s, self._speeds.disk_bytes),
+                executor=SlowDiskExecutor(node.disk, self._speeds.sync_s, self._speeds.disk_bytes),
             ),
             callbacks=GroupCallbacks(
                 on_leadership=lambda leads: self._on_leadership(node, leads),
--- a/tests/consensus/slow_members.py
+++ b/tests/consensus/slow_members.py
@@ -19,7 +19,7 @@
 LINK_S = 0.001
 
 
-class DiskTimer(Executor):
+class SlowDiskExecutor(Executor):
     """Does disk work immediately, but completes its future only when a disk of the given speed would."""
 
     def __init__(self, disk: SimulatedDisk, sync_s: float, bytes_per_s: float) -> None:
@@ -72,7 +72,7 @@
         self._rng = random.Random(seed)
         self._codec = MessageCodec(CONSENSUS_MESSAGES)
         self.disks = {name: SimulatedDisk() for name in NAMES}
-        self.executors: dict[str, DiskTimer] = {}
+        self.executors: dict[str, SlowDiskExecutor] = {}
         self.processors: dict[str, Processor] = {}
         self.running: dict[str, ReplicatedGroup] = {}
         self.machines: dict[str, StateMachine] = {}
@@ -87,7 +87,7 @@
         storage.load()
         storage.initialize(Membership(NAMES))
         storage.close()
-        self.executors[name] = DiskTimer(disk, sync_s, disk_bytes_per_s)
+        self.executors[name] = SlowDiskExecutor(disk, sync_s, disk_bytes_per_s)
         self.processors[name] = Processor(cpu_bytes_per_s)
         self.machines[name] = self._create_machine()
         group = ReplicatedGroup(
