--- a/pewterring/consensus/log.py
+++ b/pewterring/consensus/log.py
@@ -84,14 +84,14 @@
         """
         start = self._offset(first)
         end = start
-        size = 0
+        size_bytes = 0
         while end < len(self._entries):
             next_size = entry_size(self._entries[end])
-            if end > start and size + next_size > limit_bytes:
+            if end > start and size_bytes + next_size > limit_bytes:
                 break
-            size += next_size
+            size_bytes += next_size
             end += 1
-        return tuple(self._entries[start:end]), size
+        return tuple(self._entries[start:end]), size_bytes
 
     def append(self, entries: Iterable[Entry]) -> None:
         """Appends entries.
@@ -125,17 +125,17 @@
 
     def compact(self, index: int, retained_bytes: int) -> None:
         """Drops entries up to `index`, except for the latest of them, up to `retained_bytes` in size."""
-        drop = min(index - self.base_index, len(self._entries))
-        retained = 0
-        while drop > 0:
-            retained += entry_size(self._entries[drop - 1])
-            if retained > retained_bytes:
+        dropped_count = min(index - self.base_index, len(self._entries))
+        retained_size = 0
+        while dropped_count > 0:
+            retained_size += entry_size(self._entries[dropped_count - 1])
+            if retained_size > retained_bytes:
                 break
-            drop -= 1
-        if drop > 0:
-            self.base_term = self._entries[drop - 1].term
-            self.base_index += drop
-            del self._entries[:drop]
+            dropped_count -= 1
+        if dropped_count > 0:
+            self.base_term = self._entries[dropped_count - 1].term
+            self.base_index += dropped_count
+            del self._entries[:dropped_count]
 
     def term_start(self, index: int) -> int:
         """The first of the entries in memory that have the same term as entry `index`, without the base."""
--- a/tests/consensus/scenarios.py
+++ b/tests/consensus/scenarios.py
@@ -12,7 +12,7 @@
 MAX_LEADERLESS_S = 0.15  # far below the shortest election timeout
 
 
-def _with_leader(seed: int, voters: int, raft_class: type[Raft]) -> tuple[Simulation, str, list[str]]:
+def _start_group(seed: int, voters: int, raft_class: type[Raft]) -> tuple[Simulation, str, list[str]]:
     """Starts a group and waits for a leader; returns the group, the leader and the other members."""
     simulation = Simulation(seed, voters, raft_class)
     simulation.run_until(lambda: simulation.leader() is not None and simulation.leader_raft().is_ready_leader)
@@ -74,7 +74,7 @@
 
 def follower_loses_entry(seed: int, raft_class: type[Raft]) -> None:
     """The follower that completes the majority loses power before the entry is on its disk."""
-    simulation, leader, (slow, isolated) = _with_leader(seed, 3, raft_class)
+    simulation, leader, (slow, isolated) = _start_group(seed, 3, raft_class)
     _propose_unsaved(simulation, slow, isolated)
     _lose_power(simulation, slow, leader)
     _restart_and_check(simulation, slow)
@@ -82,7 +82,7 @@
 
 def leader_loses_entry(seed: int, raft_class: type[Raft]) -> None:
     """The leader loses power before an entry is on its disk; one of its two followers has it on disk."""
-    simulation, leader, (follower, isolated) = _with_leader(seed, 3, raft_class)
+    simulation, leader, (follower, isolated) = _start_group(seed, 3, raft_class)
     _propose_unsaved(simulation, leader, isolated)
     _lose_power(simulation, leader, follower)
     _restart_and_check(simulation, leader)
@@ -93,7 +93,7 @@
 
     See figure 8 of the Raft paper (Ongaro and Ousterhout, 2014).
     """
-    simulation, first, (second, third, fourth, fifth) = _with_leader(seed, 5, raft_class)
+    simulation, first, (second, third, fourth, fifth) = _start_group(seed, 5, raft_class)
     for name in (third, fourth, fifth):
         simulation.disconnect(first, name)
     simulation.propose("x" * 300)
@@ -126,10 +126,10 @@
     return isinstance(message, AppendRequest) and any(entry.index > index for entry in message.entries)
 
 
-def rival_under_lease(seed: int, raft_class: type[Raft]) -> None:
+def candidate_during_lease(seed: int, raft_class: type[Raft]) -> None:
     """A member without a link to the leader starts an election; its voter restarts during the lease."""
-    simulation, leader, (voter, rival) = _with_leader(seed, 3, raft_class)
-    simulation.disconnect(leader, rival)
+    simulation, leader, (voter, candidate) = _start_group(seed, 3, raft_class)
+    simulation.disconnect(leader, candidate)
     read_and_write(simulation, leader, 1.5)
     if simulation.leader() == leader:
         simulation.crash(voter)
@@ -141,7 +141,7 @@
 
 def leader_frozen_with_replies_in_flight(seed: int, raft_class: type[Raft]) -> None:
     """The leader freezes with replies in flight, and processes them only after another leader was elected."""
-    simulation, leader, (other, _) = _with_leader(seed, 3, raft_class)
+    simulation, leader, (other, _) = _start_group(seed, 3, raft_class)
     simulation.faults = FaultProfile(delay_s=(0.02, 0.03))
     simulation.run(1.0)
     simulation.freeze(leader)
@@ -159,10 +159,10 @@
     return simulation.leader() != old and simulation.leader_raft().is_ready_leader
 
 
-def wiped_voter_and_rival(seed: int, raft_class: type[Raft]) -> None:
+def wiped_voter_and_stale_candidate(seed: int, raft_class: type[Raft]) -> None:
     """A voter loses its disk; a member that was isolated until then starts an election."""
-    simulation, leader, (wiped, rival) = _with_leader(seed, 3, raft_class)
-    simulation.isolate(rival)
+    simulation, leader, (wiped, candidate) = _start_group(seed, 3, raft_class)
+    simulation.isolate(candidate)
     simulation.propose("x")
     simulation.run(0.3)
     simulation.crash(wiped)
@@ -175,7 +175,7 @@
 
 def reconnects_in_a_later_term(seed: int, raft_class: type[Raft]) -> None:
     """A member starts an election just as it is isolated, and reconnects with a later term but an old log."""
-    simulation, leader, (absent, _) = _with_leader(seed, 3, raft_class)
+    simulation, leader, (absent, _) = _start_group(seed, 3, raft_class)
     simulation.isolate(absent)
     simulation.start_election(absent)
     simulation.propose("meanwhile")
@@ -202,9 +202,9 @@
         simulation.run(0.005)
 
 
-def _needs_snapshot(seed: int, raft_class: type[Raft]) -> tuple[Simulation, str, str, str]:
+def _with_lagging_member(seed: int, raft_class: type[Raft]) -> tuple[Simulation, str, str, str]:
     """Returns a group with the leader, a follower, and a member that is down and needs a snapshot."""
-    simulation, leader, (other, absent) = _with_leader(seed, 3, raft_class)
+    simulation, leader, (other, absent) = _start_group(seed, 3, raft_class)
     simulation.crash(absent)
     _propose_many(simulation, "")
     simulation.run(0.5)
@@ -213,9 +213,9 @@
 
 def late_snapshot(seed: int, raft_class: type[Raft]) -> None:
     """The chunks of an installed snapshot arrive again after their receiver applied newer entries."""
-    simulation, _, _, absent = _needs_snapshot(seed, raft_class)
+    simulation, _, _, absent = _with_lagging_member(seed, raft_class)
     chunks: list[SnapshotChunk] = []
-    simulation.drops = lambda message: _record(message, chunks)
+    simulation.drops = lambda message: _record_chunk(message, chunks)
     simulation.start(absent)
     simulation.run(1.0)
     simulation.drops = drop_nothing
@@ -226,7 +226,7 @@
     simulation.check_converges()
 
 
-def _record(message: ConsensusMessage, chunks: list[SnapshotChunk]) -> bool:
+def _record_chunk(message: ConsensusMessage, chunks: list[SnapshotChunk]) -> bool:
     if isinstance(message, SnapshotChunk):
         chunks.append(message)
     return False
@@ -234,12 +234,12 @@
 
 def leader_crashes_during_snapshot(seed: int, raft_class: type[Raft]) -> None:
     """The leader crashes while it sends a snapshot; its successor sends another one of the same index."""
-    simulation, leader, _, absent = _needs_snapshot(seed, raft_class)
+    simulation, leader, _, absent = _with_lagging_member(seed, raft_class)
     chunks: list[SnapshotChunk] = []
     simulation.drops = lambda message: isinstance(message, SnapshotChunk) and message.offset > 1000
     simulation.start(absent)
     simulation.run(0.3)
-    simulation.drops = lambda message: _is_entry(message) or _record(message, chunks)
+    simulation.drops = lambda message: _is_entry(message) or _record_chunk(message, chunks)
     simulation.crash(leader)
     simulation.run_while(lambda: not chunks, 5.0)
     simulation.run(0.5)
@@ -251,10 +251,10 @@
 def chunk_lost_within_window(seed: int, raft_class: type[Raft]) -> None:
     """One chunk of a snapshot is lost while later ones are in flight; repeated for each chunk."""
     for lost in range(SNAPSHOT_CHUNKS):
-        simulation, _, _, absent = _needs_snapshot(seed, raft_class)
+        simulation, _, _, absent = _with_lagging_member(seed, raft_class)
         chunks: list[SnapshotChunk] = []
         simulation.drops = lambda message, chunks=chunks, lost=lost: (  # type: ignore[misc]
-            _record(message, chunks) or (isinstance(message, SnapshotChunk) and len(chunks) == lost + 1)
+            _record_chunk(message, chunks) or (isinstance(message, SnapshotChunk) and len(chunks) == lost + 1)
         )
         simulation.start(absent)
         disk = simulation.members[absent].disk
@@ -274,7 +274,7 @@
 
     Only this member and the leader make up the majority; the leader crashes too, but keeps its disk.
     """
-    simulation, leader, (slow, isolated) = _with_leader(seed, 3, raft_class)
+    simulation, leader, (slow, isolated) = _start_group(seed, 3, raft_class)
     simulation.isolate(isolated)
     simulation.run(0.2)
     count = 0
