--- a/pewterring/batch/execution.py
+++ b/pewterring/batch/execution.py
@@ -253,7 +253,7 @@
             self._missing_routes.reset_times()
             return
         for route in self._missing_routes.removed(now, tables, self._routes()):
-            self._give_up(self._scheduler.take_route(route))
+            self._give_up(self._scheduler.remove_route(route))
             self._give_up_jobs_without_route(route)
 
     def _routes(self) -> set[RouteKey]:
--- a/tests/batch/test_scheduler.py
+++ b/tests/batch/test_scheduler.py
@@ -1,4 +1,4 @@
-"""Order of items, retries, continuation and giving up."""
+"""The scheduler of batch items: order, backoff and retries, resumption, and giving up."""
 
 from collections.abc import Mapping
 from dataclasses import replace
@@ -39,7 +39,7 @@
     return started
 
 
-def test_earliest_due_first_and_largest_first_within_a_job() -> None:
+def test_the_earliest_due_job_starts_first_and_its_largest_items_first() -> None:
     scheduler = ItemScheduler()
     add(scheduler, "later", item("l1"), terms=replace(TERMS, due_at=20))
     add(
@@ -55,7 +55,7 @@
     assert not scheduler.has_ready
 
 
-def test_jobs_that_cannot_make_it_go_behind_the_others() -> None:
+def test_jobs_that_cannot_meet_their_due_time_start_after_the_others() -> None:
     scheduler = ItemScheduler()
     add(scheduler, "missed", item("m1"), terms=replace(TERMS, due_at=10))
     add(scheduler, "possible", item("p1"), terms=replace(TERMS, due_at=30))
@@ -71,7 +71,7 @@
     assert scheduler.has_ready
 
 
-def test_a_refused_item_pauses_and_never_becomes_dead_by_refusals() -> None:
+def test_a_refused_item_backs_off_and_never_becomes_a_dead_letter() -> None:
     scheduler = ItemScheduler()
     add(scheduler, "j", item("i"))
     now = 0.0
@@ -86,7 +86,7 @@
     assert entry.failed_attempts == 0
 
 
-def test_failed_attempts_end_at_the_routes_limit() -> None:
+def test_an_item_is_given_up_at_its_routes_limit_of_failed_attempts() -> None:
     scheduler = ItemScheduler()
     add(scheduler, "j", item("i"))
     entry = start_one(scheduler, 0.0)
@@ -102,7 +102,7 @@
     assert scheduler.on_failure(start_one(scheduler, 0.0), Failure.FAILED, 0.0)
 
 
-def test_an_impossible_item_is_dead_at_once() -> None:
+def test_an_impossible_item_is_given_up_at_once() -> None:
     scheduler = ItemScheduler()
     add(scheduler, "j", item("i"), item("k"))
     entry = start_one(scheduler, 0.0)
@@ -110,9 +110,9 @@
     assert "j" in scheduler
 
 
-def test_a_truncated_item_keeps_its_text_and_continues_first() -> None:
+def test_a_truncated_item_keeps_its_text_and_resumes_before_other_items() -> None:
     scheduler = ItemScheduler()
-    add(scheduler, "j", item("cut", 10), item("rest", 5))
+    add(scheduler, "j", item("truncated", 10), item("other", 5))
     entry = start_one(scheduler, 0.0)
     scheduler.on_progress(entry, "1", "a")
     scheduler.on_progress(entry, "2", "b")
@@ -125,7 +125,7 @@
     assert resumed.text == "a\nb\nc"
 
 
-def test_items_past_their_time_are_given_up_running_or_not() -> None:
+def test_running_and_ready_items_are_given_up_at_the_give_up_time() -> None:
     scheduler = ItemScheduler()
     add(scheduler, "j", item("running", 9), item("waiting", 1), terms=replace(TERMS, give_up_at=5))
     running = start_one(scheduler, 0.0)
@@ -135,7 +135,7 @@
     assert not scheduler.on_failure(running, Failure.IMPOSSIBLE, 6.0)
 
 
-def test_what_an_ended_job_still_brings_changes_nothing() -> None:
+def test_the_outcome_of_an_item_whose_job_has_ended_changes_nothing() -> None:
     scheduler = ItemScheduler()
     add(scheduler, "j", item("i"), item("k"))
     entry = start_one(scheduler, 0.0)
@@ -144,7 +144,7 @@
     assert scheduler.items_to_start(1.0, 5) == []
 
 
-def test_an_item_of_an_earlier_leadership_does_not_count_for_the_new_queue() -> None:
+def test_the_outcome_of_an_item_from_before_a_clear_does_not_affect_the_new_queue() -> None:
     scheduler = ItemScheduler()
     add(scheduler, "j", item("i"))
     old = start_one(scheduler, 0.0)
@@ -156,9 +156,9 @@
 
 
 @pytest.mark.parametrize("failure", [Failure.TRUNCATED, Failure.REFUSED])
-def test_taking_a_route_takes_paused_items_too(failure: Failure) -> None:
+def test_removing_a_route_removes_items_in_backoff_too(failure: Failure) -> None:
     scheduler = ItemScheduler()
     add(scheduler, "j", item("i"), item("k"))
     scheduler.on_failure(start_one(scheduler, 0.0), failure, 0.0)
-    assert set(names(scheduler.take_route(ROUTE))) == {"i", "k"}
+    assert set(names(scheduler.remove_route(ROUTE))) == {"i", "k"}
     assert scheduler.items_to_start(9.0, 5) == []
