--- a/pewterring/batch/dispatch.py
+++ b/pewterring/batch/dispatch.py
@@ -1,8 +1,8 @@
-"""The choice of a worker for an item: within the capacity that admission leaves, the least expected time.
+"""Chooses a worker for each batch item: the least expected time to the first event, within admission limits.
 
-Owns which item is at which worker, and feeds what exchanges show of workers back to routing and admission.
-What may go wrong: live requests wait behind items (a limit below is too high), or items wait though workers
-are free (all of them are suspect).
+Tracks which item runs at which worker, and reports to routing and admission what each exchange shows about
+its worker. What may go wrong: live requests wait behind items (a limit below is too high), or items wait
+although workers are free (all of them are suspect).
 """
 
 import math
@@ -23,48 +23,48 @@
 from pewterring.routing.worker_state import WorkerState
 from pewterring.standalone.policy.interface import RequestClass
 
-MAX_WORKER_LOAD = 0.9  # of a worker's slots that may be taken, as far as known, when an item is assigned
-NEARLY_FULL_LOAD = 0.75  # of a worker's slots taken: it may well refuse an item for want of a slot
-# Of items, pending at one worker: live requests that come wait behind it.
+MAX_WORKER_LOAD = 0.9  # share of a worker's slots; with this many known to be in use it gets no further item
+NEARLY_FULL_LOAD = 0.75  # share of a worker's slots in use at which it may refuse an item for lack of a slot
+# Items get no worker with more prefill of earlier items pending: live requests that arrive wait behind it.
 MAX_PREFILL_S = 0.03
-MAX_LOAD_SPREAD = 0.2  # of its slots that a worker may have taken beyond the least loaded one
-PROBE_AFTER_S = 2.0  # where all workers are suspect, one that failed so long ago is probed with an item
-MIN_EXPECTED_S = 1e-4  # keeps ratios finite
+MAX_LOAD_SPREAD = 0.2  # share of slots by which a worker's load may exceed that of the least loaded worker
+PROBE_AFTER_S = 2.0  # while all workers are suspect, an item probes a worker this long after its last failure
+MIN_EXPECTED_S = 1e-4  # lower bound of the expected time: keeps the ratio to the elapsed time finite
 
 
 class ExchangeOutcome(Enum):
-    """What an exchange with a worker shows of the worker."""
+    """How an exchange with a worker ended, as far as it shows whether the worker is healthy."""
 
-    ANSWERED = auto()  # a complete answer, whatever it says of the item
-    REFUSED = auto()  # not run, or not reached
+    ANSWERED = auto()  # the answer was complete, even if it reported that the item failed
+    REFUSED = auto()  # the worker did not run the item, or could not be reached
     TRUNCATED = auto()  # the answer ended early
-    STALE = auto()  # says nothing of the worker: it closes or forgets idle connections
-    CANCELLED = auto()  # by this store
+    STALE = auto()  # the worker had closed an idle connection, which does not show whether it is healthy
+    CANCELLED = auto()  # this store cancelled the exchange
 
 
 FAULT_OUTCOMES = (ExchangeOutcome.REFUSED, ExchangeOutcome.TRUNCATED)
 
 
 class Dispatcher(Protocol):
-    """Chooses workers for items and is notified how their exchanges ended."""
+    """Chooses workers for items and is notified how the exchanges with them end."""
 
     def assign(self, item: QueuedItem, avoid: str) -> WorkerRecord | None:
-        """Assigns the item to a worker, which counts it from now on; None where none has capacity now.
+        """Assigns the item to a worker and counts it there from now on. None if no worker has free capacity.
 
         Args:
-            item: The item that is to run.
-            avoid: Id of a worker that is chosen only where no other will do.
+            item: The item to run.
+            avoid: Id of a worker that is chosen only if no other worker can take the item.
         """
 
     def first_event(self, item: QueuedItem) -> None:
-        """The first event of the item's exchange came: prefill is over."""
+        """Notes that the first event of the item's exchange has arrived: its prefill is over."""
 
     def finished(self, item: QueuedItem, outcome: ExchangeOutcome) -> None:
-        """The exchange at the worker that `assign` returned has ended."""
+        """Notes that the exchange with the worker that `assign` returned has ended."""
 
 
 def batch_route(tables: Tables, key: RouteKey) -> Route | None:
-    """The configuration's route for jobs of that host and prefix."""
+    """The configured route for batch jobs with this host and path prefix, or None."""
     if tables.configuration is None:
         return None
     for route in tables.configuration.routes:
@@ -74,30 +74,31 @@
 
 
 def item_prompt(item: QueuedItem) -> Prompt:
-    """What the item's headers say of its prompt."""
+    """The item's prompt, as its headers describe it: prefixes and numbers of tokens."""
     headers = {name.lower(): value for name, value in item.spec.headers.items()}
     return read_prompt(headers.get(PREFIX_HEADER), headers.get(USAGE_HEADER))
 
 
 @dataclass(slots=True)
 class _Assignment:
-    """One item at one worker, from its choice to the end of the exchange."""
+    """One item at one worker, from the choice of the worker to the end of the exchange."""
 
     service: str
     worker: WorkerState
     prompt: Prompt
-    tokens: int  # of prefill that the worker must do before the first event
-    assigned_at: float
+    prefill_tokens: int  # prompt tokens that the worker must process before the first event
+    assigned_at: float  # monotonic time
     is_probe: bool  # the worker was suspect when it was chosen
-    is_unqueued: bool  # nothing was there that it would have to wait for
-    in_prefill: bool = True  # until the first event
+    is_unqueued: bool  # the worker had a free slot and no prefill pending that the item would wait for
+    in_prefill: bool = True  # no event has arrived yet
 
 
 class AdmissionDispatcher:
-    """Assigns items within the capacity that admission leaves, by the least expected time to first event.
+    """Assigns items within the capacity that admission leaves, by the least expected time to the first event.
 
-    Services of a route get items by their weights. A worker whose slots are nearly taken gets none, and none
-    while much prefill of earlier items is pending: a live request that comes would wait behind them.
+    The services of a route get items in proportion to their weights. A worker gets no item while nearly all
+    of its slots are in use, or while much prefill of earlier items is pending there: a live request that
+    arrives would wait behind them.
     """
 
     def __init__(
@@ -125,32 +126,32 @@
                 continue
             worker = self._choose(now, service, prompt, avoid)
             if worker is not None:
-                self._begin(item, self._assignment(now, service, worker, prompt))
+                self._begin(item, self._new_assignment(now, service, worker, prompt))
                 return worker.record
         return None
 
     def first_event(self, item: QueuedItem) -> None:
-        """See `Dispatcher`: learns the service's times, the worker's speed and the concurrency limit."""
+        """See `Dispatcher`. Updates expected times, the worker's speed and the concurrency limit."""
         assignment = self._assignments.get(item)
         if assignment is None or not assignment.in_prefill:
             return
         self._end_prefill(assignment)
         now = self._clock()
-        seconds = now - assignment.assigned_at
+        elapsed_s = now - assignment.assigned_at
         times = self._chooser.times_of(assignment.service)
-        expected = times.expected(assignment.tokens)
+        expected_s = times.expected(assignment.prefill_tokens)
         if assignment.is_unqueued:
-            # Symptom answered: the time to read a token was learnt as four times what it is while items
-            # waited for slots, and a cached prefix then outweighed any load.
-            times.learn(assignment.tokens, seconds)
-        ratio = seconds / max(MIN_EXPECTED_S, expected)
+            # Times of items that waited for a slot are not learnt: they made the time per prompt token four
+            # times too long, and a cached prefix then outweighed any load.
+            times.learn(assignment.prefill_tokens, elapsed_s)
+        ratio = elapsed_s / max(MIN_EXPECTED_S, expected_s)
         assignment.worker.note_ratio(ratio)
         assignment.worker.keep(assignment.prompt)
-        kind = RequestClass("/".join(item.route), aim=math.inf, deadline=math.inf)
-        self._admissions.of(assignment.service).observe(now, kind, ratio)
+        request_class = RequestClass("/".join(item.route), aim=math.inf, deadline=math.inf)
+        self._admissions.of(assignment.service).observe(now, request_class, ratio)
 
     def load_reported(self, worker: WorkerRecord, load: Load) -> None:
-        """An answer's head reported a worker's load."""
+        """Notes the load that a worker reported in the head of an answer."""
         state = self._chooser.workers.get(worker.id)
         if state is not None:
             state.take_report(self._clock(), load.running, load.waiting)
@@ -171,49 +172,49 @@
         elif outcome is ExchangeOutcome.REFUSED and worker.load(now) >= NEARLY_FULL_LOAD:
             worker.take_report(now, worker.record.capacity, 0)
         elif outcome in FAULT_OUTCOMES and (assignment.is_probe or not worker.suspect(now)):
-            # For workers that crash or leave: all their items end at once, which counts as one failure.
+            # A worker that crashes or leaves ends all its items at once, which counts as one failure.
             worker.failed(now)
 
     @staticmethod
-    def _assignment(now: float, service: str, worker: WorkerState, prompt: Prompt) -> _Assignment:
+    def _new_assignment(now: float, service: str, worker: WorkerState, prompt: Prompt) -> _Assignment:
         is_unqueued = not worker.pending_tokens and worker.load(now) < NEARLY_FULL_LOAD
-        tokens = worker.uncached(prompt)
-        return _Assignment(service, worker, prompt, tokens, now, worker.suspect(now), is_unqueued)
+        prefill_tokens = worker.uncached(prompt)
+        return _Assignment(service, worker, prompt, prefill_tokens, now, worker.suspect(now), is_unqueued)
 
     def _begin(self, item: QueuedItem, assignment: _Assignment) -> None:
         self._assignments[item] = assignment
         assignment.worker.out += 1
-        assignment.worker.pending_tokens += assignment.tokens
+        assignment.worker.pending_tokens += assignment.prefill_tokens
         self._admissions.of(assignment.service).out += 1
 
     @staticmethod
     def _end_prefill(assignment: _Assignment) -> None:
         assignment.in_prefill = False
-        assignment.worker.pending_tokens -= assignment.tokens
+        assignment.worker.pending_tokens -= assignment.prefill_tokens
 
     def _services_by_weight(self, route: Route) -> list[str]:
-        """The route's services, the one furthest below its weight first."""
+        """The route's services, the one with the fewest items in flight for its weight first."""
         weighted = [entry for entry in route.services if entry.weight > 0]
         weighted.sort(key=lambda entry: self._admissions.of(entry.service).out / entry.weight)
         return [entry.service for entry in weighted]
 
     def _choose(self, now: float, service: str, prompt: Prompt, avoid: str) -> WorkerState | None:
-        """The best worker with capacity: another than `avoid` where there is one."""
+        """The best worker with free capacity; `avoid` only if no other worker has any."""
         per_token_s = max(PER_TOKEN_S, self._chooser.times_of(service).per_token_s)
         workers = self._chooser.ready(now, service)
-        busy = {worker.record.id for worker in workers if not _has_capacity(now, worker, per_token_s)}
-        if len(busy) == len(workers):
+        excluded = {worker.record.id for worker in workers if not _has_capacity(now, worker, per_token_s)}
+        if len(excluded) == len(workers):
             return _worker_to_probe(now, workers)
-        busy |= _above_spread(now, [worker for worker in workers if worker.record.id not in busy])
-        alone = all(worker.record.id in busy or worker.record.id == avoid for worker in workers)
-        return self._chooser.choose(now, service, prompt, busy if alone else busy | {avoid})
+        excluded |= _ids_above_spread(now, [worker for worker in workers if worker.record.id not in excluded])
+        no_other = all(worker.record.id in excluded or worker.record.id == avoid for worker in workers)
+        return self._chooser.choose(now, service, prompt, excluded if no_other else excluded | {avoid})
 
 
 def _worker_to_probe(now: float, workers: Sequence[WorkerState]) -> WorkerState | None:
-    """The worker to probe where all are suspect: the one that failed longest ago, if long enough.
+    """The worker to probe if all are suspect: the one that failed longest ago, at least `PROBE_AFTER_S` ago.
 
-    Symptom answered: after a store was cut off from all workers, items waited for up to eight seconds though
-    the workers were free. An item can wait for an attempt that fails; a live request could not.
+    Without probes, items waited up to eight seconds for free workers after a network partition between a
+    store and all workers. An item has time for an attempt that fails; a live request has not.
     """
     if not all(worker.suspect(now) for worker in workers):
         return None
@@ -221,17 +222,18 @@
     return min(due, key=lambda worker: worker.failed_at, default=None)
 
 
-def _above_spread(now: float, workers: Sequence[WorkerState]) -> set[str]:
-    """Ids of workers whose slots are taken much more than those of the least loaded one.
+def _ids_above_spread(now: float, workers: Sequence[WorkerState]) -> set[str]:
+    """Ids of the workers whose load exceeds that of the least loaded one by more than `MAX_LOAD_SPREAD`.
 
-    Symptom answered: items of one shared prefix filled the workers that cache it while others were half
-    empty, and live requests that came to the full ones waited for a slot.
+    Without this limit, items with a shared prefix filled the workers that cache it while others were half
+    empty, and live requests that arrived at the full workers waited for a slot.
     """
-    limit = min(worker.load(now) for worker in workers) + MAX_LOAD_SPREAD
-    return {worker.record.id for worker in workers if worker.load(now) > limit}
+    max_load = min(worker.load(now) for worker in workers) + MAX_LOAD_SPREAD
+    return {worker.record.id for worker in workers if worker.load(now) > max_load}
 
 
 def _has_capacity(now: float, worker: WorkerState, per_token_s: float) -> bool:
+    """Whether the worker can take another item without delaying live requests. An idle worker always can."""
     if worker.suspect(now) or worker.pending_tokens * per_token_s > MAX_PREFILL_S:
         return False
     return worker.load(now) < MAX_WORKER_LOAD or worker.out == 0 == worker.others(now)
--- a/pewterring/batch/scheduler.py
+++ b/pewterring/batch/scheduler.py
@@ -97,7 +97,7 @@
 
 
 class ItemScheduler:
-    """Queues the unfinished items of a partition at its leader; decides which start and which are given up."""
+    """Queues the unfinished items of a partition at its leader; decides which start and which to give up."""
 
     def __init__(self) -> None:
         self._jobs: dict[str, _QueuedJob] = {}
--- a/tests/batch/test_dispatch.py
+++ b/tests/batch/test_dispatch.py
@@ -1,4 +1,4 @@
-"""Assigning items: the concurrency limit, what live requests use of it, and the choice of a worker."""
+"""Assigning items: the concurrency limit, what live requests use of it, and which worker an item goes to."""
 
 import random
 from dataclasses import replace
@@ -29,16 +29,16 @@
 
 
 class Fixture:
-    """A dispatcher over tables that the test gives."""
+    """A dispatcher with the tables that a test passes, and the admission and routing that it uses."""
 
-    def __init__(self, known: Tables, gateways: int = 0) -> None:
+    def __init__(self, given_tables: Tables, gateways: int = 0) -> None:
         self.clock = ManualClock()
         self.admissions = BatchAdmissions(random.Random(1))
         self.chooser = WorkerChooser("z", random.Random(2))
         nodes = tuple(
             NodeRecord(f"g{number}", "gateway", f"10.1.0.{number}", "z", "life") for number in range(gateways)
         )
-        self.tables = replace(known, nodes=nodes)
+        self.tables = replace(given_tables, nodes=nodes)
         self.chooser.update(self.tables.workers, self.tables.configuration)
         self.admissions.update(self.clock.now, self.tables, self.chooser)
         self.dispatcher = AdmissionDispatcher(lambda: self.tables, self.chooser, self.admissions, self.clock)
@@ -57,8 +57,8 @@
             pass
         return len(self.items)
 
-    def heartbeat(self, peer: int, out: int, limit: float = 2 * SLOTS, kind: int = GATEWAY) -> None:
-        data = write_beat(Beat(peer, 1, limit, out, 1.0, 1.0))
+    def heartbeat(self, peer: int, in_flight: int, limit: float = 2 * SLOTS, kind: int = GATEWAY) -> None:
+        data = write_beat(Beat(peer, 1, limit, in_flight, 1.0, 1.0))
         self.admissions.hear(self.clock.now, kind, peer, SERVICE, data)
 
 
@@ -66,64 +66,65 @@
     return Fixture(tables(worker("w1", capacity=SLOTS), worker("w22", capacity=SLOTS)), gateways)
 
 
-def prompt(tokens: int, own: str) -> dict[str, str]:
-    return {"Prompt-Prefix": f"shared:{tokens // 2},{own}:{tokens // 2}", "Token-Usage": f"{tokens},10"}
+def prompt_headers(tokens: int, own_part: str) -> dict[str, str]:
+    """Headers of a prompt of which one half is shared by all items and `own_part` names the other half."""
+    return {"Prompt-Prefix": f"shared:{tokens // 2},{own_part}:{tokens // 2}", "Token-Usage": f"{tokens},10"}
 
 
 def test_items_take_most_of_the_concurrency_limit_when_live_requests_take_none() -> None:
     fixture = two_workers()
-    fixture.heartbeat(1, out=0)
+    fixture.heartbeat(1, in_flight=0)
     assert fixture.assign_all() == 18
 
 
-def test_items_leave_what_live_requests_have_out_and_a_margin() -> None:
+def test_items_leave_a_margin_above_the_live_requests_in_flight() -> None:
     fixture = two_workers()
-    fixture.heartbeat(1, out=8)
+    fixture.heartbeat(1, in_flight=8)
     assert fixture.assign_all() == 4  # 18 - 8 - 2 * sqrt(8)
 
 
 @pytest.mark.parametrize("gateways", [0, 1])
-def test_a_service_of_one_slot_runs_one_item_while_live_requests_leave_it_free(gateways: int) -> None:
+def test_a_service_with_one_slot_runs_one_item_while_no_live_request_uses_the_slot(gateways: int) -> None:
     fixture = Fixture(tables(worker("w1", capacity=1)), gateways)
     assert fixture.assign_all() == 1
     fixture.dispatcher.finished(fixture.items.pop(), ExchangeOutcome.ANSWERED)
-    fixture.heartbeat(1, out=1)
+    fixture.heartbeat(1, in_flight=1)
     assert fixture.assign_all() == 0
 
 
-def test_a_slot_that_an_item_frees_is_used_again() -> None:
+def test_a_slot_freed_by_an_item_is_used_again() -> None:
     fixture = two_workers()
-    fixture.heartbeat(1, out=8)
+    fixture.heartbeat(1, in_flight=8)
     fixture.assign_all()
     fixture.dispatcher.finished(fixture.items[0], ExchangeOutcome.ANSWERED)
     assert fixture.assign() is not None
     assert fixture.assign() is None
 
 
-def test_the_concurrency_limit_is_the_lower_median_of_what_processes_infer() -> None:
+def test_the_concurrency_limit_is_the_lower_median_of_the_limits_that_processes_infer() -> None:
     fixture = two_workers(gateways=2)
-    fixture.heartbeat(1, out=0, limit=10.0)
-    fixture.heartbeat(2, out=0, limit=10.0)
+    fixture.heartbeat(1, in_flight=0, limit=10.0)
+    fixture.heartbeat(2, in_flight=0, limit=10.0)
     assert fixture.assign_all() == 9
 
 
-def test_one_low_limit_among_many_decides_nothing() -> None:
+def test_a_single_low_limit_does_not_lower_the_concurrency_limit() -> None:
     fixture = two_workers(gateways=2)
-    fixture.heartbeat(1, out=0, limit=2.0)
-    fixture.heartbeat(2, out=0)
+    fixture.heartbeat(1, in_flight=0, limit=2.0)
+    fixture.heartbeat(2, in_flight=0)
     assert fixture.assign_all() == 18
 
 
-def test_limits_beyond_the_slots_bring_no_more_items() -> None:
+def test_limits_above_the_number_of_slots_allow_no_more_items() -> None:
     fixture = two_workers(gateways=2)
-    fixture.heartbeat(1, out=0, limit=40.0)
-    fixture.heartbeat(2, out=0, limit=40.0)
+    fixture.heartbeat(1, in_flight=0, limit=40.0)
+    fixture.heartbeat(2, in_flight=0, limit=40.0)
     assert fixture.assign_all() <= 18
 
 
 def test_slower_first_events_lower_the_concurrency_limit() -> None:
     fixture = two_workers()
-    fixture.heartbeat(1, out=0)
+    fixture.heartbeat(1, in_flight=0)
     admission = fixture.admissions.of("s")
     before = admission.room(fixture.clock.now)
     for seconds in [0.02] * 200 + [0.5] * 200:
@@ -132,15 +133,15 @@
         fixture.dispatcher.first_event(fixture.items[-1])
         fixture.dispatcher.finished(fixture.items[-1], ExchangeOutcome.ANSWERED)
         fixture.admissions.tick(fixture.clock.now)
-        fixture.heartbeat(1, out=0, limit=0.0)
+        fixture.heartbeat(1, in_flight=0, limit=0.0)
     assert admission.out == 0
     assert admission.room(fixture.clock.now) < before
 
 
-def test_items_keep_to_half_of_the_concurrency_limit_without_heartbeats_of_gateways() -> None:
+def test_items_use_half_of_the_concurrency_limit_without_heartbeats_of_gateways() -> None:
     fixture = two_workers()
     assert fixture.assign_all() == 10
-    fixture.heartbeat(1, out=0)
+    fixture.heartbeat(1, in_flight=0)
     assert fixture.assign_all() == 18
     fixture.clock.now += LEASE_S + 0.1
     fixture.dispatcher.finished(fixture.items[0], ExchangeOutcome.ANSWERED)
@@ -149,8 +150,8 @@
 
 def test_items_of_another_store_count_until_its_heartbeats_time_out() -> None:
     fixture = two_workers()
-    fixture.heartbeat(1, out=0)
-    fixture.heartbeat(9, out=15, kind=BATCH)
+    fixture.heartbeat(1, in_flight=0)
+    fixture.heartbeat(9, in_flight=15, kind=BATCH)
     assert fixture.assign_all() == 3
     fixture.clock.now += 1.1
     assert fixture.assign_all() == 18
@@ -158,7 +159,7 @@
 
 def test_the_heartbeat_reports_how_many_items_are_in_flight() -> None:
     fixture = two_workers()
-    fixture.heartbeat(1, out=0)
+    fixture.heartbeat(1, in_flight=0)
     fixture.assign()
     other = BatchAdmissions(random.Random(3))
     other.update(fixture.clock.now, fixture.tables, fixture.chooser)
@@ -168,9 +169,9 @@
     assert other.of("s").room(fixture.clock.now) == capacity - 1
 
 
-def test_a_worker_nearly_full_by_its_own_report_gets_no_item() -> None:
+def test_a_worker_that_reports_itself_nearly_full_gets_no_item() -> None:
     fixture = two_workers()
-    fixture.heartbeat(1, out=0)
+    fixture.heartbeat(1, in_flight=0)
     first = fixture.assign()
     assert first is not None
     fixture.dispatcher.load_reported(first, Load(running=SLOTS, waiting=3))
@@ -178,31 +179,31 @@
     assert others == {"w1", "w22"} - {first.id}
 
 
-def test_a_worker_gets_no_item_while_it_has_much_to_read() -> None:
+def test_a_worker_gets_no_item_while_much_prefill_is_pending_there() -> None:
     fixture = Fixture(tables(worker("w1", capacity=100)), gateways=1)
-    fixture.heartbeat(1, out=0, limit=100.0)
+    fixture.heartbeat(1, in_flight=0, limit=100.0)
     tokens = int(0.7 * MAX_PREFILL_S / PER_TOKEN_S)
-    assert fixture.assign(prompt(tokens, "a")) is not None
-    assert fixture.assign(prompt(tokens, "b")) is not None
-    assert fixture.assign(prompt(tokens, "c")) is None
+    assert fixture.assign(prompt_headers(tokens, "a")) is not None
+    assert fixture.assign(prompt_headers(tokens, "b")) is not None
+    assert fixture.assign(prompt_headers(tokens, "c")) is None
     fixture.dispatcher.first_event(fixture.items[0])
-    assert fixture.assign(prompt(tokens, "c")) is not None
+    assert fixture.assign(prompt_headers(tokens, "c")) is not None
 
 
-def test_one_huge_prompt_is_placed_all_the_same() -> None:
+def test_an_idle_worker_gets_an_item_however_long_its_prompt_is() -> None:
     fixture = Fixture(tables(worker("w1")), gateways=0)
-    assert fixture.assign(prompt(1_000_000, "a")) is not None
+    assert fixture.assign(prompt_headers(1_000_000, "a")) is not None
 
 
-def test_another_worker_than_the_last_where_there_is_one() -> None:
+def test_a_retry_goes_to_another_worker_than_the_last_attempt_if_there_is_one() -> None:
     fixture = two_workers()
     first = fixture.assign()
     assert first is not None
     second = fixture.assign(avoid="w1")
     assert second is not None
     assert second.id == "w22"
-    alone = Fixture(tables(worker("w1")))
-    again = alone.assign(avoid="w1")
+    single_worker = Fixture(tables(worker("w1")))
+    again = single_worker.assign(avoid="w1")
     assert again is not None
     assert again.id == "w1"
 
@@ -217,7 +218,7 @@
     assert fixture.assign() is not None
 
 
-def test_connections_that_a_worker_forgot_do_not_count_against_it() -> None:
+def test_stale_connections_do_not_make_a_worker_suspect() -> None:
     fixture = Fixture(tables(worker("w1")))
     for _ in range(5):
         assert fixture.assign() is not None
@@ -225,7 +226,7 @@
     assert not fixture.chooser.workers["w1"].suspect(fixture.clock.now)
 
 
-def test_items_truncated_together_are_one_failure_of_the_worker() -> None:
+def test_items_truncated_together_count_as_one_failure_of_the_worker() -> None:
     fixture = Fixture(tables(worker("w1")))
     for _ in range(5):
         fixture.assign()
@@ -236,7 +237,7 @@
 
 
 def fail_all(fixture: Fixture, times: int) -> None:
-    """All workers refuse or cut, so often in a row; an answered item would show them to be well."""
+    """Truncates the answers of all items at all workers, `times` in a row, without a complete answer."""
     for _ in range(times):
         while fixture.assign() is not None:
             pass
@@ -246,20 +247,20 @@
         fixture.clock.now += PROBE_AFTER_S + 0.01
 
 
-def test_workers_that_all_fail_are_tried_again_soon_however_often_they_failed() -> None:
+def test_workers_that_all_failed_are_probed_soon_however_often_they_failed() -> None:
     fixture = two_workers()
-    fixture.heartbeat(1, out=0)
+    fixture.heartbeat(1, in_flight=0)
     fail_all(fixture, times=8)
     assert {found.id for found in (fixture.assign(), fixture.assign()) if found} == {"w1", "w22"}
-    assert fixture.assign() is None  # one item each, until it is answered
+    assert fixture.assign() is None  # each worker gets one item as a probe, until it answers
     for queued in fixture.items:
         fixture.dispatcher.finished(queued, ExchangeOutcome.ANSWERED)
     assert fixture.assign_all() > 2
 
 
-def test_a_failing_worker_is_not_tried_while_another_is_well() -> None:
+def test_a_failing_worker_is_not_probed_while_another_is_healthy() -> None:
     fixture = two_workers()
-    fixture.heartbeat(1, out=0)
+    fixture.heartbeat(1, in_flight=0)
     first = fixture.assign()
     assert first is not None
     fixture.dispatcher.finished(fixture.items[0], ExchangeOutcome.TRUNCATED)
@@ -271,22 +272,22 @@
 
 
 def two_workers_with_engines() -> Tables:
-    known = tables(worker("w1", capacity=SLOTS), worker("w22", capacity=SLOTS))
-    assert known.configuration is not None
+    given_tables = tables(worker("w1", capacity=SLOTS), worker("w22", capacity=SLOTS))
+    assert given_tables.configuration is not None
     services = {"s": Service("s", engine=Engine(SLOTS, kv_tokens=100_000))}
-    return replace(known, configuration=replace(known.configuration, services=services))
+    return replace(given_tables, configuration=replace(given_tables.configuration, services=services))
 
 
-def test_a_prompt_goes_where_its_prefix_is_cached() -> None:
-    read = {"Prompt-Prefix": "only:2000", "Token-Usage": "2000,10"}
+def test_an_item_goes_to_the_worker_that_caches_its_prefix() -> None:
+    headers = {"Prompt-Prefix": "only:2000", "Token-Usage": "2000,10"}
     for last in ("w1", "w22"):
         fixture = Fixture(two_workers_with_engines())
-        first = fixture.assign(read, avoid=last)
+        first = fixture.assign(headers, avoid=last)
         assert first is not None
         assert first.id != last
-        fixture.clock.now += 0.04  # what was expected
+        fixture.clock.now += 0.04  # the expected time to the first event
         fixture.dispatcher.first_event(fixture.items[0])
-        second = fixture.assign(read)
+        second = fixture.assign(headers)
         assert second is not None
         assert second.id == first.id
 
@@ -303,39 +304,39 @@
     assert fixture.admissions.of("t").out == 10
 
 
-def test_an_item_whose_exchange_is_unknown_changes_nothing() -> None:
+def test_an_item_that_was_never_assigned_changes_nothing() -> None:
     fixture = two_workers()
-    stranger = QueuedItem("j", ROUTE, item("stranger"))
-    fixture.dispatcher.first_event(stranger)
-    fixture.dispatcher.finished(stranger, ExchangeOutcome.TRUNCATED)
+    unassigned = QueuedItem("j", ROUTE, item("unassigned"))
+    fixture.dispatcher.first_event(unassigned)
+    fixture.dispatcher.finished(unassigned, ExchangeOutcome.TRUNCATED)
     assert fixture.admissions.of("s").out == 0
 
 
-def test_items_of_one_shared_prefix_do_not_crowd_the_worker_that_caches_it() -> None:
+def test_items_with_a_shared_prefix_do_not_overload_the_worker_that_caches_it() -> None:
     fixture = two_workers()
-    fixture.heartbeat(1, out=0)
-    shared = prompt(2000, "own")
-    first = fixture.assign(shared)
+    fixture.heartbeat(1, in_flight=0)
+    headers = prompt_headers(2000, "own")
+    first = fixture.assign(headers)
     assert first is not None
     fixture.dispatcher.first_event(fixture.items[-1])
-    assigned = [fixture.assign(prompt(2000, f"own{number}")) for number in range(2)]
-    while (found := fixture.assign(prompt(60, "small"))) is not None:
+    assigned = [fixture.assign(prompt_headers(2000, f"own{number}")) for number in range(2)]
+    while (found := fixture.assign(prompt_headers(60, "small"))) is not None:
         assigned.append(found)
     counts = [sum(found == each for found in assigned) for each in fixture.tables.workers.values()]
     assert sum(counts) == 17
     assert abs(counts[0] - counts[1]) <= MAX_LOAD_SPREAD * SLOTS + 1
 
 
-def test_times_are_learnt_where_nothing_was_waited_for() -> None:
+def test_times_of_items_that_waited_for_earlier_ones_are_not_learnt() -> None:
     fixture = two_workers()
-    fixture.heartbeat(1, out=0)
-    fixture.assign(prompt(1000, "a"))
+    fixture.heartbeat(1, in_flight=0)
+    fixture.assign(prompt_headers(1000, "a"))
     fixture.clock.now += 0.1
     fixture.dispatcher.first_event(fixture.items[-1])
-    learnt = fixture.chooser.times_of("s").expected(1000)
-    while fixture.assign(prompt(60, "small")) is not None:
+    expected_s = fixture.chooser.times_of("s").expected(1000)
+    while fixture.assign(prompt_headers(60, "small")) is not None:
         pass
     fixture.clock.now += 5.0
-    for each in fixture.items[3:]:  # the first at each worker, and those behind it
-        fixture.dispatcher.first_event(each)
-    assert fixture.chooser.times_of("s").expected(1000) == pytest.approx(learnt)
+    for queued in fixture.items[3:]:  # without the first item at each worker, which did not wait
+        fixture.dispatcher.first_event(queued)
+    assert fixture.chooser.times_of("s").expected(1000) == pytest.approx(expected_s)
