--- a/pewterring/batch/execution.py
+++ b/pewterring/batch/execution.py
@@ -1,7 +1,7 @@
-"""Runs a partition's unfinished items from its leader: scheduler, dispatcher and runner joined on asyncio.
+"""Runs the unfinished items of a partition at its leader, with the scheduler, the dispatcher and the runner.
 
-Owns the tasks of running exchanges and the timer of the next pass. What may go wrong: nothing starts while
-the lease or the tables are too old, or while no worker has capacity (dispatch.py).
+Owns the tasks of running exchanges and the timer of the next scheduling pass. What may go wrong: no item
+starts while the lease has expired or the tables are stale, or while no worker has capacity (dispatch.py).
 """
 
 import asyncio
@@ -23,14 +23,14 @@
 from pewterring.distribution.tables import Tables
 from pewterring.durations import MILLISECONDS_PER_SECOND
 
-RECHECK_PERIOD_S = 0.1  # while items could start but find no worker, or the tables are not fresh
-MIN_TIMER_S = 0.01  # a deadline that is due is not looked at more often
+RECHECK_PERIOD_S = 0.1  # between passes while items find no free worker, or the lease or tables are not fresh
+MIN_TIMER_S = 0.01  # shortest delay of the timer, also for a deadline that has passed
 
-# States of results, as clients read them.
+# States of results in answers to clients.
 SUCCEEDED = "succeeded"
 DEAD_LETTER = "dead_letter"
 
-EventHandler = Callable[[str, str], None]  # id and data of one complete event
+EventHandler = Callable[[str, str], None]  # called with the id and the data of one complete event
 
 _EXCHANGE_OUTCOMES = {
     Failure.REFUSED: ExchangeOutcome.REFUSED,
@@ -40,10 +40,14 @@
 
 
 class ItemRunner(Protocol):
-    """Runs an item at a worker."""
+    """Runs items at workers."""
 
     async def run(self, item: QueuedItem, worker: WorkerRecord, on_event: EventHandler) -> Failure | None:
-        """One exchange; None where the answer is complete. `on_event` gets each event that is complete."""
+        """Makes one attempt to run an item. `on_event` is called for each complete event of the answer.
+
+        Returns:
+            Why the attempt failed, or None if the answer is complete.
+        """
 
 
 @dataclass(frozen=True, slots=True)
@@ -53,12 +57,12 @@
     dispatcher: Dispatcher
     runner: ItemRunner
     tables: Callable[[], Tables]
-    may_start: Callable[[float], bool]  # whether items may start at that time: lease and tables are fresh
+    may_start: Callable[[float], bool]  # whether the lease and the tables allow items to start at that time
     clock: Clock
 
 
 class ItemExecution:
-    """Active while this store leads. All that it knows of items is rebuilt from the state at `start`.
+    """Schedules and runs items while this store leads. `start` rebuilds the queue from the replicated state.
 
     Owns one task for each running exchange; `stop` and `end_job` cancel them.
     """
@@ -78,13 +82,13 @@
         self._active = False
         self._running: dict[ItemKey, asyncio.Task[Failure | None]] = {}
         self._assigned: dict[ItemKey, WorkerRecord] = {}
-        self._producing: set[QueuedItem] = set()  # running items whose exchange brought an event
+        self._producing: set[QueuedItem] = set()  # running items that have sent at least one event
         self._timer: asyncio.TimerHandle | None = None
         self._pass_due = False
 
     @property
     def running(self) -> int:
-        """Items at workers now."""
+        """The number of items that run at workers now."""
         return len(self._running)
 
     def start(self) -> None:
@@ -96,7 +100,7 @@
         self.wake()
 
     def stop(self) -> None:
-        """Cancels all exchanges and forgets all items."""
+        """Cancels all exchanges and removes all items from the queue."""
         self._active = False
         for task in self._running.values():
             task.cancel()
@@ -124,7 +128,7 @@
         self.wake()
 
     def end_job(self, job_id: str) -> None:
-        """Stops a job's running items at once and forgets the others."""
+        """Cancels a job's running items at once and removes the others from the queue."""
         self._missing_routes.job_ids.discard(job_id)
         self._scheduler.end_job(job_id)
         for key in [key for key in self._running if key[0] == job_id]:
@@ -132,7 +136,7 @@
         self.wake()
 
     def tables_changed(self) -> None:
-        """Looks again at jobs without a route, and for free workers."""
+        """Queues jobs whose route is in the new tables, and starts items if workers are free."""
         for job_id in tuple(self._missing_routes.job_ids):
             job = self._state.job(job_id)
             if job is None or job.finished:
@@ -142,12 +146,12 @@
         self.wake()
 
     def wake(self) -> None:
-        """Starts what can be started, soon; many calls make one pass."""
+        """Requests a scheduling pass in the next turn of the event loop; repeated calls share one pass."""
         if self._active and not self._pass_due:
             self._pass_due = True
-            asyncio.get_running_loop().call_soon(self._pass)
+            asyncio.get_running_loop().call_soon(self._run_pass)
 
-    def _pass(self) -> None:
+    def _run_pass(self) -> None:
         self._pass_due = False
         if not self._active:
             return
@@ -164,12 +168,12 @@
         self._cancel_timer()
         deadline = self._scheduler.next_deadline()
         waits_s = [] if deadline is None else [max(MIN_TIMER_S, deadline - now)]
-        if self._scheduler.has_ready or self._missing_routes.any:
+        if self._scheduler.has_ready or self._missing_routes.any_missing:
             waits_s.append(RECHECK_PERIOD_S)
         if not fresh and waits_s:
             waits_s = [RECHECK_PERIOD_S]
         if waits_s:
-            self._timer = asyncio.get_running_loop().call_later(min(waits_s), self._pass)
+            self._timer = asyncio.get_running_loop().call_later(min(waits_s), self._run_pass)
 
     def _cancel_timer(self) -> None:
         if self._timer is not None:
@@ -200,7 +204,7 @@
         if item not in self._producing:
             self._producing.add(item)
             self._dispatcher.first_event(item)
-            self.wake()  # the worker may have capacity for the next item's prefill now
+            self.wake()  # the worker may now have capacity for the next item's prefill
 
     def _on_done(self, item: QueuedItem, task: "asyncio.Task[Failure | None]") -> None:
         self._producing.discard(item)
@@ -222,11 +226,11 @@
         now = self._clock()
         if failure is None:
             if self._scheduler.on_success(item, now):
-                self._list(item, SUCCEEDED, item.text)
+                self._add_result(item, SUCCEEDED, item.text)
         elif self._scheduler.on_failure(item, failure, now):
-            self._list(item, DEAD_LETTER, "")
+            self._add_result(item, DEAD_LETTER, "")
         elif failure is Failure.FAILED:
-            # For a leader that is lost between two attempts: the next leader goes on counting.
+            # The count is replicated so that the next leader continues it if this one fails before the retry.
             self._committer.count_failures(ItemFailures(item.job, item.spec.id, item.failed_attempts))
 
     def _cancel(self, key: ItemKey) -> None:
@@ -234,7 +238,7 @@
         if task is not None:
             task.cancel()
 
-    def _list(self, item: QueuedItem, state: str, text: str) -> None:
+    def _add_result(self, item: QueuedItem, state: str, text: str) -> None:
         self._committer.add(JobResult(item.job, ItemResult(item.spec.id, state, text)))
 
     # Giving up
@@ -242,17 +246,17 @@
     def _give_up(self, items: list[QueuedItem]) -> None:
         for item in items:
             self._cancel(item.key)
-            self._list(item, DEAD_LETTER, "")
+            self._add_result(item, DEAD_LETTER, "")
 
     def _give_up_missing_routes(self, now: float, fresh: bool) -> None:
-        """Gives up items of routes that the configuration has not had for a while."""
+        """Gives up the items of routes that have been missing from the configuration for a while."""
         tables = self._tables()
         if not self._missing_routes.must_check(tables.configuration):
             return
         if not fresh:
             self._missing_routes.reset_times()
             return
-        for route in self._missing_routes.removed(now, tables, self._routes()):
+        for route in self._missing_routes.find_removed(now, tables, self._routes()):
             self._give_up(self._scheduler.remove_route(route))
             self._give_up_jobs_without_route(route)
 
@@ -270,7 +274,7 @@
 
 
 def _failure_of(item: QueuedItem, task: "asyncio.Task[Failure | None]") -> Failure | None:
-    """How a run that was not cancelled ended. A fault of the runner itself counts as a truncated answer."""
+    """How an attempt that was not cancelled ended. An error in the runner counts as a truncated answer."""
     error = task.exception()
     if error is None:
         return task.result()
--- a/pewterring/batch/missing_routes.py
+++ b/pewterring/batch/missing_routes.py
@@ -1,7 +1,7 @@
-"""Routes of unfinished items that the configuration no longer has, and since when.
+"""Tracks routes of unfinished items that are missing from the configuration, and since when.
 
-What may go wrong: a configuration that drops a route by mistake ends the route's items as dead letters. So a
-route must be missing for a while, in fresh tables without a break, before it counts as removed.
+What may go wrong: a configuration that drops a route by mistake turns the route's items into dead letters.
+Therefore a route counts as removed only after fresh tables have lacked it without interruption for a while.
 """
 
 from collections.abc import Iterable
@@ -11,38 +11,42 @@
 from pewterring.configuration.model import Configuration
 from pewterring.distribution.tables import Tables
 
-ROUTE_MISSING_S = 3.0  # bridges configurations that follow each other at once
+ROUTE_MISSING_S = 3.0  # tolerates a route that is missing only between two configurations in quick succession
 
 
 class MissingRoutes:
-    """Watches routes and the jobs that cannot be queued without theirs."""
+    """The missing routes of one partition, and the jobs that cannot be queued because their route is missing.
+
+    Attributes:
+        job_ids: The jobs that cannot be queued.
+    """
 
     def __init__(self) -> None:
-        self.job_ids: set[str] = set()  # jobs whose route is not in the tables
+        self.job_ids: set[str] = set()
         self._missing_since: dict[RouteKey, float] = {}
-        self._checked: Configuration | None = None  # it has the routes of all items
+        self._complete_configuration: Configuration | None = None  # the last one seen that has all routes
 
     def clear(self) -> None:
         """Forgets everything."""
         self.job_ids.clear()
         self._missing_since.clear()
-        self._checked = None
+        self._complete_configuration = None
 
     @property
-    def any(self) -> bool:
+    def any_missing(self) -> bool:
         """Whether any route is missing."""
         return bool(self._missing_since or self.job_ids)
 
     def must_check(self, configuration: Configuration | None) -> bool:
-        """Whether routes may be missing in that configuration."""
-        return configuration is not self._checked or bool(self.job_ids)
+        """Whether `configuration` may lack routes of unfinished items."""
+        return configuration is not self._complete_configuration or bool(self.job_ids)
 
     def reset_times(self) -> None:
-        """The tables are not fresh: a route may be in the configuration in force."""
+        """Restarts the time of each missing route: stale tables may lack a route that exists by now."""
         self._missing_since.clear()
 
-    def removed(self, now: float, tables: Tables, routes: Iterable[RouteKey]) -> list[RouteKey]:
-        """Those of `routes` that have been missing for so long that they count as removed."""
+    def find_removed(self, now: float, tables: Tables, routes: Iterable[RouteKey]) -> list[RouteKey]:
+        """Returns those of `routes` that count as removed: missing for more than `ROUTE_MISSING_S`."""
         if tables.configuration is None:
             self.reset_times()
             return []
@@ -51,5 +55,5 @@
         removed = [route for route, since in self._missing_since.items() if now - since > ROUTE_MISSING_S]
         for route in removed:
             del self._missing_since[route]
-        self._checked = None if self._missing_since else tables.configuration
+        self._complete_configuration = None if self._missing_since else tables.configuration
         return removed
--- a/pewterring/batch/retention.py
+++ b/pewterring/batch/retention.py
@@ -1,4 +1,4 @@
-"""Which finished jobs a partition drops, and the timer by which its leader drops them."""
+"""Decides which finished jobs a partition drops, and drops them periodically at its leader."""
 
 import asyncio
 import contextlib
@@ -10,22 +10,28 @@
 from pewterring.batch.log import PartitionLog
 from pewterring.batch.state import BatchState, Clock, Job
 
-RETENTION_MARGIN_S = 10.0  # beyond the time for which results must be readable
-DROP_PERIOD_S = 5.0  # jobs are kept for minutes: a few seconds more cost little
+RETENTION_MARGIN_S = 10.0  # added to the time for which results must be readable
+DROP_PERIOD_S = 5.0  # jobs are kept for minutes, so dropping them a few seconds late costs little
 
 
 @dataclass(frozen=True, slots=True)
 class RetentionLimits:
-    """How long and how much a partition keeps of jobs that are finished."""
+    """How long a partition keeps finished jobs, and how many bytes of them."""
 
-    status_s: float  # results must be readable for so long after acceptance
-    result_budget_bytes: int  # of finished jobs that their clients did not end
+    status_s: float  # time after acceptance for which a job's results must be readable
+    result_budget_bytes: int  # for finished jobs that their clients have not ended
 
 
 def jobs_to_drop(jobs: Iterable[Job], now: float, limits: RetentionLimits) -> tuple[str, ...]:
-    """Jobs past the time for reading: ended ones at once, finished ones while all exceed the budget.
+    """Ids of the jobs to drop, out of those whose results need not be readable any more.
 
-    Jobs with items that still run are never dropped. `jobs` come in the order of acceptance.
+    Jobs that their clients have ended are all dropped. Of the others the oldest are dropped until the rest
+    fits the budget. Jobs with unfinished items are never dropped.
+
+    Args:
+        jobs: All jobs of the partition, in the order of acceptance.
+        now: The monotonic time.
+        limits: How long and how much to keep.
     """
     retention_s = limits.status_s + RETENTION_MARGIN_S
     expired = [job for job in jobs if job.finished and now - job.accepted_at > retention_s]
@@ -41,9 +47,9 @@
 
 
 class JobRetention:
-    """Drops expired jobs while this store leads: `start` and `stop` it with leadership.
+    """Drops expired jobs while this store leads; `start` and `stop` follow the start and end of leadership.
 
-    Owns a timer, and one task while a proposal is on its way; that one ends by itself.
+    Owns a timer, and one task while a proposal is in flight. `stop` leaves that task to finish on its own.
     """
 
     def __init__(self, log: PartitionLog, state: BatchState, clock: Clock, limits: RetentionLimits) -> None:
@@ -55,17 +61,17 @@
         self._dropping: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Drops expired jobs from the next period on."""
+        """Starts dropping expired jobs, for the first time after one period."""
         self._timer = asyncio.get_running_loop().call_later(DROP_PERIOD_S, self._on_timer)
 
     def stop(self) -> None:
-        """Starts no further drop."""
+        """Stops dropping jobs; a proposal in flight still finishes."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
     async def drop_expired_jobs(self) -> None:
-        """Proposes to drop the jobs that have expired; what fails is due again after the next period."""
+        """Proposes to drop the jobs that have expired. A failed proposal is repeated in the next period."""
         jobs = jobs_to_drop(self._state.jobs(), self._clock(), self._limits)
         if jobs:
             with contextlib.suppress(BatchError):
--- a/pewterring/batch/runner.py
+++ b/pewterring/batch/runner.py
@@ -1,7 +1,7 @@
 """Runs one item at one worker over HTTP and reads the events of its answer.
 
-Owns the exchange with the worker. What may go wrong: a worker stalls (the time-outs below end the exchange),
-or its answer breaks off or makes no sense; each way has its `Failure`, and nothing is raised.
+Owns the exchange with the worker. What may go wrong: a worker stalls (the timeouts below end the exchange),
+or its answer is truncated or malformed. Each of these is returned as a `Failure`; nothing is raised.
 """
 
 import asyncio
@@ -28,8 +28,8 @@
 )
 from pewterring.transport.sse import EventSplitter, StreamEvent
 
-FIRST_EVENT_TIMEOUT_S = 5.0  # from sending an item to its first event; longer: the worker counts as dead
-NEXT_EVENT_TIMEOUT_S = 3.0  # between events: token gaps of a healthy worker are far below a second
+FIRST_EVENT_TIMEOUT_S = 5.0  # from sending an item to its first event; a slower worker counts as failed
+NEXT_EVENT_TIMEOUT_S = 3.0  # between events; a healthy worker takes far less than a second per token
 
 EXPECT_VERSION = "expect-version"
 OK = 200
@@ -38,12 +38,17 @@
 
 LoadHandler = Callable[[WorkerRecord, Load], None]
 
-# Written by this program; an item's own headers of these names are left out.
+# Headers that this program sets, or that concern one connection only; those of an item are not sent.
 OWN_HEADERS = HOP_BY_HOP | {b"host", b"content-length", REQUEST_ID, b"target-instance", b"last-event-id"}
 
 
 class HttpItemRunner:
-    """Implements `ItemRunner` on the pool of connections to workers."""
+    """Implements `ItemRunner` with the pool of connections to workers.
+
+    Args:
+        pool: The connections to workers.
+        on_load: Called with the load that a worker reports in the head of an answer.
+    """
 
     def __init__(self, pool: WorkerPool, on_load: LoadHandler | None = None) -> None:
         self._pool = pool
@@ -72,10 +77,10 @@
 
 
 def item_request(item: QueuedItem, worker: WorkerRecord) -> SendRequest:
-    """The request that runs an item, continued behind its last event (`Last-Event-Id`).
+    """The request that runs an item, or resumes it after the last event received (`Last-Event-Id`).
 
     Raises:
-        binascii.Error: The body is not base64.
+        binascii.Error: The body is not valid base64.
         UnicodeError: A header cannot be written in Latin-1.
     """
     spec = item.spec
@@ -93,9 +98,9 @@
 
 
 class _ItemAnswer:
-    """Reads one answer; `outcome` is set at its end, or when it stalls or makes no sense.
+    """Reads one answer; `outcome` is set when the answer ends, stalls or is malformed.
 
-    Implements `AnswerListener`; `stop` ends its timer and its exchange.
+    Implements `AnswerListener`. A timer detects a stalled answer; `stop` ends the timer and the exchange.
     """
 
     def __init__(
@@ -110,7 +115,7 @@
         self._splitter = EventSplitter()
         self._last_id = int(item.last_event_id) if item.last_event_id else None
         self._resumed = self._last_id is not None
-        self._events = 0
+        self._event_count = 0
         self._status = 0
         self._is_stream = False
         self._not_executed = False
@@ -122,7 +127,7 @@
     # Called by the exchange
 
     def on_head(self, head: AnswerHead) -> None:
-        """Part of `AnswerListener`."""
+        """See `AnswerListener`."""
         self._on_head(head)
         self._status = head.status
         self._not_executed = head.get(b"not-executed") is not None
@@ -133,16 +138,16 @@
             and head.get(b"content-encoding") is None
         )
         if head.status == OK and not self._is_stream:
-            self._end(Failure.TRUNCATED)  # nothing of it may become the item's text
+            self._end(Failure.TRUNCATED)  # no part of this answer may become the item's text
 
     def on_data(self, data: bytes) -> None:
-        """Part of `AnswerListener`."""
+        """See `AnswerListener`."""
         if not self._is_stream or self.outcome.done():
             return
         self._take_events(self._splitter.feed(data))
 
     def on_end(self, error: ExchangeError | None) -> None:
-        """Part of `AnswerListener`."""
+        """See `AnswerListener`."""
         self.exchange = None
         if self.outcome.done():
             return
@@ -156,43 +161,43 @@
 
     # Events
 
-    def _follows(self, event: StreamEvent) -> bool:
-        """Whether an event may follow those read so far: ids rise, and a continued run begins at the next."""
+    def _is_in_sequence(self, event: StreamEvent) -> bool:
+        """Whether the event may follow those read so far: ids increase, and a resumed stream has no gap."""
         if event.id is None or self._last_id is None:
-            return not self._resumed or self._events > 0
-        if self._resumed and not self._events:
+            return not self._resumed or self._event_count > 0
+        if self._resumed and not self._event_count:
             return event.id == self._last_id + 1
         return event.id > self._last_id
 
     def _take_events(self, events: list[StreamEvent]) -> None:
         for event in events:
-            if not self._follows(event):
+            if not self._is_in_sequence(event):
                 self._end(Failure.TRUNCATED)
                 return
-            self._take(event)
+            self._take_event(event)
 
-    def _take(self, event: StreamEvent) -> None:
-        self._events += 1
+    def _take_event(self, event: StreamEvent) -> None:
+        self._event_count += 1
         self._last_id = event.id
         self._deadline = self._loop.time() + NEXT_EVENT_TIMEOUT_S
         self._on_event("" if event.id is None else str(event.id), event.data)
 
-    # The end
+    # End of the exchange
 
     def stop(self) -> None:
-        """Closes the connection, unless the answer has ended."""
+        """Stops the timer, and closes the connection unless the answer has ended."""
         self._timer.cancel()
         if self.exchange is not None:
             self.exchange.cancel()
             self.exchange = None
 
     def _completed_outcome(self) -> Failure | None:
-        """What an answer that ended in good order means; None where the item is done."""
+        """The outcome of an answer that ended without a transport error; None if the item is done."""
         if self._is_stream:
-            # No event behind the one asked for is a complete rest, but only where the head frames an empty
-            # body: a worker that breaks off at once closes its connection too.
-            has_rest = self._events > 0 or (self._resumed and self._framed)
-            return None if has_rest and not self._splitter.amid_event else Failure.TRUNCATED
+            # A resumed stream without further events is complete, but only if its head frames an empty body:
+            # otherwise the end of the connection may also mean that the worker failed at once.
+            is_complete = self._event_count > 0 or (self._resumed and self._framed)
+            return None if is_complete and not self._splitter.amid_event else Failure.TRUNCATED
         if self._status == MISDIRECTED and self._expects_version:
             return Failure.OTHER_VERSION
         if self._not_executed:
--- a/pewterring/batch/state.py
+++ b/pewterring/batch/state.py
@@ -1,7 +1,7 @@
-"""Replicated state of one batch partition: jobs, their items without a result, and results in order.
+"""Replicated state of one batch partition: jobs, their items without a result, and their results in order.
 
 All replicas apply the same commands in the same order. Only the age of jobs is local: each replica counts it
-from when it applied or loaded a job, so it is never more than the true age.
+from the time at which it applied or loaded the job, so it never exceeds the true age.
 """
 
 from collections import defaultdict
@@ -33,25 +33,25 @@
 from pewterring.durations import MILLISECONDS_PER_SECOND
 
 RouteKey = tuple[str, str]  # host and path prefix
-Clock = Callable[[], float]  # seconds of the steady clock
+Clock = Callable[[], float]  # returns the monotonic time in seconds
 
 
 @dataclass(slots=True)
 class Job:
-    """One job. `items` are those without a result, with their bodies, in the order of submission."""
+    """One job. `items` holds the items without a result, with their bodies, in the order of submission."""
 
     id: str
     route: RouteKey
-    accepted_at: float  # steady clock of this replica
-    total: int
+    accepted_at: float  # monotonic time of this replica
+    total: int  # number of items submitted
     items: dict[str, ItemSpec]
     results: list[ItemResult] = field(default_factory=list)
-    ended: bool = False
-    failed_attempts: dict[str, int] = field(default_factory=dict)  # of items without a result that failed
+    ended: bool = False  # by its client: nothing more of it runs
+    failed_attempts: dict[str, int] = field(default_factory=dict)  # by id of an item without a result
 
     @property
     def finished(self) -> bool:
-        """Whether nothing of it is left to run."""
+        """Whether no item is left to run."""
         return not self.items
 
     @property
@@ -61,13 +61,13 @@
 
     @property
     def size_bytes(self) -> int:
-        """Bytes of the bodies and texts that it keeps."""
+        """Bytes of the item bodies and result texts that the job holds."""
         bodies = sum(len(item.body) for item in self.items.values())
         return bodies + sum(len(result.text) for result in self.results)
 
 
 class _StoredJob(msgspec.Struct, frozen=True):
-    """A job in a snapshot. `age_ms` was its age when the snapshot was made."""
+    """A job in a snapshot. `age_ms` is the job's age when the snapshot was made."""
 
     id: str
     host: str
@@ -80,33 +80,35 @@
     failed_attempts: dict[str, int] = {}
 
 
-class _Stored(msgspec.Struct, frozen=True):
-    """A snapshot."""
+class _StoredState(msgspec.Struct, frozen=True):
+    """A snapshot of the state."""
 
     jobs: tuple[_StoredJob, ...]
 
 
 class BatchState:
-    """The state machine that the partition's replicated group applies commands to.
+    """The state machine to which the partition's replicated group applies commands.
 
-    `on_applied` is called after each command with what it changed, at every replica.
+    Attributes:
+        applied_index: The log index of the last command applied.
+        on_applied: Called at every replica after each command, with the command's outcome.
     """
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._jobs: dict[str, Job] = {}
-        self._waiting: defaultdict[RouteKey, int] = defaultdict(int)
+        self._waiting_by_route: defaultdict[RouteKey, int] = defaultdict(int)
         self._size_bytes = 0
         self.applied_index = 0
         self.on_applied: Callable[[Outcome], None] | None = None
 
     def job(self, job_id: str) -> Job | None:
-        """The job of that id, if it is kept."""
+        """The job with this id, or None if the state has no such job."""
         return self._jobs.get(job_id)
 
     @property
     def size_bytes(self) -> int:
-        """Bytes of the bodies and texts of all jobs. Counted as they come and go: each submission asks."""
+        """Bytes of the bodies and texts of all jobs. A running total, because each submission reads it."""
         return self._size_bytes
 
     def jobs(self) -> Iterator[Job]:
@@ -115,21 +117,21 @@
 
     def waiting_tokens(self, route: RouteKey) -> int:
         """Tokens of the route's items that have no result and whose jobs have not ended."""
-        return self._waiting.get(route, 0)
+        return self._waiting_by_route.get(route, 0)
 
     def apply(self, index: int, command: bytes) -> Outcome:
-        """Applies the log's command at `index`.
+        """Applies the command at log index `index` and returns its outcome.
 
         Raises:
-            InvalidCommandError: The entry is no command; nothing has changed.
+            InvalidCommandError: The bytes are not a valid command; the state is unchanged.
         """
-        outcome = self._change(decode_command(command))
+        outcome = self._apply_command(decode_command(command))
         self.applied_index = index
         if self.on_applied is not None:
             self.on_applied(outcome)
         return outcome
 
-    def _change(self, command: Command) -> Outcome:
+    def _apply_command(self, command: Command) -> Outcome:
         match command:
             case AcceptJob():
                 return self._accept(command)
@@ -155,18 +157,18 @@
             total=len(items),
             items=items,
         )
-        self._keep(job)
+        self._add_job(job)
         return Accepted(command.job, new=True)
 
-    def _keep(self, job: Job) -> None:
+    def _add_job(self, job: Job) -> None:
         self._jobs[job.id] = job
         self._size_bytes += job.size_bytes
-        self._count(job.route, job.waiting_tokens)
+        self._add_waiting_tokens(job.route, job.waiting_tokens)
 
-    def _count(self, route: RouteKey, tokens: int) -> None:
-        self._waiting[route] += tokens
-        if self._waiting[route] == 0:
-            del self._waiting[route]
+    def _add_waiting_tokens(self, route: RouteKey, tokens: int) -> None:
+        self._waiting_by_route[route] += tokens
+        if self._waiting_by_route[route] == 0:
+            del self._waiting_by_route[route]
 
     def _add_results(self, command: AddResults) -> Listed:
         added = tuple((entry.job, entry.result.id) for entry in command.results if self._add_result(entry))
@@ -182,7 +184,7 @@
         job.failed_attempts.pop(entry.result.id, None)
         job.results.append(entry.result)
         self._size_bytes += len(entry.result.text) - len(item.body)
-        self._count(job.route, -item.tokens)
+        self._add_waiting_tokens(job.route, -item.tokens)
         return True
 
     def _count_failures(self, command: CountFailures) -> Counted:
@@ -191,7 +193,7 @@
         return Counted()
 
     def _count_item_failures(self, entry: ItemFailures) -> None:
-        """The higher count stays: an earlier leader's may be applied behind that of the next."""
+        """Keeps the higher count: a command of an earlier leader may be applied after its successor's."""
         job = self._jobs.get(entry.job)
         if job is not None and entry.item in job.items:
             known = job.failed_attempts.get(entry.item, 0)
@@ -201,7 +203,7 @@
         job = self._jobs.get(command.job)
         if job is None:
             return Closed(command.job, known=False)
-        self._count(job.route, -job.waiting_tokens)
+        self._add_waiting_tokens(job.route, -job.waiting_tokens)
         self._size_bytes -= job.size_bytes
         job.items.clear()
         self._size_bytes += job.size_bytes
@@ -210,41 +212,41 @@
         return Closed(command.job, known=True)
 
     def _drop(self, command: DropJobs) -> Dropped:
-        dropped = tuple(job_id for job_id in command.jobs if self._drop_one(job_id))
+        dropped = tuple(job_id for job_id in command.jobs if self._drop_job(job_id))
         return Dropped(dropped)
 
-    def _drop_one(self, job_id: str) -> bool:
+    def _drop_job(self, job_id: str) -> bool:
         job = self._jobs.pop(job_id, None)
         if job is None:
             return False
-        self._count(job.route, -job.waiting_tokens)
+        self._add_waiting_tokens(job.route, -job.waiting_tokens)
         self._size_bytes -= job.size_bytes
         return True
 
     def snapshot(self) -> bytes:
         """The whole state as JSON."""
         now = self._clock()
-        return msgspec.json.encode(_Stored(tuple(_store(job, now) for job in self._jobs.values())))
+        return msgspec.json.encode(_StoredState(tuple(_stored_job(job, now) for job in self._jobs.values())))
 
     def restore(self, data: bytes) -> None:
-        """Replaces the state with that of a snapshot.
+        """Replaces the state with the state in a snapshot.
 
         Raises:
-            InvalidSnapshotError: The bytes are no snapshot; the state is as before.
+            InvalidSnapshotError: The bytes are not a valid snapshot; the state is unchanged.
         """
         try:
-            stored = msgspec.json.decode(data, type=_Stored)
+            stored = msgspec.json.decode(data, type=_StoredState)
         except msgspec.MsgspecError as error:
             raise InvalidSnapshotError(f"cannot read a snapshot of a batch partition: {error}") from error
         now = self._clock()
         self._jobs.clear()
-        self._waiting.clear()
+        self._waiting_by_route.clear()
         self._size_bytes = 0
         for entry in stored.jobs:
-            self._keep(_load(entry, now))
+            self._add_job(_loaded_job(entry, now))
 
 
-def _store(job: Job, now: float) -> _StoredJob:
+def _stored_job(job: Job, now: float) -> _StoredJob:
     return _StoredJob(
         id=job.id,
         host=job.route[0],
@@ -258,7 +260,7 @@
     )
 
 
-def _load(stored: _StoredJob, now: float) -> Job:
+def _loaded_job(stored: _StoredJob, now: float) -> Job:
     return Job(
         id=stored.id,
         route=(stored.host, stored.path_prefix),
