--- a/pewterring/batch/__init__.py
+++ b/pewterring/batch/__init__.py
@@ -1,1 +1,1 @@
-"""Batch jobs: replicated jobs and results, scheduling, and the store program."""
+"""Batch jobs: the replicated state of jobs and results, the scheduling of items, and the store program."""
--- a/pewterring/batch/admissions.py
+++ b/pewterring/batch/admissions.py
@@ -1,4 +1,4 @@
-"""Admission of batch items to all services at one store."""
+"""Admission of one store's batch items to all services."""
 
 import random
 
@@ -7,7 +7,7 @@
 
 
 class BatchAdmissions(Admissions[BatchAdmission]):
-    """One `BatchAdmission` for each service, made when the service is first seen."""
+    """One `BatchAdmission` for each service, created when the service is first seen."""
 
     def __init__(self, rng: random.Random) -> None:
         super().__init__(lambda incarnation, _gateways: BatchAdmission(incarnation), rng)
--- a/pewterring/batch/commands.py
+++ b/pewterring/batch/commands.py
@@ -1,6 +1,6 @@
-"""Commands of a batch partition's replicated log, as JSON, and what applying them returns.
+"""Commands of a batch partition's replicated log, encoded as JSON, and the outcomes of applying them.
 
-A command's tag is its type's name, which stands in logs on disk: a type that is renamed keeps its old tag.
+A command's tag is its type's name and is stored in logs on disk: a type that is renamed keeps its old tag.
 """
 
 from dataclasses import dataclass
@@ -12,7 +12,7 @@
 
 
 class AcceptJob(msgspec.Struct, frozen=True, tag=True):
-    """Keeps a job. `age_ms` is the time since it was first sent, as far as its gateway knows."""
+    """Stores a job. `age_ms` is the time since the job was first sent, as far as its gateway knows."""
 
     job: str
     host: str
@@ -29,13 +29,13 @@
 
 
 class AddResults(msgspec.Struct, frozen=True, tag=True):
-    """Lists results, in this order."""
+    """Appends results to their jobs, in this order."""
 
     results: tuple[JobResult, ...]
 
 
 class ItemFailures(msgspec.Struct, frozen=True):
-    """How many runs of an item have failed at workers, in total."""
+    """The total number of an item's attempts that have failed at workers."""
 
     job: str
     item: str
@@ -43,19 +43,19 @@
 
 
 class CountFailures(msgspec.Struct, frozen=True, tag=True):
-    """Keeps counts of failed runs. A count is absolute, so that a command that comes twice counts once."""
+    """Stores counts of failed attempts. Counts are absolute, so that a command applied twice counts once."""
 
     failures: tuple[ItemFailures, ...]
 
 
 class CloseJob(msgspec.Struct, frozen=True, tag=True):
-    """Ends a job: nothing more of it runs or is listed."""
+    """Ends a job: no more of its items run, and no more results are added."""
 
     job: str
 
 
 class DropJobs(msgspec.Struct, frozen=True, tag=True):
-    """Drops jobs whose time for reading has passed."""
+    """Drops jobs whose results need not be readable any more."""
 
     jobs: tuple[str, ...]
 
@@ -67,15 +67,15 @@
 
 
 def encode_command(command: Command) -> bytes:
-    """Writes a command for the log."""
+    """Encodes a command for the log."""
     return _encoder.encode(command)
 
 
 def decode_command(data: bytes | msgspec.Raw) -> Command:
-    """Reads a command of the log.
+    """Decodes a command from the log.
 
     Raises:
-        InvalidCommandError: The bytes are no command that this version knows.
+        InvalidCommandError: The bytes are not a command that this version knows.
     """
     try:
         return _decoder.decode(data)
@@ -85,7 +85,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """`AcceptJob` was applied. `new` is false where the job was there already."""
+    """`AcceptJob` was applied. `new` is False if the job was stored already."""
 
     job: str
     new: bool
@@ -93,7 +93,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Listed:
-    """`AddResults` was applied: the (job, item) pairs that were listed by it."""
+    """`AddResults` was applied. `added` has the (job, item) pairs of the results that it added."""
 
     added: tuple[tuple[str, str], ...]
 
@@ -105,7 +105,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Closed:
-    """`CloseJob` was applied. `known` is false where there is no such job."""
+    """`CloseJob` was applied. `known` is False if there is no such job."""
 
     job: str
     known: bool
@@ -113,7 +113,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Dropped:
-    """`DropJobs` was applied: the jobs that were there."""
+    """`DropJobs` was applied. `jobs` has the ids of the jobs that it dropped."""
 
     jobs: tuple[str, ...]
 
--- a/pewterring/batch/errors.py
+++ b/pewterring/batch/errors.py
@@ -1,16 +1,16 @@
-"""Errors of the batch layer. Each says what failed and whether the caller may repeat what it wanted."""
+"""Errors of the batch layer. The docstring of each says whether the caller may repeat the call."""
 
 
 class BatchError(Exception):
-    """The root of this package's errors; the text says what failed and where."""
+    """The base class of this package's errors. The message says what failed and where."""
 
 
 class NotLeadingError(BatchError):
-    """This store does not lead the partition: nothing was done or will be. Repeat the call at the leader."""
+    """This store does not lead the partition. The command is not applied: repeat the call at the leader."""
 
 
 class CommandRefusedError(BatchError):
-    """This store leads and accepts no commands now: nothing was done or will be. Repeat the call later."""
+    """This store leads but accepts no commands now. The command is not applied: repeat the call later."""
 
 
 class CommandOutcomeUnknownError(BatchError):
@@ -18,11 +18,11 @@
 
 
 class InvalidCommandError(BatchError):
-    """An entry of the log is no command of a batch partition: another version, or a damaged log."""
+    """An entry of the log is not a batch command: another version wrote it, or the log is damaged."""
 
 
 class InvalidSnapshotError(BatchError):
-    """A snapshot of a batch partition cannot be read: another version, or a damaged file."""
+    """A snapshot of a batch partition cannot be read: another version wrote it, or the file is damaged."""
 
 
 class StoreSettingsError(BatchError):
--- a/pewterring/batch/group_log.py
+++ b/pewterring/batch/group_log.py
@@ -1,4 +1,4 @@
-"""The partition's log on a replicated group: commands as JSON, errors of consensus as those of this layer."""
+"""The partition's log on a replicated group. Translates consensus errors into those of the batch layer."""
 
 from pewterring.batch.commands import Command, Outcome, encode_command
 from pewterring.batch.errors import CommandOutcomeUnknownError, CommandRefusedError, NotLeadingError
@@ -7,7 +7,7 @@
 
 
 class GroupLog:
-    """Implements `PartitionLog`."""
+    """Implements `PartitionLog` with a replicated group."""
 
     def __init__(self, group: ReplicatedGroup) -> None:
         self._group = group
@@ -31,11 +31,11 @@
         try:
             outcome = await self._group.propose(encode_command(command))
         except NotLeaderError as error:
-            raise NotLeadingError(self._text(error)) from error
+            raise NotLeadingError(self._error_text(error)) from error
         except TooManyUncommittedError as error:
-            raise CommandRefusedError(self._text(error)) from error
+            raise CommandRefusedError(self._error_text(error)) from error
         except ConsensusError as error:
-            raise CommandOutcomeUnknownError(self._text(error)) from error
+            raise CommandOutcomeUnknownError(self._error_text(error)) from error
         assert isinstance(outcome, Outcome)
         return outcome
 
@@ -44,7 +44,7 @@
         try:
             await self._group.read_barrier()
         except ConsensusError as error:
-            raise NotLeadingError(self._text(error)) from error
+            raise NotLeadingError(self._error_text(error)) from error
 
-    def _text(self, error: ConsensusError) -> str:
+    def _error_text(self, error: ConsensusError) -> str:
         return f"group {self._group.group}: {error}"
--- a/pewterring/batch/log.py
+++ b/pewterring/batch/log.py
@@ -1,4 +1,4 @@
-"""What the batch layer needs of the partition's replicated group."""
+"""The interface of the replicated log that the batch layer uses."""
 
 from typing import Protocol
 
@@ -10,26 +10,26 @@
 
     @property
     def is_leader(self) -> bool:
-        """Whether this store leads, as far as it knows."""
+        """Whether this store leads the partition, as far as it knows."""
 
     @property
     def leader(self) -> str:
-        """Member name of the leader, or an empty string where none is known."""
+        """The member name of the leader, or an empty string if no leader is known."""
 
     def has_lease(self, now: float) -> bool:
-        """Whether no other store can lead at `now`."""
+        """Whether this store holds the leader's lease at `now`: no other store can lead then."""
 
     async def propose(self, command: Command) -> Outcome:
         """Commits and applies a command.
 
         Raises:
             NotLeadingError: Another store leads; the command is not applied.
-            CommandRefusedError: Too much waits to be committed; the command is not applied.
+            CommandRefusedError: Too many commands wait to be committed; the command is not applied.
             CommandOutcomeUnknownError: The command may be applied, now or later.
         """
 
     async def read_barrier(self) -> None:
-        """Returns once all that was committed before the call is applied (Raft, section 8, read index).
+        """Waits until all commands committed before the call are applied (Raft, section 8, read index).
 
         Raises:
             NotLeadingError: This store does not lead, or could not confirm that it does.
--- a/pewterring/batch/members.py
+++ b/pewterring/batch/members.py
@@ -1,4 +1,4 @@
-"""Which stores may be members of a batch partition's group, by the table of nodes."""
+"""Finds the stores in the table of nodes that may be members of a batch partition's group."""
 
 from collections.abc import Iterable
 
@@ -8,7 +8,7 @@
 
 
 def store_candidates(nodes: Iterable[NodeRecord], membership: Membership) -> Candidates:
-    """The stores of the table; those of zones without a member come first."""
+    """The stores in the table of nodes as candidates; stores in zones without a member come first."""
     stores = {node.member: node for node in nodes if node.program == STORE and node.member}
     members = {*membership.voters, *membership.learners}
     zones = {store.zone for name, store in stores.items() if name in members and not store.decommissioning}
--- a/pewterring/batch/membership_changes.py
+++ b/pewterring/batch/membership_changes.py
@@ -1,7 +1,7 @@
-"""Changes of a partition's members, as its leader plans and makes them.
+"""Membership changes of a partition, which its leader plans and makes.
 
-Owns the planner, and the task that a departure starts. What may go wrong: a change is refused or leadership
-is lost on the way; the next check plans it again from what is in force then.
+Owns the planner, and the task that a departure starts. What may go wrong: a change is refused, or leadership
+is lost during the change; the next check plans it again from the membership at that time.
 """
 
 import asyncio
@@ -22,15 +22,15 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipInputs:
-    """What planning needs of the store."""
+    """What the planning of membership changes needs from the store."""
 
     tables: Callable[[], Tables]
-    tables_are_fresh: Callable[[float], bool]  # at that time
+    tables_are_fresh: Callable[[float], bool]  # takes the monotonic time
     clock: Callable[[], float]
 
 
 class MembershipChanges:
-    """Makes one group's due changes of members, one after the other, while this store leads it."""
+    """Makes one group's due membership changes, one after the other, while this store leads the group."""
 
     def __init__(self, group: ReplicatedGroup, planner: MembershipPlanner, inputs: MembershipInputs) -> None:
         self._group = group
@@ -40,20 +40,20 @@
         self._departure_task: asyncio.Task[None] | None = None
 
     def candidates(self) -> Candidates:
-        """The stores that may be members, by the tables."""
+        """The stores that may be members, according to the tables."""
         return store_candidates(self._inputs.tables().nodes, self._group.membership)
 
     def start_leading(self) -> None:
-        """Plans from now on: what an earlier leadership saw of members counts no more."""
+        """Starts planning afresh: observations of members from earlier leaderships are discarded."""
         self._planner.start(self._inputs.clock(), self._group)
 
     def on_departure(self) -> None:
-        """A voter departs: it is replaced now, not at the next check."""
+        """Replaces a voter that departs now, rather than at the next check."""
         if not self._changing:
             self._departure_task = asyncio.create_task(self.make_due_changes())
 
     async def make_due_changes(self) -> None:
-        """Makes the changes that are due if this store leads; returns at once while some are being made."""
+        """Makes the changes that are due if this store leads. Returns at once if changes are in progress."""
         if self._changing:
             return
         self._changing = True
@@ -63,7 +63,7 @@
             self._changing = False
 
     async def _make_changes(self) -> None:
-        with contextlib.suppress(ConsensusError):  # refused or lost: planned again at the next check
+        with contextlib.suppress(ConsensusError):  # a change that failed is planned again at the next check
             for _ in range(MAX_CHANGES_PER_CHECK):
                 change = self._due_change()
                 if change is None:
--- a/pewterring/batch/messages.py
+++ b/pewterring/batch/messages.py
@@ -1,6 +1,6 @@
 """Calls between gateways and the store that leads a batch partition, as JSON lines.
 
-A message's tag is its type's name unless one is given: a type that is renamed keeps its old tag, so that
+A message's tag is its type's name unless one is given. A type that is renamed must keep its old tag, so that
 programs of different versions understand each other.
 """
 
@@ -8,7 +8,7 @@
 
 
 class ItemSpec(msgspec.Struct, frozen=True):
-    """One item as the client sent it; `body` is base64."""
+    """One item as the client sent it; `body` is encoded as base64."""
 
     id: str
     path: str
@@ -18,7 +18,7 @@
 
 
 class SubmitJob(msgspec.Struct, frozen=True, tag=True):
-    """Asks to keep a job. `host` and `path_prefix` name its route; the gateway got it `age_ms` ago."""
+    """Submits a job. `host` and `path_prefix` identify its route; the gateway received it `age_ms` ago."""
 
     job: str
     host: str
@@ -28,18 +28,21 @@
 
 
 class JobAccepted(msgspec.Struct, frozen=True, tag=True):
-    """The job is kept, synced by a majority; also the answer to a repeated submission."""
+    """The job is on disk at a majority of members. Also the answer to a repeated submission."""
 
 
-class JobRejected(msgspec.Struct, frozen=True, tag="JobRefused"):  # the wire's name
-    """None of the job runs or will. `over_quota`: its tokens exceed the route's quota (429); else 503."""
+class JobRejected(msgspec.Struct, frozen=True, tag="JobRefused"):  # the tag is the name on the wire
+    """No item of the job runs, now or later.
 
-    over_quota: bool = msgspec.field(name="full")  # the wire's name
+    `over_quota`: whether the job's tokens exceed the route's quota (status 429; 503 for any other reason).
+    """
+
+    over_quota: bool = msgspec.field(name="full")  # "full" is the name on the wire
     retry_after_s: float
 
 
 class ReadResults(msgspec.Struct, frozen=True, tag=True):
-    """Asks for results from position `after` on, waiting up to `wait_ms` for one."""
+    """Requests the results from position `after` on, and waits up to `wait_ms` for the first of them."""
 
     job: str
     after: int
@@ -47,7 +50,7 @@
 
 
 class ItemResult(msgspec.Struct, frozen=True):
-    """One result as the operators' page PROTOCOL describes it; `state` is "succeeded" or "dead_letter"."""
+    """One result, as the page PROTOCOL describes it; `state` is "succeeded" or "dead_letter"."""
 
     id: str
     state: str
@@ -55,7 +58,7 @@
 
 
 class ResultPage(msgspec.Struct, frozen=True, tag=True):
-    """Answers `ReadResults`."""
+    """Answers `ReadResults`. `total` is the number of the job's items, with or without a result."""
 
     total: int
     next_position: int
@@ -63,20 +66,20 @@
 
 
 class ReadItem(msgspec.Struct, frozen=True, tag=True):
-    """Asks for the body of an item not listed yet."""
+    """Requests the body of an item that has no result yet."""
 
     job: str
     item: str
 
 
 class ItemBody(msgspec.Struct, frozen=True, tag=True):
-    """Answers `ReadItem`; `body` is base64 as the client sent it."""
+    """Answers `ReadItem`; `body` is the base64 that the client sent."""
 
     body: str
 
 
 class EndJob(msgspec.Struct, frozen=True, tag=True):
-    """Asks that nothing more of a job runs."""
+    """Requests that no more items of a job run."""
 
     job: str
 
@@ -85,18 +88,18 @@
     """Answers `EndJob`: the end is committed."""
 
 
-class NotFound(msgspec.Struct, frozen=True, tag="Unknown"):  # the wire's name
-    """The leader is sure that there is no such job or item."""
+class NotFound(msgspec.Struct, frozen=True, tag="Unknown"):  # the tag is the name on the wire
+    """There is no such job or item. The leader answers this only after a read barrier."""
 
 
 class NotLeading(msgspec.Struct, frozen=True, tag=True):
-    """Another store leads the partition; `leader` is its member name, or empty. Nothing was done."""
+    """Another store leads the partition. `leader` is its member name, or empty. The call had no effect."""
 
     leader: str
 
 
-class OutcomeUnknown(msgspec.Struct, frozen=True, tag="Unsure"):  # the wire's name
-    """The outcome is not known (leadership was lost on the way); the call may be repeated."""
+class OutcomeUnknown(msgspec.Struct, frozen=True, tag="Unsure"):  # the tag is the name on the wire
+    """The call's outcome is unknown, because leadership was lost meanwhile; the call may be repeated."""
 
 
 BATCH_MESSAGES = (
--- a/pewterring/batch/pages.py
+++ b/pewterring/batch/pages.py
@@ -7,13 +7,13 @@
 from pewterring.batch.messages import ItemResult, ResultPage
 from pewterring.batch.state import Job
 
-PAGE_BYTES = 800_000  # by the estimate below; the client's limit is 1 MB
-RESULT_OVERHEAD_BYTES = 200  # of a result beside its text
-MAX_CHARACTER_BYTES = 4  # of one character that is not ASCII
+PAGE_BYTES = 800_000  # estimated size of a page (see `_size_bytes`); clients accept up to 1 MB
+RESULT_OVERHEAD_BYTES = 200  # estimated size of a result without its text
+MAX_CHARACTER_BYTES = 4  # assumed size of each character in a text that is not ASCII
 
 
 def result_page(job: Job, after: int) -> ResultPage:
-    """Results from position `after` on; at least one if there is one."""
+    """A page of the job's results from position `after` on; it has at least one result if there is any."""
     page: list[ItemResult] = []
     remaining_bytes = PAGE_BYTES
     for position in range(max(0, after), len(job.results)):
@@ -26,18 +26,19 @@
 
 
 def _size_bytes(result: ItemResult) -> int:
+    """Upper estimate of the result's size in a page."""
     text = result.text
     return RESULT_OVERHEAD_BYTES + len(text) * (1 if text.isascii() else MAX_CHARACTER_BYTES)
 
 
 class ResultWaiters:
-    """Calls that wait for a job's next result; woken when something is applied, without polling."""
+    """The calls that wait for a job's next result. Applying a command to the job wakes them."""
 
     def __init__(self) -> None:
-        self._waiting: dict[str, set[asyncio.Future[None]]] = {}
+        self._futures_by_job: dict[str, set[asyncio.Future[None]]] = {}
 
     async def wait(self, job_id: str, timeout_s: float, ready: Callable[[], bool]) -> None:
-        """Returns when `ready` holds, the time is over, or `stop_waiting` was called."""
+        """Returns when `ready` returns True, the timeout has passed, or `stop_waiting` is called."""
         if timeout_s <= 0 or ready():
             return
         loop = asyncio.get_running_loop()
@@ -49,29 +50,29 @@
 
     async def _next(self, job_id: str) -> None:
         future: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        self._waiting.setdefault(job_id, set()).add(future)
+        self._futures_by_job.setdefault(job_id, set()).add(future)
         try:
             await future
         finally:
             self._discard(job_id, future)
 
     def _discard(self, job_id: str, future: "asyncio.Future[None]") -> None:
-        waiting = self._waiting.get(job_id)
+        waiting = self._futures_by_job.get(job_id)
         if waiting is None:
             return
         waiting.discard(future)
         if not waiting:
-            del self._waiting[job_id]
+            del self._futures_by_job[job_id]
 
     def wake(self, job_id: str) -> None:
-        """Lets the calls that wait for that job look again."""
-        for future in self._waiting.pop(job_id, ()):
+        """Makes the calls that wait for this job check their condition again."""
+        for future in self._futures_by_job.pop(job_id, ()):
             if not future.done():
                 future.set_result(None)
 
     def stop_waiting(self) -> None:
-        """Ends all waiting."""
-        waiting, self._waiting = self._waiting, {}
+        """Makes all waiting calls return."""
+        waiting, self._futures_by_job = self._futures_by_job, {}
         for futures in waiting.values():
             for future in futures:
                 if not future.done():
@@ -79,4 +80,4 @@
 
 
 class _WaitingStoppedError(Exception):
-    """Ends a wait from within; never leaves this module."""
+    """Ends a wait; never raised outside this module."""
--- a/pewterring/batch/partition.py
+++ b/pewterring/batch/partition.py
@@ -1,8 +1,8 @@
-"""One batch partition on this store: its replicated group, and the service that answers where it leads.
+"""One batch partition on this store: its replicated group, and the service that answers calls at the leader.
 
-Owns the group's storage on disk and the start and stop of its parts. What may go wrong: no items start
-because the lease or the tables are too old (`may_start_items`), or the group stops because its disk failed
-(`StoreEnvironment.on_failure`).
+Owns the group's storage on disk, and starts and stops its components. What may go wrong: no items start
+because the lease has expired or the tables are stale (`may_start_items`), or the group stops because its disk
+failed (`StoreEnvironment.on_failure`).
 """
 
 import asyncio
@@ -37,30 +37,30 @@
 from pewterring.storage.disk import FolderDisk
 from pewterring.storage.group import DiskGroupStorage
 
-# Of the shorter of the bounds on configuration and draining: older tables start no items.
+# Share of the shorter of the bounds on configuration and draining. No items start while the tables are older.
 TABLES_FRESH_FRACTION = 0.75
-RESULT_BUDGET_FRACTION = 0.15  # of the process's memory, for finished jobs that their clients did not end
-LEADERSHIP_TRANSFER_TIMEOUT_S = 1.0  # a process that stops waits so long for its successor
+RESULT_BUDGET_FRACTION = 0.15  # share of the process's memory for finished jobs that clients have not ended
+LEADERSHIP_TRANSFER_TIMEOUT_S = 1.0  # how long a process that stops waits for another store to take over
 
 
 @dataclass(frozen=True, slots=True)
 class StoreEnvironment:
-    """What all partitions of a store share."""
+    """Settings, callbacks and collaborators that all partitions of a store share."""
 
     settings: NodeSettings
     member: str  # this store's member name
     tables: Callable[[], Tables]
-    confirmed_age: Callable[[float], float]  # seconds for which the tables have not been confirmed
+    confirmed_age: Callable[[float], float]  # seconds since the tables were last confirmed, at that time
     dispatcher: Dispatcher
     runner: ItemRunner
     send: Callable[[ConsensusMessage], None]
     clock: Clock
     rng: random.Random
-    on_failure: Callable[[Exception], None]  # the group stopped and does not come back
+    on_failure: Callable[[Exception], None]  # called when a group has stopped and will not restart
 
 
 class Partition:
-    """A member of the partition's group with the service, execution and membership that depend on it."""
+    """A member of the partition's group, with the service, execution and membership changes that use it."""
 
     def __init__(self, name: str, data_dir: Path, environment: StoreEnvironment) -> None:
         self.name = name
@@ -124,10 +124,14 @@
         return BatchService(log, self._state, execution, service_environment)
 
     async def start(self, first_voters: Membership | None = None) -> None:
-        """Loads what is on disk. A new group starts with these voters; without them it waits to be joined.
+        """Loads the group from disk and starts it. Waits for free space while the disk is full.
+
+        Args:
+            first_voters: The voters with which a new group starts. Without them, a new member waits until the
+                leader adds it to the group.
 
         Raises:
-            StorageError: What is on disk cannot be read or written; a full disk is waited for.
+            StorageError: The group's files cannot be read or written.
         """
         if first_voters is not None:
             await retry_while_full(f"group {self.group.group}", lambda: self._initialize(first_voters))
@@ -138,10 +142,10 @@
         self._storage.initialize(first_voters)
 
     async def drain(self) -> None:
-        """Gives up leadership and vote before a planned stop, where another store can take them.
+        """Gives up leadership and vote before a planned stop, if another store can take them over.
 
-        Symptom answered: the disk of another store is lost as this one ends, and its successor, which has
-        had its time, has no vote yet.
+        Without this step the group has too few voters if another store loses its disk while this one stops
+        and the member that replaces this one has no vote yet.
         """
         membership = self.group.membership
         members = {*membership.voters, *membership.learners}
@@ -151,7 +155,7 @@
             await self.group.depart(DEPARTURE_TIMEOUT_FRACTION * self._environment.settings.bounds.grace_s)
 
     async def stop(self) -> None:
-        """Stops items, calls and the group. Where this store leads, another takes over first."""
+        """Stops items, calls and the group. If this store leads, it first transfers its leadership."""
         self.service.close()
         with contextlib.suppress(ConsensusError, TimeoutError):
             async with asyncio.timeout(LEADERSHIP_TRANSFER_TIMEOUT_S):
@@ -160,17 +164,17 @@
         self._storage.close()
 
     def status(self) -> GroupStatus | None:
-        """What the leader reports of the group; None elsewhere."""
+        """The leader's report on the group; None at other members."""
         return status_of(self.group, self._environment.clock())
 
     async def manage_members(self) -> None:
-        """Makes the changes of members that are due, if this store leads."""
+        """Makes the membership changes that are due, if this store leads."""
         await self._membership.make_due_changes()
 
     def may_start_items(self, now: float) -> bool:
-        """Whether items may start.
+        """Whether items may start: this store holds the lease and its tables are fresh.
 
-        Guards against a leader that is cut off: another may lead, and may have ended jobs that are open here.
+        During a network partition another store may lead, and may have ended jobs that are open here.
         """
         return self.group.has_lease(now) and self._tables_are_fresh(now)
 
