--- a/pewterring/batch/partitions.py
+++ b/pewterring/batch/partitions.py
@@ -1,7 +1,7 @@
-"""The partitions of one store: which there are, which are starting, and the checks of their members.
+"""The partitions of one store: starts and stops them, and checks their memberships periodically.
 
-What may go wrong: a partition cannot start or stops because its disk failed; it is reported once and the
-process is to be restarted.
+What may go wrong: a partition cannot start, or stops because its disk failed. This is reported once, and the
+process must be restarted.
 """
 
 import asyncio
@@ -18,18 +18,18 @@
 from pewterring.storage.log import SEGMENT_SUFFIX
 from pewterring.storage.snapshots import SNAPSHOT_SUFFIX
 
-MEMBERSHIP_CHECK_PERIOD_S = 0.1  # between checks of the groups' members: far below their catch-up time
+MEMBERSHIP_CHECK_PERIOD_S = 0.1  # far below the time that a new member takes to catch up
 
 
 class StorePartitions:
-    """Starts partitions, once each, and stops them.
+    """Starts each partition of a store once, and stops them all.
 
-    Owns the tasks in which partitions start, and the one that checks members from `start_membership_checks`
-    on; `stop` ends them.
+    Owns the tasks in which partitions start (`cancel_starts` ends them) and the task that checks memberships
+    (it runs from `start_membership_checks` to `stop_membership_checks`).
 
     Args:
         data_dir: The folder with the files of all groups.
-        environment: Gives what each partition shares with the others; called when one is made.
+        environment: Returns the environment that all partitions share; called for each new partition.
     """
 
     def __init__(self, data_dir: Path, environment: Callable[[], StoreEnvironment]) -> None:
@@ -44,7 +44,7 @@
         return iter(tuple(self._partitions.values()))
 
     async def load(self) -> None:
-        """Starts the partitions whose members are known from disk.
+        """Starts the partitions whose membership is known from a snapshot on disk.
 
         Raises:
             StorageError: A group's files cannot be read.
@@ -54,18 +54,18 @@
             await self._add(name, None)
 
     def start_membership_checks(self) -> None:
-        """Checks the members of all groups from now on."""
+        """Starts to check the membership of all groups periodically."""
         self._membership_task = asyncio.create_task(self._check_memberships())
 
     async def stop_membership_checks(self) -> None:
-        """Ends the checks; a change that is being made is broken off and planned again by the next leader."""
+        """Ends the checks. A membership change in progress is abandoned; the next leader plans it again."""
         if self._membership_task is not None:
             self._membership_task.cancel()
             with contextlib.suppress(asyncio.CancelledError):
                 await self._membership_task
 
     def cancel_starts(self) -> None:
-        """Breaks off the partitions that are starting."""
+        """Cancels the start of partitions that are still starting."""
         for task in self._starting.values():
             task.cancel()
 
@@ -79,38 +79,38 @@
             await partition.stop()
 
     def ensure_placed(self, placement: PlacementRecord) -> None:
-        """Starts the partition that control has placed on this store, unless it is there."""
-        self._begin(placement.group, Membership(placement.voters))
+        """Starts a partition that control has placed on this store, unless it runs or is starting."""
+        self._start_in_background(placement.group, Membership(placement.voters))
 
     def receive(self, message: ConsensusMessage, placements: tuple[PlacementRecord, ...]) -> None:
-        """Hands a message to its group; one that is placed or on disk and does not run yet is started."""
+        """Passes a message to its group. Starts the group if it does not run yet but is placed or on disk."""
         partition = self._partitions.get(message.group)
         if partition is not None:
             partition.group.receive(message)
         elif message.group in {placement.group for placement in placements} | self._groups_on_disk:
-            self._begin(message.group, None)
+            self._start_in_background(message.group, None)
 
     def status(self) -> GroupStatus | None:
-        """The report on the group that this store leads; None where it leads none."""
+        """The report on the group that this store leads; None if it leads none."""
         statuses = (partition.status() for partition in self)
         return next((status for status in statuses if status is not None), None)
 
     def tables_changed(self) -> None:
-        """New tables are in force."""
+        """Notifies all partitions that there are new tables."""
         for partition in self:
             partition.service.tables_changed()
 
     def _groups_with(self, suffix: str) -> set[str]:
-        """Groups with such files on disk.
+        """The names of the groups that have files with this suffix on disk.
 
-        One without a snapshot may not know its first voters yet: it starts when tables name them, or when
-        members of its group send messages.
+        A group without a snapshot may not know its first voters yet. It starts when tables name them, or when
+        a message from a member of the group arrives.
         """
         names = FolderDisk(self._data_dir).names()
         return {name.partition(".")[0] for name in names if name.endswith(suffix)}
 
-    def _begin(self, name: str, first_voters: Membership | None) -> None:
-        """Starts a partition in the background, unless it is there."""
+    def _start_in_background(self, name: str, first_voters: Membership | None) -> None:
+        """Starts a partition in the background, unless it runs or is starting."""
         if name in self._partitions or name in self._starting:
             return
         task = asyncio.get_running_loop().create_task(self._add(name, first_voters))
@@ -134,7 +134,7 @@
             for partition in self:
                 try:
                     await partition.manage_members()
-                except Exception:  # noqa: BLE001 - the task's edge: other partitions and later checks go on
+                except Exception:  # noqa: BLE001 - an error must not end the task: other checks go on
                     logger.bind(event="membership_check_failed", group=partition.name).exception(
-                        "Checking the members of a partition failed; the next check tries again."
+                        "Checking the membership of a partition failed; it is checked again shortly."
                     )
--- a/pewterring/batch/program.py
+++ b/pewterring/batch/program.py
@@ -1,7 +1,7 @@
-"""The store: keeps batch partitions, answers gateways, and runs items where it leads.
+"""The store program: hosts batch partitions, answers gateways, and runs items of partitions that it leads.
 
 Owns the data folder, the connections to other stores and to workers, and every task of the process. What may
-go wrong: the data folder cannot be read or is full at the start (it waits for free disk space), or a group
+go wrong: the data folder cannot be read, or is full at the start (the store waits for free space), or a group
 stops because its disk failed (`on_failure` ends the process).
 """
 
@@ -31,13 +31,18 @@
 from pewterring.transport.channel import Answer
 from pewterring.transport.lines import Channel, LineServer, LinkPool, Message, MessageCodec
 
-INCARNATION_BYTES = 8  # of randomness in the name of this incarnation of the process
+INCARNATION_BYTES = 8  # random bytes in the name of this incarnation of the process
 
 
 class StoreProgram:
-    """One process of the store: `start`, then maybe `drain`, then `stop`. Owns all tasks of the process.
+    """One process of the store. Call `start`, then `drain` before a planned stop, then `stop`.
 
-    `on_failure` is called when a group stopped, as when its disk failed: the process must be restarted then.
+    Args:
+        settings: The settings of this node.
+        on_failure: Called when a group has stopped because of an error, such as a disk failure. The process
+            must be restarted then.
+        clock: Returns the monotonic time in seconds.
+        rng: The source of randomness; tests pass one with a seed.
 
     Raises:
         StoreSettingsError: The settings name no data folder.
@@ -73,7 +78,7 @@
         self.partitions = StorePartitions(self._data_dir, self._environment)
 
     async def start(self) -> None:
-        """Loads the partitions on disk, listens, and follows the control leader.
+        """Loads the partitions on disk, listens, and subscribes to the feed of the control leader.
 
         Raises:
             StorageError: The files of this store cannot be read.
@@ -94,11 +99,11 @@
         return member_name(self._data_dir, self._settings.ip)
 
     async def drain(self) -> None:
-        """Gives up the votes of this store before a planned stop; it serves as a member meanwhile."""
+        """Gives up leadership and votes of this store before a planned stop. It still serves meanwhile."""
         await self.partitions.drain()
 
     async def stop(self) -> None:
-        """Stops everything; what is on disk stays."""
+        """Stops all partitions, tasks and connections. The files on disk remain."""
         await self.partitions.stop_membership_checks()
         await self._workers.stop_heartbeats()
         self.partitions.cancel_starts()
@@ -112,7 +117,7 @@
 
     def _on_message(self, _channel: Channel, message: Message) -> Answer | Awaitable[Answer]:
         if isinstance(message, ConsensusMessage):
-            if message.target == self._member:  # else for an earlier member at this address
+            if message.target == self._member:  # otherwise it is for a former member at this address
                 self.partitions.receive(message, self.feed.tables.placements)
             return None
         call = batch_call(message)
@@ -144,7 +149,7 @@
 
     def _on_group_failure(self, error: Exception) -> None:
         logger.bind(event="partition_failed", error=str(error)).error(
-            "A partition has stopped in this store and does not come back before a restart."
+            "A partition has stopped in this store and stays stopped until the store is restarted."
         )
         if self._on_failure is not None:
             self._on_failure(error)
--- a/pewterring/batch/service.py
+++ b/pewterring/batch/service.py
@@ -1,8 +1,8 @@
-"""Answers batch calls at the store that leads a partition; at any other store it names the leader.
+"""Answers batch calls at the store that leads a partition; other stores answer with the leader's name.
 
-Owns the start of leadership (no call is answered before all that earlier leaders committed is applied) and
-the waits of long polls. What may go wrong: calls wait while leadership cannot be confirmed, and end as
-`NotLeading` or `OutcomeUnknown`, which gateways repeat.
+Owns the start of leadership (calls are answered only once all commands committed by earlier leaders are
+applied) and the waits of long polls. What may go wrong: calls wait while leadership cannot be confirmed, and
+end as `NotLeading` or `OutcomeUnknown`, after which gateways repeat them.
 """
 
 import asyncio
@@ -43,22 +43,23 @@
 BatchCall = SubmitJob | ReadResults | ReadItem | EndJob
 BatchReply = SubmitReply | ResultPage | ItemBody | JobEnded | NotFound
 
-LEADERSHIP_START_RETRY_S = 0.05  # a failed read barrier is tried again well within a gateway's attempt
+LEADERSHIP_START_RETRY_S = 0.05  # wait before a failed read barrier is retried; well below a call's timeout
 
 
 @dataclass(frozen=True, slots=True)
 class ServiceEnvironment:
-    """What a partition's service needs of its store."""
+    """What a partition's service needs from its store."""
 
     tables: Callable[[], Tables]
     clock: Clock
     retention: RetentionLimits
-    max_state_bytes: int  # of bodies and texts; jobs that would exceed it are rejected
+    max_state_bytes: int  # limit on bodies and texts; jobs that would exceed it are rejected
 
 
 class BatchService:
-    """One partition's calls. Wire `leadership_changed` to the group and `tables_changed` to the feed.
+    """Answers the calls of one partition.
 
+    The partition calls `leadership_changed` for its group, and the feed's tables arrive by `tables_changed`.
     Owns the task that starts leadership; `close` and the loss of leadership cancel it.
     """
 
@@ -82,17 +83,17 @@
     # Leadership
 
     def leadership_changed(self, leading: bool) -> None:
-        """Starts or stops running items."""
+        """Starts running items when this store becomes the leader, and stops when it ceases to be."""
         self._stop_leading()
         if leading:
             self._leadership_start = asyncio.get_running_loop().create_task(self._start_leading())
 
     def tables_changed(self) -> None:
-        """New tables are in force."""
+        """Notifies the execution of items that there are new tables."""
         self._execution.tables_changed()
 
     def close(self) -> None:
-        """Stops all that runs here."""
+        """Stops running items and ends all waiting calls."""
         self._stop_leading()
 
     def _stop_leading(self) -> None:
@@ -104,13 +105,17 @@
         self.retention.stop()
 
     async def _start_leading(self) -> bool:
-        """Waits until all that earlier leaders committed is applied, then runs what is unfinished."""
+        """Waits until all commands committed by earlier leaders are applied, then runs unfinished items.
+
+        Returns:
+            Whether leadership has started; False if it was lost before.
+        """
         while self._log.is_leader:
             try:
                 await self._log.read_barrier()
             except BatchError as error:
                 logger.bind(event="leadership_start_delayed", error=str(error)).info(
-                    "Cannot yet confirm leadership of the partition; trying again."
+                    "Cannot confirm leadership of the partition yet; retrying."
                 )
                 await asyncio.sleep(LEADERSHIP_START_RETRY_S)
                 continue
@@ -120,7 +125,7 @@
         return False
 
     async def _confirm_leading(self) -> None:
-        """Returns only if this store leads and its state holds all that is committed.
+        """Waits until this store is confirmed to lead and its state has all committed commands.
 
         Raises:
             NotLeadingError: Another store leads, or this one could not confirm that it does.
@@ -131,14 +136,14 @@
             await asyncio.wait([self._leadership_start])
         started = self._leadership_start
         if started is None or started.cancelled() or not started.result():
-            raise NotLeadingError("this store lost the partition before its leadership began")
+            raise NotLeadingError("this store lost the leadership of the partition before it could answer")
         if not self._log.has_lease(self._clock()):
             await self._log.read_barrier()
 
     # Calls
 
     async def handle(self, call: BatchCall) -> BatchReply:
-        """Answers one call; errors of the log become replies that the gateway can repeat."""
+        """Answers one call. Errors of the log become replies after which the gateway can repeat the call."""
         try:
             await self._confirm_leading()
             match call:
@@ -185,14 +190,14 @@
         return JobEnded() if isinstance(outcome, Closed) and outcome.known else NotFound()
 
     async def _find(self, job_id: str) -> Job | None:
-        """The job; that there is none is said only after a read barrier."""
+        """The job, or None if it does not exist, which is confirmed by a read barrier."""
         job = self._state.job(job_id)
         if job is None:
             await self._log.read_barrier()
             job = self._state.job(job_id)
         return job
 
-    # The state
+    # State changes
 
     def _on_applied(self, outcome: Outcome) -> None:
         match outcome:
@@ -211,5 +216,5 @@
 
 
 def batch_call(message: msgspec.Struct) -> BatchCall | None:
-    """The message as a batch call, or None where it is something else."""
+    """The message if it is a batch call, or None."""
     return message if isinstance(message, BatchCall) else None
--- a/pewterring/batch/status.py
+++ b/pewterring/batch/status.py
@@ -1,15 +1,15 @@
-"""What the leader of a partition reports of its group to control."""
+"""The report on a partition's group that its leader sends to control."""
 
 from pewterring.consensus.group import ReplicatedGroup
 from pewterring.distribution.messages import GroupStatus
 
 
 def status_of(group: ReplicatedGroup, now: float) -> GroupStatus | None:
-    """What the leader reports of its group; None elsewhere.
+    """The leader's report on its group; None if this store does not lead or holds no lease.
 
-    While a change of members is not committed nobody counts as complete. A later leader may take the change
-    back, and a member that was to leave is needed then: a machine that was removed because of such a report,
-    with the loss of one more, left a group of four with two.
+    While a membership change is not committed, no member is reported as complete. A later leader may revert
+    the change and then needs the member that was to leave: when a machine was removed because of such a
+    report and one more was lost, a group of four was left with two members.
     """
     if not group.is_leader or not group.has_lease(now):
         return None
--- a/pewterring/batch/submissions.py
+++ b/pewterring/batch/submissions.py
@@ -1,8 +1,8 @@
-"""Submitting jobs at the leader: route, quota and capacity are checked, then the job is committed.
+"""Accepts jobs at the leader: checks route, quota and capacity, then commits the job.
 
-Owns the proposals that are on their way and the quota that they reserve. What may go wrong: a job is rejected
-though its route has quota left, because the partition holds as much as the store can carry (429 is the
-quota's status, 503 every other's), or the outcome of a proposal is unknown and the gateway repeats the call.
+Owns the proposals in flight and the quota that they reserve. What may go wrong: a job is rejected although
+its route has quota left, because the partition is at the store's capacity (the status is 429 if the quota is
+exceeded, 503 otherwise), or the outcome of a proposal is unknown and the gateway repeats the call.
 """
 
 import asyncio
@@ -21,16 +21,16 @@
 
 SubmitReply = JobAccepted | JobRejected | NotLeading | OutcomeUnknown
 
-QUOTA_RETRY_S = 0.5  # for a client whose job exceeds the quota now: items finish within about this time
-NO_ROUTE_RETRY_S = 0.5  # a configuration with the route may be on its way
-AT_CAPACITY_RETRY_S = 1.0  # jobs are dropped each few seconds
+# How long clients are told to wait before they submit a rejected job again.
+QUOTA_RETRY_S = 0.5  # the quota is exceeded: items finish within about this time
+NO_ROUTE_RETRY_S = 0.5  # the route is missing: a configuration with the route may arrive soon
+AT_CAPACITY_RETRY_S = 1.0  # the partition is at capacity: jobs are dropped every few seconds
 
 
 class JobSubmissions:
-    """The submissions of one partition's leader.
+    """Accepts the jobs submitted to one partition's leader.
 
-    Each proposal is a task of its own, which this object owns and which goes on when its caller is gone: a
-    repeated call joins it.
+    Owns one task for each proposal. It continues if the caller goes away, and a repeated call joins it.
     """
 
     def __init__(
@@ -44,7 +44,7 @@
         self._pending: dict[str, asyncio.Task[SubmitReply]] = {}
 
     async def submit(self, call: SubmitJob) -> SubmitReply:
-        """Commits a job; a repeated call joins the one that is on its way."""
+        """Commits a job. A repeated call joins the proposal in flight."""
         if self._state.job(call.job) is not None:
             return JobAccepted()
         task = self._pending.get(call.job)
@@ -55,7 +55,7 @@
         return await asyncio.shield(task)
 
     async def wait_for(self, job_id: str) -> None:
-        """Returns once no submission of that job is on its way."""
+        """Waits until no proposal of this job is in flight."""
         task = self._pending.get(job_id)
         if task is not None:
             await asyncio.wait([task])
@@ -65,7 +65,7 @@
         return await self._commit(call) if rejection is None else rejection
 
     def _rejection(self, call: SubmitJob) -> JobRejected | None:
-        """Why the job cannot be accepted now; None where it can."""
+        """The reply if the job cannot be accepted now; None if it can."""
         key = (call.host, call.path_prefix)
         route = batch_route(self._tables(), key)
         if route is None:
@@ -80,12 +80,12 @@
                 body_bytes=body_bytes,
                 state_bytes=self._state.size_bytes,
                 limit_bytes=self._max_state_bytes,
-            ).warning("A job is rejected: the partition holds as much as the store can carry.")
+            ).warning("A job is rejected: the partition's state has reached the store's capacity.")
             return JobRejected(over_quota=False, retry_after_s=AT_CAPACITY_RETRY_S)
         return None
 
     async def _commit(self, call: SubmitJob) -> SubmitReply:
-        """Proposes the job, with its tokens reserved until the outcome is known."""
+        """Proposes the job. Its tokens are reserved until the outcome is known."""
         with self._quota.reserved((call.host, call.path_prefix), _tokens(call)):
             try:
                 await self._log.propose(
--- a/pewterring/batch/worker_access.py
+++ b/pewterring/batch/worker_access.py
@@ -1,7 +1,7 @@
-"""How a store reaches workers: connections, the choice of a worker, and the admission of items to services.
+"""A store's access to workers: connections, the choice of a worker, and the admission of items to services.
 
 Owns the pool of connections and the exchange of admission heartbeats with gateways. What may go wrong: no
-heartbeats arrive, and admission falls back to what this store has seen itself.
+heartbeats arrive, and admission falls back to this store's own observations.
 """
 
 import asyncio
@@ -24,11 +24,11 @@
 
 
 class WorkerAccess:
-    """The workers, as one store sees and uses them; owns the task that sends heartbeats.
+    """Access of one store to the workers. Owns the task that sends heartbeats.
 
     Attributes:
         dispatcher: Chooses workers for items.
-        runner: Runs items at them.
+        runner: Runs items at workers.
     """
 
     def __init__(
@@ -47,15 +47,15 @@
         self.runner = HttpItemRunner(self._pool, self.dispatcher.load_reported)
 
     async def listen(self) -> None:
-        """Receives heartbeats of gateways and other stores from now on."""
+        """Starts to receive heartbeats from gateways and other stores."""
         await self._heartbeats.start()
 
     def start_heartbeats(self) -> None:
-        """Sends heartbeats from now on."""
+        """Starts to send heartbeats periodically."""
         self._heartbeat_task = asyncio.create_task(self._send_heartbeats())
 
     async def stop_heartbeats(self) -> None:
-        """Sends no more heartbeats."""
+        """Stops sending heartbeats."""
         if self._heartbeat_task is not None:
             self._heartbeat_task.cancel()
             with contextlib.suppress(asyncio.CancelledError):
@@ -67,13 +67,13 @@
         self._pool.close()
 
     def tables_changed(self, old: Tables, new: Tables) -> None:
-        """Follows new tables; connections to workers that are gone are closed."""
+        """Updates routing and admission from new tables, and closes connections to removed workers."""
         if new.workers is not old.workers or new.configuration is not old.configuration:
             self._chooser.update(new.workers, new.configuration)
         self._admissions.update(self._clock(), new, self._chooser)
-        gone = {worker.address for worker in old.workers.values()}
-        gone -= {worker.address for worker in new.workers.values()}
-        for address in gone:
+        removed = {worker.address for worker in old.workers.values()}
+        removed -= {worker.address for worker in new.workers.values()}
+        for address in removed:
             self._pool.close_address(address)
 
     async def _send_heartbeats(self) -> None:
