--- a/tests/batch/stand_ins.py
+++ b/tests/batch/stand_ins.py
@@ -1,4 +1,4 @@
-"""Stand-ins for what surrounds the batch layer: a clock, a log, workers and the tables."""
+"""Test doubles for the dependencies of the batch layer: a clock, a log, a runner, workers and tables."""
 
 import asyncio
 from collections.abc import Callable
@@ -25,7 +25,7 @@
 
 
 class ManualClock:
-    """A steady clock that the test moves."""
+    """A monotonic clock that the test sets."""
 
     def __init__(self) -> None:
         self.now = 100.0
@@ -67,18 +67,18 @@
 
 @dataclass
 class FakeLog:
-    """A log that applies what is proposed at once, or when the test releases it."""
+    """A log that applies a proposed command at once, or, while `paused`, after the test calls `release`."""
 
     state: BatchState
     is_leader: bool = True
     leader: str = "10.0.0.1#a"
     lease: bool = True
     paused: bool = False  # proposals wait for `release`
-    lose: bool = False  # proposals end without a known outcome
-    accepts: bool = True  # else proposals are refused
-    barriers: int = 0
-    commands: list[Command] = field(default_factory=list)
-    _gate: asyncio.Event = field(default_factory=asyncio.Event)
+    loses_outcomes: bool = False  # proposals end without a known outcome
+    accepts: bool = True  # if False, proposals are refused
+    barriers: int = 0  # read barriers requested so far
+    commands: list[Command] = field(default_factory=list)  # applied so far
+    _released: asyncio.Event = field(default_factory=asyncio.Event)
 
     def has_lease(self, _now: float) -> bool:
         return self.lease
@@ -87,10 +87,10 @@
         if not self.is_leader:
             raise NotLeadingError("not the leader")
         if not self.accepts:
-            raise CommandRefusedError("too much waits")
+            raise CommandRefusedError("too many uncommitted commands")
         while self.paused:
-            await self._gate.wait()
-        if self.lose:
+            await self._released.wait()
+        if self.loses_outcomes:
             raise CommandOutcomeUnknownError("lost")
         self.commands.append(command)
         return self.state.apply(len(self.commands), encode_command(command))
@@ -102,12 +102,12 @@
 
     def release(self) -> None:
         self.paused = False
-        self._gate.set()
+        self._released.set()
 
 
 @dataclass
 class Exchange:
-    """One run of an item that the test ends as it likes."""
+    """One attempt to run an item, whose outcome the test sets."""
 
     item: QueuedItem
     worker: WorkerRecord
@@ -124,7 +124,7 @@
 
 
 class FakeRunner:
-    """Records exchanges; cancelled ones are counted."""
+    """An `ItemRunner` that records exchanges, and the ids of items whose exchange was cancelled."""
 
     def __init__(self) -> None:
         self.exchanges: list[Exchange] = []
@@ -141,9 +141,9 @@
 
 
 async def until(condition: Callable[[], bool]) -> None:
-    """Lets the loop turn until the condition holds; fails where it does not soon."""
+    """Lets the event loop run until the condition is True; fails if that takes more than 100 iterations."""
     for _ in range(100):
         if condition():
             return
         await asyncio.sleep(0)
-    raise AssertionError("the condition does not come to hold")
+    raise AssertionError("the condition has not become true")
--- a/tests/batch/test_results.py
+++ b/tests/batch/test_results.py
@@ -1,4 +1,4 @@
-"""Results and counts of failed runs reach the log in order, also where it has been of no use for a while."""
+"""Results and counts of failed attempts reach the log, even if proposals have failed for a while."""
 
 import asyncio
 
@@ -12,18 +12,18 @@
 from tests.consensus.virtual_time import run
 
 
-@pytest.mark.parametrize("lost_for_s", [0.0, 2.5 * COMMIT_RETRY_S])
-def test_what_was_not_committed_is_tried_again(lost_for_s: float) -> None:
+@pytest.mark.parametrize("failing_for_s", [0.0, 2.5 * COMMIT_RETRY_S])
+def test_results_and_counts_that_were_not_committed_are_proposed_again(failing_for_s: float) -> None:
     async def scenario() -> None:
         state = BatchState(ManualClock())
         log = FakeLog(state)
         await log.propose(AcceptJob("j", *ROUTE, (item("a"), item("b"))))
         committer = ResultCommitter(log)
-        log.lose = lost_for_s > 0
+        log.loses_outcomes = failing_for_s > 0
         committer.count_failures(ItemFailures("j", "a", 1))
         committer.add(JobResult("j", ItemResult("b", "succeeded", "x")))
-        await asyncio.sleep(lost_for_s)
-        log.lose = False
+        await asyncio.sleep(failing_for_s)
+        log.loses_outcomes = False
         await asyncio.sleep(2 * COMMIT_RETRY_S)
         job = state.job("j")
         assert job is not None
@@ -34,7 +34,7 @@
 
 
 class FailsOnce(FakeLog):
-    """Its first proposal ends with an error that is none of the batch layer."""
+    """A log whose first proposal raises an error that is not one of the batch layer's."""
 
     failed = False
 
@@ -45,7 +45,7 @@
         return await super().propose(command)
 
 
-def test_an_unforeseen_error_does_not_end_committing_for_good() -> None:
+def test_results_are_committed_after_an_unexpected_error() -> None:
     async def scenario() -> None:
         state = BatchState(ManualClock())
         state.apply(1, encode_command(AcceptJob("j", *ROUTE, (item("a"), item("b")))))
--- a/tests/batch/test_runner.py
+++ b/tests/batch/test_runner.py
@@ -1,4 +1,4 @@
-"""Items at workers over sockets: what is sent, what is read, and what each end of an answer means."""
+"""Running items at workers over sockets: the request, the events read, and the outcome of each answer."""
 
 import asyncio
 import contextlib
@@ -21,8 +21,8 @@
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
-def event(number: int, data: str) -> bytes:
-    return chunk(f"id: {number}\ndata: {data}\n\n".encode())
+def event(event_id: int, data: str) -> bytes:
+    return chunk(f"id: {event_id}\ndata: {data}\n\n".encode())
 
 
 def answer(status: str, *headers: str) -> bytes:
@@ -33,11 +33,11 @@
 async def with_worker(
     response: bytes, use: Callable[[HttpItemRunner, WorkerRecord], Awaitable[None]]
 ) -> bytes:
-    """Runs `use` against a worker that answers with these bytes and closes; returns what it got."""
-    got: list[bytes] = []
+    """Runs `use` with a worker that answers `response` and closes; returns the bytes that it received."""
+    received: list[bytes] = []
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        got.append(await reader.readuntil(b"\r\n\r\n") + await reader.readexactly(1))
+        received.append(await reader.readuntil(b"\r\n\r\n") + await reader.readexactly(1))
         writer.write(response)
         writer.close()
 
@@ -48,7 +48,7 @@
     pool.close()
     server.close()
     await server.wait_closed()
-    return b"".join(got)
+    return b"".join(received)
 
 
 def run(response: bytes, last_event_id: str = "") -> tuple[Failure | None, list[tuple[str, str]], bytes]:
@@ -58,26 +58,26 @@
     outcomes: list[Failure | None] = []
 
     async def use(runner: HttpItemRunner, worker: WorkerRecord) -> None:
-        outcomes.append(await runner.run(entry, worker, lambda number, data: events.append((number, data))))
+        outcomes.append(await runner.run(entry, worker, lambda id_, data: events.append((id_, data))))
 
-    got = asyncio.run(with_worker(response, use))
-    return outcomes[0], events, got
+    received = asyncio.run(with_worker(response, use))
+    return outcomes[0], events, received
 
 
-def test_a_complete_stream() -> None:
-    outcome, events, got = run(HEAD + event(1, "a") + event(2, "b") + LAST_CHUNK)
+def test_a_complete_stream_has_no_failure() -> None:
+    outcome, events, received = run(HEAD + event(1, "a") + event(2, "b") + LAST_CHUNK)
     assert outcome is None
     assert events == [("1", "a"), ("2", "b")]
-    head = got.lower()
+    head = received.lower()
     assert head.startswith(b"post /jobs/i1 http/1.1\r\n")
     for line in (b"host: h.example", b"request-id: i1", b"model-id: m", b"target-instance: w1"):
         assert line + b"\r\n" in head
     assert b"wrong" not in head
     assert b"last-event-id" not in head
-    assert got.endswith(b"\r\n\r\na")
+    assert received.endswith(b"\r\n\r\na")
 
 
-def test_an_items_headers_and_body_go_out_as_its_client_sent_them() -> None:
+def test_an_items_headers_and_body_are_sent_as_its_client_sent_them() -> None:
     headers = {
         "Model-Id": "m",
         "Token-Usage": "540,400",
@@ -108,7 +108,7 @@
     assert events == [("1", "a")]
 
 
-def test_an_answer_that_ends_in_order_but_amid_an_event_is_not_complete() -> None:
+def test_a_complete_body_that_ends_within_an_event_is_truncated() -> None:
     outcome, _, _ = run(HEAD + event(1, "a") + chunk(b"id: 2\ndata: b\n") + LAST_CHUNK)
     assert outcome is Failure.TRUNCATED
 
@@ -116,26 +116,26 @@
 UNFRAMED = b"HTTP/1.1 200 OK\r\nRequest-Id: i1\r\nResponse-Signature: x\r\n\r\n"
 
 
-def test_an_answer_without_a_length_is_complete_between_events_only() -> None:
+def test_an_answer_without_a_length_is_complete_only_if_it_ends_between_events() -> None:
     assert run(UNFRAMED + b"id: 1\ndata: a\n\n")[0] is None
     assert run(UNFRAMED + b"id: 1\ndata: a\n\nid: 2\nda")[0] is Failure.TRUNCATED
     assert run(UNFRAMED + b"id: 1\rdata: a\r\r")[:2] == (None, [("1", "a")])
     assert run(UNFRAMED)[0] is Failure.TRUNCATED
 
 
-def test_an_empty_rest_is_complete_only_where_the_head_frames_an_empty_body() -> None:
+def test_a_resumed_stream_without_events_is_complete_only_if_the_head_frames_an_empty_body() -> None:
     assert run(HEAD + LAST_CHUNK, last_event_id="3")[0] is None
     assert run(UNFRAMED, last_event_id="3")[0] is Failure.TRUNCATED
 
 
-def test_a_continued_run_goes_on_at_the_next_event() -> None:
-    outcome, events, got = run(HEAD + event(4, "d") + LAST_CHUNK, last_event_id="3")
+def test_a_resumed_stream_continues_with_the_next_event() -> None:
+    outcome, events, received = run(HEAD + event(4, "d") + LAST_CHUNK, last_event_id="3")
     assert outcome is None
     assert events == [("4", "d")]
-    assert b"last-event-id: 3\r\n" in got.lower()
+    assert b"last-event-id: 3\r\n" in received.lower()
 
 
-def test_a_run_that_was_to_continue_but_begins_anew_is_rejected() -> None:
+def test_a_resumed_stream_that_starts_over_is_truncated() -> None:
     outcome, events, _ = run(HEAD + event(1, "a") + LAST_CHUNK, last_event_id="3")
     assert outcome is Failure.TRUNCATED
     assert events == []
@@ -149,23 +149,23 @@
         (answer("429 Too Many Requests"), Failure.REFUSED),
         (answer("500 Internal Server Error"), Failure.FAILED),
         (answer("422 Unprocessable Content"), Failure.IMPOSSIBLE),
-        (answer("200 OK"), Failure.TRUNCATED),  # no stamp
+        (answer("200 OK"), Failure.TRUNCATED),  # no Response-Signature
         (answer("200 OK", "Response-Signature: x"), Failure.TRUNCATED),  # no event
         (b"nonsense\r\n\r\n", Failure.TRUNCATED),
         (b"", Failure.TRUNCATED),
     ],
 )
-def test_other_answers(response: bytes, expected: Failure) -> None:
+def test_an_answer_without_events_is_a_failure(response: bytes, expected: Failure) -> None:
     outcome, events, _ = run(response)
     assert outcome is expected
     assert events == []
 
 
-def test_an_answer_without_a_stamp_is_not_waited_for() -> None:
+def test_an_answer_without_a_signature_ends_the_exchange_at_once() -> None:
     unsigned = b"HTTP/1.1 200 OK\r\nRequest-Id: i1\r\nTransfer-Encoding: chunked\r\n\r\n"
 
     async def scenario() -> None:
-        gone = asyncio.Event()
+        closed = asyncio.Event()
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\n")
@@ -173,7 +173,7 @@
             with contextlib.suppress(ConnectionError):
                 while await reader.read(100):
                     pass
-            gone.set()
+            closed.set()
             writer.close()
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
@@ -183,14 +183,14 @@
         entry = QueuedItem("j", ROUTE, item("i1"))
         async with asyncio.timeout(FIRST_EVENT_TIMEOUT_S / 2):
             assert await HttpItemRunner(pool).run(entry, worker, lambda *_: None) is Failure.TRUNCATED
-        await gone.wait()
+        await closed.wait()
         pool.close()
         server.close()
 
     asyncio.run(scenario())
 
 
-def test_a_worker_of_another_version_than_an_item_expects_is_well() -> None:
+def test_status_421_for_an_item_that_expects_a_version_means_another_version() -> None:
     outcomes: list[Failure | None] = []
 
     async def use(runner: HttpItemRunner, worker: WorkerRecord) -> None:
--- a/tests/batch/test_service.py
+++ b/tests/batch/test_service.py
@@ -1,4 +1,4 @@
-"""Batch calls and dispatch at the leader, over a log that is not replicated; no sockets."""
+"""Batch calls and dispatch at the leader, with a log that is not replicated and without sockets."""
 
 import asyncio
 import random
@@ -49,13 +49,13 @@
 
 
 class Store:
-    """One store that leads, with all around it faked."""
+    """One store that leads a partition; its log, runner and clock are fakes."""
 
-    def __init__(self, known: Tables, clock: ManualClock | None = None) -> None:
+    def __init__(self, given_tables: Tables, clock: ManualClock | None = None) -> None:
         self.clock = clock or ManualClock()
         self.chooser = WorkerChooser("z", random.Random(1))
         self.admissions = BatchAdmissions(random.Random(2))
-        self.take_tables(known)
+        self.take_tables(given_tables)
         self.fresh = True
         self.state = BatchState(self.clock)
         self.log = FakeLog(self.state)
@@ -78,17 +78,17 @@
             self.clock,
         )
 
-    def take_tables(self, known: Tables) -> None:
-        self.tables = known
-        self.chooser.update(known.workers, known.configuration)
-        self.admissions.update(self.clock.now, known, self.chooser)
+    def take_tables(self, given_tables: Tables) -> None:
+        self.tables = given_tables
+        self.chooser.update(given_tables.workers, given_tables.configuration)
+        self.admissions.update(self.clock.now, given_tables, self.chooser)
 
     async def lead(self) -> None:
         self.log.is_leader = True
         self.service.leadership_changed(True)
         await self.service.handle(ReadResults("none", 0))
 
-    def lose(self) -> None:
+    def lose_leadership(self) -> None:
         self.log.is_leader = False
         self.log.leader = "10.0.0.2#b"
         self.service.leadership_changed(False)
@@ -106,9 +106,9 @@
     return SubmitJob(job, *ROUTE, items=tuple(item(name, tokens) for name in names))
 
 
-def scenario(test: Callable[[Store], Awaitable[None]], known: Tables | None = None) -> None:
+def scenario(test: Callable[[Store], Awaitable[None]], given_tables: Tables | None = None) -> None:
     async def run() -> None:
-        store = Store(known or tables(worker("w1"), worker("w22")))
+        store = Store(given_tables or tables(worker("w1"), worker("w22")))
         await store.lead()
         await test(store)
         store.service.close()
@@ -179,9 +179,9 @@
         assert isinstance(refused, JobRejected)
         assert refused.over_quota
         if new_leader:
-            store.lose()
+            store.lose_leadership()
             await store.lead()
-        store.take_tables(tables(worker("w1"), routes=()))  # the route is gone meanwhile
+        store.take_tables(tables(worker("w1"), routes=()))  # the route has been removed meanwhile
         for _ in range(3):
             assert await store.service.handle(submit("j1", "a", tokens=60)) == JobAccepted()
         assert sum(isinstance(command, AcceptJob) for command in store.log.commands) == 1 + ended
@@ -189,7 +189,7 @@
     scenario(test, tables(worker("w1"), routes=(route(max_queued_tokens=100),)))
 
 
-def test_pages_begin_at_any_position() -> None:
+def test_a_page_can_begin_at_any_position() -> None:
     async def test(store: Store) -> None:
         await store.service.handle(submit("j", "a", "b", "c"))
         await store.exchanges(3)
@@ -206,7 +206,7 @@
     scenario(test)
 
 
-def test_a_body_is_there_from_the_202_on_and_at_the_next_leader() -> None:
+def test_a_body_can_be_read_from_acceptance_on_and_at_the_next_leader() -> None:
     async def test(store: Store) -> None:
         await store.service.handle(submit("j", "a"))
         for failure in (Failure.FAILED, Failure.TRUNCATED):
@@ -215,7 +215,7 @@
             store.runner.exchanges.pop().fail(failure)
             await until(lambda: store.execution.running == 0)
             assert await store.service.handle(ReadItem("j", "a")) == ItemBody("YQ==")
-            store.lose()
+            store.lose_leadership()
             await store.lead()
 
     scenario(test)
@@ -223,15 +223,15 @@
 
 def test_a_proposal_of_unknown_outcome_releases_its_quota() -> None:
     async def test(store: Store) -> None:
-        store.log.lose = True
+        store.log.loses_outcomes = True
         assert await store.service.handle(submit("j1", "a", tokens=60)) == OutcomeUnknown()
-        store.log.lose = False
+        store.log.loses_outcomes = False
         assert await store.service.handle(submit("j2", "a", tokens=60)) == JobAccepted()
 
     scenario(test, tables(routes=(route(max_queued_tokens=100),)))
 
 
-def test_where_the_log_refuses_commands_a_job_is_rejected_and_its_quota_free() -> None:
+def test_a_job_is_rejected_and_its_quota_released_if_the_log_refuses_commands() -> None:
     async def test(store: Store) -> None:
         store.log.accepts = False
         reply = await store.service.handle(submit("j1", "a", tokens=60))
@@ -245,7 +245,7 @@
     scenario(test, tables(routes=(route(max_queued_tokens=100),)))
 
 
-def test_where_the_log_refuses_commands_a_job_does_not_end_and_its_results_wait() -> None:
+def test_results_stay_pending_and_a_job_does_not_end_while_the_log_refuses_commands() -> None:
     async def test(store: Store) -> None:
         assert await store.service.handle(submit("j", "a", "b")) == JobAccepted()
         await store.exchanges(2)
@@ -264,7 +264,7 @@
     scenario(test)
 
 
-def test_errors_of_the_group_say_whether_the_command_may_be_applied() -> None:
+def test_errors_of_the_group_become_errors_that_say_whether_the_command_may_be_applied() -> None:
     class Group:
         group = "batch-0"
 
@@ -286,7 +286,7 @@
             asyncio.run(log.propose(CloseJob("j")))
 
 
-def test_a_job_without_a_route_is_refused() -> None:
+def test_a_job_without_a_route_is_rejected() -> None:
     async def test(store: Store) -> None:
         reply = await store.service.handle(submit("j", "a"))
         assert isinstance(reply, JobRejected)
@@ -295,16 +295,16 @@
     scenario(test, tables(routes=()))
 
 
-def test_another_store_is_named_where_this_one_does_not_lead() -> None:
+def test_a_store_that_does_not_lead_answers_with_the_leader() -> None:
     async def test(store: Store) -> None:
-        store.lose()
+        store.lose_leadership()
         for call in (submit("j", "a"), ReadResults("j", 0), ReadItem("j", "a"), EndJob("j")):
             assert await store.service.handle(call) == NotLeading("10.0.0.2#b")
 
     scenario(test)
 
 
-def test_unknown_is_said_only_after_a_read_barrier() -> None:
+def test_not_found_is_answered_only_after_a_read_barrier() -> None:
     async def test(store: Store) -> None:
         for call in (ReadResults("j", 0), ReadItem("j", "a"), EndJob("j")):
             before = store.log.barriers
@@ -314,7 +314,7 @@
     scenario(test)
 
 
-def test_without_a_lease_reads_wait_for_a_barrier() -> None:
+def test_reads_wait_for_a_read_barrier_without_a_lease() -> None:
     async def test(store: Store) -> None:
         await store.service.handle(submit("j", "a"))
         store.log.lease = False
@@ -325,7 +325,7 @@
     scenario(test)
 
 
-def test_bodies_are_read_until_the_result_is_listed() -> None:
+def test_a_body_can_be_read_until_the_items_result_is_listed() -> None:
     async def test(store: Store) -> None:
         await store.service.handle(submit("j", "a"))
         assert await store.service.handle(ReadItem("j", "a")) == ItemBody("YQ==")
@@ -337,7 +337,7 @@
     scenario(test)
 
 
-def test_ending_a_job_stops_its_items_before_it_is_committed() -> None:
+def test_ending_a_job_cancels_its_items_before_the_end_is_committed() -> None:
     async def test(store: Store) -> None:
         await store.service.handle(submit("j", "a"))
         await store.exchanges(1)
@@ -353,7 +353,7 @@
     scenario(test)
 
 
-def test_results_that_come_during_a_proposal_go_into_the_next() -> None:
+def test_results_added_during_a_proposal_go_into_the_next_one() -> None:
     async def test(store: Store) -> None:
         await store.service.handle(submit("j", "a", "b", "c"))
         await store.exchanges(3)
@@ -366,19 +366,19 @@
         await until(lambda: store.execution.running == 0)
         store.log.release()
         await store.page("j", 2, LONG_MS)
-        groups = [command for command in store.log.commands if isinstance(command, AddResults)]
-        assert [len(group.results) for group in groups] == [1, 2]
+        batches = [command for command in store.log.commands if isinstance(command, AddResults)]
+        assert [len(batch.results) for batch in batches] == [1, 2]
 
     scenario(test)
 
 
-def test_leadership_lost_cancels_all_and_regained_runs_what_is_unfinished() -> None:
+def test_losing_leadership_cancels_all_exchanges_and_regaining_it_runs_unfinished_items() -> None:
     async def test(store: Store) -> None:
         await store.service.handle(submit("j", "a", "b"))
         await store.exchanges(2)
         waiting = asyncio.create_task(store.service.handle(ReadResults("j", 0, LONG_MS)))
         await asyncio.sleep(0)
-        store.lose()
+        store.lose_leadership()
         assert isinstance(await waiting, NotLeading)
         await until(lambda: len(store.runner.cancelled) == 2)
         await store.lead()
@@ -391,14 +391,14 @@
     scenario(test)
 
 
-def test_a_422_is_listed_at_once_and_never_runs_again() -> None:
+def test_an_item_answered_with_422_is_a_dead_letter_at_once_and_never_runs_again() -> None:
     async def test(store: Store) -> None:
         await store.service.handle(submit("j", "a"))
         await store.exchanges(1)
         store.runner.exchanges[0].fail(Failure.IMPOSSIBLE)
         page = await store.page("j", 0, LONG_MS)
         assert [result.state for result in page.results] == ["dead_letter"]
-        store.lose()
+        store.lose_leadership()
         await store.lead()
         store.service.tables_changed()
         for _ in range(5):
@@ -411,7 +411,7 @@
 @pytest.mark.parametrize(
     "failure", [Failure.REFUSED, Failure.OTHER_VERSION, Failure.STALE, Failure.TRUNCATED]
 )
-def test_nothing_but_failures_of_its_own_gives_an_item_up_early(failure: Failure) -> None:
+def test_failures_other_than_status_500_and_422_never_make_an_item_a_dead_letter(failure: Failure) -> None:
     async def test(store: Store) -> None:
         await store.service.handle(submit("j", "a"))
         for number in range(10):
@@ -436,7 +436,7 @@
     scenario(test)
 
 
-def test_nothing_starts_while_the_tables_are_stale() -> None:
+def test_no_item_starts_while_the_tables_are_stale() -> None:
     async def test(store: Store) -> None:
         store.fresh = False
         await store.service.handle(submit("j", "a"))
@@ -450,7 +450,7 @@
     scenario(test)
 
 
-def test_items_go_to_ready_workers_within_a_share_of_their_capacity() -> None:
+def test_items_go_to_ready_workers_of_the_service_up_to_a_share_of_their_capacity() -> None:
     async def test(store: Store) -> None:
         await store.service.handle(submit("j", *(f"i{number}" for number in range(20))))
         await store.exchanges(9)
@@ -464,7 +464,7 @@
     scenario(test, tables(worker("w1"), worker("w22", state="draining"), worker("w333", service="other")))
 
 
-def test_items_of_a_route_that_is_gone_are_dead_only_after_a_while() -> None:
+def test_items_of_a_removed_route_become_dead_letters_only_after_a_while() -> None:
     async def test(store: Store) -> None:
         await store.service.handle(submit("j", "a"))
         store.take_tables(tables(routes=()))
@@ -479,7 +479,7 @@
     scenario(test, tables())
 
 
-def test_items_past_their_time_are_given_up() -> None:
+def test_items_are_given_up_at_the_give_up_time_of_their_job() -> None:
     async def test(store: Store) -> None:
         await store.service.handle(submit("j", "a", "b"))
         await store.exchanges(2)
@@ -492,7 +492,7 @@
     scenario(test)
 
 
-def test_finished_jobs_are_forgotten_after_their_time_for_reading() -> None:
+def test_finished_jobs_are_dropped_once_their_results_need_not_be_readable() -> None:
     async def test(store: Store) -> None:
         await store.service.handle(submit("done", "a"))
         await store.exchanges(1)
@@ -513,7 +513,7 @@
     scenario(test)
 
 
-def test_a_page_is_bounded_but_never_empty_where_there_is_a_result() -> None:
+def test_a_page_has_a_size_limit_but_always_at_least_one_result_if_there_is_any() -> None:
     async def test(store: Store) -> None:
         await store.service.handle(submit("j", "a", "b"))
         await store.exchanges(2)
--- a/tests/batch/test_state.py
+++ b/tests/batch/test_state.py
@@ -1,4 +1,4 @@
-"""The replicated state of a partition against a plain model, through snapshots and repeated commands."""
+"""The replicated state of a partition compared with a model, across snapshots and repeated commands."""
 
 from collections.abc import Iterable
 
@@ -35,6 +35,8 @@
 
 
 class ModelJob:
+    """A job in the model: the tokens of its items, and the results and failures recorded so far."""
+
     def __init__(self, host: str, tokens: dict[str, int]) -> None:
         self.host = host
         self.tokens = tokens
@@ -47,7 +49,7 @@
 
 
 class StateAgainstModel(RuleBasedStateMachine):
-    """Random commands; every answer and all that can be read is as the model says."""
+    """Applies random commands, and checks each outcome and the whole readable state against the model."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -103,17 +105,17 @@
             self.model.pop(job, None)
 
     @rule()
-    def through_a_snapshot(self) -> None:
+    def restore_into_a_new_state(self) -> None:
         restored = BatchState(self.clock)
         restored.restore(self.state.snapshot())
         self.state = restored
 
     @rule()
-    def replaced_by_a_snapshot(self) -> None:
+    def restore_into_the_same_state(self) -> None:
         self.state.restore(self.state.snapshot())
 
     @invariant()
-    def agrees(self) -> None:
+    def state_equals_model(self) -> None:
         assert {job.id for job in self.state.jobs()} == set(self.model)
         for job_id, model in self.model.items():
             job = self.state.job(job_id)
@@ -134,7 +136,7 @@
 
     @invariant()
     def counts_bytes(self) -> None:
-        """A body has as many bytes here as its item has tokens."""
+        """In this test each body has as many bytes as its item has tokens."""
         bodies = sum(self.expected_tokens(host) for host in ("a.example", "b.example"))
         texts = sum(len(text) for job in self.model.values() for _, text in job.listed)
         assert self.state.size_bytes == bodies + texts
@@ -149,7 +151,7 @@
 TestStateAgainstModel.settings = settings(max_examples=50, stateful_step_count=25, deadline=None)
 
 
-def test_the_size_is_that_of_bodies_without_a_result_and_of_texts() -> None:
+def test_the_size_counts_result_texts_and_bodies_of_items_without_a_result() -> None:
     state = BatchState(ManualClock())
     bodies = {"a": "Y" * 100, "b": "Y" * 20}
     specs = tuple(msgspec.structs.replace(item(name), body=body) for name, body in bodies.items())
@@ -162,13 +164,13 @@
     )
     sizes = []
     for index, command in enumerate(commands, 1):
-        for _ in range(2):  # a command that comes twice counts once
+        for _ in range(2):  # a command that is applied twice counts once
             state.apply(index, encode_command(command))
         sizes.append(state.size_bytes)
     assert sizes == [120, 27, 7, 0]
 
 
-def test_age_counts_on_through_a_snapshot() -> None:
+def test_the_age_of_a_job_continues_across_a_snapshot() -> None:
     clock = ManualClock()
     state = BatchState(clock)
     state.apply(1, encode_command(AcceptJob("j", "h", "/p/", (item("i"),), age_ms=500)))
@@ -181,7 +183,7 @@
     assert clock.now - job.accepted_at == pytest.approx(2.5)
 
 
-def test_a_snapshot_from_before_failures_were_counted_is_read() -> None:
+def test_a_snapshot_of_an_older_version_without_failed_attempts_is_read() -> None:
     state = BatchState(ManualClock())
     state.apply(1, encode_command(AcceptJob("j", "h", "/p/", (item("i"),))))
     older = msgspec.json.decode(state.snapshot())
@@ -193,7 +195,7 @@
     assert job.failed_attempts == {}
 
 
-def test_what_cannot_be_read_is_an_error_of_this_layer() -> None:
+def test_invalid_commands_and_snapshots_raise_errors_of_the_batch_layer() -> None:
     state = BatchState(ManualClock())
     with pytest.raises(InvalidCommandError):
         state.apply(1, b'{"type":"Other"}')
--- a/tests/batch/test_status.py
+++ b/tests/batch/test_status.py
@@ -1,4 +1,4 @@
-"""What a partition's leader reports while its members change."""
+"""The report of a partition's leader on its group during a membership change."""
 
 import asyncio
 
@@ -11,7 +11,7 @@
 from tests.consensus.virtual_time import run
 
 PLACEMENT = PlacementRecord("batch-0", NAMES)
-ENOUGH = 2  # voters that are to hold all, once the third has left
+REQUIRED_VOTERS = 2  # voters that must be complete once the third has left
 
 
 async def leader_with_lease(cluster: VirtualCluster) -> Store:
@@ -28,28 +28,28 @@
 
 
 def test_a_store_is_not_decommissioned_before_its_departure_is_committed() -> None:
-    """A later leader may take the change back, and needs the member then."""
+    """A later leader may revert the change, and needs the member then."""
 
     async def scenario() -> None:
         cluster = VirtualCluster(FaultPoints())
         await cluster.start()
         leader = await leader_with_lease(cluster)
-        stays, leaving = (name for name in NAMES if name != leader.name)
+        staying, leaving = (name for name in NAMES if name != leader.name)
         decommissioning = Decommissioning("node", leaving)
-        cluster.isolated |= {stays, leaving}
-        removal = asyncio.ensure_future(leader.group.change_membership(Membership((leader.name, stays))))
+        cluster.isolated |= {staying, leaving}
+        removal = asyncio.ensure_future(leader.group.change_membership(Membership((leader.name, staying))))
         await asyncio.sleep(0.05)
         early = report(leader)
         assert early is not None, "the lease still holds"
         assert leaving not in early.voters
-        assert not is_decommissioned(decommissioning, [PLACEMENT], {"batch-0": early}, ENOUGH)
+        assert not is_decommissioned(decommissioning, [PLACEMENT], {"batch-0": early}, REQUIRED_VOTERS)
         cluster.isolated.clear()
         await removal
         await asyncio.sleep(0.2)
         late = report(leader)
         assert late is not None
-        assert set(late.complete) == {leader.name, stays}
-        assert is_decommissioned(decommissioning, [PLACEMENT], {"batch-0": late}, ENOUGH)
+        assert set(late.complete) == {leader.name, staying}
+        assert is_decommissioned(decommissioning, [PLACEMENT], {"batch-0": late}, REQUIRED_VOTERS)
         await cluster.stop()
 
     run(scenario())
