--- a/tests/batch/__init__.py
+++ b/tests/batch/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the batch interface: jobs, items, results and the stores that keep them."""
+"""Tests of batch jobs: their items and results, and the stores that run and replicate them."""
--- a/tests/batch/test_fault_points.py
+++ b/tests/batch/test_fault_points.py
@@ -1,4 +1,4 @@
-"""A job from its first byte to its last read, with a failure at each numbered point of the way in turn."""
+"""A job from its submission to its end, with a fault injected at each numbered fault point in turn."""
 
 import asyncio
 from collections.abc import Callable
@@ -28,7 +28,7 @@
 
 
 async def read_to_the_end(cluster: VirtualCluster, known: list[ItemResult]) -> None:
-    """Reads on from what is known until the job is whole; `known` must stay as it was read."""
+    """Reads results until all are in `known`, and checks that results read before do not change."""
     while len(known) < len(ITEMS):
         page = await cluster.call(ReadResults("job", len(known), WAIT_MS))
         assert isinstance(page, ResultPage)
@@ -66,7 +66,7 @@
 
 
 def play(at: int, fault: Fault) -> FaultPoints:
-    """Plays the life of a job with the fault at one point; returns the points that it passed."""
+    """Runs `play_job` with the fault at point number `at`; returns the points that were passed."""
     points = FaultPoints()
 
     async def scenario() -> None:
@@ -77,8 +77,8 @@
         await cluster.start()
         try:
             await play_job(cluster)
-            leaders = 3  # each leader may begin an item once more, and one attempt fails by design
-            assert max(cluster.workers.begun.values()) <= leaders
+            max_attempts = 3  # each leader may start an item once more, and one attempt fails by design
+            assert max(cluster.workers.begun.values()) <= max_attempts
         finally:
             await cluster.stop()
 
@@ -93,7 +93,7 @@
 @pytest.mark.parametrize(
     "fault", [VirtualCluster.kill_leader, VirtualCluster.isolate_leader, VirtualCluster.kill_all]
 )
-def test_a_job_is_complete_whatever_point_a_store_fails_at(fault: Fault) -> None:
+def test_a_job_completes_with_a_fault_at_any_point(fault: Fault) -> None:
     for at in range(1, play(0, no_fault).passed + 1):
         try:
             play(at, fault)
@@ -101,7 +101,7 @@
             raise AssertionError(f"with the fault at point {at}: {error!r}") from error
 
 
-def test_bodies_are_read_until_results_are_listed_through_a_failover() -> None:
+def test_bodies_can_be_read_and_results_complete_across_a_failover() -> None:
     async def scenario() -> None:
         cluster = VirtualCluster(FaultPoints())
         await cluster.start()
@@ -117,7 +117,7 @@
     run(scenario())
 
 
-def test_an_end_survives_a_failover_and_nothing_starts_after() -> None:
+def test_the_end_of_a_job_survives_a_failover_and_no_item_starts_after_it() -> None:
     async def scenario() -> None:
         cluster = VirtualCluster(FaultPoints())
         await cluster.start()
@@ -135,7 +135,7 @@
     run(scenario())
 
 
-def test_an_isolated_leader_starts_nothing() -> None:
+def test_an_isolated_leader_starts_no_items() -> None:
     async def scenario() -> None:
         cluster = VirtualCluster(FaultPoints())
         await cluster.start()
--- a/tests/batch/test_members.py
+++ b/tests/batch/test_members.py
@@ -1,4 +1,4 @@
-"""Which stores may be members of a partition's group."""
+"""The choice of stores that may be members of a partition's group."""
 
 from pewterring.batch.members import store_candidates
 from pewterring.consensus.membership import address_of
@@ -10,14 +10,14 @@
 SECOND = "10.0.0.2#b"
 THIRD = "10.0.0.3#c"
 FOURTH = "10.0.0.4#d"
-THIRD_EMPTY = "10.0.0.3#new"
+THIRD_REPLACED = "10.0.0.3#new"
 USUAL = Membership(voters=(OWN, SECOND, THIRD))
 GATEWAY = NodeRecord("edge-1", "gateway", "10.0.0.9", "z", "life")
 
 
-def store(member: str, zone: str = "", retiring: bool = False) -> NodeRecord:
+def store(member: str, zone: str = "", decommissioning: bool = False) -> NodeRecord:
     ip = address_of(member)
-    return NodeRecord("node-" + ip, "store", ip, zone or ip, "life", member, retiring)
+    return NodeRecord("node-" + ip, "store", ip, zone or ip, "life", member, decommissioning)
 
 
 def test_stores_of_other_zones_come_first() -> None:
@@ -28,10 +28,10 @@
     assert others == [FOURTH, same_zone.member]
 
 
-def test_the_zone_of_a_decommissioned_store_is_free() -> None:
+def test_the_zone_of_a_decommissioned_store_counts_as_a_zone_without_a_member() -> None:
     successor = store("10.0.0.8#h", zone="10.0.0.3")
     other = store("10.0.0.9#i", zone="10.0.0.2")
-    nodes = (other, successor, store(OWN), store(SECOND), store(THIRD, retiring=True))
+    nodes = (other, successor, store(OWN), store(SECOND), store(THIRD, decommissioning=True))
     candidates = store_candidates(nodes, USUAL)
     assert candidates.joining[0] == successor.member
     assert candidates.decommissioning == {THIRD}
@@ -39,8 +39,8 @@
 
 
 def test_the_name_in_use_at_an_address_is_known() -> None:
-    candidates = store_candidates((store(OWN), store(THIRD_EMPTY)), USUAL)
-    assert candidates.current_names["10.0.0.3"] == THIRD_EMPTY
+    candidates = store_candidates((store(OWN), store(THIRD_REPLACED)), USUAL)
+    assert candidates.current_names["10.0.0.3"] == THIRD_REPLACED
 
 
 def test_a_spare_store_in_another_zone_replaces_a_lost_one() -> None:
--- a/tests/batch/test_partition.py
+++ b/tests/batch/test_partition.py
@@ -1,4 +1,4 @@
-"""One partition on a store: when it may start items."""
+"""When a partition on a store may start items."""
 
 import asyncio
 import random
@@ -16,16 +16,16 @@
 
 
 def store_environment(data_dir: Path, clock: ManualClock) -> StoreEnvironment:
-    """Parts of a store whose tables are always fresh."""
-    known = tables()
+    """The environment of a store whose tables are always fresh."""
+    known_tables = tables()
     chooser = WorkerChooser("z", random.Random(1))
     admissions = BatchAdmissions(random.Random(2))
     return StoreEnvironment(
         settings=settings("10.0.0.1", 1, data_dir),
         member=MEMBER,
-        tables=lambda: known,
+        tables=lambda: known_tables,
         confirmed_age=lambda _now: 0.0,
-        dispatcher=AdmissionDispatcher(lambda: known, chooser, admissions, clock),
+        dispatcher=AdmissionDispatcher(lambda: known_tables, chooser, admissions, clock),
         runner=FakeRunner(),
         send=lambda _message: None,
         clock=clock,
--- a/tests/batch/test_program.py
+++ b/tests/batch/test_program.py
@@ -1,4 +1,4 @@
-"""Three stores over loopback with a stand-in for control and one for workers: jobs outlast the leader."""
+"""Three stores on loopback addresses, with fakes for control and workers: jobs survive the leader's loss."""
 
 import asyncio
 import contextlib
@@ -79,7 +79,7 @@
 
 
 class ControlStandIn:
-    """Tells stores of one another; places the partition once three are there."""
+    """Sends the tables to the stores, and places the partition once three stores have subscribed."""
 
     def __init__(self, worker: WorkerRecord) -> None:
         gateway = NodeRecord("edge-1", "gateway", GATEWAY_IP, "z", "life")
@@ -93,7 +93,7 @@
 
     def on_message(self, _channel: Channel, message: Any) -> msgspec.Struct | None:
         if isinstance(message, Subscribe):
-            self.see(message.node)
+            self.add_node(message.node)
             return self.tables()
         if isinstance(message, Renew):
             self.status = message.status or self.status
@@ -104,7 +104,7 @@
         return None
 
     async def next_renewal(self) -> None:
-        """Returns when some store has renewed its session."""
+        """Waits until any store renews its session."""
         if self._renewal is None:
             self._renewal = asyncio.get_running_loop().create_future()
         await self._renewal
@@ -113,13 +113,13 @@
         return self.nodes["store-" + ip].member
 
     def is_replaced(self, ip: str, old_name: str) -> bool:
-        """Whether the store there votes under another name, and holds all."""
+        """Whether the store at `ip` is a voter under another name and has all committed entries."""
         status = self.status
         if status is None or old_name in status.voters or len(status.voters) != len(STORE_IPS):
             return False
         return self.member_at(ip) in status.complete
 
-    def see(self, node: NodeRecord) -> None:
+    def add_node(self, node: NodeRecord) -> None:
         self.nodes[node.node_id] = node
         self.version += 1
         voters = tuple(record.member for record in self.nodes.values() if record.member)
@@ -164,7 +164,7 @@
 
 
 class Cluster:
-    """The stores, and a caller like a gateway."""
+    """The stores, and a caller that behaves as a gateway does."""
 
     def __init__(self, control: ControlStandIn, port: int, data_dir: Path) -> None:
         self.control = control
@@ -184,7 +184,7 @@
         self.links.drop(ip)
 
     async def call(self, call: msgspec.Struct) -> msgspec.Struct:
-        """Asks one store after the other until the leader answers."""
+        """Sends the call to one store after the other until the leader answers."""
         async with asyncio.timeout(30):
             while True:
                 for ip in tuple(self.stores):
@@ -203,19 +203,19 @@
     control = ControlStandIn(WorkerRecord("w1", "s", f"127.0.0.1:{worker_port}", "z", 10, "ready"))
     port = free_port(CONTROL_IP)
     await control.server.start(CONTROL_IP, port)
-    made = Cluster(control, port, data_dir)
+    started_cluster = Cluster(control, port, data_dir)
     for ip in STORE_IPS:
-        await made.start(ip)
-    yield made
-    for ip in tuple(made.stores):
-        await made.stop(ip)
-    made.links.close()
+        await started_cluster.start(ip)
+    yield started_cluster
+    for ip in tuple(started_cluster.stores):
+        await started_cluster.stop(ip)
+    started_cluster.links.close()
     await control.server.stop()
     workers.close()
 
 
 async def complete_page(stores: Cluster, job: str, count: int) -> ResultPage:
-    """The page with all results."""
+    """Waits until the job has `count` results; returns the page with all of them."""
     while True:
         page = await stores.call(ReadResults(job, count - 1, 1000.0))
         assert isinstance(page, ResultPage)
@@ -225,7 +225,7 @@
             return page
 
 
-def test_jobs_outlast_the_loss_of_the_leader_and_a_stop_of_all(tmp_path: Path) -> None:
+def test_jobs_survive_the_loss_of_the_leader_and_a_restart_of_all_stores(tmp_path: Path) -> None:
     async def run() -> None:
         async with cluster(tmp_path) as stores:
             job = SubmitJob("j", *ROUTE, items=tuple(item(f"i{number}") for number in range(5)))
@@ -271,21 +271,21 @@
             await complete_page(stores, "first", 1)
             gateway = DatagramPort(lambda _data, _ip: None)
             await gateway.start(GATEWAY_IP, stores.port)
-            tell_stores(gateway, sequence=1, out=10)
+            send_heartbeat(gateway, sequence=1, in_flight=10)
             await stores.call(ReadResults("first", 0))
             assert await stores.call(SubmitJob("j", *ROUTE, items=(item("i"),))) == JobAccepted()
             page = await stores.call(ReadResults("j", 0, 200.0))
             assert isinstance(page, ResultPage)
             assert not page.results
-            tell_stores(gateway, sequence=2, out=0)
+            send_heartbeat(gateway, sequence=2, in_flight=0)
             await complete_page(stores, "j", 1)
             gateway.close()
 
     asyncio.run(run())
 
 
-def tell_stores(gateway: DatagramPort, sequence: int, out: int) -> None:
-    """A gateway's heartbeat: a concurrency limit of ten, and so many live requests in flight."""
-    heartbeat = write_beat(Beat(1, sequence, 10.0, out, 10.0, 1.0))
+def send_heartbeat(gateway: DatagramPort, sequence: int, in_flight: int) -> None:
+    """Sends a gateway's heartbeat: a concurrency limit of ten, and `in_flight` live requests."""
+    heartbeat = write_beat(Beat(1, sequence, 10.0, in_flight, 10.0, 1.0))
     for ip in STORE_IPS:
         gateway.send(ip, write_heartbeat(GATEWAY, {service_number("s"): heartbeat}))
--- a/tests/batch/test_recovery_after_faults.py
+++ b/tests/batch/test_recovery_after_faults.py
@@ -1,4 +1,4 @@
-"""Whatever workers and stores went through, items are listed soon once all is calm: none waits for ever."""
+"""After faults of workers and stores have ended, all items get a result soon: none waits for ever."""
 
 import asyncio
 import random
@@ -10,35 +10,35 @@
 from pewterring.batch.scheduler import Failure, QueuedItem
 from pewterring.distribution.messages import WorkerRecord
 from tests.batch.stand_ins import ROUTE, item
-from tests.batch.virtual_cluster import EVENT_PAUSE_S, FaultPoints, VirtualCluster, Workers, complete_text
+from tests.batch.virtual_cluster import EVENT_INTERVAL_S, FaultPoints, VirtualCluster, Workers, complete_text
 from tests.consensus.virtual_time import run
 
 SEEDS = 12
 ITEMS = 15
 FAULT_PERIOD_S = (8.0, 14.0)
-FAULT_GAP_S = 3.0  # between losses of a leader, on the average
-NO_FAULTS_S = 100.0  # the gap where leaders stay
-RECOVERY_S = 5.0  # all is listed within this: the last leader's return, and the pauses after failures
+FAULT_GAP_S = 3.0  # mean time between failures of a leader
+NO_FAULTS_S = 100.0  # mean time between failures at which in most runs no leader fails
+RECOVERY_S = 5.0  # limit for all results: covers the restart of the last leader and backoff after failures
 FAULTS = (Failure.REFUSED, Failure.REFUSED, Failure.OTHER_VERSION, Failure.STALE, Failure.TRUNCATED, None)
 
 
 class FaultyWorkers(Workers):
-    """Refuses, truncates at once or midway, until the faults are over. Nothing fails an item for good."""
+    """Refuses items, or truncates their answers at once or midway, until `faulty` is False."""
 
-    def __init__(self, rng: random.Random, fails_by_turns: bool) -> None:
-        super().__init__(FaultPoints(), EVENT_PAUSE_S)
+    def __init__(self, rng: random.Random, has_mixed_failures: bool) -> None:
+        super().__init__(FaultPoints(), EVENT_INTERVAL_S)
         self._rng = rng
-        self._fails_by_turns = fails_by_turns
+        self._has_mixed_failures = has_mixed_failures
         self.faulty = True
 
     async def run(self, queued: QueuedItem, worker: WorkerRecord, on_event: EventHandler) -> Failure | None:
         if not self.faulty:
             return await super().run(queued, worker, on_event)
-        failure = self._rng.choice(FAULTS) if self._fails_by_turns else Failure.REFUSED
+        failure = self._rng.choice(FAULTS) if self._has_mixed_failures else Failure.REFUSED
         if failure is not None:
             return failure
         running = asyncio.create_task(super().run(queued, worker, on_event))
-        await asyncio.wait([running], timeout=self._rng.uniform(0, 4) * EVENT_PAUSE_S)
+        await asyncio.wait([running], timeout=self._rng.uniform(0, 4) * EVENT_INTERVAL_S)
         if running.done():
             return await running
         running.cancel()
@@ -49,13 +49,13 @@
 async def inject_faults(
     cluster: VirtualCluster, workers: FaultyWorkers, rng: random.Random, fault_gap_s: float
 ) -> None:
-    """Takes leaders away at random for a while, with this pause between them on the average."""
+    """Makes leaders fail at random for a while, with a mean time of `fault_gap_s` between failures."""
     loop = asyncio.get_running_loop()
     ends_at = loop.time() + rng.uniform(*FAULT_PERIOD_S)
-    while (left_s := ends_at - loop.time()) > (pause_s := rng.expovariate(1 / fault_gap_s)):
-        await asyncio.sleep(pause_s)
+    while (remaining_s := ends_at - loop.time()) > (wait_s := rng.expovariate(1 / fault_gap_s)):
+        await asyncio.sleep(wait_s)
         rng.choice([cluster.kill_leader, cluster.isolate_leader, cluster.kill_all])()
-    await asyncio.sleep(left_s)
+    await asyncio.sleep(remaining_s)
     workers.faulty = False
 
 
@@ -68,16 +68,16 @@
     return results
 
 
-@pytest.mark.parametrize("fails_by_turns", [True, False])
+@pytest.mark.parametrize("has_mixed_failures", [True, False])
 @pytest.mark.parametrize("fault_gap_s", [FAULT_GAP_S, NO_FAULTS_S])
 @pytest.mark.parametrize("seed", range(SEEDS))
-def test_all_items_are_listed_soon_after_the_fault(
-    seed: int, fault_gap_s: float, fails_by_turns: bool
+def test_all_items_have_results_soon_after_the_last_fault(
+    seed: int, fault_gap_s: float, has_mixed_failures: bool
 ) -> None:
     async def scenario() -> None:
         rng = random.Random(seed)
         cluster = VirtualCluster(FaultPoints())
-        workers = cluster.workers = FaultyWorkers(rng, fails_by_turns)
+        workers = cluster.workers = FaultyWorkers(rng, has_mixed_failures)
         await cluster.start()
         try:
             items = tuple(item(f"i{number}") for number in range(ITEMS))
--- a/tests/batch/test_repeats.py
+++ b/tests/batch/test_repeats.py
@@ -1,4 +1,4 @@
-"""Batch calls that are sent twice: what a repeated command changes, at any later moment."""
+"""A batch command that is applied a second time, directly or after later commands, changes nothing."""
 
 import pytest
 
@@ -12,12 +12,12 @@
     "result": AddResults((JobResult("j", ItemResult("a", "succeeded", "text")),)),
     "another result of the same item": AddResults((JobResult("j", ItemResult("a", "dead_letter", "")),)),
     "end": CloseJob("j"),
-    "result behind the end": AddResults((JobResult("j", ItemResult("b", "succeeded", "late")),)),
+    "result after the end": AddResults((JobResult("j", ItemResult("b", "succeeded", "late")),)),
 }
 
 
 @pytest.mark.parametrize("name", HISTORY)
-def test_a_command_that_comes_again_later_changes_nothing(name: str) -> None:
+def test_a_command_that_is_repeated_later_changes_nothing(name: str) -> None:
     commands = list(HISTORY.values())
     first = list(HISTORY).index(name)
     for length in range(first + 1, len(commands) + 1):
@@ -29,7 +29,7 @@
         assert state.snapshot() == before
 
 
-def test_the_second_of_two_results_and_what_comes_behind_the_end_are_not_listed() -> None:
+def test_a_second_result_of_an_item_and_results_after_the_end_are_not_listed() -> None:
     state = BatchState(ManualClock())
     for index, command in enumerate(HISTORY.values(), 1):
         state.apply(index, encode_command(command))
--- a/tests/batch/virtual_cluster.py
+++ b/tests/batch/virtual_cluster.py
@@ -1,6 +1,6 @@
-"""Three stores of one partition in one loop and in virtual time, with numbered points at which one may fail.
+"""Three stores of one partition in one event loop and virtual time, with numbered points to inject faults.
 
-Only sockets, disks and workers are stand-ins: consensus, state, service, execution and scheduler are real.
+Only sockets, disks and workers are test doubles; consensus, state, service, execution and scheduler are real.
 """
 
 import asyncio
@@ -31,16 +31,16 @@
 from tests.consensus.virtual_time import InlineExecutor
 
 NAMES = ("10.0.0.1#a", "10.0.0.2#b", "10.0.0.3#c")
-EVENTS = 3  # of the answer to an item
-EVENT_PAUSE_S = 0.02
-CALL_S = 1.0  # a caller's patience with one store
-RETRY_PAUSE_S = 0.03  # of a caller between attempts
-DOWN_S = 0.4  # how long a store that failed stays away
+EVENTS = 3  # events in the answer to an item
+EVENT_INTERVAL_S = 0.02
+CALL_TIMEOUT_S = 1.0  # after which a caller tries the next store
+RETRY_DELAY_S = 0.03  # of a caller, after it has tried all stores
+DOWN_S = 0.4  # from the failure of a store to its restart
 GIVE_UP_S = 60.0  # virtual time after which a call counts as never answered
 
 
 class FaultPoints:
-    """Counts the points that a scenario passes; at number `at` it calls `action` once."""
+    """Counts the fault points that a scenario passes, and calls `action` once, at point number `at`."""
 
     def __init__(self, at: int = 0, action: Callable[[], None] | None = None) -> None:
         self.passed = 0
@@ -48,21 +48,26 @@
         self._action = action
 
     def reach(self) -> None:
+        """Counts one point, and calls the action if it is the chosen one."""
         self.passed += 1
         if self.passed == self._at and self._action is not None:
             self._action()
 
 
 class Workers:
-    """Runs items: some cannot be done, some fail once or always, the others give three events."""
+    """Workers whose outcomes depend on the item's name.
 
-    def __init__(self, points: FaultPoints, event_pause_s: float) -> None:
+    Items whose names begin with "impossible" or "hopeless" end as `IMPOSSIBLE` or `FAILED` at each attempt.
+    Those that begin with "fails" end as `FAILED` at the first attempt. All others send three events.
+    """
+
+    def __init__(self, points: FaultPoints, event_interval_s: float) -> None:
         self._points = points
-        self._event_pause_s = event_pause_s
-        self.finished_at: dict[str, float] = {}  # when a whole answer was given first
-        self.begun: Counter[str] = Counter()  # runs from the first event, by item
-        self.running: Counter[str] = Counter()
-        self.most_at_once: Counter[str] = Counter()
+        self._event_interval_s = event_interval_s
+        self.finished_at: dict[str, float] = {}  # time of the first complete answer, by item
+        self.begun: Counter[str] = Counter()  # attempts that started at the first event, by item
+        self.running: Counter[str] = Counter()  # attempts now, by item
+        self.max_running: Counter[str] = Counter()  # most attempts at the same time, by item
 
     async def run(self, queued: QueuedItem, _worker: WorkerRecord, on_event: EventHandler) -> Failure | None:
         name = queued.spec.id
@@ -70,7 +75,7 @@
         first = int(queued.last_event_id or 0) + 1
         self.begun[name] += first == 1
         self.running[name] += 1
-        self.most_at_once[name] = max(self.most_at_once[name], self.running[name])
+        self.max_running[name] = max(self.max_running[name], self.running[name])
         try:
             if name.startswith("impossible"):
                 return Failure.IMPOSSIBLE
@@ -79,7 +84,7 @@
             if name.startswith("fails") and self.begun[name] == 1:
                 return Failure.FAILED
             for number in range(first, EVENTS + 1):
-                await asyncio.sleep(self._event_pause_s)
+                await asyncio.sleep(self._event_interval_s)
                 self._points.reach()
                 on_event(str(number), f"{name}.{number}")
             self.finished_at.setdefault(name, asyncio.get_running_loop().time())
@@ -89,16 +94,17 @@
 
 
 def complete_text(name: str) -> str:
+    """The text of an item's result after a successful attempt."""
     return "\n".join(f"{name}.{number}" for number in range(1, EVENTS + 1))
 
 
 class CountingStorage(MemoryStorage):
-    """Passes a point before and after each save."""
+    """Storage that passes a fault point before and after each save."""
 
     def __init__(self, points: FaultPoints) -> None:
         super().__init__(NAMES)
         self._points = points
-        self.lost = False  # what is saved now is lost with the power
+        self.lost = False  # the store has lost power: saves have no effect
 
     def save(self, hard_state: HardState | None, truncate_from: int | None, entries: Sequence[Entry]) -> None:
         self._points.reach()
@@ -108,7 +114,7 @@
 
 
 class Store:
-    """One incarnation of one store."""
+    """One incarnation of one store, from its start until it fails."""
 
     def __init__(self, name: str, cluster: "VirtualCluster", storage: CountingStorage) -> None:
         loop = asyncio.get_running_loop()
@@ -117,13 +123,13 @@
         self.storage = storage
         self.state = cluster.state_type(loop.time)
         self.group = self._build_group(cluster)
-        known = tables(worker("w1", capacity=50), routes=(cluster.route,))
+        known_tables = tables(worker("w1", capacity=50), routes=(cluster.route,))
         log = GroupLog(self.group)
         self.execution = ItemExecution(
-            self.state, ResultCommitter(log), self._execution_environment(cluster, known)
+            self.state, ResultCommitter(log), self._execution_environment(cluster, known_tables)
         )
         service_environment = ServiceEnvironment(
-            lambda: known,
+            lambda: known_tables,
             loop.time,
             RetentionLimits(status_s=120, result_budget_bytes=0),
             max_state_bytes=10**9,
@@ -145,52 +151,52 @@
             callbacks=GroupCallbacks(on_leadership=lambda leads: self.service.leadership_changed(leads)),
         )
 
-    def _execution_environment(self, cluster: "VirtualCluster", known: Tables) -> ExecutionEnvironment:
+    def _execution_environment(self, cluster: "VirtualCluster", known_tables: Tables) -> ExecutionEnvironment:
         clock = asyncio.get_running_loop().time
         chooser = WorkerChooser("z", random.Random(self.name))
-        chooser.update(known.workers, known.configuration)
+        chooser.update(known_tables.workers, known_tables.configuration)
         admissions = BatchAdmissions(random.Random(self.name))
-        admissions.update(clock(), known, chooser)
+        admissions.update(clock(), known_tables, chooser)
         return ExecutionEnvironment(
-            AdmissionDispatcher(lambda: known, chooser, admissions, clock),
+            AdmissionDispatcher(lambda: known_tables, chooser, admissions, clock),
             cluster.workers,
-            lambda: known,
+            lambda: known_tables,
             lambda now: self.alive and self.group.has_lease(now),
             clock,
         )
 
 
 class VirtualCluster:
-    """The stores, their network, and a caller like a gateway."""
+    """The stores, their network, and a caller that behaves as a gateway does."""
 
     def __init__(
         self,
         points: FaultPoints,
-        limited: Route | None = None,
-        event_pause_s: float = EVENT_PAUSE_S,
+        batch_route: Route | None = None,
+        event_interval_s: float = EVENT_INTERVAL_S,
         state_type: type[BatchState] = BatchState,
     ) -> None:
         self.points = points
-        self.route = limited or route()
+        self.route = batch_route or route()
         self.state_type = state_type
-        self.workers = Workers(points, event_pause_s)
+        self.workers = Workers(points, event_interval_s)
         self.isolated: set[str] = set()
         self.stores: dict[str, Store] = {}
-        self._closing: set[asyncio.Task[None]] = set()
+        self._restarts: set[asyncio.Task[None]] = set()
 
     async def start(self) -> None:
         for name in NAMES:
-            await self._begin(name, CountingStorage(self.points))
+            await self._start_store(name, CountingStorage(self.points))
 
     async def stop(self) -> None:
         for store in self.stores.values():
             store.service.close()
             await store.group.stop()
-        for task in self._closing:
+        for task in self._restarts:
             task.cancel()
-        await asyncio.gather(*self._closing, return_exceptions=True)
+        await asyncio.gather(*self._restarts, return_exceptions=True)
 
-    async def _begin(self, name: str, storage: CountingStorage) -> None:
+    async def _start_store(self, name: str, storage: CountingStorage) -> None:
         storage.lost = False
         store = Store(name, self, storage)
         self.stores[name] = store
@@ -212,17 +218,17 @@
         return next((store for store in self.stores.values() if store.alive and store.group.is_leader), None)
 
     def kill(self, store: Store) -> None:
-        """Its power is gone at this moment: nothing more is sent, saved or answered. It comes back later."""
+        """The store loses power: it sends, saves and answers nothing more. It restarts after `DOWN_S`."""
         store.alive = False
         store.storage.lost = True
         store.service.close()
         task = asyncio.get_running_loop().create_task(self._restart(store))
-        self._closing.add(task)
+        self._restarts.add(task)
 
     async def _restart(self, store: Store) -> None:
         await store.group.stop()
         await asyncio.sleep(DOWN_S)
-        await self._begin(store.name, store.storage)
+        await self._start_store(store.name, store.storage)
 
     def kill_leader(self) -> None:
         if (leader := self.leader()) is not None:
@@ -234,7 +240,7 @@
                 self.kill(store)
 
     def isolate_leader(self) -> None:
-        """The others and callers cannot reach it; it works on and does not know yet."""
+        """Puts the leader into a network partition for two seconds: nobody reaches it, but it still runs."""
         if (leader := self.leader()) is not None:
             self.isolated.add(leader.name)
             asyncio.get_running_loop().call_later(2.0, self.isolated.discard, leader.name)
@@ -242,23 +248,23 @@
     # The caller
 
     async def call(self, call: BatchCall) -> BatchReply:
-        """Asks one store after the other until one answers."""
+        """Sends the call to one store after the other until one answers."""
         async with asyncio.timeout(GIVE_UP_S):
             while True:
                 for name in NAMES:
                     reply = await self.call_store(name, call)
                     if reply is not None:
                         return reply
-                await asyncio.sleep(RETRY_PAUSE_S)
+                await asyncio.sleep(RETRY_DELAY_S)
 
     async def call_store(self, name: str, call: BatchCall) -> BatchReply | None:
-        """One store's answer; None where it has none or it does not arrive."""
+        """The store's answer; None if it does not arrive, or if the store does not lead."""
         store = self.stores[name]
         self.points.reach()
         if not store.alive or name in self.isolated:
             return None
         try:
-            async with asyncio.timeout(CALL_S):
+            async with asyncio.timeout(CALL_TIMEOUT_S):
                 reply = await store.service.handle(call)
         except TimeoutError:
             return None
--- a/tests/golden/batch_commands.py
+++ b/tests/golden/batch_commands.py
@@ -1,4 +1,4 @@
-"""Commands that stand in entries of a batch partition's log."""
+"""Commands in the entries of a batch partition's log, for golden tests of their encoding."""
 
 from typing import get_args
 
@@ -26,7 +26,7 @@
     ItemResult(id="c", state="dead_letter", text="no worker"),
 )
 
-# In this order they are the log of the stored data as well.
+# In this order the commands are also the log in the golden test of stored data.
 COMMANDS: tuple[tuple[str, Command], ...] = (
     (
         "AcceptJob-full",
--- a/tests/golden/batch_messages.py
+++ b/tests/golden/batch_messages.py
@@ -1,4 +1,4 @@
-"""Calls between gateways and the store that leads a batch partition, as lines of the transport."""
+"""Calls between gateways and the store that leads a batch partition, for golden tests of their encoding."""
 
 import msgspec
 
@@ -23,7 +23,7 @@
 from tests.golden.batch_commands import ITEMS, RESULTS
 from tests.golden.rows import Family, Row, message_row
 
-# The messages that a store reads. Those of one union must have different names on the wire.
+# The messages that a store decodes. All messages of one codec must have different names on the wire.
 CODEC = MessageCodec((*CONSENSUS_MESSAGES, *BATCH_MESSAGES, *FEED_MESSAGES), "cluster-1")
 
 _REQUESTS: tuple[tuple[str, msgspec.Struct], ...] = (
@@ -56,7 +56,7 @@
 
 
 def _rows() -> tuple[Row, ...]:
-    """Requests carry an id, and replies the id of their request."""
+    """Requests with an id of their own, and replies with the id of their request."""
     return (
         *(message_row(CODEC, name, message, request_id=3) for name, message in _REQUESTS),
         *(message_row(CODEC, name, message, reply_to=3) for name, message in _REPLIES),
--- a/tests/golden/test_batch_commands.py
+++ b/tests/golden/test_batch_commands.py
@@ -1,4 +1,4 @@
-"""Commands in the log of a batch partition have the bytes that data folders hold."""
+"""Commands of a batch partition's log are encoded to the same bytes as those stored in data folders."""
 
 import pytest
 
--- a/tests/golden/test_batch_messages.py
+++ b/tests/golden/test_batch_messages.py
@@ -1,4 +1,4 @@
-"""Calls between gateways and stores have the bytes that running clusters know."""
+"""Calls between gateways and stores are encoded to the same bytes as those that running clusters exchange."""
 
 import pytest
 
