--- a/pewterring/batch/capacity.py
+++ b/pewterring/batch/capacity.py
@@ -12,8 +12,8 @@
 # The log written between two snapshots, and the segment being written.
 LOG_BYTES = int(SNAPSHOT_AFTER_MAX_BYTES * (1 + SNAPSHOT_JITTER_FRACTION)) + SEGMENT_BYTES
 # Share of the bound on catching up in which the state must be copied. A new member must have the state after
-# half of the bound, and an eighth passes before the copy starts, when the tables list the new member, and
-# between the last byte and the member's first vote.
+# half of the bound, and an eighth passes before the copy starts (the tables must list the new member first)
+# and between the last byte and the member's first vote.
 COPY_TIME_FRACTION = 0.375
 
 
--- a/pewterring/batch/dispatch.py
+++ b/pewterring/batch/dispatch.py
@@ -23,7 +23,7 @@
 from pewterring.routing.worker_state import WorkerState
 from pewterring.standalone.policy.interface import RequestClass
 
-MAX_WORKER_LOAD = 0.9  # share of a worker's slots; with this many known to be in use it gets no further item
+MAX_WORKER_LOAD = 0.9  # a worker with this share of its slots in use, as far as known, gets no further item
 NEARLY_FULL_LOAD = 0.75  # share of a worker's slots in use at which it may refuse an item for lack of a slot
 # Items get no worker with more prefill of earlier items pending: live requests that arrive wait behind it.
 MAX_PREFILL_S = 0.03
--- a/pewterring/batch/execution.py
+++ b/pewterring/batch/execution.py
@@ -17,7 +17,7 @@
 from pewterring.batch.messages import ItemResult
 from pewterring.batch.missing_routes import MissingRoutes
 from pewterring.batch.results import ResultCommitter
-from pewterring.batch.scheduler import Failure, ItemKey, ItemScheduler, JobTerms, QueuedItem
+from pewterring.batch.scheduler import Failure, ItemKey, ItemScheduler, JobLimits, QueuedItem
 from pewterring.batch.state import BatchState, Clock, Job, RouteKey
 from pewterring.distribution.messages import WorkerRecord
 from pewterring.distribution.tables import Tables
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ExecutionEnvironment:
-    """What the execution of items needs of its store."""
+    """What the execution of items needs from its store."""
 
     dispatcher: Dispatcher
     runner: ItemRunner
@@ -119,12 +119,12 @@
             self._missing_routes.job_ids.add(job.id)
             return
         self._missing_routes.job_ids.discard(job.id)
-        terms = JobTerms(
+        limits = JobLimits(
             due_at=job.accepted_at + route.completion_target_ms / MILLISECONDS_PER_SECOND,
             give_up_at=job.accepted_at + route.job_ttl_s,
             max_attempts=route.max_attempts,
         )
-        self._scheduler.add_job(job.id, job.route, job.items.values(), terms, job.failed_attempts)
+        self._scheduler.add_job(job.id, job.route, job.items.values(), limits, job.failed_attempts)
         self.wake()
 
     def end_job(self, job_id: str) -> None:
--- a/pewterring/batch/program.py
+++ b/pewterring/batch/program.py
@@ -117,7 +117,7 @@
 
     def _on_message(self, _channel: Channel, message: Message) -> Answer | Awaitable[Answer]:
         if isinstance(message, ConsensusMessage):
-            if message.target == self._member:  # otherwise it is for a former member at this address
+            if message.target == self._member:  # otherwise the message is for a former member here
                 self.partitions.receive(message, self.feed.tables.placements)
             return None
         call = batch_call(message)
--- a/pewterring/batch/scheduler.py
+++ b/pewterring/batch/scheduler.py
@@ -64,7 +64,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class JobTerms:
+class JobLimits:
     """Deadlines and retry limit that a job's route sets for its items. Times are monotonic, in seconds."""
 
     due_at: float  # the time by which the job should be complete
@@ -78,14 +78,14 @@
 
     id: str
     route: RouteKey
-    terms: JobTerms
+    limits: JobLimits
     items: dict[str, QueuedItem]
     ready: list[QueuedItem]  # sorted by size, smallest first: items start from the end of the list
 
     @property
     def order(self) -> tuple[float, str]:
         """The key by which jobs are sorted: due time, then id."""
-        return self.terms.due_at, self.id
+        return self.limits.due_at, self.id
 
 
 class _Backoff(NamedTuple):
@@ -117,7 +117,7 @@
         job_id: str,
         route: RouteKey,
         items: Iterable[ItemSpec],
-        terms: JobTerms,
+        limits: JobLimits,
         failed_attempts: Mapping[str, int],
     ) -> None:
         """Queues the items of a job. Does nothing if the job is queued already.
@@ -126,7 +126,7 @@
             job_id: The id of the job.
             route: The route that the job was submitted to.
             items: The job's items that have no result.
-            terms: The job's deadlines and retry limit.
+            limits: The job's deadlines and retry limit.
             failed_attempts: By item id, the attempts that have failed so far, also under earlier leaders.
         """
         queued = {
@@ -136,10 +136,10 @@
         if not queued or job_id in self._jobs:
             return
         ready = sorted(queued.values(), key=_tokens)
-        job = _QueuedJob(job_id, route, terms, queued, ready)
+        job = _QueuedJob(job_id, route, limits, queued, ready)
         self._jobs[job_id] = job
         self._on_time[job.order] = job
-        heapq.heappush(self._expiries, (terms.give_up_at, job_id))
+        heapq.heappush(self._expiries, (limits.give_up_at, job_id))
 
     def end_job(self, job_id: str) -> None:
         """Removes a job with all its items."""
@@ -218,7 +218,7 @@
             item.events.clear()  # a stream without event ids cannot be resumed: the next attempt starts over
         if failure is Failure.FAILED:
             item.failed_attempts += 1
-        if failure is Failure.IMPOSSIBLE or item.failed_attempts >= max(1, job.terms.max_attempts):
+        if failure is Failure.IMPOSSIBLE or item.failed_attempts >= max(1, job.limits.max_attempts):
             return self._finish(item)
         backoff_s = min(MAX_BACKOFF_S, MIN_BACKOFF_S * 2**item.backoffs)
         item.backoffs += 1
--- a/pewterring/batch/service.py
+++ b/pewterring/batch/service.py
@@ -83,7 +83,7 @@
     # Leadership
 
     def leadership_changed(self, leading: bool) -> None:
-        """Starts running items when this store becomes the leader, and stops when it ceases to be."""
+        """Starts running items when this store becomes the leader, and stops when it loses leadership."""
         self._stop_leading()
         if leading:
             self._leadership_start = asyncio.get_running_loop().create_task(self._start_leading())
--- a/pewterring/batch/state.py
+++ b/pewterring/batch/state.py
@@ -46,7 +46,7 @@
     total: int  # number of items submitted
     items: dict[str, ItemSpec]
     results: list[ItemResult] = field(default_factory=list)
-    ended: bool = False  # by its client: nothing more of it runs
+    ended: bool = False  # the client has ended the job: no more items run
     failed_attempts: dict[str, int] = field(default_factory=dict)  # by id of an item without a result
 
     @property
--- a/pewterring/batch/submissions.py
+++ b/pewterring/batch/submissions.py
@@ -21,7 +21,7 @@
 
 SubmitReply = JobAccepted | JobRejected | NotLeading | OutcomeUnknown
 
-# How long clients are told to wait before they submit a rejected job again.
+# How long a client should wait before it submits a rejected job again (`retry_after_s`).
 QUOTA_RETRY_S = 0.5  # the quota is exceeded: items finish within about this time
 NO_ROUTE_RETRY_S = 0.5  # the route is missing: a configuration with the route may arrive soon
 AT_CAPACITY_RETRY_S = 1.0  # the partition is at capacity: jobs are dropped every few seconds
@@ -30,7 +30,7 @@
 class JobSubmissions:
     """Accepts the jobs submitted to one partition's leader.
 
-    Owns one task for each proposal. It continues if the caller goes away, and a repeated call joins it.
+    Owns one task for each proposal. The task continues if its caller disconnects; a repeated call joins it.
     """
 
     def __init__(
--- a/tests/batch/test_scheduler.py
+++ b/tests/batch/test_scheduler.py
@@ -6,18 +6,18 @@
 import pytest
 
 from pewterring.batch.messages import ItemSpec
-from pewterring.batch.scheduler import MAX_BACKOFF_S, Failure, ItemScheduler, JobTerms, QueuedItem
+from pewterring.batch.scheduler import MAX_BACKOFF_S, Failure, ItemScheduler, JobLimits, QueuedItem
 from tests.batch.stand_ins import ROUTE, item
 
 OTHER_ROUTE = ("h.example", "/other/")
-TERMS = JobTerms(due_at=10.0, give_up_at=60.0, max_attempts=2)
+LIMITS = JobLimits(due_at=10.0, give_up_at=60.0, max_attempts=2)
 
 
 def add(
     scheduler: ItemScheduler,
     job: str,
     *items: ItemSpec,
-    terms: JobTerms = TERMS,
+    limits: JobLimits = LIMITS,
     route: tuple[str, str] = ROUTE,
     failed_attempts: Mapping[str, int] | None = None,
 ) -> None:
@@ -25,7 +25,7 @@
         job,
         route,
         items,
-        terms,
+        limits,
         failed_attempts or {},
     )
 
@@ -41,14 +41,14 @@
 
 def test_the_earliest_due_job_starts_first_and_its_largest_items_first() -> None:
     scheduler = ItemScheduler()
-    add(scheduler, "later", item("l1"), terms=replace(TERMS, due_at=20))
+    add(scheduler, "later", item("l1"), limits=replace(LIMITS, due_at=20))
     add(
         scheduler,
         "sooner",
         item("small", 5),
         item("large", 50),
         item("middle", 20),
-        terms=replace(TERMS, due_at=10),
+        limits=replace(LIMITS, due_at=10),
     )
     assert names(scheduler.items_to_start(0.0, 2)) == ["large", "middle"]
     assert names(scheduler.items_to_start(0.0, 5)) == ["small", "l1"]
@@ -57,15 +57,15 @@
 
 def test_jobs_that_cannot_meet_their_due_time_start_after_the_others() -> None:
     scheduler = ItemScheduler()
-    add(scheduler, "missed", item("m1"), terms=replace(TERMS, due_at=10))
-    add(scheduler, "possible", item("p1"), terms=replace(TERMS, due_at=30))
+    add(scheduler, "missed", item("m1"), limits=replace(LIMITS, due_at=10))
+    add(scheduler, "possible", item("p1"), limits=replace(LIMITS, due_at=30))
     assert names(scheduler.items_to_start(11.0, 2)) == ["p1", "m1"]
 
 
 def test_a_route_without_capacity_does_not_block_another() -> None:
     scheduler = ItemScheduler()
-    add(scheduler, "first", item("f1"), terms=replace(TERMS, due_at=10))
-    add(scheduler, "second", item("s1"), terms=replace(TERMS, due_at=20), route=OTHER_ROUTE)
+    add(scheduler, "first", item("f1"), limits=replace(LIMITS, due_at=10))
+    add(scheduler, "second", item("s1"), limits=replace(LIMITS, due_at=20), route=OTHER_ROUTE)
     started = scheduler.start(0.0, lambda entry: entry.route == OTHER_ROUTE)
     assert names(started) == ["s1"]
     assert scheduler.has_ready
@@ -127,7 +127,7 @@
 
 def test_running_and_ready_items_are_given_up_at_the_give_up_time() -> None:
     scheduler = ItemScheduler()
-    add(scheduler, "j", item("running", 9), item("waiting", 1), terms=replace(TERMS, give_up_at=5))
+    add(scheduler, "j", item("running", 9), item("waiting", 1), limits=replace(LIMITS, give_up_at=5))
     running = start_one(scheduler, 0.0)
     assert scheduler.expire(4.9) == []
     assert set(names(scheduler.expire(5.0))) == {"running", "waiting"}
