--- a/pewterring/batch/execution.py
+++ b/pewterring/batch/execution.py
@@ -23,7 +23,7 @@
 from pewterring.distribution.tables import Tables
 from pewterring.durations import MILLISECONDS_PER_SECOND
 
-RECHECK_PERIOD_S = 0.1  # between passes while items find no free worker, or the lease or tables are not fresh
+RECHECK_PERIOD_S = 0.1  # between passes while items find no free worker, or the lease or the tables are stale
 MIN_TIMER_S = 0.01  # shortest delay of the timer, also for a deadline that has passed
 
 # States of results in answers to clients.
--- a/tests/batch/test_fault_points.py
+++ b/tests/batch/test_fault_points.py
@@ -27,16 +27,16 @@
 Fault = Callable[[VirtualCluster], None]
 
 
-async def read_to_the_end(cluster: VirtualCluster, known: list[ItemResult]) -> None:
-    """Reads results until all are in `known`, and checks that results read before do not change."""
-    while len(known) < len(ITEMS):
-        page = await cluster.call(ReadResults("job", len(known), WAIT_MS))
+async def read_all_results(cluster: VirtualCluster, received: list[ItemResult]) -> None:
+    """Reads results until `received` has all, and checks that results read before do not change."""
+    while len(received) < len(ITEMS):
+        page = await cluster.call(ReadResults("job", len(received), WAIT_MS))
         assert isinstance(page, ResultPage)
         assert page.total == len(ITEMS)
-        known += page.results
+        received += page.results
         again = await cluster.call(ReadResults("job", 0))
         assert isinstance(again, ResultPage)
-        assert list(again.results[: len(known)]) == known
+        assert list(again.results[: len(received)]) == received
 
 
 def check_results(results: list[ItemResult]) -> None:
@@ -48,35 +48,35 @@
             assert (result.state, result.text) == ("succeeded", complete_text(result.id))
 
 
-async def play_job(cluster: VirtualCluster) -> None:
+async def run_job(cluster: VirtualCluster) -> None:
     """Submits a job twice, reads it while it runs, again from the start, and ends it."""
     assert await cluster.call(JOB) == JobAccepted()
     assert await cluster.call(JOB) == JobAccepted()
-    known: list[ItemResult] = []
-    await read_to_the_end(cluster, known)
-    check_results(known)
+    received: list[ItemResult] = []
+    await read_all_results(cluster, received)
+    check_results(received)
     again = await cluster.call(ReadResults("job", 0))
     assert isinstance(again, ResultPage)
-    assert list(again.results) == known
+    assert list(again.results) == received
     assert await cluster.call(EndJob("job")) == JobEnded()
     assert await cluster.call(EndJob("job")) == JobEnded()
     after = await cluster.call(ReadResults("job", 0))
     assert isinstance(after, ResultPage)
-    assert list(after.results) == known
+    assert list(after.results) == received
 
 
-def play(at: int, fault: Fault) -> FaultPoints:
-    """Runs `play_job` with the fault at point number `at`; returns the points that were passed."""
+def run_with_fault(fault_point: int, fault: Fault) -> FaultPoints:
+    """Runs `run_job` with the fault at point number `fault_point`; returns the points that were passed."""
     points = FaultPoints()
 
     async def scenario() -> None:
         nonlocal points
         cluster: VirtualCluster
-        points = FaultPoints(at, lambda: fault(cluster))
+        points = FaultPoints(fault_point, lambda: fault(cluster))
         cluster = VirtualCluster(points)
         await cluster.start()
         try:
-            await play_job(cluster)
+            await run_job(cluster)
             max_attempts = 3  # each leader may start an item once more, and one attempt fails by design
             assert max(cluster.workers.begun.values()) <= max_attempts
         finally:
@@ -94,11 +94,11 @@
     "fault", [VirtualCluster.kill_leader, VirtualCluster.isolate_leader, VirtualCluster.kill_all]
 )
 def test_a_job_completes_with_a_fault_at_any_point(fault: Fault) -> None:
-    for at in range(1, play(0, no_fault).passed + 1):
+    for fault_point in range(1, run_with_fault(0, no_fault).passed + 1):
         try:
-            play(at, fault)
+            run_with_fault(fault_point, fault)
         except Exception as error:
-            raise AssertionError(f"with the fault at point {at}: {error!r}") from error
+            raise AssertionError(f"with the fault at point {fault_point}: {error!r}") from error
 
 
 def test_bodies_can_be_read_and_results_complete_across_a_failover() -> None:
@@ -109,9 +109,9 @@
         assert await cluster.call(ReadItem("job", "a")) == ItemBody("YQ==")
         cluster.kill_leader()
         assert await cluster.call(ReadItem("job", "b")) == ItemBody("YQ==")
-        known: list[ItemResult] = []
-        await read_to_the_end(cluster, known)
-        check_results(known)
+        received: list[ItemResult] = []
+        await read_all_results(cluster, received)
+        check_results(received)
         await cluster.stop()
 
     run(scenario())
@@ -141,14 +141,14 @@
         await cluster.start()
         assert await cluster.call(JOB) == JobAccepted()
         cluster.isolate_leader()
-        known: list[ItemResult] = []
-        await read_to_the_end(cluster, known)
-        check_results(known)
+        received: list[ItemResult] = []
+        await read_all_results(cluster, received)
+        check_results(received)
         await asyncio.sleep(3.0)
         assert max(cluster.workers.begun.values()) <= 3
         page = await cluster.call(ReadResults("job", 0))
         assert isinstance(page, ResultPage)
-        assert list(page.results) == known
+        assert list(page.results) == received
         await cluster.stop()
 
     run(scenario())
--- a/tests/batch/test_partition.py
+++ b/tests/batch/test_partition.py
@@ -34,7 +34,7 @@
     )
 
 
-def test_a_follower_starts_no_items_however_fresh_its_tables(tmp_path: Path) -> None:
+def test_a_follower_starts_no_items_even_with_fresh_tables(tmp_path: Path) -> None:
     async def scenario() -> None:
         clock = ManualClock()
         partition = Partition("batch-0", tmp_path, store_environment(tmp_path, clock))
--- a/tests/batch/test_service.py
+++ b/tests/batch/test_service.py
@@ -175,9 +175,9 @@
         if ended:
             assert await store.service.handle(EndJob("j1")) == JobEnded()
             assert await store.service.handle(submit("j2", "a", tokens=60)) == JobAccepted()
-        refused = await store.service.handle(submit("j3", "a", tokens=60))
-        assert isinstance(refused, JobRejected)
-        assert refused.over_quota
+        rejected = await store.service.handle(submit("j3", "a", tokens=60))
+        assert isinstance(rejected, JobRejected)
+        assert rejected.over_quota
         if new_leader:
             store.lose_leadership()
             await store.lead()
