--- a/tests/batch/test_partition.py
+++ b/tests/batch/test_partition.py
@@ -1,4 +1,4 @@
-"""One partition on a store: when it may start items."""
+"""When a partition on a store may start items."""
 
 import asyncio
 import random
@@ -16,16 +16,16 @@
 
 
 def store_environment(data_dir: Path, clock: ManualClock) -> StoreEnvironment:
-    """Parts of a store whose tables are always fresh."""
-    known = tables()
+    """The environment of a store whose tables are always fresh."""
+    known_tables = tables()
     chooser = WorkerChooser("z", random.Random(1))
     admissions = BatchAdmissions(random.Random(2))
     return StoreEnvironment(
         settings=settings("10.0.0.1", 1, data_dir),
         member=MEMBER,
-        tables=lambda: known,
+        tables=lambda: known_tables,
         confirmed_age=lambda _now: 0.0,
-        dispatcher=AdmissionDispatcher(lambda: known, chooser, admissions, clock),
+        dispatcher=AdmissionDispatcher(lambda: known_tables, chooser, admissions, clock),
         runner=FakeRunner(),
         send=lambda _message: None,
         clock=clock,
@@ -34,7 +34,7 @@
     )
 
 
-def test_a_follower_starts_no_items_however_fresh_its_tables(tmp_path: Path) -> None:
+def test_a_follower_starts_no_items_even_with_fresh_tables(tmp_path: Path) -> None:
     async def scenario() -> None:
         clock = ManualClock()
         partition = Partition("batch-0", tmp_path, store_environment(tmp_path, clock))
