--- a/pewterring/consensus/__init__.py
+++ b/pewterring/consensus/__init__.py
@@ -1,1 +1,1 @@
-"""Replicated log (Raft): a core without I/O and the driver that persists, sends and applies for it."""
+"""Replicated log (Raft): a core without I/O, and the driver that does its I/O and applies entries."""
--- a/pewterring/consensus/membership.py
+++ b/pewterring/consensus/membership.py
@@ -1,7 +1,7 @@
-"""Which members a group has at each index of the log, majorities among them, and which changes are safe.
+"""The membership of a group at each log index, majorities among its voters, and which changes are safe.
 
-A change is in force as soon as its entry is in the log, committed or not (Raft thesis, chapter 4): one voter
-at a time, so that each majority overlaps with the one before.
+A membership change takes effect as soon as its entry is in the log, committed or not (Raft thesis, chapter
+4). A change adds or removes at most one voter, so each old majority overlaps with each new one.
 """
 
 from collections.abc import Iterable, Sequence
@@ -17,7 +17,7 @@
 
 
 def address_of(member: str) -> str:
-    """Returns the IP address of a member, whose name is `IP#tag`."""
+    """Returns the IP address of a member; member names have the form `IP#tag`."""
     return member.partition("#")[0]
 
 
@@ -27,12 +27,12 @@
 
 
 def all_members(membership: Membership) -> tuple[str, ...]:
-    """Returns the voters, then the learners."""
+    """Returns the names of all members: the voters, then the learners."""
     return (*membership.voters, *membership.learners)
 
 
 def without_member(membership: Membership, member: str) -> Membership:
-    """Returns the membership without a voter or learner."""
+    """Returns the membership without `member`, whether that is a voter or a learner."""
     return Membership(
         voters=tuple(voter for voter in membership.voters if voter != member),
         learners=tuple(learner for learner in membership.learners if learner != member),
@@ -40,40 +40,40 @@
 
 
 def with_voter(membership: Membership, member: str) -> Membership:
-    """Returns the membership with another voter, which may have been a learner."""
+    """Returns the membership with `member` as the last voter; it is no learner any longer."""
     changed = without_member(membership, member)
     return Membership((*changed.voters, member), changed.learners)
 
 
 def voters_needed(tolerated_machines: int) -> int:
-    """Returns how many voters outlast the loss of so many machines."""
+    """Returns how many voters a group needs to tolerate the loss of `tolerated_machines` machines: 2f + 1."""
     return 2 * tolerated_machines + 1
 
 
 def majority_value(values: Sequence[_Value]) -> _Value:
-    """Returns the greatest value that more than half of `values` reach."""
+    """Returns the greatest value that more than half of `values` reach or exceed."""
     return sorted(values, reverse=True)[len(values) // 2]
 
 
 def check_change(old: Membership, new: Membership) -> None:
-    """Rejects a change whose majorities need not overlap with those before (Raft thesis, 4.1).
+    """Checks that every majority of `new` overlaps with every majority of `old` (Raft thesis, 4.1).
 
     Raises:
-        MembershipRejectedError: the text says why; nothing may be changed.
+        MembershipRejectedError: the change is not safe; the text says why.
     """
     if not new.voters:
-        raise MembershipRejectedError("a group needs a voter")
+        raise MembershipRejectedError("a group needs at least one voter")
     if len(set(new.voters)) != len(new.voters) or set(new.voters) & set(new.learners):
-        raise MembershipRejectedError("a member is named twice")
+        raise MembershipRejectedError("a member appears twice in the membership")
     changed = set(old.voters) ^ set(new.voters)
     if len(changed) > 1:
-        raise MembershipRejectedError(f"more than one voter changes: {', '.join(sorted(changed))}")
+        raise MembershipRejectedError(f"only one voter may change at a time: {', '.join(sorted(changed))}")
 
 
 class MembershipHistory:
-    """The membership at the log's base, and its changes by the entries after that.
+    """The membership at the start of the log, and each change that a later log entry makes to it.
 
-    A change is in force as soon as its entry is in the log, committed or not.
+    A change takes effect as soon as its entry is in the log, committed or not.
     """
 
     def __init__(self, base: Membership, entries: Iterable[Entry] = ()) -> None:
@@ -84,24 +84,24 @@
 
     @property
     def last_change(self) -> int:
-        """Index of the last change in the log; 0 where there is none."""
+        """Index of the last membership entry in the log; 0 if there is none."""
         return self._changes[-1][0] if self._changes else 0
 
     def append(self, entries: Iterable[Entry]) -> None:
-        """Takes note of entries that were appended to the log."""
+        """Records the membership changes among entries that were appended to the log."""
         for entry in entries:
             if entry.kind == ENTRY_MEMBERS:
                 self.current = _decoder.decode(entry.data)
                 self._changes.append((entry.index, self.current))
 
     def truncate(self, first_dropped: int) -> None:
-        """Goes back to the membership before the entry at `first_dropped`."""
+        """Reverts the changes of the entries from index `first_dropped` on, which were truncated."""
         while self._changes and self._changes[-1][0] >= first_dropped:
             self._changes.pop()
         self.current = self._changes[-1][1] if self._changes else self._base
 
     def at(self, index: int) -> Membership:
-        """Returns the membership in force after the entry at `index`."""
+        """Returns the membership in effect after the entry at `index`."""
         membership = self._base
         for changed_at, changed in self._changes:
             if changed_at > index:
@@ -110,12 +110,12 @@
         return membership
 
     def compact(self, index: int) -> None:
-        """Forgets changes up to `index`, keeping what they led to."""
+        """Replaces all changes up to `index` by the membership that they led to."""
         self._base = self.at(index)
         self._changes = [change for change in self._changes if change[0] > index]
 
     def reset(self, membership: Membership) -> None:
-        """Starts again behind a snapshot."""
+        """Replaces the whole history by the membership of an installed snapshot."""
         self._base = membership
         self._changes = []
         self.current = membership
--- a/pewterring/consensus/membership_view.py
+++ b/pewterring/consensus/membership_view.py
@@ -1,8 +1,8 @@
-"""What one check of a group shows its leader: who is lost, who has caught up, who may join.
+"""The state of a group's members as its leader sees it: lost, caught up, departing, decommissioned.
 
-A voter is lost once it has answered nothing for a fraction of the bound on catching up, or once its address
-is in use under another name, which means that its disk was lost. A voter that announced its departure is lost
-as soon as it answers no more.
+A member is lost if it has not answered for a fraction of `catch_up_s`, the bound on the time that a member
+may take to catch up; or if another member name is in use at its address, which means that its disk was lost;
+or if it announced its departure and no longer answers.
 """
 
 from collections.abc import Mapping, Sequence, Set
@@ -13,18 +13,22 @@
 from pewterring.consensus.messages import Membership
 from pewterring.durations import PAUSE_THRESHOLD_S
 
-LOST_VOTER_FRACTION = 0.25  # of the bound on catching up: a quarter to notice a loss, one to copy the state
-RECENT_CONTACT_S = 0.3  # a voter that answered so lately lives, whatever tables say of its address
-# Of the same bound: a learner that takes over a large snapshot may not answer for a while.
+# Fraction of `catch_up_s` without an answer after which a voter is lost: one quarter to detect the loss, a
+# second one to copy the state.
+LOST_VOTER_FRACTION = 0.25
+# A member that answered this recently is alive, whichever name the node table has for its address.
+RECENT_CONTACT_S = 0.3
+# Fraction of `catch_up_s` without an answer after which a learner is removed. It is longer than for voters
+# because a learner may not answer while it installs a large snapshot.
 LOST_LEARNER_FRACTION = 0.5
 
 
 class PlannedGroup(Protocol):
-    """What is read of a group's leader."""
+    """The properties of the leader's group that the planner reads."""
 
     @property
     def membership(self) -> Membership:
-        """The membership in force."""
+        """The membership in effect, which may not be committed yet."""
         ...
 
     @property
@@ -33,11 +37,11 @@
         ...
 
     def match(self, member: str, /) -> int:
-        """Returns the last index that the member is known to have on disk."""
+        """Returns the last log index that the member is known to have on disk."""
         ...
 
     def seconds_since_contact(self, member: str, now: float) -> float:
-        """Returns for how long the member has answered no heartbeat of this leadership."""
+        """Returns the seconds since the member last answered a heartbeat of this leadership."""
         ...
 
     def is_departing(self, member: str) -> bool:
@@ -47,48 +51,51 @@
 
 @dataclass(frozen=True, slots=True)
 class Candidates:
-    """Who may be a member, as the group's surroundings have it."""
+    """Which members may join and which must leave, by the requests to join or the table of nodes."""
 
-    joining: Sequence[str] = ()  # members that may join, best first
-    current_names: Mapping[str, str] = field(default_factory=dict)  # address -> the name in use there now
-    decommissioning: Set[str] = frozenset()  # members that are to leave for good
+    joining: Sequence[str] = ()  # member names, most preferred first
+    current_names: Mapping[str, str] = field(default_factory=dict)  # address -> member name in use there now
+    decommissioning: Set[str] = frozenset()  # members to be removed permanently
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class MembershipView:
-    """One check of the group. The sets may hold voters and learners."""
+    """The result of one check of the group. The sets contain voters and learners."""
 
     membership: Membership
     since_contact_s: Mapping[str, float]
-    lost: Set[str]  # to be replaced, where they vote
-    lost_as_learners: Set[str]  # to be given up, where they learn
-    caught_up: Set[str]  # have on disk all that was committed at the check before
+    lost: Set[str]  # voters among them are to be replaced
+    lost_as_learners: Set[str]  # learners among them are to be removed
+    caught_up: Set[str]  # have on disk all that was committed at the previous check
     decommissioning: Set[str]
     departing: Set[str]
     all_voters_answer: bool  # within `RECENT_CONTACT_S`, in this leadership
 
     @property
     def lost_voters(self) -> list[str]:
-        """Lost voters, the one without contact for longest first."""
+        """The lost voters, ordered by time without contact, longest first."""
         lost = [voter for voter in self.membership.voters if voter in self.lost]
         return sorted(lost, key=lambda voter: -self.since_contact_s[voter])
 
     @property
     def healthy_voters(self) -> list[str]:
-        """Voters that are there and may stay."""
+        """Voters that are neither lost, departing nor decommissioned."""
         excluded = self.lost | self.outgoing
         return [voter for voter in self.membership.voters if voter not in excluded]
 
     @property
     def outgoing(self) -> Set[str]:
-        """Members that depart, or are decommissioned."""
+        """Members that are departing or decommissioned."""
         return self.decommissioning | self.departing
 
     def replaceable_voters(self, wanted: int) -> list[str]:
-        """Departing voters without which `wanted` others, departing or not, have caught up.
+        """Returns the departing voters that can be removed.
 
-        Symptom answered: two depart at once and one learner is there. The first makes way for it at once,
-        else the group would stay with a voter more than it can spare when the second ends as well.
+        At least `wanted` other voters, departing or not, must have caught up.
+
+        When two voters depart and only one learner is ready, the first voter must be removed as soon as the
+        learner votes. Otherwise the group keeps one voter too many, which it cannot spare when the second
+        process ends as well.
         """
         caught_up = [voter for voter in self.membership.voters if voter in self.caught_up - self.lost]
         return [
@@ -99,58 +106,58 @@
 
     @property
     def reachable_learners(self) -> list[str]:
-        """Learners that answer, and do not depart themselves."""
+        """Learners that are neither lost nor departing."""
         excluded = self.lost | self.departing
         return [learner for learner in self.membership.learners if learner not in excluded]
 
     @property
     def ready_learners(self) -> list[str]:
-        """Learners that may vote."""
+        """Learners that may become voters: reachable and caught up."""
         return [learner for learner in self.reachable_learners if learner in self.caught_up]
 
     @property
     def removable_learners(self) -> list[str]:
-        """Learners that are given up, or decommissioned."""
+        """Learners to remove: unresponsive for too long, replaced at their address, or decommissioned."""
         excluded = self.lost_as_learners | self.decommissioning
         return [learner for learner in self.membership.learners if learner in excluded]
 
 
 class MembershipObserver:
-    """Checks the group, and remembers of the checks before what the next one must know.
+    """Checks the members of a group, and remembers the state of the previous check.
 
-    It belongs to one leadership; `start` begins anew.
+    One observer covers one leadership at a time; `start` resets it.
     """
 
     def __init__(self, own_member: str, catch_up_s: float) -> None:
-        """Goes by `catch_up_s`, the bound on how long a member may take to catch up."""
+        """Derives its time-outs from `catch_up_s`, the bound on the time to catch up in seconds."""
         self._own_member = own_member
         self.lost_voter_s = LOST_VOTER_FRACTION * catch_up_s
         self._lost_learner_s = LOST_LEARNER_FRACTION * catch_up_s
         self._started_at = 0.0
         self._checked_at = 0.0
-        self._committed_before = 0
-        self._watched_since: dict[str, float] = {}
+        self._previous_commit_index = 0
+        self._observed_since: dict[str, float] = {}
 
     def start(self, now: float, group: PlannedGroup) -> None:
-        """Begins a leadership, or begins anew: every member gets its full time."""
+        """Begins a leadership, or resets: the time without an answer counts from `now` for every member."""
         self._started_at = now
         self._checked_at = now
-        self._committed_before = group.commit_index
-        self._watched_since = dict.fromkeys(all_members(group.membership), now)
+        self._previous_commit_index = group.commit_index
+        self._observed_since = dict.fromkeys(all_members(group.membership), now)
 
     def observe(self, now: float, group: PlannedGroup, candidates: Candidates) -> MembershipView | None:
         """Checks the group.
 
         Returns:
-            What it shows; None after a pause in which this process could hear nobody: every member gets its
-            full time anew.
+            The state of the members; None if this process was paused for longer than `PAUSE_THRESHOLD_S`
+            before the call: it received no answers meanwhile, so the observer is reset.
         """
         if now - self._checked_at > PAUSE_THRESHOLD_S:
             self.start(now, group)
             return None
         self._checked_at = now
         view = self._view(now, group, candidates)
-        self._committed_before = group.commit_index
+        self._previous_commit_index = group.commit_index
         return view
 
     def _view(self, now: float, group: PlannedGroup, candidates: Candidates) -> MembershipView:
@@ -166,7 +173,7 @@
             since_contact_s=since_contact_s,
             lost=replaced | ended | unresponsive,
             lost_as_learners=replaced | long_unresponsive,
-            caught_up={name for name in members if group.match(name) >= self._committed_before},
+            caught_up={name for name in members if group.match(name) >= self._previous_commit_index},
             decommissioning=candidates.decommissioning,
             departing=departing,
             all_voters_answer=now - self._started_at >= RECENT_CONTACT_S
@@ -175,15 +182,15 @@
 
     def _since_contact_s(self, now: float, group: PlannedGroup) -> dict[str, float]:
         members = all_members(group.membership)
-        self._watched_since = {member: self._watched_since.get(member, now) for member in members}
+        self._observed_since = {member: self._observed_since.get(member, now) for member in members}
         since_contact_s = {
             member: min(group.seconds_since_contact(member, now), now - since)
-            for member, since in self._watched_since.items()
+            for member, since in self._observed_since.items()
         }
         since_contact_s[self._own_member] = 0.0
         return since_contact_s
 
     def _is_replaced(self, member: str, since_contact_s: float, candidates: Candidates) -> bool:
-        """Whether the member's address is in use under another name: its disk was lost."""
+        """Whether another member name is in use at the member's address, so that its disk was lost."""
         current_name = candidates.current_names.get(address_of(member), member)
         return current_name != member and member != self._own_member and since_contact_s >= RECENT_CONTACT_S
