--- a/pewterring/consensus/departure.py
+++ b/pewterring/consensus/departure.py
@@ -1,12 +1,13 @@
-"""Departures of voters whose process is about to end: the member's side, and what a leader knows of them.
+"""Departures of voters whose process is about to end: the departing member's side and the leader's side.
 
-A planned stop need not cost a vote. The voter notifies the leader, which makes a voter of a learner that has
-everything and takes the departing one away, one change after the other; the process waits for that a little
-while. It is a voter like any other until then. Where nobody can take its place nothing changes.
+A departure lets a planned stop happen without losing a vote. The voter notifies the leader, which promotes a
+learner that has caught up and then removes the departing voter, in two changes. The process waits for that
+for a limited time and remains an ordinary voter meanwhile. If no learner can replace it, nothing changes.
 
-The departure stands in every answer to the leader while the process lives, so each new leader hears it, and
-the answers of a later incarnation, which do not have it, take it back. `DepartureNotice` says it at once,
-without waiting for the next heartbeat, and asks for `DepartureAck`: a removed member hears no heartbeats.
+Every reply to the leader carries the departure while the process runs, so each new leader learns of it;
+replies of a later incarnation do not carry it, which cancels the departure. `DepartureNotice` announces the
+departure without waiting for the next heartbeat. The leader answers it by `DepartureAck`, because a removed
+member receives no more heartbeats.
 """
 
 from typing import NamedTuple
@@ -14,25 +15,28 @@
 from pewterring.consensus.messages import DepartureAck, DepartureNotice
 from pewterring.consensus.state import MemberState
 
-# Of the grace after SIGTERM: a process waits so long for another to take its vote, at most; the rest is for
-# what it ends with.
+# Fraction of the grace period after SIGTERM for which a process waits at most until its vote is replaced. The
+# rest is for its shutdown.
 DEPARTURE_TIMEOUT_FRACTION = 0.5
 
 
 class Departure:
-    """The member's side: announces the departure until it is acknowledged."""
+    """The departing member's side: announces the departure until the leader acknowledges it."""
 
     def __init__(self, state: MemberState) -> None:
         self._state = state
-        self._since: tuple[int, int] | None = None  # term and round in which it was first announced
+        self._announced_in: tuple[int, int] | None = None  # term and round of the first announcement
         self.is_acknowledged = False
 
     def announce(self) -> None:
-        """Notifies all voters, since any of them may lead by now; to be repeated until it is acknowledged."""
+        """Sends a notice to every other voter, any of which may lead by now.
+
+        The caller repeats it until `is_acknowledged`.
+        """
         state = self._state
         state.departing = True
-        if self._since is None:
-            self._since = (state.term, state.last_leader_round)
+        if self._announced_in is None:
+            self._announced_in = (state.term, state.last_leader_round)
         state.outbox += [self._notice(voter) for voter in state.voters if voter != state.member]
 
     def _notice(self, voter: str) -> DepartureNotice:
@@ -46,15 +50,15 @@
         )
 
     def on_ack(self, message: DepartureAck) -> None:
-        """Takes the acknowledgement. One to an earlier incarnation's departure acknowledges nothing."""
-        if self._since is None or message.term < self._since[0]:
+        """Handles an acknowledgement; ignores one for the departure of an earlier incarnation."""
+        if self._announced_in is None or message.term < self._announced_in[0]:
             return
-        if message.term > self._since[0] or message.round >= self._since[1]:
+        if message.term > self._announced_in[0] or message.round >= self._announced_in[1]:
             self.is_acknowledged = True
 
 
 class _LastReport(NamedTuple):
-    """What a member reported last, by the round that it answered."""
+    """The last report of a member: the heartbeat round that it answered, and whether it is departing."""
 
     round: int
     departing: bool
@@ -64,25 +68,28 @@
 
 
 class DepartingMembers:
-    """What the leader of a term has heard of departures. A member's rounds rise over all its incarnations."""
+    """The departures that the leader of a term knows of.
+
+    The rounds that a member answers within the term only increase, also from one incarnation to the next.
+    """
 
     def __init__(self) -> None:
-        self._heard: dict[str, _LastReport] = {}
+        self._last_reports: dict[str, _LastReport] = {}
 
-    def on_reply(self, member: str, number: int, departing: bool) -> None:
-        """Takes what an answer to round `number` says."""
-        if number > self._heard.get(member, _NO_REPORT).round:
-            self._heard[member] = _LastReport(number, departing)
+    def on_reply(self, member: str, round_number: int, departing: bool) -> None:
+        """Records whether the reply to heartbeat round `round_number` reports a departure."""
+        if round_number > self._last_reports.get(member, _NO_REPORT).round:
+            self._last_reports[member] = _LastReport(round_number, departing)
 
-    def on_notice(self, member: str, number: int) -> None:
-        """Takes a notice; one that came late, after answers of a later incarnation, changes nothing."""
-        if number >= self._heard.get(member, _NO_REPORT).round:
-            self._heard[member] = _LastReport(number, True)
+    def on_notice(self, member: str, round_number: int) -> None:
+        """Records a notice; ignores a delayed one that is older than the member's last reply."""
+        if round_number >= self._last_reports.get(member, _NO_REPORT).round:
+            self._last_reports[member] = _LastReport(round_number, True)
 
     def is_departing(self, member: str) -> bool:
-        """Whether the last that was heard of `member` is its departure."""
-        return self._heard.get(member, _NO_REPORT).departing
+        """Whether the last report of `member` announced its departure."""
+        return self._last_reports.get(member, _NO_REPORT).departing
 
     def departing(self) -> dict[str, int]:
-        """Returns the members that reported their departure last, with its round."""
-        return {member: report.round for member, report in self._heard.items() if report.departing}
+        """Returns the departing members, each with the round of its last report."""
+        return {member: report.round for member, report in self._last_reports.items() if report.departing}
--- a/pewterring/consensus/leadership_transfer.py
+++ b/pewterring/consensus/leadership_transfer.py
@@ -1,8 +1,8 @@
-"""A leader's planned transfer of its leadership, so that a stop costs no election time-out.
+"""Planned transfer of the leadership, so that stopping a leader does not cost an election time-out.
 
-The leader takes no more commands, waits until all that it has is committed, and notifies a voter that has all
-of it to stand for election at once (`TimeoutNow`; Raft thesis, 3.10). From then on it claims no lease in this
-term, since the others may vote while they still hear it.
+The leader rejects further commands, waits until its whole log is committed, and then sends `TimeoutNow` to a
+voter that has the complete log, which starts an election at once (Raft thesis, 3.10). From then on the leader
+claims no lease in this term, because the other voters may vote although they still receive its heartbeats.
 """
 
 from collections.abc import Iterable
@@ -12,30 +12,33 @@
 
 
 class LeadershipTransfer:
-    """Whether a leader transfers its leadership, and to whom. It belongs to one term of leadership."""
+    """The state of a leadership transfer in one led term: whether it is active, and its successor."""
 
     def __init__(self, timing: RaftTiming) -> None:
         self._timing = timing
         self._ends_at = inf
-        self._successor: str | None = None  # was notified and may stand
-        self.has_notified = False  # in this term, whoever it was
+        self._successor: str | None = None  # was sent `TimeoutNow` and may start an election
+        self.has_notified = False  # whether any successor was sent `TimeoutNow` in this term
 
     @property
     def is_active(self) -> bool:
-        """Whether the leader transfers its leadership."""
+        """Whether a transfer has begun."""
         return self._ends_at < inf
 
     def begin(self, now: float) -> None:
-        """Begins, or goes on."""
+        """Begins the transfer; does nothing if one is active."""
         if not self.is_active:
             self._ends_at = now + self._timing.election_min_s
 
     def is_over(self, now: float) -> bool:
-        """Whether no successor came in time: the leader steps down all the same."""
+        """Whether the transfer has timed out: the leader steps down without an elected successor."""
         return now >= self._ends_at
 
     def choose(self, complete: Iterable[str]) -> str | None:
-        """Returns the next of the voters that have everything to notify; None while another may stand."""
+        """Returns the voter to send `TimeoutNow` to, the first of `complete`; None if it was sent already.
+
+        `complete` are the voters that have the whole log, most preferred first.
+        """
         if not self.is_active or self._successor is not None:
             return None
         successor = next(iter(complete), None)
@@ -45,5 +48,5 @@
         return successor
 
     def notify_again(self) -> None:
-        """Lets a successor be notified once more: what was sent may be lost."""
+        """Allows another `TimeoutNow`, because the previous one may be lost."""
         self._successor = None
--- a/pewterring/consensus/recovery.py
+++ b/pewterring/consensus/recovery.py
@@ -1,11 +1,11 @@
-"""A way back for a group whose majority has lost its disks: one member goes on alone, as operators decide.
+"""Recovery of a group after a majority lost its disks: on an operator's decision, one member continues alone.
 
-Raft cannot decide this by itself: from one member, lost disks look like machines that are cut off. The
-survivor gets an entry that makes it the only voter, in a term far above any that the lost members can have
-reached. From then on it leads by its own vote, and others join as they always do.
+Raft cannot decide this by itself, because one member cannot tell lost disks from a network partition. The
+recovery appends an entry to the survivor's log that makes it the only voter, in a term far above any that the
+lost members can have reached. From then on it is elected by its own vote, and other members join as usual.
 
-What may be lost: whatever only the lost members had. What must never happen: a lost member that returns with
-its old disk. Enough of these are a majority of the old group, and go on beside the new one.
+Entries that only the lost members had may be lost. A lost member must never return with its old disk: enough
+of them form a majority of the old group, which would continue beside the new one.
 """
 
 from dataclasses import dataclass
@@ -15,13 +15,13 @@
 from pewterring.consensus.messages import ENTRY_MEMBERS, Entry, Membership
 from pewterring.consensus.persistent import HardState, LoadedGroup
 
-# Elections raise the term three times a second at most: this is more than come in days without a majority.
+# Elections raise the term at most three times per second: days without a majority stay below this number.
 RECOVERY_TERM_STEP = 1_000_000
 
 
 @dataclass(frozen=True, slots=True)
 class Survivor:
-    """What one member has on its disk, as far as a recovery goes by it."""
+    """The stored state of the surviving member, as far as a recovery depends on it."""
 
     member: str
     term: int
@@ -31,7 +31,7 @@
 
     @property
     def majority(self) -> int:
-        """How many voters can elect a leader without a recovery."""
+        """Number of voters that can elect a leader without a recovery."""
         return len(self.membership.voters) // 2 + 1
 
     @property
@@ -42,14 +42,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RecoverySave:
-    """What is to be saved at the survivor, in one call of its storage."""
+    """The changes to save on the survivor, in one call of its storage."""
 
     hard_state: HardState
     entry: Entry
 
 
 def survivor_of(member: str, loaded: LoadedGroup) -> Survivor:
-    """Describes what the member of that name has on its disk."""
+    """Returns a description of the stored state `loaded` of `member`."""
     state = loaded.state
     last = state.entries[-1] if state.entries else None
     return Survivor(
@@ -62,19 +62,20 @@
 
 
 def plan_recovery(survivor: Survivor) -> RecoverySave:
-    """Plans what makes the survivor the only voter.
+    """Returns the changes that make the survivor the only voter.
 
     Raises:
-        RecoveryRefusedError: it was no voter, so that it may lack anything, or it needs nobody else.
+        RecoveryRefusedError: the survivor is not a voter, so that it may lack committed entries, or it is a
+            majority by itself.
     """
     voters = survivor.membership.voters
     if survivor.member not in voters:
         raise RecoveryRefusedError(
-            f"{survivor.member} is no voter of {', '.join(voters) or 'any group'}: recover at a voter"
+            f"{survivor.member} is no voter of {', '.join(voters) or 'any group'}: run this on a voter"
         )
     if survivor.majority == 1:
-        raise RecoveryRefusedError(f"{survivor.member} is a majority by itself: start it")
+        raise RecoveryRefusedError(f"{survivor.member} is a majority by itself: start it without a recovery")
     term = survivor.term + RECOVERY_TERM_STEP
-    alone = Membership(voters=(survivor.member,))
-    entry = Entry(survivor.last_index + 1, term, ENTRY_MEMBERS, encode_membership(alone))
+    sole_voter = Membership(voters=(survivor.member,))
+    entry = Entry(survivor.last_index + 1, term, ENTRY_MEMBERS, encode_membership(sole_voter))
     return RecoverySave(HardState(term, None), entry)
