--- a/pewterring/consensus/deadline_timer.py
+++ b/pewterring/consensus/deadline_timer.py
@@ -1,14 +1,14 @@
-"""The event loop's timer for the consensus core's next deadline."""
+"""An event loop timer for the next deadline of the consensus core."""
 
 import asyncio
 from collections.abc import Callable
 
 
 class DeadlineTimer:
-    """Calls `on_due` at or before the deadline that was armed last; who is called early arms it again.
+    """Calls `on_due` at or before the last armed deadline; if it is too early, the callee arms it again.
 
-    One timer stands at a time, and it moves only to an earlier time: deadlines mostly move on with each
-    message, and a new timer for each would cost more than one call that finds nothing due.
+    There is at most one pending timer, and it is only ever moved to an earlier time. Most messages postpone
+    the deadline, and a new timer for each of them would cost more than one call that finds nothing due.
     """
 
     def __init__(self, clock: Callable[[], float], on_due: Callable[[], None]) -> None:
@@ -18,7 +18,7 @@
         self._due_at = 0.0
 
     def arm(self, deadline: float | None) -> None:
-        """Has `on_due` called by `deadline`, in seconds of the clock; None asks for nothing."""
+        """Schedules `on_due` for `deadline`, in seconds of the clock, or earlier; None changes nothing."""
         if deadline is None or (self._handle is not None and self._due_at <= deadline):
             return
         self.cancel()
@@ -27,7 +27,7 @@
         self._handle = asyncio.get_running_loop().call_later(delay_s, self._run)
 
     def cancel(self) -> None:
-        """Calls nobody until it is armed again."""
+        """Cancels the pending call of `on_due`, if there is one."""
         if self._handle is not None:
             self._handle.cancel()
             self._handle = None
--- a/pewterring/consensus/group_environment.py
+++ b/pewterring/consensus/group_environment.py
@@ -1,4 +1,4 @@
-"""What a replicated group is built from: the parts around it, its options and whom it notifies."""
+"""The dependencies, options and callbacks of a replicated group."""
 
 import random
 import time
@@ -16,36 +16,36 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class GroupEnvironment:
-    """The outside world of one member: disk, state, network, time and chance.
+    """The dependencies of one member: storage, state machine, network, clock, random numbers and executor.
 
-    The group owns none of them; who made the storage closes it after the group has stopped.
+    The group owns none of them; the caller closes the storage after the group has stopped.
     """
 
     storage: GroupStorage
     machine: StateMachine
-    send: Callable[[ConsensusMessage], None]  # hands a message to the network; may lose it, must not block
-    clock: Callable[[], float] = time.monotonic  # in seconds
+    send: Callable[[ConsensusMessage], None]  # queues a message for sending; may lose it, must not block
+    clock: Callable[[], float] = time.monotonic  # monotonic time in seconds
     rng: random.Random = field(default_factory=random.Random)
-    executor: Executor | None = None  # runs the storage's calls; None: a thread of the group's own
+    executor: Executor | None = None  # runs the calls of the storage; None: a separate thread
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class GroupOptions:
-    """Timing and bounds. All members of a group use the same."""
+    """Timing and limits. All members of a group use the same values."""
 
     timing: RaftTiming = field(default_factory=RaftTiming)
     limits: RaftLimits = field(default_factory=RaftLimits)
-    snapshot_after_bytes: int = SNAPSHOT_AFTER_BYTES  # of entries applied since the last snapshot
+    snapshot_after_bytes: int = SNAPSHOT_AFTER_BYTES  # bytes of entries applied since the last snapshot
 
 
 def _ignore(*_: object) -> None:
-    """Is called where nobody wants to be notified."""
+    """The default callback, which does nothing."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class GroupCallbacks:
-    """Whom a group notifies, from the event loop."""
+    """Callbacks of a group. All are called on the event loop."""
 
-    on_leadership: Callable[[bool], None] = _ignore  # whether this member leads, at each change
-    on_departure: Callable[[], None] = _ignore  # at the leader: a voter announced its departure
-    on_failure: Callable[[GroupFailedError], None] = _ignore  # this member stopped and is of no more use
+    on_leadership: Callable[[bool], None] = _ignore  # at each change: whether this member leads
+    on_departure: Callable[[], None] = _ignore  # on the leader: a voter announced its departure
+    on_failure: Callable[[GroupFailedError], None] = _ignore  # this member stopped because of an error
--- a/pewterring/consensus/raft_driver.py
+++ b/pewterring/consensus/raft_driver.py
@@ -1,8 +1,8 @@
-"""Drives the consensus core of one member on asyncio: gives it time and messages, and does what it wants.
+"""Runs the consensus core of one member on asyncio: passes it time and messages, and does its I/O.
 
-It owns the core, its timer, the storage's jobs, the calls that wait, and all calls of the state machine.
-Whatever comes while the storage saves goes into the next save. Any fault of the storage, the state machine or
-the core ends this member, and this member alone: `GroupFailedError` goes to callers and to `on_failure`.
+The driver owns the core, its timer, the storage jobs, the pending calls, and all calls of the state machine.
+Entries that arrive during a save are part of the next save. Any error in the storage, the state machine or
+the core stops this member only: callers and `on_failure` get a `GroupFailedError`.
 """
 
 import asyncio
@@ -22,13 +22,14 @@
 from pewterring.consensus.storage_jobs import StorageJobs
 from pewterring.consensus.types import RaftConfig, Ready, Save, Snapshot
 
-# A leader whose disk stalls or is full keeps all entries in memory while the others commit them. With so many
-# that its disk does not hold, it lets another lead, who sends it no more than a window.
+# A leader whose disk stalls or is full keeps all entries in memory while the other voters commit them. Above
+# this many bytes that are not on its disk it transfers its leadership: as a follower it receives no more than
+# one replication window.
 MAX_UNPERSISTED_BYTES = 16_000_000
 
 
 class RaftDriver:
-    """Runs on the event loop, but for the storage's calls; `start` and `stop` are called once each."""
+    """Runs on the event loop except for the calls of the storage; `start` and `stop` are called once each."""
 
     def __init__(
         self,
@@ -40,7 +41,7 @@
     ) -> None:
         self.group = group
         self.member = member
-        self.raft: Raft | None = None  # from the start on
+        self.raft: Raft | None = None  # None before the start
         self.is_stopped = False
         self.pending = PendingCalls()
         self.leadership = LeadershipNotifier(callbacks.on_leadership)
@@ -51,7 +52,7 @@
         self._send = environment.send
         self._clock = environment.clock
         self._jobs = StorageJobs(
-            group, environment.storage, environment.executor, after=self.process, fail=self._fail
+            group, environment.storage, environment.executor, on_job_done=self.process, on_error=self._fail
         )
         self._snapshots = SnapshotSchedule(options.snapshot_after_bytes, environment.rng)
         self._timer = DeadlineTimer(environment.clock, self._on_deadline)
@@ -59,7 +60,7 @@
         self._is_scheduled = False
 
     async def start(self) -> None:
-        """Reads the storage and takes part in the group.
+        """Loads the stored state and begins to take part in the group.
 
         Raises:
             GroupFailedError: if the storage or the snapshot in it cannot be read.
@@ -79,13 +80,13 @@
         try:
             self._machine.restore(loaded.snapshot)
         except Exception as error:
-            where = loaded.snapshot_file or "the snapshot"
-            raise StorageError(f"{where} cannot be read: {error}") from error
-        self._snapshots.loaded(len(loaded.snapshot))
+            source = loaded.snapshot_file or "the snapshot"
+            raise StorageError(f"{source} cannot be read: {error}") from error
+        self._snapshots.on_snapshot_loaded(len(loaded.snapshot))
 
     async def stop(self) -> None:
-        """Takes part no longer. A save under way is finished; open calls end with `OutcomeUnknownError`."""
-        self._halt(OutcomeUnknownError(f"group {self.group} stops"))
+        """Stops the member. A save in progress is finished; pending calls raise `OutcomeUnknownError`."""
+        self._halt(OutcomeUnknownError(f"group {self.group} is stopping"))
         await self._jobs.stop()
 
     def _halt(self, error: Exception) -> None:
@@ -108,28 +109,28 @@
         """Returns the core.
 
         Raises:
-            GroupFailedError: if the member does not run, or why it stopped.
+            GroupFailedError: if the member is not running; the text says why it stopped.
         """
         if self._failure is not None:
             raise self._failure
         if self.raft is None or self.is_stopped:
-            raise GroupFailedError(f"group {self.group} does not run")
+            raise GroupFailedError(f"group {self.group} is not running")
         return self.raft
 
     def receive(self, message: ConsensusMessage) -> bool:
-        """Gives a message to the core; False where the member does not run, or fails at it."""
+        """Passes a message to the core; False if the member is not running or the message made it fail."""
         if self.raft is None or self.is_stopped:
             return False
         try:
             self.raft.step(self._clock(), message)
-        except Exception as error:  # noqa: BLE001 - the outermost edge: any fault ends this member
+        except Exception as error:  # noqa: BLE001 - outermost handler: any error stops this member
             self._fail(error)
             return False
         self.schedule()
         return True
 
     def schedule(self) -> None:
-        """Has `process` called in the loop's next turn: what comes in this one is done together."""
+        """Schedules `process` for the next loop iteration, so that all work of this one is batched."""
         if not self._is_scheduled:
             self._is_scheduled = True
             asyncio.get_running_loop().call_soon(self._run_scheduled)
@@ -139,7 +140,7 @@
         self.process()
 
     def process(self) -> None:
-        """Does all that the core wants now."""
+        """Does all work that the core requests now."""
         raft = self.raft
         if raft is None or self.is_stopped:
             return
@@ -148,7 +149,7 @@
             while self._take_ready(raft):
                 pass
             self._timer.arm(raft.next_deadline())
-        except Exception as error:  # noqa: BLE001 - the outermost edge: any fault ends this member
+        except Exception as error:  # noqa: BLE001 - outermost handler: any error stops this member
             self._fail(error)
 
     def _on_deadline(self) -> None:
@@ -158,7 +159,7 @@
         try:
             raft.tick(self._clock())
             self._transfer_leadership_if_disk_lags(raft)
-        except Exception as error:  # noqa: BLE001 - the outermost edge: any fault ends this member
+        except Exception as error:  # noqa: BLE001 - outermost handler: any error stops this member
             self._fail(error)
         else:
             self.process()
@@ -168,7 +169,7 @@
             raft.transfer_leadership(self._clock())
 
     def _take_ready(self, raft: Raft) -> bool:
-        """Does what the core wants; True if it may want more at once."""
+        """Does the work that the core requests; True if it may request more at once."""
         ready = raft.take_ready(self._clock(), can_save=not self._jobs.is_busy)
         for message in ready.messages_before_sync:
             self._send(message)
@@ -185,11 +186,11 @@
         result: object = None
         if entry.kind == ENTRY_COMMAND:
             result = self._machine.apply(entry.index, bytes(entry.data))
-        self._snapshots.applied(entry_size(entry))
+        self._snapshots.on_entry_applied(entry_size(entry))
         self.pending.applied(entry.index, entry.term, result)
 
     def _notify(self, raft: Raft, ready: Ready) -> None:
-        """Tells calls and the owner what has changed, after all entries were applied."""
+        """Notifies pending calls and the owner of changes, after all entries were applied."""
         for ticket in ready.confirmed_reads:
             self.pending.confirmed(raft.term, ticket.number)
         self.pending.keep_term(raft.term if raft.is_leader else None, raft.leader)
@@ -199,7 +200,7 @@
 
     def _begin_save(self, save: Save) -> None:
         if save.snapshot is not None:
-            # Before it is written: one that cannot be read must not be what the next start finds.
+            # Restored before it is written: the next start must not find a snapshot that cannot be decoded.
             self._machine.restore(save.snapshot.data)
         self._jobs.begin_save(save, lambda: self._saved(save))
 
@@ -220,7 +221,7 @@
         self._jobs.begin_snapshot(snapshot, lambda: self._snapshot_saved(raft, snapshot))
 
     def _snapshot_saved(self, raft: Raft, snapshot: Snapshot) -> None:
-        self._log_snapshot("snapshot_saved", "Saved a snapshot of the own state", snapshot)
+        self._log_snapshot("snapshot_saved", "Saved a snapshot of this member's state", snapshot)
         raft.compact(snapshot)
 
     def _log_snapshot(self, event: str, text: str, snapshot: Snapshot) -> None:
--- a/pewterring/consensus/snapshot_schedule.py
+++ b/pewterring/consensus/snapshot_schedule.py
@@ -1,18 +1,18 @@
-"""When a member's next snapshot is due, by the bytes of entries applied since the last one."""
+"""Decides when a member takes its next snapshot, by the bytes of entries applied since the last one."""
 
 import random
 
-SNAPSHOT_AFTER_BYTES = 4_000_000  # of entries applied since the last snapshot
-SNAPSHOT_AFTER_MAX_BYTES = 16_000_000  # the same for large states: bounds the disk, and replay at a start
-# Members take their snapshots at different times, so that not all disks are busy at once.
+SNAPSHOT_AFTER_BYTES = 4_000_000  # bytes of entries applied since the last snapshot
+SNAPSHOT_AFTER_MAX_BYTES = 16_000_000  # the same for large states: bounds disk usage, and replay at the start
+# Random variation, so that the members take their snapshots at different times and not all disks are busy.
 SNAPSHOT_JITTER_FRACTION = 0.25
 
 
 class SnapshotSchedule:
-    """Counts the bytes of applied entries against those after which a snapshot is worth its while.
+    """Counts the bytes of applied entries until the next snapshot is due.
 
-    A large state waits for as many bytes of entries as its last snapshot had, up to a bound: else most of
-    what is written would be snapshots.
+    A large state is due after as many bytes of entries as its last snapshot had, up to
+    `SNAPSHOT_AFTER_MAX_BYTES`. Otherwise most of the bytes written to disk would be snapshots.
     """
 
     def __init__(self, after_bytes: int, rng: random.Random) -> None:
@@ -26,21 +26,21 @@
         """Whether enough entries have been applied since the last snapshot."""
         return self._applied_bytes >= self._due_bytes
 
-    def applied(self, size_bytes: int) -> None:
-        """Counts an entry that was applied."""
+    def on_entry_applied(self, size_bytes: int) -> None:
+        """Counts the bytes of an applied entry."""
         self._applied_bytes += size_bytes
 
-    def loaded(self, snapshot_bytes: int) -> None:
-        """Goes by the size of the snapshot found at the start."""
+    def on_snapshot_loaded(self, snapshot_bytes: int) -> None:
+        """Adapts to the size of the snapshot that was loaded at the start."""
         self._due_bytes = self._jittered_bytes(snapshot_bytes)
 
     def restart(self, snapshot_bytes: int) -> None:
-        """Counts anew after a snapshot of that size."""
+        """Begins to count again after a snapshot of `snapshot_bytes`."""
         self._applied_bytes = 0
         self._due_bytes = self._jittered_bytes(snapshot_bytes)
 
     def _jittered_bytes(self, last_bytes: int) -> int:
-        most = max(self._after_bytes, SNAPSHOT_AFTER_MAX_BYTES)
-        wanted = min(max(self._after_bytes, last_bytes), most)
+        max_bytes = max(self._after_bytes, SNAPSHOT_AFTER_MAX_BYTES)
+        threshold_bytes = min(max(self._after_bytes, last_bytes), max_bytes)
         jitter = self._rng.uniform(1 - SNAPSHOT_JITTER_FRACTION, 1 + SNAPSHOT_JITTER_FRACTION)
-        return int(wanted * jitter)
+        return int(threshold_bytes * jitter)
--- a/pewterring/consensus/state_machine.py
+++ b/pewterring/consensus/state_machine.py
@@ -1,16 +1,16 @@
-"""The interface of the replicated state: what the committed commands of a group act on."""
+"""The interface of the state machine to which a group applies its committed commands."""
 
 from typing import Protocol
 
 
 class StateMachine(Protocol):
-    """What the committed commands act on. All calls come from the event loop, in the log's order."""
+    """A replicated state machine. All calls come from the event loop, in log order."""
 
     def apply(self, index: int, command: bytes, /) -> object:
         """Applies one command.
 
         Returns:
-            The command's result, which depends on nothing but the commands so far.
+            The result of the command, which must depend only on the commands applied so far.
         """
         ...
 
@@ -19,7 +19,7 @@
         ...
 
     def restore(self, data: bytes, /) -> None:
-        """Replaces the complete state by one that `snapshot` returned.
+        """Replaces the complete state by the decoded result of an earlier `snapshot` call.
 
         Raises:
             Exception: of any type, if `data` cannot be decoded.
--- a/pewterring/consensus/storage_jobs.py
+++ b/pewterring/consensus/storage_jobs.py
@@ -1,4 +1,4 @@
-"""Calls of a group's storage: one at a time, in a thread, so that the event loop never waits for the disk."""
+"""Runs the calls of a group's storage in a thread, one at a time, to keep disk I/O off the event loop."""
 
 import asyncio
 from collections.abc import Callable
@@ -15,16 +15,17 @@
 
 @dataclass(frozen=True, slots=True)
 class _Job:
-    write: Callable[[], None]  # runs in the thread
+    write: Callable[[], None]  # runs in the storage thread
     on_written: Callable[[], None]
-    is_required: bool  # it is tried again until the disk has space; others are left out
+    is_required: bool  # retried until the disk has free space; other jobs are skipped if it is full
 
 
 class StorageJobs:
-    """Owns the storage's calls and the thread in which they run, one job at a time.
+    """Owns the calls of the storage and the thread in which they run, one job at a time.
 
-    Where the disk is full, a save is tried again until there is space, and meanwhile claims nothing: the
-    other members go on, so this one neither fails nor gives up leading. Any other error is the end.
+    While the disk is full, a save is retried until there is free space, and nothing of it is acknowledged
+    meanwhile. The other members continue, so this one neither fails nor steps down as leader. Any other error
+    stops the member.
     """
 
     def __init__(
@@ -32,30 +33,30 @@
         group: str,
         storage: GroupStorage,
         executor: Executor | None,
-        after: Callable[[], None],
-        fail: Callable[[BaseException], None],
+        on_job_done: Callable[[], None],
+        on_error: Callable[[BaseException], None],
     ) -> None:
-        """Calls `after` behind each job, and `fail` with what went wrong, both from the event loop."""
+        """Calls `on_job_done` after each job and `on_error` with each error, both on the event loop."""
         self._group = group
         self._storage = storage
         self._own_executor = ThreadPoolExecutor(1, f"storage-{group}") if executor is None else None
         self._executor = executor or self._own_executor
-        self._after = after
-        self._fail = fail
+        self._on_job_done = on_job_done
+        self._on_error = on_error
         self._running: asyncio.Future[None] | None = None
         self._disk_full = DiskFullWarning(f"group {group}")
         self._is_halted = False
 
     @property
     def is_busy(self) -> bool:
-        """Whether a job is under way, or waits for free disk space."""
+        """Whether a job is running or waiting for free disk space."""
         return self._running is not None
 
     async def load(self) -> LoadedGroup:
-        """Reads what is on disk, before the first job. On a full disk it waits for space.
+        """Loads the stored state before the first job; waits while the disk is full.
 
         Raises:
-            StorageError: if it cannot be read.
+            StorageError: the stored state cannot be read.
         """
         return await retry_while_full(f"group {self._group}", self._load_once)
 
@@ -63,19 +64,19 @@
         return await asyncio.get_running_loop().run_in_executor(self._executor, self._storage.load)
 
     def begin_save(self, save: Save, on_saved: Callable[[], None]) -> None:
-        """Begins a save that the core waits for; `on_saved` is called when all of it is on disk."""
+        """Begins a save that the core requested; `on_saved` is called when all of it is on disk."""
         self._begin(_Job(lambda: self._write_save(save), on_saved, is_required=True))
 
     def begin_snapshot(self, snapshot: Snapshot, on_saved: Callable[[], None]) -> None:
-        """Begins to save a snapshot made here. Without disk space it is left out: the log says the same."""
+        """Begins to save a snapshot of this member; skips it if the disk is full: the log has its content."""
         self._begin(_Job(lambda: self._write_snapshot(snapshot), on_saved, is_required=False))
 
     def halt(self) -> None:
-        """Notifies nobody of what still ends, and tries nothing again."""
+        """Stops callbacks and retries; a running job may still finish."""
         self._is_halted = True
 
     async def stop(self) -> None:
-        """Halts, and waits for the job under way."""
+        """Halts, and waits for the running job."""
         self.halt()
         if self._running is not None:
             await asyncio.wait([self._running])
@@ -113,19 +114,19 @@
             self._succeed(job)
         elif isinstance(error, StorageFullError):
             logger.bind(event="snapshot_postponed", group=self._group).info(
-                "No disk space for a snapshot; it is tried again later"
+                "No disk space for a snapshot; it will be retried later"
             )
         else:
-            self._fail(error)
+            self._on_error(error)
             return
-        self._after()
+        self._on_job_done()
 
     def _succeed(self, job: _Job) -> None:
         self._disk_full.end()
         try:
             job.on_written()
-        except Exception as error:  # noqa: BLE001 - the outermost edge: any fault ends this member
-            self._fail(error)
+        except Exception as error:  # noqa: BLE001 - outermost handler: any error stops this member
+            self._on_error(error)
 
     def _begin_again(self, job: _Job) -> None:
         if not self._is_halted:
--- a/tests/consensus/test_snapshot_schedule.py
+++ b/tests/consensus/test_snapshot_schedule.py
@@ -17,7 +17,7 @@
     """Applies entries until a snapshot is due; returns their bytes."""
     applied = 0
     while not schedule.is_due:
-        schedule.applied(1000)
+        schedule.on_entry_applied(1000)
         applied += 1000
     return applied
 
@@ -34,7 +34,7 @@
 def test_a_snapshot_is_due_after_about_the_bytes_of_the_last_one(last_bytes: int, wanted: int) -> None:
     for seed in range(20):
         schedule = SnapshotSchedule(AFTER_BYTES, random.Random(seed))
-        schedule.loaded(last_bytes)
+        schedule.on_snapshot_loaded(last_bytes)
         first = due_after(schedule)
         schedule.restart(last_bytes)
         assert not schedule.is_due
