--- a/tests/consensus/planned_simulation.py
+++ b/tests/consensus/planned_simulation.py
@@ -1,7 +1,7 @@
-"""The simulated group with its planner of members: machines lose their disks, go for good, or are emptied.
+"""A simulated group with a membership planner, whose machines lose their disks or stop permanently.
 
-A wiped machine comes back at its address under another name. The surroundings of the group (the table of
-stores, the requests to join) are exact and at once; what takes time is the group's own part.
+A wiped machine restarts at its address under another member name. The sources of the planner's candidates
+(the table of stores, the requests to join) are exact and without delay: only the group itself takes time.
 """
 
 import contextlib
@@ -20,15 +20,15 @@
 from tests.consensus.simulation import Simulation
 
 CATCH_UP_S = 4.8
-STEP_S = 0.002  # between checks whether a process may end
-DOWN_S = 0.5  # until a machine that lost its disk is back
+POLL_INTERVAL_S = 0.002  # between checks whether a departing process may end
+DOWNTIME_S = 0.5  # from the loss of a machine's disk to its restart
 DEPARTURE_TIMEOUT_S = DEPARTURE_TIMEOUT_FRACTION * 8.0  # `grace_s` is 8
 
 
 class PlannedSimulation(Simulation):
-    """`tolerated` losses, 2f + 1 voters, and so many spare machines.
+    """A group of 2f + 1 voters, where f is `tolerated`, and `spares` further machines.
 
-    The planner and its checks are control's with `ALL_SPARES`, else a partition's.
+    With `ALL_SPARES` the planner runs at the interval of control, otherwise at that of batch partitions.
     """
 
     def __init__(
@@ -48,21 +48,21 @@
             LEADER_CHECK_INTERVAL_S if spare_learners == ALL_SPARES else MEMBERSHIP_CHECK_PERIOD_S
         )
         self._planners: dict[tuple[str, int, int], MembershipPlanner] = {}
-        self._wipes = 0
-        self._disk_since = dict.fromkeys(self.members, 0.0)
+        self._wipe_count = 0
+        self._disk_created_at = dict.fromkeys(self.members, 0.0)
         for number in range(spares):
             self.join(f"spare{number}")
-        self._at(self.now + self._interval_s, self._check_again)
+        self._at(self.now + self._interval_s, self._run_periodic_check)
 
     def join(self, name: str) -> None:
         super().join(name)
-        self._disk_since[name] = self.now
+        self._disk_created_at[name] = self.now
 
     # The planner
 
-    def _check_again(self) -> None:
+    def _run_periodic_check(self) -> None:
         self._plan_members()
-        self._at(self.now + self._interval_s, self._check_again)
+        self._at(self.now + self._interval_s, self._run_periodic_check)
 
     def _plan_members(self) -> None:
         for member in tuple(self.members.values()):
@@ -86,26 +86,26 @@
         with contextlib.suppress(ConsensusError):
             raft.propose_membership(change)
             self._pump(member)
-        self._at(self.now + 0.02, self._plan_members)  # it is committed then, and the next one follows
+        self._at(self.now + 0.02, self._plan_members)  # by then it is committed
 
     def _candidates(self) -> Candidates:
         alive = [name for name, member in self.members.items() if member.raft is not None]
         current_names = {address_of(name): name for name in alive}
         return Candidates(tuple(current_names.values()), current_names, frozenset(self.decommissioning))
 
-    # Losses
+    # Losses of machines and disks
 
     def oldest(self, count: int = 1) -> list[str]:
-        """The voters whose disks have lasted longest."""
+        """Returns the `count` voters with the oldest disks."""
         voters = [name for name in self.leader_raft().membership.voters if name in self.members]
-        return sorted(voters, key=lambda name: (self._disk_since[name], name))[:count]
+        return sorted(voters, key=lambda name: (self._disk_created_at[name], name))[:count]
 
     def lose_for_good(self, name: str) -> None:
         self.crash(name, saves_lost=True)
         del self.members[name]
 
     def stop_for_good(self, name: str) -> None:
-        """A planned end: a leader transfers its leadership first, as both programs do on SIGTERM."""
+        """Stops a machine; a leader first transfers its leadership, as both programs do on SIGTERM."""
         member = self.members[name]
         if member.raft is not None and member.raft.is_leader:
             member.raft.transfer_leadership(self._clock(member))
@@ -121,7 +121,7 @@
             self._plan_members()  # as both programs do
 
     def depart(self, name: str) -> Callable[[], bool]:
-        """SIGTERM comes: departs as `ReplicatedGroup.depart` does. Returns what says whether it may end."""
+        """Departs as `ReplicatedGroup.depart` does; returns a predicate: whether the process may end."""
         member = self.members[name]
         incarnation = member.incarnation
         ends_at = self.now + DEPARTURE_TIMEOUT_S
@@ -134,7 +134,7 @@
                 return
             if member.raft.is_leader:
                 member.raft.transfer_leadership(self._clock(member))
-                self._at(self.now + STEP_S, announce)
+                self._at(self.now + POLL_INTERVAL_S, announce)
             else:
                 member.raft.announce_departure()
                 self._at(self.now + TIMING.heartbeat_s, announce)
@@ -144,27 +144,27 @@
         return may_end
 
     def depart_for_good(self, name: str) -> float:
-        """SIGTERM comes, the process ends once it may, and its disk is gone; how long that took."""
-        began = self.now
+        """Departs, then ends the process and loses its disk; returns the duration of the departure."""
+        began_at = self.now
         may_end = self.depart(name)
         while not may_end():
-            self.run(STEP_S)
+            self.run(POLL_INTERVAL_S)
         self.lose_for_good(name)
-        return self.now - began
+        return self.now - began_at
 
     def wipe(self, *names: str) -> None:
-        """The machines lose power and their disks, all at once, and come back empty."""
+        """The machines lose power and their disks at the same time, and restart with empty disks."""
         for name in names:
             self.lose_for_good(name)
-        self.run(DOWN_S)
+        self.run(DOWNTIME_S)
         for name in names:
-            self._wipes += 1
-            self.join(f"{address_of(name)}#{self._wipes}")
+            self._wipe_count += 1
+            self.join(f"{address_of(name)}#{self._wipe_count}")
 
-    # What must hold
+    # Writes, and waiting for a complete group
 
     def write(self, seconds: float) -> None:
-        """Commands go on at the leader."""
+        """Proposes commands at the leader for `seconds`."""
         end = self.now + seconds
         while self.now < end:
             self.written += 1
@@ -172,12 +172,12 @@
             self.run(0.02)
 
     def propose_and_wait(self, text: str) -> None:
-        """Returns at the instant of the acknowledgement."""
+        """Proposes a command and runs until it is acknowledged."""
         self.propose(text)
         self.run_until(lambda: text in self.acknowledged)
 
     def is_complete(self) -> bool:
-        """Whether 2f + 1 voters that are there and are to stay hold all that is committed."""
+        """Whether 2f + 1 running voters have all committed entries, and none is decommissioned."""
         name = self.leader()
         if name is None:
             return False
@@ -190,7 +190,7 @@
         )
 
     def until_complete(self) -> float:
-        """Waits until the group is complete; how long that took."""
-        began = self.now
+        """Runs until the group is complete; returns the duration."""
+        began_at = self.now
         self.run_until(self.is_complete)
-        return self.now - began
+        return self.now - began_at
--- a/tests/consensus/test_departure.py
+++ b/tests/consensus/test_departure.py
@@ -1,7 +1,7 @@
-"""Voters that stop by plan: their successor votes before their process ends, and a restart costs nothing.
+"""Departures of voters: a learner replaces a voter before its process ends, and a restart changes nothing.
 
-A planned replacement is read to the letter: the successor has had its time beside the old machine, which does
-not count as lost when it ends, so as many disks as may be lost go at that instant, or a little later.
+In a planned replacement the old machine does not count as lost, because its successor had `catch_up_s` to
+catch up beside it. So the tolerated number of other disks may be lost when the old machine ends, or later.
 """
 
 import asyncio
@@ -31,12 +31,13 @@
 from tests.consensus.virtual_time import run
 
 ROUNDS = 3
-LATEST_S = 1.5  # of the other losses, after the end of the old machine
-AT_ONCE_S = 0.05  # until all have the last change on disk
-SWAPPED_S = 0.5  # from SIGTERM on, with little state, nothing lost and a leader that stays
+MAX_LOSS_DELAY_S = 1.5  # longest time from the end of the old machine to the loss of the other disks
+REPLICATION_LIMIT_S = 0.05  # bound on the time until all members have the last change on disk
+# Bound on the time from SIGTERM to the replacement, with little state, no losses and no change of the leader.
+REPLACEMENT_LIMIT_S = 0.5
 
 
-def started(
+def started_simulation(
     seed: int, tolerated: int, spare_learners: int, spares: int = 0, raft_class: type[Raft] = Raft
 ) -> PlannedSimulation:
     simulation = PlannedSimulation(seed, tolerated, spare_learners, spares, raft_class=raft_class)
@@ -53,19 +54,19 @@
     return [name for name in voters(simulation) if name != simulation.leader()][number]
 
 
-# A planned replacement to the letter
+# Planned replacements with losses of other disks
 
 
 def planned_replacement(
     seed: int, tolerated: int, spare_learners: int, after_s: float, raft_class: type[Raft] = Raft
 ) -> None:
-    """As the old machine ends, or `after_s` later, the oldest of the other disks are lost."""
-    simulation = started(seed, tolerated, spare_learners, raft_class=raft_class)
+    """Replaces the oldest machine; the oldest other disks are lost `after_s` after its process ends."""
+    simulation = started_simulation(seed, tolerated, spare_learners, raft_class=raft_class)
     for number in range(ROUNDS):
         simulation.join(f"new{number}")
-        simulation.write(0.3)  # the copies of these small parts take time for each command
+        simulation.write(0.3)  # more commands, so that copying the state takes time
         simulation.run(CATCH_UP_S)
-        simulation.propose_and_wait(f"last words {number}")
+        simulation.propose_and_wait(f"last write {number}")
         simulation.depart_for_good(simulation.oldest()[0])
         simulation.run(after_s)
         simulation.wipe(*simulation.oldest(tolerated))
@@ -77,7 +78,7 @@
 
 @kinds
 @tolerated_losses
-def test_other_disks_are_lost_as_the_old_machine_ends(tolerated: int, spare_learners: int) -> None:
+def test_other_disks_are_lost_when_the_old_machine_ends(tolerated: int, spare_learners: int) -> None:
     for seed in range(3):
         planned_replacement(seed, tolerated, spare_learners, 0.0)
 
@@ -87,25 +88,25 @@
 def test_other_disks_are_lost_soon_after_the_old_machine_ended(tolerated: int, spare_learners: int) -> None:
     rng = random.Random("soon after")
     for seed in range(5):
-        planned_replacement(seed, tolerated, spare_learners, rng.uniform(0.0, LATEST_S))
+        planned_replacement(seed, tolerated, spare_learners, rng.uniform(0.0, MAX_LOSS_DELAY_S))
 
 
 @kinds
 @tolerated_losses
-def test_a_departure_that_is_ignored_is_caught(tolerated: int, spare_learners: int) -> None:
+def test_a_leader_that_ignores_departures_is_detected(tolerated: int, spare_learners: int) -> None:
     with pytest.raises((SafetyViolationError, AssertionError)):
         planned_replacement(0, tolerated, spare_learners, 0.0, IgnoresDepartures)
 
 
 @kinds
 @tolerated_losses
-def test_other_disks_are_lost_while_the_old_machine_waits_for_its_swap(
+def test_other_disks_are_lost_while_the_old_machine_waits_for_its_replacement(
     tolerated: int, spare_learners: int
 ) -> None:
-    """It serves as a voter until it has no vote, and waits longer where others are lost meanwhile."""
+    """The departing member remains a voter until it is replaced, which takes longer if others are lost."""
     rng = random.Random("amid")
     for seed in range(6):
-        simulation = started(seed, tolerated, spare_learners)
+        simulation = started_simulation(seed, tolerated, spare_learners)
         simulation.join("new")
         simulation.run(CATCH_UP_S)
         old, *others = simulation.oldest(tolerated + 1)
@@ -119,54 +120,54 @@
         simulation.check_converges()
 
 
-# How long it takes
+# Duration of a replacement
 
 
 @kinds
 @tolerated_losses
-def test_a_voter_is_swapped_soon_after_sigterm(tolerated: int, spare_learners: int) -> None:
+def test_a_voter_is_replaced_soon_after_sigterm(tolerated: int, spare_learners: int) -> None:
     for seed in range(5):
-        simulation = started(seed, tolerated, spare_learners, spares=1)
+        simulation = started_simulation(seed, tolerated, spare_learners, spares=1)
         old = follower(simulation)
-        assert simulation.depart_for_good(old) < SWAPPED_S
-        assert simulation.until_complete() < AT_ONCE_S
+        assert simulation.depart_for_good(old) < REPLACEMENT_LIMIT_S
+        assert simulation.until_complete() < REPLICATION_LIMIT_S
 
 
 @kinds
 @tolerated_losses
-def test_a_leader_that_departs_transfers_its_leadership_and_is_swapped(
+def test_a_departing_leader_transfers_its_leadership_and_is_replaced(
     tolerated: int, spare_learners: int
 ) -> None:
     for seed in range(5):
-        simulation = started(seed, tolerated, spare_learners, spares=1)
+        simulation = started_simulation(seed, tolerated, spare_learners, spares=1)
         old = simulation.leader() or ""
-        assert simulation.depart_for_good(old) < SWAPPED_S
+        assert simulation.depart_for_good(old) < REPLACEMENT_LIMIT_S
         assert old not in voters(simulation)
-        assert simulation.until_complete() < AT_ONCE_S
+        assert simulation.until_complete() < REPLICATION_LIMIT_S
 
 
 @kinds
-def test_a_leader_is_lost_amid_a_swap(spare_learners: int) -> None:
-    """The next leader hears of the departure with the first answer, and goes on."""
+def test_a_replacement_completes_although_the_leader_crashes(spare_learners: int) -> None:
+    """The next leader learns of the departure from the first reply, and continues the replacement."""
     for point in range(10):
-        simulation = started(point, 2, spare_learners, spares=2)
+        simulation = started_simulation(point, 2, spare_learners, spares=2)
         old = follower(simulation)
         may_end = simulation.depart(old)
         simulation.run(0.003 * point)
         simulation.crash(simulation.leader() or "")
         while not may_end():
             simulation.run(0.002)
-        assert old not in voters(simulation), "it was acknowledged"
+        assert old not in voters(simulation), "the departure was acknowledged"
         simulation.lose_for_good(old)
         simulation.check_converges()
 
 
-# Messages that are lost, doubled or late
+# Lost, duplicated and delayed messages
 
 
 @kinds
 def test_a_lost_notice_is_repeated(spare_learners: int) -> None:
-    simulation = started(1, 1, spare_learners, spares=1)
+    simulation = started_simulation(1, 1, spare_learners, spares=1)
     lost: list[ConsensusMessage] = []
 
     def drops(message: ConsensusMessage) -> bool:
@@ -178,22 +179,22 @@
         return False
 
     simulation.drops = drops
-    assert simulation.depart_for_good(follower(simulation)) < 2 * SWAPPED_S
+    assert simulation.depart_for_good(follower(simulation)) < 2 * REPLACEMENT_LIMIT_S
     assert len(lost) == 10
     assert simulation.is_complete()
 
 
 @kinds
-def test_a_departure_counts_also_where_it_only_stands_in_answers(spare_learners: int) -> None:
-    simulation = started(2, 1, spare_learners, spares=1)
+def test_a_departure_announced_only_in_replies_is_recognized(spare_learners: int) -> None:
+    simulation = started_simulation(2, 1, spare_learners, spares=1)
     simulation.drops = lambda message: isinstance(message, DepartureNotice)
-    assert simulation.depart_for_good(follower(simulation)) < SWAPPED_S
+    assert simulation.depart_for_good(follower(simulation)) < REPLACEMENT_LIMIT_S
     assert simulation.is_complete()
 
 
 @kinds
 def test_a_lost_acknowledgement_is_repeated(spare_learners: int) -> None:
-    simulation = started(3, 1, spare_learners, spares=1)
+    simulation = started_simulation(3, 1, spare_learners, spares=1)
     lost: list[ConsensusMessage] = []
 
     def drops(message: ConsensusMessage) -> bool:
@@ -203,21 +204,21 @@
         return False
 
     simulation.drops = drops
-    assert simulation.depart_for_good(follower(simulation)) < 2 * SWAPPED_S
+    assert simulation.depart_for_good(follower(simulation)) < 2 * REPLACEMENT_LIMIT_S
     assert len(lost) == 3
 
 
 @kinds
-def test_a_process_waits_no_longer_than_its_timeout(spare_learners: int) -> None:
-    simulation = started(4, 1, spare_learners, spares=1)
+def test_a_departing_process_waits_no_longer_than_its_timeout(spare_learners: int) -> None:
+    simulation = started_simulation(4, 1, spare_learners, spares=1)
     old = follower(simulation)
     simulation.isolate(old)
     assert DEPARTURE_TIMEOUT_S <= simulation.depart_for_good(old) < DEPARTURE_TIMEOUT_S + 0.1
 
 
 def restart_and_late_notices(spare_learners: int, raft_class: type[Raft] = Raft) -> None:
-    """Notices of an earlier incarnation come, twice each, when the member runs again beside a learner."""
-    simulation = started(5, 1, spare_learners, raft_class=raft_class)
+    """Delivers notices of an earlier incarnation twice, after a restart and with a ready learner."""
+    simulation = started_simulation(5, 1, spare_learners, raft_class=raft_class)
     sent: list[ConsensusMessage] = []
 
     def drops(message: ConsensusMessage) -> bool:
@@ -227,7 +228,7 @@
 
     simulation.drops = drops
     old = follower(simulation)
-    usual = voters(simulation)
+    initial = voters(simulation)
     simulation.depart(old)
     simulation.run(0.3)
     simulation.crash(old)
@@ -236,27 +237,27 @@
     simulation.run(0.5)
     simulation.join("spare")
     simulation.write(0.5)
-    assert voters(simulation) == usual
+    assert voters(simulation) == initial
     assert len(sent) > 3
     for message in sent * 2:
         simulation.deliver_again(message)
     simulation.write(3.0)
-    assert voters(simulation) == usual, "the incarnation that runs now has announced no departure"
+    assert voters(simulation) == initial, "the current incarnation has announced no departure"
     simulation.check_converges()
 
 
 @kinds
-def test_a_late_notice_does_not_touch_a_later_incarnation(spare_learners: int) -> None:
+def test_a_late_notice_does_not_affect_a_later_incarnation(spare_learners: int) -> None:
     restart_and_late_notices(spare_learners)
 
 
-def test_a_leader_that_accepts_late_notices_is_caught() -> None:
+def test_a_leader_that_accepts_late_notices_is_detected() -> None:
     with pytest.raises(AssertionError):
         restart_and_late_notices(ALL_SPARES, AcceptsLateDepartures)
 
 
 def test_a_late_acknowledgement_does_not_end_a_later_departure() -> None:
-    simulation = started(6, 1, ALL_SPARES, spares=1)
+    simulation = started_simulation(6, 1, ALL_SPARES, spares=1)
     sent: list[ConsensusMessage] = []
 
     def drops(message: ConsensusMessage) -> bool:
@@ -293,16 +294,16 @@
 @tolerated_losses
 def test_a_restart_without_a_spare_changes_nothing(tolerated: int, spare_learners: int) -> None:
     for seed in range(3):
-        simulation = started(seed, tolerated, spare_learners)
-        usual = simulation.leader_raft().membership
-        for name in usual.voters:
+        simulation = started_simulation(seed, tolerated, spare_learners)
+        initial = simulation.leader_raft().membership
+        for name in initial.voters:
             simulation.depart(name)
             simulation.run(0.2)
             simulation.crash(name)
             simulation.run(0.4)
             simulation.start(name)
             simulation.write(1.0)
-            assert simulation.leader_raft().membership == usual
+            assert simulation.leader_raft().membership == initial
         assert simulation.is_complete()
         simulation.check_converges()
 
@@ -310,26 +311,26 @@
 @kinds
 @tolerated_losses
 def test_rolling_restarts_with_a_spare_keep_the_group_complete(tolerated: int, spare_learners: int) -> None:
-    """Who was swapped out comes back with its disk, and is the spare for the next one."""
+    """A replaced member restarts with its disk, and is the spare for the next restart."""
     for seed in range(3):
-        simulation = started(seed, tolerated, spare_learners, spares=1)
+        simulation = started_simulation(seed, tolerated, spare_learners, spares=1)
         everybody = sorted(simulation.members)
         for name in everybody:
             simulation.run_until(simulation.depart(name))
             simulation.crash(name)
-            assert simulation.until_complete() < SWAPPED_S
+            assert simulation.until_complete() < REPLACEMENT_LIMIT_S
             simulation.write(1.0)
-            assert simulation.until_complete() < AT_ONCE_S  # the last command may be on its way still
+            assert simulation.until_complete() < REPLICATION_LIMIT_S  # a command may be in flight
             simulation.start(name)
             simulation.write(1.0)
-            assert simulation.until_complete() < AT_ONCE_S
+            assert simulation.until_complete() < REPLICATION_LIMIT_S
         assert sorted(simulation.members) == everybody
         simulation.check_converges()
 
 
 @kinds
-def test_a_member_that_was_swapped_out_may_be_promoted_again(spare_learners: int) -> None:
-    simulation = started(7, 1, spare_learners, spares=1)
+def test_a_replaced_member_may_be_promoted_again(spare_learners: int) -> None:
+    simulation = started_simulation(7, 1, spare_learners, spares=1)
     old = follower(simulation)
     simulation.run_until(simulation.depart(old))
     simulation.crash(old)
@@ -342,13 +343,13 @@
     simulation.check_converges()
 
 
-# Two at once
+# Two simultaneous departures
 
 
 @kinds
 def test_two_depart_and_two_learners_replace_them(spare_learners: int) -> None:
     for seed in range(4):
-        simulation = started(seed, 2, spare_learners, spares=2)
+        simulation = started_simulation(seed, 2, spare_learners, spares=2)
         departing = [follower(simulation, number) for number in range(2)]
         ends = [simulation.depart(name) for name in departing]
         simulation.run_until(lambda ends=ends: all(may_end() for may_end in ends))  # type: ignore[misc]
@@ -362,9 +363,9 @@
 @kinds
 @tolerated_losses
 def test_two_depart_and_one_learner_replaces_one(tolerated: int, spare_learners: int) -> None:
-    """The other one keeps its vote, and the group has no voter too many."""
+    """The other departing member keeps its vote, and the group does not keep an additional voter."""
     for seed in range(4):
-        simulation = started(seed, tolerated, spare_learners, spares=1)
+        simulation = started_simulation(seed, tolerated, spare_learners, spares=1)
         departing = [follower(simulation, number) for number in range(2)]
         ends = [simulation.depart(name) for name in departing]
         simulation.run_until(lambda ends=ends: any(may_end() for may_end in ends))  # type: ignore[misc]
@@ -375,25 +376,25 @@
         assert simulation.is_complete()
 
 
-# The planner alone
+# The planner without a simulated group
 
 A, B, C, D, E = (f"10.0.0.{number}#seed" for number in range(1, 6))
 F, G = "10.0.0.6#x", "10.0.0.7#x"
-USUAL = Membership((A, B, C))
+INITIAL = Membership((A, B, C))
 
 
 @kinds
-def test_a_learner_that_is_ready_replaces_the_voter_first(spare_learners: int) -> None:
-    group = PlannedGroupStandIn(Membership(USUAL.voters, (D,)), (A, B, C, D), spare_learners=spare_learners)
+def test_a_ready_learner_votes_before_the_departing_voter_is_removed(spare_learners: int) -> None:
+    group = PlannedGroupStandIn(Membership(INITIAL.voters, (D,)), (A, B, C, D), spare_learners=spare_learners)
     group.departing = {C}
     assert group.run(1.0, joining=(D,)) == [Membership((A, B, C, D)), Membership((A, B, D))]
 
 
 @kinds
-def test_a_learner_that_lags_replaces_nobody(spare_learners: int) -> None:
-    group = PlannedGroupStandIn(Membership(USUAL.voters, (D,)), (A, B, C, D), spare_learners=spare_learners)
+def test_a_lagging_learner_does_not_replace_a_departing_voter(spare_learners: int) -> None:
+    group = PlannedGroupStandIn(Membership(INITIAL.voters, (D,)), (A, B, C, D), spare_learners=spare_learners)
     group.departing = {C}
-    group.behind = {D}
+    group.lagging = {D}
     assert group.run(5.0, joining=(D,)) == []
 
 
@@ -407,49 +408,49 @@
 def test_no_departure_lowers_how_many_losses_are_tolerated(
     tolerated: int, states: tuple[VoterState, ...]
 ) -> None:
-    """Any number of voters depart; those that were not swapped out go on afterwards."""
-    groups = every_group(tolerated, kinds=(*states, VoterState.DEPARTING))
+    """Any number of voters depart; those that were not replaced cancel the departure."""
+    groups = every_group(tolerated, voter_states=(*states, VoterState.DEPARTING))
     assert len(groups) > 60
     for group in groups:
         departing = set(group.departing)
         assert breaks_a_rule(group, tolerated) == ""
         ready = [spare for spare in (F, G)[:tolerated] if group.match(spare)]
-        taken = departing - set(group.membership.voters)
-        assert len(taken) <= len(ready), "nobody goes without a learner that takes the place"
+        removed = departing - set(group.membership.voters)
+        assert len(removed) <= len(ready), "a voter was removed without a learner that replaces it"
         group.departing = set()
         assert breaks_a_rule(group, tolerated) == ""
 
 
 @kinds
-def test_a_learner_that_departs_itself_replaces_nobody(spare_learners: int) -> None:
+def test_a_departing_learner_does_not_replace_a_voter(spare_learners: int) -> None:
     group = PlannedGroupStandIn(
-        Membership(USUAL.voters, (D,)), (A, B, C, D, F), spare_learners=spare_learners
+        Membership(INITIAL.voters, (D,)), (A, B, C, D, F), spare_learners=spare_learners
     )
     group.departing = {C, D}
     group.run(2.0, joining=(F,))
     assert set(group.membership.voters) == {A, B, F}
 
 
-def test_a_voter_that_left_without_a_swap_is_lost_at_once() -> None:
-    group = PlannedGroupStandIn(Membership(USUAL.voters, (D,)), (A, B, C, D), spare_learners=ALL_SPARES)
-    group.behind = {D}
+def test_a_departing_voter_that_stops_answering_is_lost_at_once() -> None:
+    group = PlannedGroupStandIn(Membership(INITIAL.voters, (D,)), (A, B, C, D), spare_learners=ALL_SPARES)
+    group.lagging = {D}
     group.departing = {C}
     group.run(0.5)
     group.alive.discard(C)
-    group.behind = set()
+    group.lagging = set()
     group.run(1.0)
     assert group.membership == Membership((A, B, D))
 
 
-def test_a_lost_voter_is_replaced_before_one_that_departs() -> None:
-    group = PlannedGroupStandIn(Membership(USUAL.voters, (D,)), (A, C, D), spare_learners=ALL_SPARES)
+def test_a_lost_voter_is_replaced_before_a_departing_one() -> None:
+    group = PlannedGroupStandIn(Membership(INITIAL.voters, (D,)), (A, C, D), spare_learners=ALL_SPARES)
     group.departing = {C}
     group.run(5.0)
     assert set(group.membership.voters) == {A, C, D}
     assert all(set(change.voters) >= {A, C} for change in group.changes)
 
 
-def test_a_decommissioned_voter_stays_until_the_others_have_all_without_one_that_departs() -> None:
+def test_a_decommissioned_and_a_departing_voter_are_not_both_removed() -> None:
     group = PlannedGroupStandIn(Membership((A, B, C, D)), (A, B, C, D))
     group.decommissioning = {C}
     group.departing = {D}
@@ -457,52 +458,52 @@
     assert len(group.membership.voters) == 3
 
 
-# The group
+# Departures of `ReplicatedGroup`
 
 
-def swap(group: ReplicatedGroup, voter: str, learner: str) -> list[Membership]:
-    """The changes that give the learner the vote."""
+def replacement_changes(group: ReplicatedGroup, voter: str, learner: str) -> list[Membership]:
+    """Returns the changes that replace a voter by a learner."""
     others = tuple(each for each in group.membership.voters if each != voter)
     return [Membership((*group.membership.voters, learner)), Membership((*others, learner))]
 
 
-def test_group_departs_once_another_has_its_vote() -> None:
+def test_depart_returns_once_a_learner_has_replaced_the_member() -> None:
     async def scenario() -> None:
         network = Network()
         leader = await network.start()
         await network.add("d", MemoryStorage()).start()
         await leader.change_membership(Membership(NAMES, ("d",)))
         departing = next(group for group in network.groups.values() if group is not leader)
-        heard = 0
+        notices_received = 0
 
         def on_departure(name: str) -> None:
-            nonlocal heard
-            heard += name == leader.member
+            nonlocal notices_received
+            notices_received += name == leader.member
 
         network.on_departure = on_departure
         departure = asyncio.ensure_future(departing.depart(5.0))
-        await wait_until(lambda: heard > 1)
+        await wait_until(lambda: notices_received > 1)
         assert leader.is_departing(departing.member)
         assert not departure.done()
-        for change in swap(leader, departing.member, "d"):
+        for change in replacement_changes(leader, departing.member, "d"):
             await leader.change_membership(change)
-        began = asyncio.get_running_loop().time()
+        began_at = asyncio.get_running_loop().time()
         await departure
-        assert asyncio.get_running_loop().time() - began < AT_ONCE_S
+        assert asyncio.get_running_loop().time() - began_at < REPLICATION_LIMIT_S
         await departing.depart(5.0)
-        assert asyncio.get_running_loop().time() - began < AT_ONCE_S, "it has no vote to give"
+        assert asyncio.get_running_loop().time() - began_at < REPLICATION_LIMIT_S, "no vote to replace"
         await network.stop()
 
     run(scenario())
 
 
-def test_group_that_leads_transfers_and_departs_in_its_timeout() -> None:
+def test_depart_of_a_leader_transfers_the_leadership_and_ends_at_its_timeout() -> None:
     async def scenario() -> None:
         network = Network()
         old = await network.start()
-        began = asyncio.get_running_loop().time()
+        began_at = asyncio.get_running_loop().time()
         await old.depart(1.0)
-        assert 1.0 <= asyncio.get_running_loop().time() - began < 1.0 + AT_ONCE_S
+        assert 1.0 <= asyncio.get_running_loop().time() - began_at < 1.0 + REPLICATION_LIMIT_S
         assert not old.is_leader
         assert (await network.new_leader(old)).is_departing(old.member)
         await network.stop()
@@ -510,7 +511,7 @@
     run(scenario())
 
 
-def test_group_with_one_voter_has_nobody_to_depart_to() -> None:
+def test_depart_of_the_only_voter_returns_and_it_still_leads() -> None:
     async def scenario() -> None:
         network = Network(("a",))
         only = await network.start()
@@ -521,7 +522,7 @@
     run(scenario())
 
 
-def test_group_that_stops_amid_its_departure_fails() -> None:
+def test_depart_fails_if_the_group_stops_meanwhile() -> None:
     async def scenario() -> None:
         network = Network()
         leader = await network.start()
--- a/tests/consensus/test_membership_planner_breakages.py
+++ b/tests/consensus/test_membership_planner_breakages.py
@@ -1,4 +1,4 @@
-"""Planners that break one rule each: the sweep over all states of a group must catch every one of them."""
+"""Planners that each break one rule: the checks over all combinations of member states must detect each."""
 
 import pytest
 
@@ -8,8 +8,8 @@
 from tests.consensus.test_membership_planner import breaks_a_rule, every_group
 
 
-class _SeemsCaughtUp:
-    """A group whose learners seem to have everything."""
+class _AppearsCaughtUp:
+    """A group in which every member appears to have caught up."""
 
     def __init__(self, group: PlannedGroup) -> None:
         self._group = group
@@ -27,14 +27,14 @@
 
 
 class PromotesWithoutCatchUp(MembershipPlanner):
-    """A learner votes before it holds what is committed."""
+    """Promotes a learner before it has all committed entries."""
 
     def plan(self, now: float, group: PlannedGroup, candidates: Candidates) -> Membership | None:
-        return super().plan(now, _SeemsCaughtUp(group), candidates)
+        return super().plan(now, _AppearsCaughtUp(group), candidates)
 
 
-class CountsLearners(MembershipPlanner):
-    """A learner that answers counts as a voter: one that is decommissioned leaves in its favour."""
+class CountsLearnersAsVoters(MembershipPlanner):
+    """Removes a decommissioned voter although its successor is still a learner."""
 
     def plan(self, now: float, group: PlannedGroup, candidates: Candidates) -> Membership | None:
         change = super().plan(now, group, candidates)
@@ -51,8 +51,8 @@
         return change
 
 
-class RemovesAtOnce(MembershipPlanner):
-    """A lost voter goes before anybody can take its place."""
+class RemovesWithoutSuccessor(MembershipPlanner):
+    """Removes a lost voter before a learner is ready to replace it."""
 
     def plan(self, now: float, group: PlannedGroup, candidates: Candidates) -> Membership | None:
         change = super().plan(now, group, candidates)
@@ -69,8 +69,11 @@
         return change
 
 
-class RemovesAllLostFirst(MembershipPlanner):
-    """Takes away every lost voter before it promotes: a majority of three acknowledges for five."""
+class RemovesAllLostBeforePromoting(MembershipPlanner):
+    """Removes all lost voters before it promotes a learner, so that of five voters three are left.
+
+    A majority of these is only two disks.
+    """
 
     def plan(self, now: float, group: PlannedGroup, candidates: Candidates) -> Membership | None:
         change = super().plan(now, group, candidates)
@@ -89,18 +92,18 @@
 
 BREAKAGES = [
     (PromotesWithoutCatchUp, 1),
-    (CountsLearners, 1),
-    (RemovesAtOnce, 1),
-    (RemovesAllLostFirst, 2),
+    (CountsLearnersAsVoters, 1),
+    (RemovesWithoutSuccessor, 1),
+    (RemovesAllLostBeforePromoting, 2),
 ]
 
 
 @pytest.mark.parametrize(("planner_class", "tolerated"), BREAKAGES)
-def test_a_broken_planner_is_caught(planner_class: type[MembershipPlanner], tolerated: int) -> None:
+def test_a_broken_planner_is_detected(planner_class: type[MembershipPlanner], tolerated: int) -> None:
     groups = every_group(tolerated, planner_class)
     assert any(breaks_a_rule(group, tolerated) for group in groups)
 
 
-def test_the_planner_itself_is_not_caught() -> None:
+def test_the_correct_planner_breaks_no_rule() -> None:
     for tolerated in (1, 2):
         assert not any(breaks_a_rule(group, tolerated) for group in every_group(tolerated))
