--- a/tests/consensus/group_network.py
+++ b/tests/consensus/group_network.py
@@ -1,4 +1,4 @@
-"""Groups in one event loop, in virtual time; a message between them takes one turn of it."""
+"""A replicated group whose members run in one event loop, in virtual time, on a simulated network."""
 
 import asyncio
 import json
@@ -17,11 +17,11 @@
 from tests.consensus.virtual_time import InlineExecutor
 
 NAMES = ("a", "b", "c")
-SMALL_LIMITS = RaftLimits(retained_bytes=1000)  # else no member ever needs a snapshot of states so small
+SMALL_LIMITS = RaftLimits(retained_bytes=1000)  # so that members need snapshots of the small states here
 
 
-class Machine:
-    """Keeps the commands; the result of one is how many there are."""
+class RecordingStateMachine:
+    """Records the commands; the result of a command is the number of commands so far."""
 
     def __init__(self) -> None:
         self.commands: list[str] = []
@@ -38,21 +38,24 @@
 
 
 class Network:
-    """Groups in one loop; messages take one turn of it. `cut` members neither send nor receive."""
+    """The members of a group; a message takes one iteration of the event loop to arrive.
 
-    machine_class = Machine
+    Members in `partitioned` neither send nor receive.
+    """
+
+    machine_class = RecordingStateMachine
 
     def __init__(self, voters: tuple[str, ...] = NAMES, limits: RaftLimits = SMALL_LIMITS) -> None:
         self.limits = limits
-        self.cut: set[str] = set()
+        self.partitioned: set[str] = set()
         self.groups: dict[str, ReplicatedGroup] = {}
-        self.machines: dict[str, Machine] = {}
+        self.machines: dict[str, RecordingStateMachine] = {}
         self.storages: dict[str, MemoryStorage] = {}
-        self.notified: list[tuple[str, bool]] = []
+        self.leadership_notifications: list[tuple[str, bool]] = []
         self.failures: list[GroupFailedError] = []
-        self.chunks_sent = 0  # of snapshots
-        self.leadership = asyncio.Event()
-        self.on_departure: Callable[[str], None] = lambda _: None  # gets the leader's name
+        self.snapshot_chunks_sent = 0
+        self.leadership_changed = asyncio.Event()
+        self.on_departure: Callable[[str], None] = lambda _: None  # called with the leader's name
         for name in voters:
             self.add(name, MemoryStorage(voters))
 
@@ -80,12 +83,12 @@
         return self.groups[name]
 
     def _notify(self, name: str, leads: bool) -> None:
-        self.notified.append((name, leads))
-        self.leadership.set()
+        self.leadership_notifications.append((name, leads))
+        self.leadership_changed.set()
 
     def _send(self, message: ConsensusMessage) -> None:
-        self.chunks_sent += isinstance(message, SnapshotChunk)
-        if not self.cut & {message.sender, message.target} and message.target in self.groups:
+        self.snapshot_chunks_sent += isinstance(message, SnapshotChunk)
+        if not self.partitioned & {message.sender, message.target} and message.target in self.groups:
             asyncio.get_running_loop().call_soon(self.groups[message.target].receive, message)
 
     async def start(self) -> ReplicatedGroup:
@@ -98,8 +101,8 @@
             for group in self.groups.values():
                 if group is not old and group.is_leader:
                     return group
-            self.leadership.clear()
-            await asyncio.wait_for(self.leadership.wait(), 10.0)
+            self.leadership_changed.clear()
+            await asyncio.wait_for(self.leadership_changed.wait(), 10.0)
 
     async def stop(self) -> None:
         for group in self.groups.values():
@@ -111,9 +114,9 @@
 
 
 async def wait_until(condition: Callable[[], bool]) -> None:
-    """Waits, in virtual time, for what comes with some heartbeat."""
+    """Waits up to ten seconds of virtual time until `condition` is true."""
     for _ in range(1000):
         if condition():
             return
         await asyncio.sleep(0.01)
-    raise AssertionError("what was waited for did not come")
+    raise AssertionError("the condition was not met in ten seconds")
--- a/tests/consensus/limited_storage.py
+++ b/tests/consensus/limited_storage.py
@@ -1,4 +1,4 @@
-"""A storage in memory whose disk can be full, and a network of members on such disks."""
+"""An in-memory storage that can run out of disk space, and a network of members with such storages."""
 
 from collections.abc import Sequence
 
@@ -11,16 +11,16 @@
 
 
 class LimitedStorage(MemoryStorage):
-    """Has no space for entries while `full`, and none for snapshots while `snapshots_full`."""
+    """Rejects all calls while `full`, and only saves of snapshots while `snapshots_full`."""
 
     def __init__(self, voters: tuple[str, ...]) -> None:
         super().__init__(voters)
         self.full = False
         self.snapshots_full = False
-        self.refused = 0
+        self.rejected_calls = 0
 
     def load(self) -> LoadedGroup:
-        self._check_space(self.full)  # a new log begins with its first records
+        self._check_space(self.full)  # loading a new group writes the first records of its log
         return super().load()
 
     def save(self, hard_state: HardState | None, truncate_from: int | None, entries: Sequence[Entry]) -> None:
@@ -33,7 +33,7 @@
 
     def _check_space(self, is_full: bool) -> None:
         if is_full:
-            self.refused += 1
+            self.rejected_calls += 1
             raise StorageFullError("no space")
 
 
--- a/tests/consensus/memory_storage.py
+++ b/tests/consensus/memory_storage.py
@@ -1,4 +1,4 @@
-"""A group's storage in memory, strict about how it is used."""
+"""An in-memory storage of a group that checks the contract of `GroupStorage`."""
 
 from collections.abc import Sequence
 
@@ -8,16 +8,16 @@
 
 
 class StorageMisuseError(AssertionError):
-    """The core asked its storage for what would lose or overwrite something."""
+    """A call that would lose or overwrite stored data."""
 
 
-def _require(holds: bool, rule: str) -> None:
-    if not holds:
+def _require(is_met: bool, rule: str) -> None:
+    if not is_met:
         raise StorageMisuseError(rule)
 
 
 class MemoryStorage:
-    """Keeps what was saved. `failing` makes the next calls fail."""
+    """Keeps the saved data in memory. All calls raise `StorageError` while `failing`."""
 
     def __init__(self, voters: tuple[str, ...] = ()) -> None:
         self.hard_state = HardState()
@@ -39,7 +39,7 @@
 
     def _check(self) -> None:
         if self.failing:
-            raise StorageError("the disk is gone")
+            raise StorageError("the disk has failed")
 
     def load(self) -> LoadedGroup:
         self._check()
@@ -57,22 +57,25 @@
         self._check()
         self.saves += 1
         if hard_state is not None:
-            _require(hard_state.term >= self.hard_state.term, "terms only rise")
+            _require(hard_state.term >= self.hard_state.term, "terms must not decrease")
             self.hard_state = hard_state
         if truncate_from is not None:
-            _require(self.snapshot_index < truncate_from <= self.last_index, "only what is there is dropped")
+            _require(
+                self.snapshot_index < truncate_from <= self.last_index,
+                "truncation must begin in the log",
+            )
             del self.entries[truncate_from - self.snapshot_index - 1 :]
         for entry in entries:
-            _require(entry.index == self.last_index + 1, "entries follow without a gap")
+            _require(entry.index == self.last_index + 1, "entries must follow without a gap")
             self.entries.append(entry)
 
     def save_snapshot(self, index: int, term: int, membership: Membership, data: bytes) -> None:
         self._check()
         self.saves += 1
-        _require(index > self.snapshot_index, "snapshots only rise")
+        _require(index > self.snapshot_index, "the snapshot index must increase")
         offset = index - self.snapshot_index
-        keeps = offset <= len(self.entries) and self.entries[offset - 1].term == term
-        self.entries = self.entries[offset:] if keeps else []
+        keeps_later_entries = offset <= len(self.entries) and self.entries[offset - 1].term == term
+        self.entries = self.entries[offset:] if keeps_later_entries else []
         self.snapshot_index = index
         self.snapshot_term = term
         self.membership = membership
--- a/tests/consensus/test_backpressure.py
+++ b/tests/consensus/test_backpressure.py
@@ -1,4 +1,4 @@
-"""Waits for free disk space: tried again until it fits, and logged once for each wait."""
+"""Waits for free disk space: the write is retried until it succeeds, and each wait is logged once."""
 
 import asyncio
 from collections.abc import Iterator
@@ -14,14 +14,14 @@
 
 @pytest.fixture
 def warnings() -> Iterator[list[dict[str, Any]]]:
-    """What each warning has bound."""
-    bound: list[dict[str, Any]] = []
-    sink = logger.add(lambda message: bound.append(message.record["extra"]), level="WARNING")
-    yield bound
+    """The extra fields of each logged warning."""
+    fields: list[dict[str, Any]] = []
+    sink = logger.add(lambda message: fields.append(message.record["extra"]), level="WARNING")
+    yield fields
     logger.remove(sink)
 
 
-def test_work_is_repeated_until_it_fits_and_logged_once(warnings: list[dict[str, Any]]) -> None:
+def test_work_is_retried_until_it_succeeds_and_logged_once(warnings: list[dict[str, Any]]) -> None:
     attempts: list[float] = []
 
     async def work() -> str:
@@ -35,19 +35,19 @@
     assert warnings == [{"event": "disk_full_waiting", "writer": "group g"}]
 
 
-def test_another_error_is_not_waited_for(warnings: list[dict[str, Any]]) -> None:
+def test_another_error_is_raised_at_once(warnings: list[dict[str, Any]]) -> None:
     async def work() -> None:
-        raise StorageError("the disk is gone")
+        raise StorageError("the disk has failed")
 
-    with pytest.raises(StorageError, match="the disk is gone"):
+    with pytest.raises(StorageError, match="the disk has failed"):
         run(retry_while_full("group g", work))
     assert warnings == []
 
 
-def test_each_wait_is_logged(warnings: list[dict[str, Any]]) -> None:
+def test_each_wait_is_logged_once(warnings: list[dict[str, Any]]) -> None:
     warning = DiskFullWarning("the store")
     for _ in range(2):
         warning.begin()
         warning.begin()
         warning.end()
-    assert [bound["writer"] for bound in warnings] == ["the store"] * 2
+    assert [fields["writer"] for fields in warnings] == ["the store"] * 2
--- a/tests/consensus/test_full_disk.py
+++ b/tests/consensus/test_full_disk.py
@@ -1,4 +1,4 @@
-"""A full disk: nothing is lost or acknowledged, and the member goes on once there is free space."""
+"""Full disks: a member loses and acknowledges nothing, and continues once there is free space."""
 
 import asyncio
 
@@ -13,7 +13,7 @@
         await leader.propose(command(f"{number}"))
 
 
-def test_a_leader_without_disk_space_goes_on_with_the_others() -> None:
+def test_a_leader_with_a_full_disk_still_commits() -> None:
     async def scenario() -> None:
         network, disks = limited_network()
         leader = await network.start()
@@ -21,7 +21,7 @@
         disk.full = True
         await propose_many(leader, 10)
         assert leader.is_leader
-        assert disk.refused > 0
+        assert disk.rejected_calls > 0
         assert leader.match(leader.member) < leader.commit_index
         disk.full = False
         await wait_until(lambda: leader.match(leader.member) == leader.commit_index)
@@ -32,7 +32,7 @@
     run(scenario())
 
 
-def test_a_majority_without_disk_space_acknowledges_nothing_until_there_is_some() -> None:
+def test_nothing_is_committed_while_a_majority_has_full_disks() -> None:
     async def scenario() -> None:
         network, disks = limited_network()
         leader = await network.start()
@@ -49,13 +49,13 @@
     run(scenario())
 
 
-def test_without_disk_space_for_a_snapshot_entries_are_saved_all_the_same() -> None:
+def test_entries_are_saved_without_disk_space_for_a_snapshot() -> None:
     async def scenario() -> None:
         network, disks = limited_network(("a",))
         leader = await network.start()
         disks["a"].snapshots_full = True
         await propose_many(leader, 100)
-        assert disks["a"].refused > 0
+        assert disks["a"].rejected_calls > 0
         assert disks["a"].snapshot_index == 0
         disks["a"].snapshots_full = False
         await propose_many(leader, 100)
@@ -73,15 +73,15 @@
         proposal = asyncio.ensure_future(leader.propose(command("x")))
         await asyncio.wait([proposal], timeout=1.0)
         await leader.stop()
-        refused = disks["a"].refused
+        rejected_calls = disks["a"].rejected_calls
         await asyncio.sleep(2.0)
-        assert disks["a"].refused == refused
+        assert disks["a"].rejected_calls == rejected_calls
         assert proposal.exception() is not None
 
     run(scenario())
 
 
-def test_a_member_that_starts_without_disk_space_joins_in_once_there_is_some() -> None:
+def test_a_member_that_starts_with_a_full_disk_takes_part_once_there_is_space() -> None:
     async def scenario() -> None:
         network, disks = limited_network()
         late = network.groups["c"]
@@ -90,7 +90,7 @@
         await wait_until(lambda: any(group.is_leader for group in network.groups.values()))
         leader = next(group for group in network.groups.values() if group.is_leader)
         await propose_many(leader, 10)
-        assert disks["c"].refused > 0
+        assert disks["c"].rejected_calls > 0
         assert not starts[2].done()
         disks["c"].full = False
         await wait_until(lambda: late.applied_index == leader.commit_index)
@@ -101,16 +101,16 @@
     run(scenario())
 
 
-def test_a_start_that_waits_for_disk_space_can_be_given_up() -> None:
+def test_a_start_that_waits_for_disk_space_can_be_cancelled() -> None:
     async def scenario() -> None:
         network, disks = limited_network(("a",))
         disks["a"].full = True
         start = asyncio.ensure_future(network.groups["a"].start())
         await asyncio.wait([start], timeout=1.0)
         start.cancel()
-        refused = disks["a"].refused
+        rejected_calls = disks["a"].rejected_calls
         await asyncio.sleep(2.0)
         assert start.cancelled()
-        assert 1 < refused == disks["a"].refused
+        assert 1 < rejected_calls == disks["a"].rejected_calls
 
     run(scenario())
--- a/tests/consensus/test_group.py
+++ b/tests/consensus/test_group.py
@@ -1,4 +1,4 @@
-"""A replicated group as its owner sees it: three members in one loop, in virtual time."""
+"""The public interface of a replicated group: three members in one event loop, in virtual time."""
 
 import asyncio
 
@@ -13,12 +13,12 @@
 from pewterring.consensus.group import ReplicatedGroup
 from pewterring.consensus.group_environment import GroupCallbacks, GroupEnvironment
 from pewterring.consensus.messages import Membership
-from tests.consensus.group_network import NAMES, Machine, Network, command, wait_until
+from tests.consensus.group_network import NAMES, Network, RecordingStateMachine, command, wait_until
 from tests.consensus.memory_storage import MemoryStorage
 from tests.consensus.virtual_time import run
 
 
-def test_results_come_back_and_members_agree() -> None:
+def test_proposals_return_results_and_members_agree() -> None:
     async def scenario() -> None:
         network = Network()
         leader = await network.start()
@@ -30,27 +30,27 @@
     run(scenario())
 
 
-def test_proposals_that_come_together_are_saved_together() -> None:
+def test_concurrent_proposals_are_saved_together() -> None:
     async def scenario() -> None:
         network = Network()
         leader = await network.start()
-        before = network.storages[leader.member].saves
+        saves_before = network.storages[leader.member].saves
         await asyncio.gather(*(leader.propose(command("x")) for _ in range(100)))
-        assert network.storages[leader.member].saves - before <= 6
+        assert network.storages[leader.member].saves - saves_before <= 6
         await network.stop()
 
     run(scenario())
 
 
-def test_follower_refuses_and_names_the_leader() -> None:
+def test_a_follower_rejects_proposals_and_names_the_leader() -> None:
     async def scenario() -> None:
         network = Network()
         leader = await network.start()
         await leader.propose(command("x"))
         follower = next(group for group in network.groups.values() if group is not leader)
-        with pytest.raises(NotLeaderError) as refused:
+        with pytest.raises(NotLeaderError) as raised:
             await follower.propose(command("y"))
-        assert refused.value.leader == leader.member
+        assert raised.value.leader == leader.member
         with pytest.raises(NotLeaderError):
             await follower.read_barrier()
         await network.stop()
@@ -58,7 +58,7 @@
     run(scenario())
 
 
-def test_a_partitioned_leader_loses_its_lease_and_the_outcome() -> None:
+def test_a_partitioned_leader_loses_its_lease_and_its_proposals_have_unknown_outcome() -> None:
     async def scenario() -> None:
         network = Network()
         old = await network.start()
@@ -66,7 +66,7 @@
         await old.propose(command("before"))
         await old.read_barrier()
         assert old.has_lease(clock())
-        network.cut.add(old.member)
+        network.partitioned.add(old.member)
         lost = asyncio.ensure_future(old.propose(command("lost")))
         new = await network.new_leader(old)
         assert not old.has_lease(clock())
@@ -74,16 +74,16 @@
             await old.read_barrier()
         with pytest.raises(OutcomeUnknownError):
             await lost
-        assert (old.member, False) in network.notified
+        assert (old.member, False) in network.leadership_notifications
         assert await new.propose(command("after")) == 2
-        network.cut.clear()
+        network.partitioned.clear()
         await wait_until(lambda: network.machines[old.member].commands == ["before", "after"])
         await network.stop()
 
     run(scenario())
 
 
-def test_restart_from_snapshot_and_log() -> None:
+def test_a_restarted_member_loads_its_snapshot_and_log() -> None:
     async def scenario() -> None:
         network = Network(("a",))
         leader = await network.start()
@@ -93,16 +93,16 @@
         storage = network.storages["a"]
         assert storage.snapshot_index > 0
         assert len(storage.entries) < 60
-        again = network.add("a", storage)
-        await again.start()
+        restarted = network.add("a", storage)
+        await restarted.start()
         await network.new_leader(leader)
         assert network.machines["a"].commands == [str(number) for number in range(100)]
-        await again.stop()
+        await restarted.stop()
 
     run(scenario())
 
 
-def test_new_member_gets_a_snapshot_and_becomes_a_voter() -> None:
+def test_a_new_member_receives_a_snapshot_and_becomes_a_voter() -> None:
     async def scenario() -> None:
         network = Network()
         leader = await network.start()
@@ -112,7 +112,7 @@
         await joiner.start()
         await leader.change_membership(Membership(voters=NAMES, learners=("d",)))
         await wait_until(lambda: leader.match("d") >= leader.commit_index)
-        assert network.chunks_sent > 0
+        assert network.snapshot_chunks_sent > 0
         await leader.change_membership(Membership(voters=(*NAMES, "d")))
         await wait_until(lambda: network.machines["d"].commands == network.machines["a"].commands)
         assert joiner.membership.voters == (*NAMES, "d")
@@ -123,7 +123,7 @@
     run(scenario())
 
 
-def test_failed_storage_stops_the_member() -> None:
+def test_a_storage_error_stops_the_member() -> None:
     async def scenario() -> None:
         network = Network()
         old = await network.start()
@@ -131,7 +131,7 @@
         with pytest.raises(GroupFailedError):
             await old.propose(command("x"))
         assert len(network.failures) == 1
-        assert "disk is gone" in str(network.failures[0])
+        assert "disk has failed" in str(network.failures[0])
         with pytest.raises(GroupFailedError):
             await old.read_barrier()
         new = await network.new_leader(old)
@@ -141,7 +141,7 @@
     run(scenario())
 
 
-def test_storage_that_cannot_be_read_fails_the_start() -> None:
+def test_start_fails_if_the_storage_cannot_be_read() -> None:
     async def scenario() -> None:
         network = Network(("a",))
         network.storages["a"].failing = True
@@ -151,20 +151,20 @@
     run(scenario())
 
 
-def test_storage_works_in_a_thread() -> None:
-    """With the usual executor; a group of one needs no waits but for its own election."""
+def test_storage_calls_run_in_a_thread() -> None:
+    """Uses the default executor in real time; the only voter of a group waits only for its own election."""
 
     async def scenario() -> None:
         storage = MemoryStorage(("a",))
-        leads = asyncio.Event()
+        leadership_changed = asyncio.Event()
         group = ReplicatedGroup(
             "g",
             "a",
-            GroupEnvironment(storage=storage, machine=Machine(), send=lambda _: None),
-            callbacks=GroupCallbacks(on_leadership=lambda _: leads.set()),
+            GroupEnvironment(storage=storage, machine=RecordingStateMachine(), send=lambda _: None),
+            callbacks=GroupCallbacks(on_leadership=lambda _: leadership_changed.set()),
         )
         await group.start()
-        await asyncio.wait_for(leads.wait(), 10.0)
+        await asyncio.wait_for(leadership_changed.wait(), 10.0)
         assert await group.propose(command("x")) == 1
         await group.stop()
 
--- a/tests/consensus/test_leadership_notifier.py
+++ b/tests/consensus/test_leadership_notifier.py
@@ -1,4 +1,4 @@
-"""The owner of a group is notified of each leadership once, in order."""
+"""The owner of a group is notified of the begin and the end of each leadership once, in order."""
 
 import pytest
 
@@ -6,7 +6,7 @@
 
 
 @pytest.mark.parametrize(
-    ("terms", "notified"),
+    ("terms", "expected"),
     [
         ((None,), []),
         ((3, 3, None, None), [True, False]),
@@ -15,17 +15,17 @@
     ],
 )
 def test_each_change_of_the_led_term_is_notified_once(
-    terms: tuple[int | None, ...], notified: list[bool]
+    terms: tuple[int | None, ...], expected: list[bool]
 ) -> None:
-    seen: list[bool] = []
-    notifier = LeadershipNotifier(seen.append)
+    notifications: list[bool] = []
+    notifier = LeadershipNotifier(notifications.append)
     for term in terms:
         notifier.update(term)
-    assert seen == notified
+    assert notifications == expected
     assert notifier.term == terms[-1]
 
 
-def test_the_term_is_known_to_whom_it_is_notified() -> None:
+def test_the_term_is_set_before_the_owner_is_notified() -> None:
     terms: list[int | None] = []
     notifier = LeadershipNotifier(lambda _: terms.append(notifier.term))
     notifier.update(7)
--- a/tests/consensus/test_leadership_transfer.py
+++ b/tests/consensus/test_leadership_transfer.py
@@ -1,4 +1,4 @@
-"""A leadership is transferred: soon, without a stale read, and without harm where messages are lost."""
+"""Leadership transfers: they are fast, allow no stale read, and tolerate lost messages."""
 
 import asyncio
 import random
@@ -14,29 +14,29 @@
 from tests.consensus.simulation import Simulation
 from tests.consensus.virtual_time import run
 
-AT_ONCE_S = 0.15  # far below the shortest election time-out
+TRANSFER_LIMIT_S = 0.15  # far below the shortest election time-out
 
 
 class TransferSimulation(Simulation):
-    """A simulated group whose leader can be asked to transfer its leadership."""
+    """A simulated group with leadership transfers."""
 
-    def until_led(self) -> str:
-        """Waits for a leader and returns its name."""
+    def run_until_led(self) -> str:
+        """Runs until a leader is ready and half a second longer; returns its name."""
         self.run_until(lambda: self.leader() is not None and self.leader_raft().is_ready_leader)
         self.run(0.5)
         return self.leader() or ""
 
     def transfer_leadership(self) -> bool:
-        """Asks the leader to; False where there is none that can."""
+        """Begins a transfer at the leader; returns False if there is no leader or no other voter."""
         member = self.members.get(self.leader() or "")
         if member is None or member.raft is None or member.frozen:
             return False
-        begun = member.raft.transfer_leadership(self._clock(member))
+        has_begun = member.raft.transfer_leadership(self._clock(member))
         self._pump(member)
-        return begun
+        return has_begun
 
-    def is_succeeded_within(self, old: str, limit_s: float) -> bool:
-        """Whether another member leads in time."""
+    def has_successor_within(self, old: str, limit_s: float) -> bool:
+        """Whether another member leads within `limit_s`."""
         return self.run_while(lambda: self.leader() in (old, None), limit_s)
 
     def has_lease(self, name: str) -> bool:
@@ -45,29 +45,29 @@
 
 
 @pytest.mark.parametrize("voters", [2, 3, 5])
-def test_successor_leads_long_before_an_election_timeout(voters: int) -> None:
+def test_the_successor_leads_before_an_election_timeout(voters: int) -> None:
     for seed in range(5):
         simulation = TransferSimulation(seed, voters)
-        old = simulation.until_led()
+        old = simulation.run_until_led()
         simulation.propose("before")
         assert simulation.transfer_leadership()
-        assert simulation.is_succeeded_within(old, AT_ONCE_S)
+        assert simulation.has_successor_within(old, TRANSFER_LIMIT_S)
         assert simulation.leader_raft().term == 2
         assert "before" in simulation.acknowledged
         simulation.check_converges()
 
 
-def test_only_voter_keeps_the_leadership() -> None:
+def test_the_only_voter_keeps_its_leadership() -> None:
     simulation = TransferSimulation(1, voters=1)
-    old = simulation.until_led()
+    old = simulation.run_until_led()
     assert not simulation.transfer_leadership()
     assert simulation.propose("still")
     assert simulation.leader() == old
 
 
-def test_lost_message_is_sent_again() -> None:
+def test_a_lost_timeout_now_message_is_sent_again() -> None:
     simulation = TransferSimulation(2)
-    old = simulation.until_led()
+    old = simulation.run_until_led()
     lost: list[ConsensusMessage] = []
 
     def drops(message: ConsensusMessage) -> bool:
@@ -78,13 +78,13 @@
 
     simulation.drops = drops
     simulation.transfer_leadership()
-    assert simulation.is_succeeded_within(old, 0.4)
+    assert simulation.has_successor_within(old, 0.4)
     assert len(lost) == 1
 
 
-def test_leader_without_a_successor_steps_down_in_time() -> None:
+def test_a_leader_without_a_successor_steps_down_in_time() -> None:
     simulation = TransferSimulation(3)
-    old = simulation.until_led()
+    old = simulation.run_until_led()
     simulation.drops = lambda message: isinstance(message, TimeoutNow)
     simulation.transfer_leadership()
     raft = simulation.members[old].raft
@@ -93,53 +93,53 @@
     simulation.check_converges()
 
 
-def test_no_lease_once_a_successor_was_notified() -> None:
+def test_a_leader_has_no_lease_once_a_successor_was_notified() -> None:
     simulation = TransferSimulation(4)
-    old = simulation.until_led()
+    old = simulation.run_until_led()
     assert simulation.has_lease(old)
     simulation.drops = lambda message: isinstance(message, VoteRequest)
     simulation.transfer_leadership()
     assert not simulation.has_lease(old)
 
 
-def test_late_order_to_stand_changes_nothing_in_a_later_term() -> None:
+def test_a_late_timeout_now_message_changes_nothing_in_a_later_term() -> None:
     simulation = TransferSimulation(5)
-    old = simulation.until_led()
-    late: list[ConsensusMessage] = []
+    old = simulation.run_until_led()
+    late_messages: list[ConsensusMessage] = []
 
     def drops(message: ConsensusMessage) -> bool:
         if isinstance(message, TimeoutNow):
-            late.append(message)
+            late_messages.append(message)
         return isinstance(message, TimeoutNow)
 
     simulation.drops = drops
     simulation.transfer_leadership()
     simulation.run_until(lambda: not simulation.members[old].raft.is_leader)  # type: ignore[union-attr]
     simulation.drops = lambda _: False
-    simulation.until_led()
+    simulation.run_until_led()
     term = simulation.leader_raft().term
-    for message in late:
+    for message in late_messages:
         simulation.deliver_again(message)
     simulation.run(3.0)
     assert simulation.leader_raft().term == term
 
 
-class _KeepsLease(LeaderRole):
+class _KeepsLeaseDuringTransferRole(LeaderRole):
     def has_lease(self, now: float) -> bool:
         return self._rounds.has_lease(self._state.voters, now)
 
 
-class KeepsLease(Raft):
-    """Answers reads by its lease although it has notified a successor to stand."""
+class KeepsLeaseDuringTransfer(Raft):
+    """Still claims its lease after it has sent `TimeoutNow` to a successor."""
 
     def _begin_leading(self, now: float) -> LeaderRole:
-        return _KeepsLease(self._state, now)
+        return _KeepsLeaseDuringTransferRole(self._state, now)
 
 
-def read_at_a_leader_cut_off_amid_its_transfer(raft_class: type[Raft]) -> None:
-    """The old leader hears nothing of its successor's election, and is asked to read at once after it."""
+def read_at_a_partitioned_leader_after_its_transfer(raft_class: type[Raft]) -> None:
+    """Reads at the old leader, which receives no messages, after its successor acknowledged a command."""
     simulation = TransferSimulation(6, raft_class=raft_class)
-    old = simulation.until_led()
+    old = simulation.run_until_led()
     simulation.drops = lambda message: message.target == old
     simulation.transfer_leadership()
     simulation.run_until(lambda: simulation.leader() not in (old, None))
@@ -149,21 +149,21 @@
     assert simulation.read(old)
 
 
-def test_a_lease_claimed_after_a_successor_was_notified_is_caught() -> None:
+def test_a_lease_claimed_after_a_successor_was_notified_is_detected() -> None:
     with pytest.raises(SafetyViolationError):
-        read_at_a_leader_cut_off_amid_its_transfer(KeepsLease)
-    read_at_a_leader_cut_off_amid_its_transfer(Raft)
+        read_at_a_partitioned_leader_after_its_transfer(KeepsLeaseDuringTransfer)
+    read_at_a_partitioned_leader_after_its_transfer(Raft)
 
 
-def test_schedules_with_leadership_transfers() -> None:
-    """Crashes, cuts and bad weather around transfers: nothing is lost and no read goes back."""
+def test_random_schedules_with_leadership_transfers_are_safe() -> None:
+    """Random crashes, network partitions and message losses around transfers: no loss and no stale read."""
     for seed in range(25):
         rng = random.Random(f"handover {seed}")
         simulation = TransferSimulation(seed, rng.choice((3, 3, 5)))
         simulation.weather.lost = simulation.weather.late = rng.choice((0.0, 0.1))
         for step in range(80):
             name = rng.choice(list(simulation.members))
-            action = rng.choice(("propose", "propose", "read", "transfer", "crash", "cut", "heal"))
+            action = rng.choice(("propose", "propose", "read", "transfer", "crash", "partition", "heal"))
             if action == "propose":
                 simulation.propose(f"{step}", rng.choice((None, name)))
             elif action == "read":
@@ -173,7 +173,7 @@
                 simulation.transfer_leadership()
             elif action == "crash":
                 simulation.crash(name)
-            elif action == "cut":
+            elif action == "partition":
                 simulation.isolate(name)
             else:
                 simulation.cut_links.clear()
@@ -183,7 +183,7 @@
         simulation.check_converges()
 
 
-def test_group_returns_when_another_leads_and_rejects_commands() -> None:
+def test_transfer_leadership_rejects_commands_and_returns_when_another_member_leads() -> None:
     async def scenario() -> None:
         network = Network()
         old = await network.start()
@@ -191,11 +191,11 @@
         transfer = asyncio.ensure_future(old.transfer_leadership())
         await asyncio.sleep(0)
         with pytest.raises(NotLeaderError):
-            await old.propose(command("refused"))
-        began = asyncio.get_running_loop().time()
+            await old.propose(command("rejected"))
+        began_at = asyncio.get_running_loop().time()
         await transfer
         new = await network.new_leader(old)
-        assert asyncio.get_running_loop().time() - began < AT_ONCE_S
+        assert asyncio.get_running_loop().time() - began_at < TRANSFER_LIMIT_S
         assert await new.propose(command("after")) == 2
         await old.transfer_leadership()  # a follower has nothing to transfer
         await network.stop()
@@ -203,11 +203,11 @@
     run(scenario())
 
 
-def test_group_returns_when_it_stops_meanwhile() -> None:
+def test_transfer_leadership_returns_when_the_group_stops() -> None:
     async def scenario() -> None:
         network = Network()
         old = await network.start()
-        network.cut.add(old.member)
+        network.partitioned.add(old.member)
         transfer = asyncio.ensure_future(old.transfer_leadership())
         await asyncio.sleep(0)
         await old.stop()
@@ -217,7 +217,7 @@
     run(scenario())
 
 
-def test_group_with_one_voter_returns_at_once() -> None:
+def test_transfer_leadership_of_the_only_voter_returns_at_once() -> None:
     async def scenario() -> None:
         network = Network(("a",))
         leader = await network.start()
--- a/tests/consensus/virtual_time.py
+++ b/tests/consensus/virtual_time.py
@@ -1,4 +1,4 @@
-"""An event loop whose time passes at once, for coroutines that wait by the clock."""
+"""An event loop in virtual time, for tests of coroutines that wait for timers."""
 
 import asyncio
 import selectors
@@ -9,8 +9,8 @@
 _Result = TypeVar("_Result")
 
 
-class _JumpingSelector(selectors.DefaultSelector):
-    """Takes no time to wait, and says how long it would have been."""
+class _VirtualTimeSelector(selectors.DefaultSelector):
+    """Advances a virtual clock by the time-out instead of waiting for it."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -18,34 +18,34 @@
 
     def select(self, timeout: float | None = None) -> Any:
         if timeout is None:
-            raise AssertionError("all wait for something that never comes")
+            raise AssertionError("all coroutines wait, and no timer is pending")
         self.now += timeout
         return super().select(0)
 
 
 class VirtualTimeLoop(asyncio.SelectorEventLoop):
-    """Jumps to the next timer whenever there is nothing to do."""
+    """Advances its clock to the next timer whenever no callback is ready."""
 
     def __init__(self) -> None:
-        self._jumping = _JumpingSelector()
-        super().__init__(self._jumping)
+        self._selector_clock = _VirtualTimeSelector()
+        super().__init__(self._selector_clock)
 
     def time(self) -> float:
-        return self._jumping.now
+        return self._selector_clock.now
 
     def stand_still(self, duration_s: float) -> None:
-        """The process stops in the midst of what it does, as when it is frozen; only the clock goes on."""
-        self._jumping.now += duration_s
+        """Advances the clock without running callbacks, as if the process were paused."""
+        self._selector_clock.now += duration_s
 
 
 class InlineExecutor(Executor):
-    """Does the work at once, in the caller's thread; its result comes with the next turn of the loop."""
+    """Does the work at once in the caller's thread; the loop delivers the result in its next iteration."""
 
     def submit(self, work: Callable[..., Any], /, *args: Any, **kwargs: Any) -> Future[Any]:
         future: Future[Any] = Future()
         try:
             future.set_result(work(*args, **kwargs))
-        except Exception as error:  # noqa: BLE001 - a future carries whatever its work raised
+        except Exception as error:  # noqa: BLE001 - the future carries any error of its work
             future.set_exception(error)
         return future
 
