--- a/pewterring/consensus/backpressure.py
+++ b/pewterring/consensus/backpressure.py
@@ -8,7 +8,7 @@
 
 from pewterring.consensus.errors import StorageFullError
 
-# Short enough to use freed space soon; each attempt on a full disk costs one failed write.
+# Interval between retries: short enough to use freed space soon; each retry costs one failed write.
 DISK_FULL_RETRY_S = 0.2
 
 _Result = TypeVar("_Result")
--- a/pewterring/consensus/departure.py
+++ b/pewterring/consensus/departure.py
@@ -15,7 +15,7 @@
 from pewterring.consensus.messages import DepartureAck, DepartureNotice
 from pewterring.consensus.state import MemberState
 
-# Fraction of the grace period after SIGTERM for which a process waits at most until its vote is replaced. The
+# Fraction of the grace period after SIGTERM that a process waits at most until another voter replaces it. The
 # rest is for its shutdown.
 DEPARTURE_TIMEOUT_FRACTION = 0.5
 
@@ -25,7 +25,7 @@
 
     def __init__(self, state: MemberState) -> None:
         self._state = state
-        self._announced_in: tuple[int, int] | None = None  # term and round of the first announcement
+        self._announced_in: tuple[int, int] | None = None  # term and heartbeat round of the first announcement
         self.is_acknowledged = False
 
     def announce(self) -> None:
--- a/pewterring/consensus/group_environment.py
+++ b/pewterring/consensus/group_environment.py
@@ -46,6 +46,6 @@
 class GroupCallbacks:
     """Callbacks of a group. All are called on the event loop."""
 
-    on_leadership: Callable[[bool], None] = _ignore  # at each change: whether this member leads
-    on_departure: Callable[[], None] = _ignore  # on the leader: a voter announced its departure
-    on_failure: Callable[[GroupFailedError], None] = _ignore  # this member stopped because of an error
+    on_leadership: Callable[[bool], None] = _ignore  # called at each change of whether this member leads
+    on_departure: Callable[[], None] = _ignore  # called on the leader when a voter announces its departure
+    on_failure: Callable[[GroupFailedError], None] = _ignore  # called when an error stopped this member
--- a/pewterring/consensus/leadership_transfer.py
+++ b/pewterring/consensus/leadership_transfer.py
@@ -17,7 +17,7 @@
     def __init__(self, timing: RaftTiming) -> None:
         self._timing = timing
         self._ends_at = inf
-        self._successor: str | None = None  # was sent `TimeoutNow` and may start an election
+        self._successor: str | None = None  # voter that was sent `TimeoutNow` and may start an election
         self.has_notified = False  # whether any successor was sent `TimeoutNow` in this term
 
     @property
--- a/pewterring/consensus/membership_view.py
+++ b/pewterring/consensus/membership_view.py
@@ -53,7 +53,7 @@
 class Candidates:
     """Which members may join and which must leave, by the requests to join or the table of nodes."""
 
-    joining: Sequence[str] = ()  # member names, most preferred first
+    joining: Sequence[str] = ()  # members that may join, most preferred first
     current_names: Mapping[str, str] = field(default_factory=dict)  # address -> member name in use there now
     decommissioning: Set[str] = frozenset()  # members to be removed permanently
 
@@ -64,12 +64,12 @@
 
     membership: Membership
     since_contact_s: Mapping[str, float]
-    lost: Set[str]  # voters among them are to be replaced
-    lost_as_learners: Set[str]  # learners among them are to be removed
-    caught_up: Set[str]  # have on disk all that was committed at the previous check
+    lost: Set[str]  # members that are lost by the rules for voters, and replaced if they vote
+    lost_as_learners: Set[str]  # members that are lost by the rules for learners, and removed if they learn
+    caught_up: Set[str]  # members with all entries on disk that were committed at the previous check
     decommissioning: Set[str]
     departing: Set[str]
-    all_voters_answer: bool  # within `RECENT_CONTACT_S`, in this leadership
+    all_voters_answer: bool  # whether all voters answered this leader within `RECENT_CONTACT_S`
 
     @property
     def lost_voters(self) -> list[str]:
--- a/pewterring/consensus/recovery.py
+++ b/pewterring/consensus/recovery.py
@@ -15,7 +15,7 @@
 from pewterring.consensus.messages import ENTRY_MEMBERS, Entry, Membership
 from pewterring.consensus.persistent import HardState, LoadedGroup
 
-# Elections raise the term at most three times per second: days without a majority stay below this number.
+# Elections raise the term at most three times per second, so days without a majority stay below this step.
 RECOVERY_TERM_STEP = 1_000_000
 
 
--- a/pewterring/consensus/snapshot_schedule.py
+++ b/pewterring/consensus/snapshot_schedule.py
@@ -3,8 +3,9 @@
 import random
 
 SNAPSHOT_AFTER_BYTES = 4_000_000  # bytes of entries applied since the last snapshot
-SNAPSHOT_AFTER_MAX_BYTES = 16_000_000  # the same for large states: bounds disk usage, and replay at the start
-# Random variation, so that the members take their snapshots at different times and not all disks are busy.
+SNAPSHOT_AFTER_MAX_BYTES = 16_000_000  # upper bound for large states: limits disk usage and replay
+# Random variation of the threshold, so that the members take their snapshots at different times and their
+# disks are not all busy at once.
 SNAPSHOT_JITTER_FRACTION = 0.25
 
 
--- a/tests/consensus/group_network.py
+++ b/tests/consensus/group_network.py
@@ -17,7 +17,7 @@
 from tests.consensus.virtual_time import InlineExecutor
 
 NAMES = ("a", "b", "c")
-SMALL_LIMITS = RaftLimits(retained_bytes=1000)  # so that members need snapshots of the small states here
+SMALL_LIMITS = RaftLimits(retained_bytes=1000)  # low, so that members need snapshots of these small states
 
 
 class RecordingStateMachine:
--- a/tests/consensus/planned_simulation.py
+++ b/tests/consensus/planned_simulation.py
@@ -22,7 +22,7 @@
 CATCH_UP_S = 4.8
 POLL_INTERVAL_S = 0.002  # between checks whether a departing process may end
 DOWNTIME_S = 0.5  # from the loss of a machine's disk to its restart
-DEPARTURE_TIMEOUT_S = DEPARTURE_TIMEOUT_FRACTION * 8.0  # `grace_s` is 8
+DEPARTURE_TIMEOUT_S = DEPARTURE_TIMEOUT_FRACTION * 8.0  # the setting `grace_s` is 8 seconds
 
 
 class PlannedSimulation(Simulation):
@@ -58,7 +58,7 @@
         super().join(name)
         self._disk_created_at[name] = self.now
 
-    # The planner
+    # Membership planner
 
     def _run_periodic_check(self) -> None:
         self._plan_members()
@@ -86,7 +86,7 @@
         with contextlib.suppress(ConsensusError):
             raft.propose_membership(change)
             self._pump(member)
-        self._at(self.now + 0.02, self._plan_members)  # by then it is committed
+        self._at(self.now + 0.02, self._plan_members)  # by then the change is committed
 
     def _candidates(self) -> Candidates:
         alive = [name for name, member in self.members.items() if member.raft is not None]
@@ -118,7 +118,7 @@
     def _deliver(self, message: ConsensusMessage) -> None:
         super()._deliver(message)
         if isinstance(message, DepartureNotice):
-            self._plan_members()  # as both programs do
+            self._plan_members()  # both programs plan at once after a notice
 
     def depart(self, name: str) -> Callable[[], bool]:
         """Departs as `ReplicatedGroup.depart` does; returns a predicate: whether the process may end."""
