--- a/pewterring/consensus/departure.py
+++ b/pewterring/consensus/departure.py
@@ -25,7 +25,7 @@
 
     def __init__(self, state: MemberState) -> None:
         self._state = state
-        self._announced_in: tuple[int, int] | None = None  # term and heartbeat round of the first announcement
+        self._announced_in: tuple[int, int] | None = None  # term, round of the first announcement
         self.is_acknowledged = False
 
     def announce(self) -> None:
--- a/pewterring/consensus/raft_driver.py
+++ b/pewterring/consensus/raft_driver.py
@@ -200,7 +200,7 @@
 
     def _begin_save(self, save: Save) -> None:
         if save.snapshot is not None:
-            # The snapshot is restored before it is written, so that no undecodable one is found at the next start.
+            # The snapshot is restored before it is written: the next start must be able to decode it.
             self._machine.restore(save.snapshot.data)
         self._jobs.begin_save(save, lambda: self._saved(save))
 
