--- a/pewterring/consensus/leader.py
+++ b/pewterring/consensus/leader.py
@@ -154,7 +154,7 @@
         state = self._state
         if now < self.due_at:
             return
-        if self._rounds.has_lost_majority(state.voters, now) or self._leadership_transfer.is_over(now):
+        if self._rounds.has_lost_majority(state.voters, now) or self._leadership_transfer.has_timed_out(now):
             state.become_follower(now, state.term, None)
             return
         self._leadership_transfer.notify_again()
--- a/pewterring/consensus/leadership_transfer.py
+++ b/pewterring/consensus/leadership_transfer.py
@@ -30,7 +30,7 @@
         if not self.is_active:
             self._ends_at = now + self._timing.election_min_s
 
-    def is_over(self, now: float) -> bool:
+    def has_timed_out(self, now: float) -> bool:
         """Whether the transfer has timed out: the leader steps down without an elected successor."""
         return now >= self._ends_at
 
