--- a/pewterring/consensus/leader.py
+++ b/pewterring/consensus/leader.py
@@ -157,7 +157,7 @@
         if self._rounds.has_lost_majority(state.voters, now) or self._leadership_transfer.has_timed_out(now):
             state.become_follower(now, state.term, None)
             return
-        self._leadership_transfer.notify_again()
+        self._leadership_transfer.allow_another_notice()
         self._mark_unresponsive(now)
         self._replication.retransmit_overdue(now, state.timing.election_min_s)
         self._begin_round(now)
--- a/pewterring/consensus/leadership_transfer.py
+++ b/pewterring/consensus/leadership_transfer.py
@@ -47,6 +47,6 @@
             self.has_notified = True
         return successor
 
-    def notify_again(self) -> None:
+    def allow_another_notice(self) -> None:
         """Allows another `TimeoutNow`, because the previous one may be lost."""
         self._successor = None
