--- a/pewterring/consensus/leader.py
+++ b/pewterring/consensus/leader.py
@@ -197,7 +197,7 @@
         state = self._state
         if not self.is_transferring_leadership or state.commit_index < state.log.last_index:
             return
-        successor = self._leadership_transfer.choose(self._possible_successors(now))
+        successor = self._leadership_transfer.choose_successor(self._possible_successors(now))
         if successor is not None:
             state.outbox.append(
                 TimeoutNow(group=state.group, sender=state.member, target=successor, term=state.term)
--- a/pewterring/consensus/leadership_transfer.py
+++ b/pewterring/consensus/leadership_transfer.py
@@ -34,7 +34,7 @@
         """Whether the transfer has timed out: the leader steps down without an elected successor."""
         return now >= self._ends_at
 
-    def choose(self, complete: Iterable[str]) -> str | None:
+    def choose_successor(self, complete: Iterable[str]) -> str | None:
         """Returns the voter to send `TimeoutNow` to, the first of `complete`; None if it was sent already.
 
         `complete` are the voters that have the whole log, most preferred first.
