--- a/tests/consensus/virtual_time.py
+++ b/tests/consensus/virtual_time.py
@@ -33,7 +33,7 @@
     def time(self) -> float:
         return self._selector_clock.now
 
-    def stand_still(self, duration_s: float) -> None:
+    def pause_process(self, duration_s: float) -> None:
         """Advances the clock without running callbacks, as if the process were paused."""
         self._selector_clock.now += duration_s
 
--- a/tests/control/test_late_calls.py
+++ b/tests/control/test_late_calls.py
@@ -86,7 +86,7 @@
         loop = asyncio.get_running_loop()
         assert isinstance(loop, VirtualTimeLoop)
         call = relayed_call(GONE, leader)
-        loop.stand_still(PAUSE_S)
+        loop.pause_process(PAUSE_S)
         answer = await leader.router.answer_relayed(call)
         assert answer.too_old
         assert not leader.state.workers
@@ -171,7 +171,7 @@
     machine = leader if leads else follower_of(cluster, leader)
     loop = asyncio.get_running_loop()
     assert isinstance(loop, VirtualTimeLoop)
-    loop.stand_still(PAUSE_S)
+    loop.pause_process(PAUSE_S)
     waited = [machine.router.answer(GONE) for _ in range(3)]  # read before any timer
     assert [answer.status for answer in await asyncio.gather(*waited)] == [503] * 3
     await asyncio.sleep(PAUSE_GRACE_S / 2)  # of a connection that was accepted only now
--- a/tests/control/test_network_partition.py
+++ b/tests/control/test_network_partition.py
@@ -333,11 +333,11 @@
 
     def check_and_freeze() -> None:
         check()
-        loop.stand_still(PARTITION_S)
+        loop.pause_process(PARTITION_S)
 
     async def read_and_freeze() -> None:
         await barrier()
-        loop.stand_still(PARTITION_S)
+        loop.pause_process(PARTITION_S)
 
     leader.leadership.check_lease = check_and_freeze  # type: ignore[method-assign]  # of this object alone
     leader.leadership.read_barrier = read_and_freeze  # type: ignore[method-assign]  # of this object alone
