--- a/tests/consensus/planned_simulation.py
+++ b/tests/consensus/planned_simulation.py
@@ -189,7 +189,7 @@
             voter in self.members and raft.match(voter) >= raft.commit_index for voter in voters
         )
 
-    def until_complete(self) -> float:
+    def run_until_complete(self) -> float:
         """Runs until the group is complete; returns the duration."""
         began_at = self.now
         self.run_until(self.is_complete)
--- a/tests/consensus/test_departure.py
+++ b/tests/consensus/test_departure.py
@@ -71,7 +71,7 @@
         simulation.run(after_s)
         simulation.wipe(*simulation.oldest(tolerated))
         back_at = simulation.now
-        assert simulation.until_complete() < HALF_S
+        assert simulation.run_until_complete() < HALF_S
         simulation.run(back_at + CATCH_UP_S - simulation.now)
     simulation.check_converges()
 
@@ -116,7 +116,7 @@
         while not may_end():
             simulation.run(0.002)
         simulation.lose_for_good(old)
-        assert simulation.until_complete() < HALF_S
+        assert simulation.run_until_complete() < HALF_S
         simulation.check_converges()
 
 
@@ -130,7 +130,7 @@
         simulation = started_simulation(seed, tolerated, spare_learners, spares=1)
         old = follower(simulation)
         assert simulation.depart_for_good(old) < REPLACEMENT_LIMIT_S
-        assert simulation.until_complete() < REPLICATION_LIMIT_S
+        assert simulation.run_until_complete() < REPLICATION_LIMIT_S
 
 
 @kinds
@@ -143,7 +143,7 @@
         old = simulation.leader() or ""
         assert simulation.depart_for_good(old) < REPLACEMENT_LIMIT_S
         assert old not in voters(simulation)
-        assert simulation.until_complete() < REPLICATION_LIMIT_S
+        assert simulation.run_until_complete() < REPLICATION_LIMIT_S
 
 
 @kinds
@@ -318,12 +318,12 @@
         for name in everybody:
             simulation.run_until(simulation.depart(name))
             simulation.crash(name)
-            assert simulation.until_complete() < REPLACEMENT_LIMIT_S
+            assert simulation.run_until_complete() < REPLACEMENT_LIMIT_S
             simulation.write(1.0)
-            assert simulation.until_complete() < REPLICATION_LIMIT_S  # a command may be in flight
+            assert simulation.run_until_complete() < REPLICATION_LIMIT_S  # a command may be in flight
             simulation.start(name)
             simulation.write(1.0)
-            assert simulation.until_complete() < REPLICATION_LIMIT_S
+            assert simulation.run_until_complete() < REPLICATION_LIMIT_S
         assert sorted(simulation.members) == everybody
         simulation.check_converges()
 
@@ -338,7 +338,7 @@
     simulation.start(old)
     simulation.write(1.0)
     simulation.lose_for_good("spare0")
-    assert simulation.until_complete() < HALF_S
+    assert simulation.run_until_complete() < HALF_S
     assert old in voters(simulation)
     simulation.check_converges()
 
@@ -356,7 +356,7 @@
         for name in departing:
             simulation.lose_for_good(name)
         simulation.wipe(*simulation.oldest(2))
-        assert simulation.until_complete() < HALF_S
+        assert simulation.run_until_complete() < HALF_S
         simulation.check_converges()
 
 
--- a/tests/consensus/test_losses.py
+++ b/tests/consensus/test_losses.py
@@ -32,7 +32,7 @@
             simulation.write(0.3)
             simulation.wipe(*simulation.oldest(tolerated))
             back_at = simulation.now
-            assert simulation.until_complete() < HALF_S
+            assert simulation.run_until_complete() < HALF_S
             simulation.write(back_at + CATCH_UP_S - simulation.now)
         simulation.check_converges()
 
@@ -51,7 +51,7 @@
             for new in range(tolerated):
                 simulation.join(f"new{number}.{new}")
             started_at = simulation.now
-            assert simulation.until_complete() < HALF_S
+            assert simulation.run_until_complete() < HALF_S
             simulation.write(started_at + CATCH_UP_S - simulation.now)
         simulation.check_converges()
 
@@ -75,7 +75,7 @@
             simulation.start(name)
         for number in range(tolerated):
             simulation.join(f"{wiped[number]}#new")
-        assert simulation.until_complete() < HALF_S
+        assert simulation.run_until_complete() < HALF_S
         simulation.check_converges()
 
 
@@ -89,7 +89,7 @@
             started_at = simulation.now
             simulation.write(1.0)
             simulation.stop_for_good(simulation.oldest()[0])
-            assert simulation.until_complete() < HALF_S
+            assert simulation.run_until_complete() < HALF_S
             simulation.write(started_at + CATCH_UP_S - simulation.now)
         simulation.check_converges()
 
@@ -105,7 +105,7 @@
         simulation.run(point * 0.07)
         simulation.wipe(simulation.leader() or "")
         back_at = simulation.now
-        assert simulation.until_complete() < HALF_S
+        assert simulation.run_until_complete() < HALF_S
         simulation.write(back_at + CATCH_UP_S - simulation.now)
         simulation.wipe(*simulation.oldest(2))
         simulation.check_converges()
@@ -127,7 +127,7 @@
         simulation.lose_for_good(others[1])
         simulation.decommissioning = set()
         simulation.wipe(*simulation.oldest(tolerated))
-        assert simulation.until_complete() < HALF_S
+        assert simulation.run_until_complete() < HALF_S
         simulation.check_converges()
 
 
@@ -136,7 +136,7 @@
     gone = next(name for name in simulation.oldest(3) if name != simulation.leader())
     simulation.crash(gone)
     simulation.run(1.5)
-    assert simulation.until_complete() < HALF_S
+    assert simulation.run_until_complete() < HALF_S
     assert gone not in simulation.leader_raft().membership.voters
     term = simulation.leader_raft().term
     simulation.start(gone)
