--- a/tests/consensus/planned_simulation.py
+++ b/tests/consensus/planned_simulation.py
@@ -95,7 +95,7 @@
 
     # Losses of machines and disks
 
-    def oldest(self, count: int = 1) -> list[str]:
+    def oldest_voters(self, count: int = 1) -> list[str]:
         """Returns the `count` voters with the oldest disks."""
         voters = [name for name in self.leader_raft().membership.voters if name in self.members]
         return sorted(voters, key=lambda name: (self._disk_created_at[name], name))[:count]
--- a/tests/consensus/test_departure.py
+++ b/tests/consensus/test_departure.py
@@ -67,9 +67,9 @@
         simulation.write(0.3)  # more commands, so that copying the state takes time
         simulation.run(CATCH_UP_S)
         simulation.propose_and_wait(f"last write {number}")
-        simulation.depart_for_good(simulation.oldest()[0])
+        simulation.depart_for_good(simulation.oldest_voters()[0])
         simulation.run(after_s)
-        simulation.wipe(*simulation.oldest(tolerated))
+        simulation.wipe(*simulation.oldest_voters(tolerated))
         back_at = simulation.now
         assert simulation.run_until_complete() < HALF_S
         simulation.run(back_at + CATCH_UP_S - simulation.now)
@@ -109,7 +109,7 @@
         simulation = started_simulation(seed, tolerated, spare_learners)
         simulation.join("new")
         simulation.run(CATCH_UP_S)
-        old, *others = simulation.oldest(tolerated + 1)
+        old, *others = simulation.oldest_voters(tolerated + 1)
         may_end = simulation.depart(old)
         simulation.run(rng.uniform(0.0, 0.06))
         simulation.wipe(*others)
@@ -355,7 +355,7 @@
         simulation.run_until(lambda ends=ends: all(may_end() for may_end in ends))  # type: ignore[misc]
         for name in departing:
             simulation.lose_for_good(name)
-        simulation.wipe(*simulation.oldest(2))
+        simulation.wipe(*simulation.oldest_voters(2))
         assert simulation.run_until_complete() < HALF_S
         simulation.check_converges()
 
--- a/tests/consensus/test_losses.py
+++ b/tests/consensus/test_losses.py
@@ -30,7 +30,7 @@
         simulation = started(seed, tolerated, spare_learners)
         for _ in range(ROUNDS):
             simulation.write(0.3)
-            simulation.wipe(*simulation.oldest(tolerated))
+            simulation.wipe(*simulation.oldest_voters(tolerated))
             back_at = simulation.now
             assert simulation.run_until_complete() < HALF_S
             simulation.write(back_at + CATCH_UP_S - simulation.now)
@@ -45,7 +45,7 @@
         simulation = started(seed, tolerated, spare_learners)
         for number in range(ROUNDS):
             simulation.propose_and_wait(f"last words {number}")
-            for name in simulation.oldest(tolerated):
+            for name in simulation.oldest_voters(tolerated):
                 simulation.lose_for_good(name)
             simulation.run(1.0)
             for new in range(tolerated):
@@ -64,7 +64,7 @@
     for seed in range(6):
         simulation = started(seed, tolerated, spare_learners, spares=1)
         simulation.propose_and_wait("last words")
-        wiped = simulation.oldest(tolerated)
+        wiped = simulation.oldest_voters(tolerated)
         others = [name for name in simulation.members if name not in wiped]
         for name in others:
             simulation.crash(name, saves_lost=True)
@@ -88,7 +88,7 @@
             simulation.join(f"new{number}")
             started_at = simulation.now
             simulation.write(1.0)
-            simulation.stop_for_good(simulation.oldest()[0])
+            simulation.stop_for_good(simulation.oldest_voters()[0])
             assert simulation.run_until_complete() < HALF_S
             simulation.write(started_at + CATCH_UP_S - simulation.now)
         simulation.check_converges()
@@ -99,7 +99,7 @@
     """Another machine is already away for good; with two losses allowed the leader may go as well."""
     for point in range(12):
         simulation = started(point, 2, spare_learners, spares=1)
-        follower = next(name for name in simulation.oldest(5) if name != simulation.leader())
+        follower = next(name for name in simulation.oldest_voters(5) if name != simulation.leader())
         simulation.lose_for_good(follower)
         simulation.write(1.2)
         simulation.run(point * 0.07)
@@ -107,7 +107,7 @@
         back_at = simulation.now
         assert simulation.run_until_complete() < HALF_S
         simulation.write(back_at + CATCH_UP_S - simulation.now)
-        simulation.wipe(*simulation.oldest(2))
+        simulation.wipe(*simulation.oldest_voters(2))
         simulation.check_converges()
 
 
@@ -117,7 +117,7 @@
     """While another voter was frozen the one that leaves was the only one beside the leader that held all."""
     for seed in range(3):
         simulation = started(seed, tolerated, spare_learners, spares=1)
-        others = [name for name in simulation.oldest(5) if name != simulation.leader()]
+        others = [name for name in simulation.oldest_voters(5) if name != simulation.leader()]
         simulation.freeze(others[0])
         simulation.decommissioning = {others[1]}
         simulation.write(1.0)
@@ -126,14 +126,14 @@
             simulation.write(0.02)
         simulation.lose_for_good(others[1])
         simulation.decommissioning = set()
-        simulation.wipe(*simulation.oldest(tolerated))
+        simulation.wipe(*simulation.oldest_voters(tolerated))
         assert simulation.run_until_complete() < HALF_S
         simulation.check_converges()
 
 
 def test_a_member_that_was_removed_and_returns_with_its_old_disk_does_not_count() -> None:
     simulation = started(1, 1, 0, spares=1)
-    gone = next(name for name in simulation.oldest(3) if name != simulation.leader())
+    gone = next(name for name in simulation.oldest_voters(3) if name != simulation.leader())
     simulation.crash(gone)
     simulation.run(1.5)
     assert simulation.run_until_complete() < HALF_S
@@ -143,7 +143,7 @@
     simulation.write(3.0)
     assert simulation.leader_raft().term == term, "it unsettles nobody"
     assert gone not in simulation.leader_raft().membership.voters
-    other = next(name for name in simulation.oldest(3) if name != simulation.leader())
+    other = next(name for name in simulation.oldest_voters(3) if name != simulation.leader())
     simulation.crash(other)
     simulation.isolate("spare0")
     simulation.written += 1
@@ -157,6 +157,6 @@
 def test_two_losses_at_once_are_more_than_one_may_bear() -> None:
     """The check itself: where the second loss comes too early, the group does not come back."""
     simulation = started(1, 1, 0)
-    simulation.wipe(*simulation.oldest(2))
+    simulation.wipe(*simulation.oldest_voters(2))
     with pytest.raises(SafetyViolationError):
         simulation.check_converges()
