--- a/tests/consensus/planned_simulation.py
+++ b/tests/consensus/planned_simulation.py
@@ -42,7 +42,7 @@
         super().__init__(seed, voters_needed(tolerated), raft_class)
         self.tolerated = tolerated
         self.decommissioning: set[str] = set()
-        self.written = 0
+        self.command_count = 0
         self._spare_learners = spare_learners
         self._interval_s = (
             LEADER_CHECK_INTERVAL_S if spare_learners == ALL_SPARES else MEMBERSHIP_CHECK_PERIOD_S
@@ -167,8 +167,8 @@
         """Proposes commands at the leader for `seconds`."""
         end = self.now + seconds
         while self.now < end:
-            self.written += 1
-            self.propose(f"command {self.written}")
+            self.command_count += 1
+            self.propose(f"command {self.command_count}")
             self.run(0.02)
 
     def propose_and_wait(self, text: str) -> None:
--- a/tests/consensus/test_losses.py
+++ b/tests/consensus/test_losses.py
@@ -146,7 +146,7 @@
     other = next(name for name in simulation.oldest_voters(3) if name != simulation.leader())
     simulation.crash(other)
     simulation.isolate("spare0")
-    simulation.written += 1
+    simulation.command_count += 1
     before = len(simulation.acknowledged)
     simulation.propose("not by the one that was removed")
     simulation.run(0.6)
