--- a/pewterring/consensus/leadership_transfer.py
+++ b/pewterring/consensus/leadership_transfer.py
@@ -35,9 +35,9 @@
         return now >= self._ends_at
 
     def choose_successor(self, complete: Iterable[str]) -> str | None:
-        """Returns the voter to send `TimeoutNow` to, the first of `complete`; None if it was sent already.
+        """Returns the voter to send `TimeoutNow` to: the first of `complete`, those with the complete log.
 
-        `complete` are the voters that have the whole log, most preferred first.
+        Returns None if no transfer is active, if there is no such voter, or if a voter was chosen already.
         """
         if not self.is_active or self._successor is not None:
             return None
--- a/pewterring/consensus/membership_view.py
+++ b/pewterring/consensus/membership_view.py
@@ -1,8 +1,8 @@
 """The state of a group's members as its leader sees it: lost, caught up, departing, decommissioned.
 
 A member is lost if it has not answered for a fraction of `catch_up_s`, the bound on the time that a member
-may take to catch up; or if another member name is in use at its address, which means that its disk was lost;
-or if it announced its departure and no longer answers.
+may take to catch up. It is lost sooner, after `RECENT_CONTACT_S` without an answer, if it announced its
+departure, or if another member name is in use at its address, which means that its disk was lost.
 """
 
 from collections.abc import Mapping, Sequence, Set
@@ -64,8 +64,8 @@
 
     membership: Membership
     since_contact_s: Mapping[str, float]
-    lost: Set[str]  # members that are lost by the rules for voters, and replaced if they vote
-    lost_as_learners: Set[str]  # members that are lost by the rules for learners, and removed if they learn
+    lost: Set[str]  # members that are lost by the rule for voters
+    lost_as_learners: Set[str]  # members that are lost by the rule for learners
     caught_up: Set[str]  # members with all entries on disk that were committed at the previous check
     decommissioning: Set[str]
     departing: Set[str]
@@ -117,7 +117,7 @@
 
     @property
     def removable_learners(self) -> list[str]:
-        """Learners to remove: unresponsive for too long, replaced at their address, or decommissioned."""
+        """Learners to remove: lost by the rule for learners, or decommissioned."""
         excluded = self.lost_as_learners | self.decommissioning
         return [learner for learner in self.membership.learners if learner in excluded]
 
--- a/tests/consensus/planned_simulation.py
+++ b/tests/consensus/planned_simulation.py
@@ -101,6 +101,7 @@
         return sorted(voters, key=lambda name: (self._disk_created_at[name], name))[:count]
 
     def lose_for_good(self, name: str) -> None:
+        """Crashes a machine, which never returns."""
         self.crash(name, saves_lost=True)
         del self.members[name]
 
--- a/tests/consensus/test_departure.py
+++ b/tests/consensus/test_departure.py
@@ -27,7 +27,7 @@
 from tests.consensus.raft_breakages import AcceptsLateDepartures, IgnoresDepartures
 from tests.consensus.simulated_members import SafetyViolationError
 from tests.consensus.test_losses import HALF_S, kinds, tolerated_losses
-from tests.consensus.test_membership_planner import VoterState, breaks_a_rule, every_group
+from tests.consensus.test_membership_planner import VoterState, all_groups, find_violation
 from tests.consensus.virtual_time import run
 
 ROUNDS = 3
@@ -351,8 +351,8 @@
     for seed in range(4):
         simulation = started_simulation(seed, 2, spare_learners, spares=2)
         departing = [follower(simulation, number) for number in range(2)]
-        ends = [simulation.depart(name) for name in departing]
-        simulation.run_until(lambda ends=ends: all(may_end() for may_end in ends))  # type: ignore[misc]
+        checks = [simulation.depart(name) for name in departing]
+        simulation.run_until(lambda checks=checks: all(may_end() for may_end in checks))  # type: ignore[misc]
         for name in departing:
             simulation.lose_for_good(name)
         simulation.wipe(*simulation.oldest_voters(2))
@@ -367,11 +367,11 @@
     for seed in range(4):
         simulation = started_simulation(seed, tolerated, spare_learners, spares=1)
         departing = [follower(simulation, number) for number in range(2)]
-        ends = [simulation.depart(name) for name in departing]
-        simulation.run_until(lambda ends=ends: any(may_end() for may_end in ends))  # type: ignore[misc]
+        checks = [simulation.depart(name) for name in departing]
+        simulation.run_until(lambda checks=checks: any(may_end() for may_end in checks))  # type: ignore[misc]
         simulation.write(0.5)
         assert len(voters(simulation)) == 2 * tolerated + 1
-        assert [may_end() for may_end in ends].count(True) == 1
+        assert [may_end() for may_end in checks].count(True) == 1
         assert len(set(departing) & set(voters(simulation))) == 1
         assert simulation.is_complete()
 
@@ -409,16 +409,16 @@
     tolerated: int, states: tuple[VoterState, ...]
 ) -> None:
     """Any number of voters depart; those that were not replaced cancel the departure."""
-    groups = every_group(tolerated, voter_states=(*states, VoterState.DEPARTING))
+    groups = all_groups(tolerated, voter_states=(*states, VoterState.DEPARTING))
     assert len(groups) > 60
     for group in groups:
         departing = set(group.departing)
-        assert breaks_a_rule(group, tolerated) == ""
+        assert find_violation(group, tolerated) == ""
         ready = [spare for spare in (F, G)[:tolerated] if group.match(spare)]
         removed = departing - set(group.membership.voters)
         assert len(removed) <= len(ready), "a voter was removed without a learner that replaces it"
         group.departing = set()
-        assert breaks_a_rule(group, tolerated) == ""
+        assert find_violation(group, tolerated) == ""
 
 
 @kinds
--- a/tests/consensus/test_membership_planner.py
+++ b/tests/consensus/test_membership_planner.py
@@ -299,7 +299,7 @@
 # All combinations of member states, run until no change is due
 
 
-def every_group(
+def all_groups(
     tolerated: int,
     planner_class: type[MembershipPlanner] = MembershipPlanner,
     voter_states: tuple[VoterState, ...] = (VoterState.HEALTHY, VoterState.LOST, VoterState.DECOMMISSIONED),
@@ -339,7 +339,7 @@
     return groups
 
 
-def breaks_a_rule(group: PlannedGroupStandIn, tolerated: int) -> str:
+def find_violation(group: PlannedGroupStandIn, tolerated: int) -> str:
     """Returns a description of the first rule that the planner's changes break; empty if they break none."""
     before = group.membership
     for after in group.run(15.0):
@@ -361,15 +361,15 @@
 @pytest.mark.parametrize("spares", [0, 1, 2])
 @pytest.mark.parametrize("tolerated", [1, 2])
 def test_no_change_lowers_how_many_losses_are_tolerated(tolerated: int, spares: int) -> None:
-    groups = every_group(tolerated, spare_learners=spares)
+    groups = all_groups(tolerated, spare_learners=spares)
     assert len(groups) > 20
-    assert [violation for group in groups if (violation := breaks_a_rule(group, tolerated))] == []
+    assert [violation for group in groups if (violation := find_violation(group, tolerated))] == []
 
 
 @pytest.mark.parametrize("spares", [0, 1, 2])
 @pytest.mark.parametrize("tolerated", [1, 2])
 def test_the_group_is_complete_if_enough_members_are_ready(tolerated: int, spares: int) -> None:
-    for group in every_group(tolerated, spare_learners=spares):
+    for group in all_groups(tolerated, spare_learners=spares):
         group.joining = [member for member in group.joining if group.match(member)]
         group.run(15.0)
         healthy = [voter for voter in group.membership.voters if voter in group.alive - group.decommissioning]
--- a/tests/consensus/test_membership_planner_breakages.py
+++ b/tests/consensus/test_membership_planner_breakages.py
@@ -5,7 +5,7 @@
 from pewterring.consensus.membership_planner import MembershipPlanner
 from pewterring.consensus.membership_view import Candidates, PlannedGroup
 from pewterring.consensus.messages import Membership
-from tests.consensus.test_membership_planner import breaks_a_rule, every_group
+from tests.consensus.test_membership_planner import all_groups, find_violation
 
 
 class _AppearsCaughtUp:
@@ -100,10 +100,10 @@
 
 @pytest.mark.parametrize(("planner_class", "tolerated"), BREAKAGES)
 def test_a_broken_planner_is_detected(planner_class: type[MembershipPlanner], tolerated: int) -> None:
-    groups = every_group(tolerated, planner_class)
-    assert any(breaks_a_rule(group, tolerated) for group in groups)
+    groups = all_groups(tolerated, planner_class)
+    assert any(find_violation(group, tolerated) for group in groups)
 
 
 def test_the_correct_planner_breaks_no_rule() -> None:
     for tolerated in (1, 2):
-        assert not any(breaks_a_rule(group, tolerated) for group in every_group(tolerated))
+        assert not any(find_violation(group, tolerated) for group in all_groups(tolerated))
