--- a/pewterring/consensus/leader.py
+++ b/pewterring/consensus/leader.py
@@ -154,10 +154,10 @@
         state = self._state
         if now < self.due_at:
             return
-        if self._rounds.has_lost_majority(state.voters, now) or self._leadership_transfer.is_over(now):
+        if self._rounds.has_lost_majority(state.voters, now) or self._leadership_transfer.has_timed_out(now):
             state.become_follower(now, state.term, None)
             return
-        self._leadership_transfer.notify_again()
+        self._leadership_transfer.allow_another_notice()
         self._mark_unresponsive(now)
         self._replication.retransmit_overdue(now, state.timing.election_min_s)
         self._begin_round(now)
@@ -197,7 +197,7 @@
         state = self._state
         if not self.is_transferring_leadership or state.commit_index < state.log.last_index:
             return
-        successor = self._leadership_transfer.choose(self._possible_successors(now))
+        successor = self._leadership_transfer.choose_successor(self._possible_successors(now))
         if successor is not None:
             state.outbox.append(
                 TimeoutNow(group=state.group, sender=state.member, target=successor, term=state.term)
