--- a/tests/consensus/test_losses.py
+++ b/tests/consensus/test_losses.py
@@ -32,10 +32,10 @@
         simulation = start_group(seed, tolerated, spare_learners)
         for _ in range(ROUNDS):
             simulation.write(0.3)
-            simulation.wipe(*simulation.oldest(tolerated))
-            wiped_at = simulation.now
-            assert simulation.until_complete() < HALF_S
-            simulation.write(wiped_at + CATCH_UP_S - simulation.now)
+            simulation.wipe(*simulation.oldest_voters(tolerated))
+            restarted_at = simulation.now
+            assert simulation.run_until_complete() < HALF_S
+            simulation.write(restarted_at + CATCH_UP_S - simulation.now)
         simulation.check_converges()
 
 
@@ -49,13 +49,13 @@
         simulation = start_group(seed, tolerated, spare_learners)
         for number in range(ROUNDS):
             simulation.propose_and_wait(f"last words {number}")
-            for name in simulation.oldest(tolerated):
+            for name in simulation.oldest_voters(tolerated):
                 simulation.lose_for_good(name)
             simulation.run(1.0)
             for new in range(tolerated):
                 simulation.join(f"new{number}.{new}")
             started_at = simulation.now
-            assert simulation.until_complete() < HALF_S
+            assert simulation.run_until_complete() < HALF_S
             simulation.write(started_at + CATCH_UP_S - simulation.now)
         simulation.check_converges()
 
@@ -68,7 +68,7 @@
     for seed in range(6):
         simulation = start_group(seed, tolerated, spare_learners, spares=1)
         simulation.propose_and_wait("last words")
-        wiped = simulation.oldest(tolerated)
+        wiped = simulation.oldest_voters(tolerated)
         others = [name for name in simulation.members if name not in wiped]
         for name in others:
             simulation.crash(name, saves_lost=True)
@@ -79,7 +79,7 @@
             simulation.start(name)
         for number in range(tolerated):
             simulation.join(f"{wiped[number]}#new")
-        assert simulation.until_complete() < HALF_S
+        assert simulation.run_until_complete() < HALF_S
         simulation.check_converges()
 
 
@@ -94,8 +94,8 @@
             simulation.join(f"new{number}")
             started_at = simulation.now
             simulation.write(1.0)
-            simulation.stop_for_good(simulation.oldest()[0])
-            assert simulation.until_complete() < HALF_S
+            simulation.stop_for_good(simulation.oldest_voters()[0])
+            assert simulation.run_until_complete() < HALF_S
             simulation.write(started_at + CATCH_UP_S - simulation.now)
         simulation.check_converges()
 
@@ -107,15 +107,15 @@
     """Another machine was lost before; as two losses are tolerated, the leader may be lost as well."""
     for point in range(12):
         simulation = start_group(point, 2, spare_learners, spares=1)
-        follower = next(name for name in simulation.oldest(5) if name != simulation.leader())
+        follower = next(name for name in simulation.oldest_voters(5) if name != simulation.leader())
         simulation.lose_for_good(follower)
         simulation.write(1.2)
         simulation.run(point * 0.07)
         simulation.wipe(simulation.leader() or "")
-        wiped_at = simulation.now
-        assert simulation.until_complete() < HALF_S
-        simulation.write(wiped_at + CATCH_UP_S - simulation.now)
-        simulation.wipe(*simulation.oldest(2))
+        restarted_at = simulation.now
+        assert simulation.run_until_complete() < HALF_S
+        simulation.write(restarted_at + CATCH_UP_S - simulation.now)
+        simulation.wipe(*simulation.oldest_voters(2))
         simulation.check_converges()
 
 
@@ -127,7 +127,7 @@
     """While another voter was frozen, only the leader and the decommissioned voter had all entries."""
     for seed in range(3):
         simulation = start_group(seed, tolerated, spare_learners, spares=1)
-        others = [name for name in simulation.oldest(5) if name != simulation.leader()]
+        others = [name for name in simulation.oldest_voters(5) if name != simulation.leader()]
         simulation.freeze(others[0])
         simulation.decommissioning = {others[1]}
         simulation.write(1.0)
@@ -136,27 +136,27 @@
             simulation.write(0.02)
         simulation.lose_for_good(others[1])
         simulation.decommissioning = set()
-        simulation.wipe(*simulation.oldest(tolerated))
-        assert simulation.until_complete() < HALF_S
+        simulation.wipe(*simulation.oldest_voters(tolerated))
+        assert simulation.run_until_complete() < HALF_S
         simulation.check_converges()
 
 
 def test_a_removed_member_that_returns_with_its_old_disk_has_no_vote() -> None:
     simulation = start_group(1, 1, 0, spares=1)
-    removed = next(name for name in simulation.oldest(3) if name != simulation.leader())
+    removed = next(name for name in simulation.oldest_voters(3) if name != simulation.leader())
     simulation.crash(removed)
     simulation.run(1.5)
-    assert simulation.until_complete() < HALF_S
+    assert simulation.run_until_complete() < HALF_S
     assert removed not in simulation.leader_raft().membership.voters
     term = simulation.leader_raft().term
     simulation.start(removed)
     simulation.write(3.0)
     assert simulation.leader_raft().term == term, "the removed member must cause no election"
     assert removed not in simulation.leader_raft().membership.voters
-    other = next(name for name in simulation.oldest(3) if name != simulation.leader())
+    other = next(name for name in simulation.oldest_voters(3) if name != simulation.leader())
     simulation.crash(other)
     simulation.isolate("spare0")
-    simulation.written += 1
+    simulation.command_count += 1
     before = len(simulation.acknowledged)
     simulation.propose("not committed with the removed member")
     simulation.run(0.6)
@@ -167,6 +167,6 @@
 def test_two_simultaneous_losses_are_detected_where_one_is_tolerated() -> None:
     """Verifies the check itself: the group does not recover if the second loss is too early."""
     simulation = start_group(1, 1, 0)
-    simulation.wipe(*simulation.oldest(2))
+    simulation.wipe(*simulation.oldest_voters(2))
     with pytest.raises(SafetyViolationError):
         simulation.check_converges()
