--- a/tests/consensus/test_departure.py
+++ b/tests/consensus/test_departure.py
@@ -26,7 +26,7 @@
 from tests.consensus.planned_simulation import CATCH_UP_S, DEPARTURE_TIMEOUT_S, PlannedSimulation
 from tests.consensus.raft_breakages import AcceptsLateDepartures, IgnoresDepartures
 from tests.consensus.simulated_members import SafetyViolationError
-from tests.consensus.test_losses import HALF_S, kinds, tolerated_losses
+from tests.consensus.test_losses import RECOVERY_TIMEOUT_S, kinds, tolerated_losses
 from tests.consensus.test_membership_planner import VoterState, all_groups, find_violation
 from tests.consensus.virtual_time import run
 
@@ -71,7 +71,7 @@
         simulation.run(after_s)
         simulation.wipe(*simulation.oldest_voters(tolerated))
         back_at = simulation.now
-        assert simulation.run_until_complete() < HALF_S
+        assert simulation.run_until_complete() < RECOVERY_TIMEOUT_S
         simulation.run(back_at + CATCH_UP_S - simulation.now)
     simulation.check_converges()
 
@@ -116,7 +116,7 @@
         while not may_end():
             simulation.run(0.002)
         simulation.lose_for_good(old)
-        assert simulation.run_until_complete() < HALF_S
+        assert simulation.run_until_complete() < RECOVERY_TIMEOUT_S
         simulation.check_converges()
 
 
@@ -338,7 +338,7 @@
     simulation.start(old)
     simulation.write(1.0)
     simulation.lose_for_good("spare0")
-    assert simulation.run_until_complete() < HALF_S
+    assert simulation.run_until_complete() < RECOVERY_TIMEOUT_S
     assert old in voters(simulation)
     simulation.check_converges()
 
@@ -356,7 +356,7 @@
         for name in departing:
             simulation.lose_for_good(name)
         simulation.wipe(*simulation.oldest_voters(2))
-        assert simulation.run_until_complete() < HALF_S
+        assert simulation.run_until_complete() < RECOVERY_TIMEOUT_S
         simulation.check_converges()
 
 
--- a/tests/consensus/test_losses.py
+++ b/tests/consensus/test_losses.py
@@ -10,7 +10,7 @@
 from tests.consensus.planned_simulation import CATCH_UP_S, PlannedSimulation
 from tests.consensus.simulated_members import SafetyViolationError
 
-HALF_S = CATCH_UP_S / 2
+RECOVERY_TIMEOUT_S = CATCH_UP_S / 2
 ROUNDS = 4
 kinds = pytest.mark.parametrize("spare_learners", [0, 1, ALL_SPARES], ids=["none", "batch", "control"])
 tolerated_losses = pytest.mark.parametrize("tolerated", [1, 2])
@@ -34,7 +34,7 @@
             simulation.write(0.3)
             simulation.wipe(*simulation.oldest_voters(tolerated))
             restarted_at = simulation.now
-            assert simulation.run_until_complete() < HALF_S
+            assert simulation.run_until_complete() < RECOVERY_TIMEOUT_S
             simulation.write(restarted_at + CATCH_UP_S - simulation.now)
         simulation.check_converges()
 
@@ -55,7 +55,7 @@
             for new in range(tolerated):
                 simulation.join(f"new{number}.{new}")
             started_at = simulation.now
-            assert simulation.run_until_complete() < HALF_S
+            assert simulation.run_until_complete() < RECOVERY_TIMEOUT_S
             simulation.write(started_at + CATCH_UP_S - simulation.now)
         simulation.check_converges()
 
@@ -79,7 +79,7 @@
             simulation.start(name)
         for number in range(tolerated):
             simulation.join(f"{wiped[number]}#new")
-        assert simulation.run_until_complete() < HALF_S
+        assert simulation.run_until_complete() < RECOVERY_TIMEOUT_S
         simulation.check_converges()
 
 
@@ -95,7 +95,7 @@
             started_at = simulation.now
             simulation.write(1.0)
             simulation.stop_for_good(simulation.oldest_voters()[0])
-            assert simulation.run_until_complete() < HALF_S
+            assert simulation.run_until_complete() < RECOVERY_TIMEOUT_S
             simulation.write(started_at + CATCH_UP_S - simulation.now)
         simulation.check_converges()
 
@@ -113,7 +113,7 @@
         simulation.run(point * 0.07)
         simulation.wipe(simulation.leader() or "")
         restarted_at = simulation.now
-        assert simulation.run_until_complete() < HALF_S
+        assert simulation.run_until_complete() < RECOVERY_TIMEOUT_S
         simulation.write(restarted_at + CATCH_UP_S - simulation.now)
         simulation.wipe(*simulation.oldest_voters(2))
         simulation.check_converges()
@@ -137,7 +137,7 @@
         simulation.lose_for_good(others[1])
         simulation.decommissioning = set()
         simulation.wipe(*simulation.oldest_voters(tolerated))
-        assert simulation.run_until_complete() < HALF_S
+        assert simulation.run_until_complete() < RECOVERY_TIMEOUT_S
         simulation.check_converges()
 
 
@@ -146,7 +146,7 @@
     removed = next(name for name in simulation.oldest_voters(3) if name != simulation.leader())
     simulation.crash(removed)
     simulation.run(1.5)
-    assert simulation.run_until_complete() < HALF_S
+    assert simulation.run_until_complete() < RECOVERY_TIMEOUT_S
     assert removed not in simulation.leader_raft().membership.voters
     term = simulation.leader_raft().term
     simulation.start(removed)
