--- a/tests/consensus/test_departure.py
+++ b/tests/consensus/test_departure.py
@@ -26,7 +26,7 @@
 from tests.consensus.planned_simulation import CATCH_UP_S, DEPARTURE_TIMEOUT_S, PlannedSimulation
 from tests.consensus.raft_breakages import AcceptsLateDepartures, IgnoresDepartures
 from tests.consensus.simulated_members import SafetyViolationError
-from tests.consensus.test_losses import RECOVERY_TIMEOUT_S, kinds, tolerated_losses
+from tests.consensus.test_losses import RECOVERY_TIMEOUT_S, spare_learner_counts, tolerated_losses
 from tests.consensus.test_membership_planner import VoterState, all_groups, find_violation
 from tests.consensus.virtual_time import run
 
@@ -76,14 +76,14 @@
     simulation.check_converges()
 
 
-@kinds
+@spare_learner_counts
 @tolerated_losses
 def test_other_disks_are_lost_when_the_old_machine_ends(tolerated: int, spare_learners: int) -> None:
     for seed in range(3):
         planned_replacement(seed, tolerated, spare_learners, 0.0)
 
 
-@kinds
+@spare_learner_counts
 @tolerated_losses
 def test_other_disks_are_lost_soon_after_the_old_machine_ended(tolerated: int, spare_learners: int) -> None:
     rng = random.Random("soon after")
@@ -91,14 +91,14 @@
         planned_replacement(seed, tolerated, spare_learners, rng.uniform(0.0, MAX_LOSS_DELAY_S))
 
 
-@kinds
+@spare_learner_counts
 @tolerated_losses
 def test_a_leader_that_ignores_departures_is_detected(tolerated: int, spare_learners: int) -> None:
     with pytest.raises((SafetyViolationError, AssertionError)):
         planned_replacement(0, tolerated, spare_learners, 0.0, IgnoresDepartures)
 
 
-@kinds
+@spare_learner_counts
 @tolerated_losses
 def test_other_disks_are_lost_while_the_old_machine_waits_for_its_replacement(
     tolerated: int, spare_learners: int
@@ -123,7 +123,7 @@
 # Duration of a replacement
 
 
-@kinds
+@spare_learner_counts
 @tolerated_losses
 def test_a_voter_is_replaced_soon_after_sigterm(tolerated: int, spare_learners: int) -> None:
     for seed in range(5):
@@ -133,7 +133,7 @@
         assert simulation.run_until_complete() < REPLICATION_LIMIT_S
 
 
-@kinds
+@spare_learner_counts
 @tolerated_losses
 def test_a_departing_leader_transfers_its_leadership_and_is_replaced(
     tolerated: int, spare_learners: int
@@ -146,7 +146,7 @@
         assert simulation.run_until_complete() < REPLICATION_LIMIT_S
 
 
-@kinds
+@spare_learner_counts
 def test_a_replacement_completes_although_the_leader_crashes(spare_learners: int) -> None:
     """The next leader learns of the departure from the first reply, and continues the replacement."""
     for point in range(10):
@@ -165,7 +165,7 @@
 # Lost, duplicated and delayed messages
 
 
-@kinds
+@spare_learner_counts
 def test_a_lost_notice_is_repeated(spare_learners: int) -> None:
     simulation = started_simulation(1, 1, spare_learners, spares=1)
     lost: list[ConsensusMessage] = []
@@ -184,7 +184,7 @@
     assert simulation.is_complete()
 
 
-@kinds
+@spare_learner_counts
 def test_a_departure_announced_only_in_replies_is_recognized(spare_learners: int) -> None:
     simulation = started_simulation(2, 1, spare_learners, spares=1)
     simulation.drops = lambda message: isinstance(message, DepartureNotice)
@@ -192,7 +192,7 @@
     assert simulation.is_complete()
 
 
-@kinds
+@spare_learner_counts
 def test_a_lost_acknowledgement_is_repeated(spare_learners: int) -> None:
     simulation = started_simulation(3, 1, spare_learners, spares=1)
     lost: list[ConsensusMessage] = []
@@ -208,7 +208,7 @@
     assert len(lost) == 3
 
 
-@kinds
+@spare_learner_counts
 def test_a_departing_process_waits_no_longer_than_its_timeout(spare_learners: int) -> None:
     simulation = started_simulation(4, 1, spare_learners, spares=1)
     old = follower(simulation)
@@ -246,7 +246,7 @@
     simulation.check_converges()
 
 
-@kinds
+@spare_learner_counts
 def test_a_late_notice_does_not_affect_a_later_incarnation(spare_learners: int) -> None:
     restart_and_late_notices(spare_learners)
 
@@ -290,7 +290,7 @@
 # Restarts
 
 
-@kinds
+@spare_learner_counts
 @tolerated_losses
 def test_a_restart_without_a_spare_changes_nothing(tolerated: int, spare_learners: int) -> None:
     for seed in range(3):
@@ -308,7 +308,7 @@
         simulation.check_converges()
 
 
-@kinds
+@spare_learner_counts
 @tolerated_losses
 def test_rolling_restarts_with_a_spare_keep_the_group_complete(tolerated: int, spare_learners: int) -> None:
     """A replaced member restarts with its disk, and is the spare for the next restart."""
@@ -328,7 +328,7 @@
         simulation.check_converges()
 
 
-@kinds
+@spare_learner_counts
 def test_a_replaced_member_may_be_promoted_again(spare_learners: int) -> None:
     simulation = started_simulation(7, 1, spare_learners, spares=1)
     old = follower(simulation)
@@ -346,7 +346,7 @@
 # Two simultaneous departures
 
 
-@kinds
+@spare_learner_counts
 def test_two_depart_and_two_learners_replace_them(spare_learners: int) -> None:
     for seed in range(4):
         simulation = started_simulation(seed, 2, spare_learners, spares=2)
@@ -360,7 +360,7 @@
         simulation.check_converges()
 
 
-@kinds
+@spare_learner_counts
 @tolerated_losses
 def test_two_depart_and_one_learner_replaces_one(tolerated: int, spare_learners: int) -> None:
     """The other departing member keeps its vote, and the group does not keep an additional voter."""
@@ -383,14 +383,14 @@
 INITIAL = Membership((A, B, C))
 
 
-@kinds
+@spare_learner_counts
 def test_a_ready_learner_votes_before_the_departing_voter_is_removed(spare_learners: int) -> None:
     group = PlannedGroupStandIn(Membership(INITIAL.voters, (D,)), (A, B, C, D), spare_learners=spare_learners)
     group.departing = {C}
     assert group.run(1.0, joining=(D,)) == [Membership((A, B, C, D)), Membership((A, B, D))]
 
 
-@kinds
+@spare_learner_counts
 def test_a_lagging_learner_does_not_replace_a_departing_voter(spare_learners: int) -> None:
     group = PlannedGroupStandIn(Membership(INITIAL.voters, (D,)), (A, B, C, D), spare_learners=spare_learners)
     group.departing = {C}
@@ -421,7 +421,7 @@
         assert find_violation(group, tolerated) == ""
 
 
-@kinds
+@spare_learner_counts
 def test_a_departing_learner_does_not_replace_a_voter(spare_learners: int) -> None:
     group = PlannedGroupStandIn(
         Membership(INITIAL.voters, (D,)), (A, B, C, D, F), spare_learners=spare_learners
--- a/tests/consensus/test_losses.py
+++ b/tests/consensus/test_losses.py
@@ -12,7 +12,9 @@
 
 RECOVERY_TIMEOUT_S = CATCH_UP_S / 2
 ROUNDS = 4
-kinds = pytest.mark.parametrize("spare_learners", [0, 1, ALL_SPARES], ids=["none", "batch", "control"])
+spare_learner_counts = pytest.mark.parametrize(
+    "spare_learners", [0, 1, ALL_SPARES], ids=["none", "batch", "control"]
+)
 tolerated_losses = pytest.mark.parametrize("tolerated", [1, 2])
 
 
@@ -23,7 +25,7 @@
     return simulation
 
 
-@kinds
+@spare_learner_counts
 @tolerated_losses
 def test_the_group_recovers_from_repeated_loss_of_the_oldest_disks(
     tolerated: int, spare_learners: int
@@ -39,7 +41,7 @@
         simulation.check_converges()
 
 
-@kinds
+@spare_learner_counts
 @tolerated_losses
 def test_the_group_recovers_from_repeated_loss_of_the_oldest_machines(
     tolerated: int, spare_learners: int
@@ -60,7 +62,7 @@
         simulation.check_converges()
 
 
-@kinds
+@spare_learner_counts
 @tolerated_losses
 def test_the_group_recovers_when_the_oldest_disks_are_lost_and_all_other_machines_lose_power(
     tolerated: int, spare_learners: int
@@ -83,7 +85,7 @@
         simulation.check_converges()
 
 
-@kinds
+@spare_learner_counts
 def test_the_group_has_all_voters_after_a_planned_replacement_before_the_next_loss(
     spare_learners: int,
 ) -> None:
@@ -100,7 +102,7 @@
         simulation.check_converges()
 
 
-@kinds
+@spare_learner_counts
 def test_the_group_recovers_from_the_loss_of_its_leader_at_any_point_of_a_membership_change(
     spare_learners: int,
 ) -> None:
@@ -119,7 +121,7 @@
         simulation.check_converges()
 
 
-@kinds
+@spare_learner_counts
 @tolerated_losses
 def test_disks_lost_right_after_a_decommissioning_lose_no_acknowledged_command(
     tolerated: int, spare_learners: int
