--- a/tests/consensus/planned_simulation.py
+++ b/tests/consensus/planned_simulation.py
@@ -52,7 +52,7 @@
         self._disk_created_at = dict.fromkeys(self.members, 0.0)
         for number in range(spares):
             self.join(f"spare{number}")
-        self._at(self.now + self._interval_s, self._run_periodic_check)
+        self._schedule(self.now + self._interval_s, self._run_periodic_check)
 
     def join(self, name: str) -> None:
         super().join(name)
@@ -62,7 +62,7 @@
 
     def _run_periodic_check(self) -> None:
         self._plan_members()
-        self._at(self.now + self._interval_s, self._run_periodic_check)
+        self._schedule(self.now + self._interval_s, self._run_periodic_check)
 
     def _plan_members(self) -> None:
         for member in tuple(self.members.values()):
@@ -86,7 +86,7 @@
         with contextlib.suppress(ConsensusError):
             raft.propose_membership(change)
             self._process_ready(member)
-        self._at(self.now + 0.02, self._plan_members)  # by then the change is committed
+        self._schedule(self.now + 0.02, self._plan_members)  # by then the change is committed
 
     def _candidates(self) -> Candidates:
         alive = [name for name, member in self.members.items() if member.raft is not None]
@@ -135,10 +135,10 @@
                 return
             if member.raft.is_leader:
                 member.raft.transfer_leadership(self._clock(member))
-                self._at(self.now + POLL_INTERVAL_S, announce)
+                self._schedule(self.now + POLL_INTERVAL_S, announce)
             else:
                 member.raft.announce_departure()
-                self._at(self.now + TIMING.heartbeat_s, announce)
+                self._schedule(self.now + TIMING.heartbeat_s, announce)
             self._process_ready(member)
 
         announce()
--- a/tests/consensus/simulation.py
+++ b/tests/consensus/simulation.py
@@ -114,7 +114,7 @@
         member.clock_start += self.now * (member.clock_rate - rate)
         member.clock_rate = rate
 
-    def _at(self, time: float, action: Callable[[], None]) -> None:
+    def _schedule(self, time: float, action: Callable[[], None]) -> None:
         self._sequence += 1
         heapq.heappush(self._events, (time, self._sequence, action))
 
@@ -189,7 +189,7 @@
                 member.timer_at = None
             raft.tick(self._clock(member))
 
-        self._at(time, self._in_incarnation(member, tick))
+        self._schedule(time, self._in_incarnation(member, tick))
 
     def _handle_ready(self, member: Member, raft: Raft, ready: Ready) -> None:
         for message in ready.messages_before_sync:
@@ -220,7 +220,7 @@
             on_done(raft)
 
         sync_s = self.rng.uniform(*self.faults.sync_s) if member.sync_s is None else member.sync_s
-        self._at(self.now + sync_s, self._in_incarnation(member, finish))
+        self._schedule(self.now + sync_s, self._in_incarnation(member, finish))
 
     def _begin_save(self, member: Member, save: Save) -> None:
         def write() -> None:
@@ -293,7 +293,7 @@
         delay = self.rng.uniform(*self.faults.delay_s)
         if self.rng.random() < self.faults.long_delay_rate:
             delay = self.rng.uniform(0.0, 0.5)
-        self._at(self.now + delay, lambda: self._deliver(message))
+        self._schedule(self.now + delay, lambda: self._deliver(message))
 
     def deliver_again(self, message: ConsensusMessage) -> None:
         """Delivers a duplicate of a message that was sent before."""
