--- a/tests/consensus/simulation.py
+++ b/tests/consensus/simulation.py
@@ -430,7 +430,7 @@
         self._process_ready(member)
         return True
 
-    def change(self, membership: Membership, name: str | None = None) -> bool:
+    def propose_membership(self, membership: Membership, name: str | None = None) -> bool:
         """Proposes a membership at a member, by default the leader; False if it was rejected."""
         member = self.members.get(name or self.leader() or "")
         if member is None or member.raft is None or member.frozen:
@@ -450,14 +450,14 @@
         raft = self.leader_raft()
         current = raft.membership
         if new not in (*current.voters, *current.learners):
-            self.change(Membership(voters=current.voters, learners=(*current.learners, new)))
+            self.propose_membership(Membership(voters=current.voters, learners=(*current.learners, new)))
         elif new in current.learners:
             if raft.match(new) >= raft.commit_index - 5:
                 learners = tuple(learner for learner in current.learners if learner != new)
-                self.change(Membership(voters=(*current.voters, new), learners=learners))
+                self.propose_membership(Membership(voters=(*current.voters, new), learners=learners))
         elif old in current.voters:
             voters = tuple(voter for voter in current.voters if voter != old)
-            self.change(Membership(voters=voters, learners=current.learners))
+            self.propose_membership(Membership(voters=voters, learners=current.learners))
         else:
             return raft.commit_index >= raft.applied_index and raft.is_ready_leader
         return False
--- a/tests/consensus/test_leases.py
+++ b/tests/consensus/test_leases.py
@@ -138,7 +138,7 @@
             remaining = tuple(voter for voter in voters if voter != other)
             changed = remaining if other in voters else (*voters, other)
             if len(changed) >= 2:
-                simulation.change(Membership(changed), name)
+                simulation.propose_membership(Membership(changed), name)
 
 
 def test_leases_hold_across_membership_changes() -> None:
--- a/tests/consensus/test_schedules.py
+++ b/tests/consensus/test_schedules.py
@@ -53,7 +53,7 @@
     old = simulation.leader() or ""
     membership = simulation.leader_raft().membership
     rest = tuple(voter for voter in membership.voters if voter != old)
-    assert simulation.change(type(membership)(voters=rest))
+    assert simulation.propose_membership(type(membership)(voters=rest))
     simulation.run_until(lambda: simulation.leader() in rest)
     simulation.run(3.0)
     raft = simulation.members[old].raft
