--- a/tests/consensus/scenarios.py
+++ b/tests/consensus/scenarios.py
@@ -100,7 +100,7 @@
     simulation.run(0.2)
     simulation.crash(first)
     simulation.crash(second)
-    simulation.drops = lambda message: isinstance(message, AppendRequest)
+    simulation.should_drop = lambda message: isinstance(message, AppendRequest)
     simulation.run_until(lambda: simulation.leader() is not None)
     later = simulation.leader() or ""
     simulation.run(0.2)
@@ -109,14 +109,14 @@
     simulation.crash(fourth)
     simulation.blocked_links.clear()
     old = simulation.members[first].disk.last_index
-    simulation.drops = lambda message: _has_entry_after(message, old)
+    simulation.should_drop = lambda message: _has_entry_after(message, old)
     simulation.start(first)
     simulation.start(second)
     simulation.run_until(lambda: simulation.leader() in (first, second))
     simulation.run(0.5)
     simulation.crash(first)
     simulation.crash(second)
-    simulation.drops = drop_nothing
+    simulation.should_drop = drop_nothing
     simulation.start(later)
     simulation.start(fourth)
     _check_converges_later(simulation)
@@ -215,10 +215,10 @@
     """The chunks of an installed snapshot arrive again after their receiver applied newer entries."""
     simulation, _, _, absent = _with_lagging_member(seed, raft_class)
     chunks: list[SnapshotChunk] = []
-    simulation.drops = lambda message: _record_chunk(message, chunks)
+    simulation.should_drop = lambda message: _record_chunk(message, chunks)
     simulation.start(absent)
     simulation.run(1.0)
-    simulation.drops = drop_nothing
+    simulation.should_drop = drop_nothing
     _propose_many(simulation, "after ")
     for chunk in chunks:
         simulation.deliver_again(chunk)
@@ -236,14 +236,14 @@
     """The leader crashes while it sends a snapshot; its successor sends another one of the same index."""
     simulation, leader, _, absent = _with_lagging_member(seed, raft_class)
     chunks: list[SnapshotChunk] = []
-    simulation.drops = lambda message: isinstance(message, SnapshotChunk) and message.offset > 1000
+    simulation.should_drop = lambda message: isinstance(message, SnapshotChunk) and message.offset > 1000
     simulation.start(absent)
     simulation.run(0.3)
-    simulation.drops = lambda message: _is_entry(message) or _record_chunk(message, chunks)
+    simulation.should_drop = lambda message: _is_entry(message) or _record_chunk(message, chunks)
     simulation.crash(leader)
     simulation.run_while(lambda: not chunks, 5.0)
     simulation.run(0.5)
-    simulation.drops = drop_nothing
+    simulation.should_drop = drop_nothing
     simulation.run(2.0)
     simulation.check_converges()
 
@@ -253,7 +253,7 @@
     for lost in range(SNAPSHOT_CHUNKS):
         simulation, _, _, absent = _with_lagging_member(seed, raft_class)
         chunks: list[SnapshotChunk] = []
-        simulation.drops = lambda message, chunks=chunks, lost=lost: (  # type: ignore[misc]
+        simulation.should_drop = lambda message, chunks=chunks, lost=lost: (  # type: ignore[misc]
             _record_chunk(message, chunks) or (isinstance(message, SnapshotChunk) and len(chunks) == lost + 1)
         )
         simulation.start(absent)
--- a/tests/consensus/simulated_members.py
+++ b/tests/consensus/simulated_members.py
@@ -25,7 +25,7 @@
 
 
 def drop_nothing(_: ConsensusMessage) -> bool:
-    """The default of `Simulation.drops`: drops no message."""
+    """The default of `Simulation.should_drop`: drops no message."""
     return False
 
 
--- a/tests/consensus/simulation.py
+++ b/tests/consensus/simulation.py
@@ -35,7 +35,7 @@
         self.now = 0.0
         self.faults = FaultProfile()
         self.blocked_links: set[tuple[str, str]] = set()  # (sender, target)
-        self.drops: Callable[[ConsensusMessage], bool] = drop_nothing
+        self.should_drop: Callable[[ConsensusMessage], bool] = drop_nothing
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._sequence = 0
         self.members: dict[str, Member] = {}
@@ -281,7 +281,7 @@
     # The network.
 
     def _send(self, message: ConsensusMessage) -> None:
-        if (message.sender, message.target) in self.blocked_links or self.drops(message):
+        if (message.sender, message.target) in self.blocked_links or self.should_drop(message):
             return
         if self.rng.random() < self.faults.loss_rate:
             return
@@ -366,7 +366,7 @@
         """Removes all faults, then checks that the group accepts commands and all members agree."""
         self.faults = FaultProfile()
         self.blocked_links.clear()
-        self.drops = drop_nothing
+        self.should_drop = drop_nothing
         for name, member in self.members.items():
             self.start(name)
             member.sync_s = None
--- a/tests/consensus/test_departure.py
+++ b/tests/consensus/test_departure.py
@@ -178,7 +178,7 @@
             return True
         return False
 
-    simulation.drops = drops
+    simulation.should_drop = drops
     assert simulation.depart_for_good(follower(simulation)) < 2 * REPLACEMENT_LIMIT_S
     assert len(lost) == 10
     assert simulation.is_complete()
@@ -187,7 +187,7 @@
 @spare_learner_counts
 def test_a_departure_announced_only_in_replies_is_recognized(spare_learners: int) -> None:
     simulation = started_simulation(2, 1, spare_learners, spares=1)
-    simulation.drops = lambda message: isinstance(message, DepartureNotice)
+    simulation.should_drop = lambda message: isinstance(message, DepartureNotice)
     assert simulation.depart_for_good(follower(simulation)) < REPLACEMENT_LIMIT_S
     assert simulation.is_complete()
 
@@ -203,7 +203,7 @@
             return True
         return False
 
-    simulation.drops = drops
+    simulation.should_drop = drops
     assert simulation.depart_for_good(follower(simulation)) < 2 * REPLACEMENT_LIMIT_S
     assert len(lost) == 3
 
@@ -226,7 +226,7 @@
             sent.append(message)
         return False
 
-    simulation.drops = drops
+    simulation.should_drop = drops
     old = follower(simulation)
     initial = voters(simulation)
     simulation.depart(old)
@@ -265,7 +265,7 @@
             sent.append(message)
         return False
 
-    simulation.drops = drops
+    simulation.should_drop = drops
     old = follower(simulation)
     simulation.run_until(simulation.depart(old))
     simulation.crash(old)
@@ -277,7 +277,7 @@
     simulation.isolate(old)
     may_end = simulation.depart(old)
     simulation.blocked_links.clear()
-    simulation.drops = lambda message: (
+    simulation.should_drop = lambda message: (
         isinstance(message, DepartureNotice | AppendReply) and message.sender == old
     )
     assert sent
--- a/tests/consensus/test_leadership_transfer.py
+++ b/tests/consensus/test_leadership_transfer.py
@@ -76,7 +76,7 @@
             return True
         return False
 
-    simulation.drops = drops
+    simulation.should_drop = drops
     simulation.transfer_leadership()
     assert simulation.has_successor_within(old, 0.4)
     assert len(lost) == 1
@@ -85,7 +85,7 @@
 def test_a_leader_without_a_successor_steps_down_in_time() -> None:
     simulation = TransferSimulation(3)
     old = simulation.run_until_led()
-    simulation.drops = lambda message: isinstance(message, TimeoutNow)
+    simulation.should_drop = lambda message: isinstance(message, TimeoutNow)
     simulation.transfer_leadership()
     raft = simulation.members[old].raft
     assert raft is not None
@@ -97,7 +97,7 @@
     simulation = TransferSimulation(4)
     old = simulation.run_until_led()
     assert simulation.has_lease(old)
-    simulation.drops = lambda message: isinstance(message, VoteRequest)
+    simulation.should_drop = lambda message: isinstance(message, VoteRequest)
     simulation.transfer_leadership()
     assert not simulation.has_lease(old)
 
@@ -112,10 +112,10 @@
             late_messages.append(message)
         return isinstance(message, TimeoutNow)
 
-    simulation.drops = drops
+    simulation.should_drop = drops
     simulation.transfer_leadership()
     simulation.run_until(lambda: not simulation.members[old].raft.is_leader)  # type: ignore[union-attr]
-    simulation.drops = lambda _: False
+    simulation.should_drop = lambda _: False
     simulation.run_until_led()
     term = simulation.leader_raft().term
     for message in late_messages:
@@ -140,7 +140,7 @@
     """Reads at the old leader, which receives no messages, after its successor acknowledged a command."""
     simulation = TransferSimulation(6, raft_class=raft_class)
     old = simulation.run_until_led()
-    simulation.drops = lambda message: message.target == old
+    simulation.should_drop = lambda message: message.target == old
     simulation.transfer_leadership()
     simulation.run_until(lambda: simulation.leader() not in (old, None))
     simulation.run_until(lambda: simulation.leader_raft().is_ready_leader)
--- a/tests/consensus/test_snapshot_transfer.py
+++ b/tests/consensus/test_snapshot_transfer.py
@@ -503,7 +503,7 @@
             sent.add(message.last_index)
         return isinstance(message, SnapshotChunk) and loss_rng.random() < 0.5
 
-    simulation.drops = drop_half_of_chunks
+    simulation.should_drop = drop_half_of_chunks
     before = simulation.members[leader].disk.snapshot_index
     simulation.start(absent)
     for number in range(400):
@@ -521,7 +521,7 @@
     """The member replies heartbeats, but receives no chunk of a snapshot."""
     simulation = Simulation(seed)
     leader, absent = _crash_follower_and_commit(simulation, 40)
-    simulation.drops = lambda message: isinstance(message, SnapshotChunk)
+    simulation.should_drop = lambda message: isinstance(message, SnapshotChunk)
     simulation.start(absent)
     peak_bytes = 0
     for number in range(600):
@@ -547,7 +547,7 @@
             chunks.append(message)
         return False
 
-    simulation.drops = record_chunk
+    simulation.should_drop = record_chunk
     simulation.start(absent)
     simulation.run_until(lambda: len(chunks) >= count)
     simulation.crash(leader)
@@ -572,7 +572,7 @@
             chunk_offsets.append(message.offset)
         return False
 
-    simulation.drops = record_offset
+    simulation.should_drop = record_offset
     simulation.start(absent)
     started_at = simulation.now
     simulation.run_until(lambda: simulation.members[absent].disk.snapshot_index > 0)
