--- a/pewterring/gateway/answers.py
+++ b/pewterring/gateway/answers.py
@@ -1,4 +1,4 @@
-"""Complete answers that a gateway gives of its own, without a worker or a store behind them."""
+"""Complete answers that a gateway generates itself instead of forwarding them from a worker."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,8 @@
 from pewterring.transport.http_responder import Responder
 
 JSON_HEADER = ("Content-Type", "application/json")
-MIN_RETRY_AFTER_S, MAX_RETRY_AFTER_S = 0.05, 1.0  # neither a storm of retries nor an idle client
+MIN_RETRY_AFTER_S = 0.05  # prevents a retry storm
+MAX_RETRY_AFTER_S = 1.0  # keeps clients from waiting longer than necessary
 
 
 @dataclass(frozen=True, slots=True)
@@ -20,7 +21,7 @@
 
 
 def failure(status: int, reason: str, retry_after_s: float | None = None) -> Answer:
-    """Returns an answer that says in JSON why a request was not served."""
+    """Returns an error answer whose JSON body gives the reason."""
     headers = [JSON_HEADER]
     if retry_after_s is not None:
         headers.append(("Retry-After", f"{retry_after_s:.2f}"))
@@ -28,7 +29,7 @@
 
 
 def success(status: int, document: object) -> Answer:
-    """Returns an answer with a JSON document."""
+    """Returns a success answer with `document` as its JSON body."""
     return Answer(status, (JSON_HEADER,), orjson.dumps(document))
 
 
@@ -39,10 +40,10 @@
 
 
 async def refuse(responder: Responder, retry_after_s: float) -> None:
-    """Answers 503, which promises that the request has not run, and when the client may send it again."""
+    """Answers 503 with Retry-After; the status guarantees that the request has not run."""
     await responder.respond(503, [(b"Retry-After", b"%.2f" % retry_after_s)])
 
 
 def retry_after_s(latency_target_ms: float) -> float:
-    """Returns when a refused request may come again, by a latency target; bounded on both sides."""
+    """Returns the Retry-After value of a refused request: the latency target in seconds, clamped."""
     return max(MIN_RETRY_AFTER_S, min(MAX_RETRY_AFTER_S, latency_target_ms / 1000))
--- a/pewterring/gateway/batch_calls.py
+++ b/pewterring/gateway/batch_calls.py
@@ -1,6 +1,7 @@
-"""Batch calls of clients: checked, passed to the store that leads, answered as it says.
+"""Batch calls of clients: validated, forwarded to the leading store, and answered with its result.
 
-Where a store may have acted and no answer came, the client's answer is 504, which promises nothing.
+If a store may have acted on a call but did not answer, the client gets 504, which leaves open whether the
+call took effect.
 """
 
 import base64
@@ -34,17 +35,20 @@
 from pewterring.transport.lines import LinkPool
 
 JOBS_PATH, ITEMS_PATH = "/v1/lots/", "/v1/items/"
-READ_BUDGET_S = 1.2  # beyond what a read may wait
-SUBMIT_BUDGET_S = 3.0  # a change of leader fits in
-MAX_WAIT_MS = 10_000.0  # of a read for results
-NO_LEADER_RETRY_AFTER_S = 0.3  # an election takes about as long
+READ_BUDGET_S = 1.2  # time for a read, in addition to its requested waiting time
+SUBMIT_BUDGET_S = 3.0  # long enough for a leader change
+MAX_WAIT_MS = 10_000.0  # longest time that a read may wait for results
+NO_LEADER_RETRY_AFTER_S = 0.3  # about the duration of an election
 
 _POSITION = re.compile(r"[0-9]{1,18}")
 
 
 @dataclass(frozen=True, slots=True)
 class BatchRequest:
-    """A batch call as it came: method, raw target, request id, waiting time, body."""
+    """A batch call as received.
+
+    `wait_ms` is how long a read may wait for new results; `budget_s` is the time left for the whole call.
+    """
 
     method: str
     target: str
@@ -56,14 +60,14 @@
 
 
 def is_batch_call(method: str, path: str) -> bool:
-    """Returns whether a request reads or ends a job or reads an item."""
+    """Returns whether a request reads or ends a job, or reads an item."""
     if path.startswith(JOBS_PATH):
         return method in ("GET", "DELETE")
     return path.startswith(ITEMS_PATH) and method == "GET"
 
 
 def max_duration_s(request: BatchRequest) -> float:
-    """Returns how many seconds a call may take until it is answered."""
+    """Returns the maximum number of seconds until a call is answered."""
     if request.method == "GET":
         return _wait_ms(request) / 1000 + READ_BUDGET_S
     return SUBMIT_BUDGET_S
@@ -74,7 +78,7 @@
 
 
 class BatchCalls:
-    """Turns batch calls into messages to the leading store, and its answers into answers to the client."""
+    """Translates batch calls into messages to the leading store, and its answers into HTTP answers."""
 
     def __init__(
         self,
@@ -86,7 +90,7 @@
         self._stores = StoreCaller(links, tables, rng, clock)
 
     async def submit(self, request: BatchRequest, route: Route) -> Answer:
-        """Submits a job."""
+        """Validates a job and submits it to the leading store."""
         if not request.request_id or len(request.request_id) > MAX_ID_BYTES:
             return failure(400, "a job needs an id in Request-Id")
         try:
@@ -98,7 +102,7 @@
         if isinstance(answer, JobAccepted):
             return Answer(202)
         if may_have_run:
-            # A store that was called before may still take the job: a refusal would promise too much.
+            # A store called earlier may still accept the job, so no refusal may say it did not run.
             return failure(504, "no store said whether the job is kept")
         if isinstance(answer, JobRejected):
             status = 429 if answer.over_quota else 503
@@ -107,7 +111,7 @@
         return failure(503, "no store leads at the moment", NO_LEADER_RETRY_AFTER_S)
 
     async def call(self, request: BatchRequest) -> Answer:
-        """Reads results or an item, or ends a job."""
+        """Reads the results of a job or one item, or ends a job."""
         path, _, query = request.target.partition("?")
         parameters = parse_qs(query)
         if path.startswith(ITEMS_PATH):
--- a/pewterring/gateway/batch_handler.py
+++ b/pewterring/gateway/batch_handler.py
@@ -1,4 +1,4 @@
-"""Batch requests at a gateway: submissions and calls about jobs, bounded by drain, passed to the stores."""
+"""Handler of batch requests: accepts or refuses them during a drain, and forwards them to the stores."""
 
 import math
 from collections.abc import Callable
@@ -15,7 +15,7 @@
 
 
 class BatchHandler:
-    """Answers batch requests. `calls` carries them to the stores."""
+    """Answers batch requests. `calls` forwards them to the stores."""
 
     def __init__(
         self, calls: BatchCalls, drain: Drain, metrics: GatewayMetrics, clock: Callable[[], float]
@@ -26,7 +26,7 @@
         self._clock = clock
 
     async def handle(self, request: ServerRequest, responder: Responder, route: Route | None) -> None:
-        """Answers a submission where there is a route, else a call about a job."""
+        """Answers a job submission if `route` is given, otherwise a call to read or end a job."""
         call = _batch_request(request, route)
         now = self._clock()
         if not self._drain.accepts(now, now + max_duration_s(call)):
--- a/pewterring/gateway/batch_submission.py
+++ b/pewterring/gateway/batch_submission.py
@@ -1,4 +1,4 @@
-"""Batch submissions: reading and checking the items of a job before a store is asked to take it."""
+"""Batch submissions: parsing and validation of the items of a job before it is sent to a store."""
 
 import binascii
 import re
@@ -13,7 +13,7 @@
 
 _PATH = re.compile(r"/[!-~]*")
 _FIELD_NAME = re.compile(r"[!#$%&'*+.^_`|~0-9A-Za-z-]+")  # RFC 9110, 5.6.2
-_FIELD_VALUE = re.compile(r"[\t -~\x80-\xff]*")  # RFC 9110, 5.5: also obsolete text
+_FIELD_VALUE = re.compile(r"[\t -~\x80-\xff]*")  # RFC 9110, 5.5: including obs-text
 
 
 class _Submission(msgspec.Struct):
@@ -21,10 +21,10 @@
 
 
 def read_submission(body: bytes) -> tuple[ItemSpec, ...]:
-    """Reads and checks the items of a job.
+    """Parses and validates the items of a job.
 
     Raises:
-        InvalidSubmissionError: The body cannot be read, or an item cannot be used.
+        InvalidSubmissionError: The body cannot be parsed, or an item is invalid.
     """
     try:
         items = msgspec.json.decode(body, type=_Submission).requests
@@ -32,24 +32,24 @@
         raise InvalidSubmissionError(f"the submission cannot be read: {error}") from error
     if len(items) > MAX_ITEMS:
         raise InvalidSubmissionError(f"{len(items)} items, {MAX_ITEMS} at most")
-    seen: set[str] = set()
+    seen_ids: set[str] = set()
     for item in items:
-        fault = _fault(item, seen)
-        if fault is not None:
-            raise InvalidSubmissionError(f"item {item.id!r}{fault}")
-        seen.add(item.id)
+        problem = _find_problem(item, seen_ids)
+        if problem is not None:
+            raise InvalidSubmissionError(f"item {item.id!r}{problem}")
+        seen_ids.add(item.id)
     return tuple(items)
 
 
-def _fault(item: ItemSpec, seen: set[str]) -> str | None:
-    """Returns what is wrong with an item, if anything is."""
+def _find_problem(item: ItemSpec, seen_ids: set[str]) -> str | None:
+    """Returns why an item is invalid, or None if it is valid."""
     if not item.id or len(item.id) > MAX_ID_BYTES:
         return ": its id is empty or too long"
-    if item.id in seen:
+    if item.id in seen_ids:
         return " is there twice"
-    unsendable = _unsendable(item)
-    if unsendable is not None:
-        return f": {unsendable}"
+    http_problem = _find_http_problem(item)
+    if http_problem is not None:
+        return f": {http_problem}"
     if item.tokens < 0:
         return ": tokens are negative"
     try:
@@ -59,11 +59,11 @@
     return None
 
 
-def _unsendable(item: ItemSpec) -> str | None:
-    """Returns why an item cannot go out as the HTTP request that it asks for, if so.
+def _find_http_problem(item: ItemSpec) -> str | None:
+    """Returns why an item cannot be sent to a worker as an HTTP request, or None if it can.
 
-    Symptom answered: a line end in a path or header is a second request inside the first at a worker, and
-    what has no bytes in HTTP would be attempted in vain until the item may be given up.
+    A line break in a path or header would smuggle a second request to the worker. Text that HTTP cannot
+    encode would fail in every attempt until the item is given up.
     """
     if not _FIELD_VALUE.fullmatch(item.id):
         return "its id cannot be sent as a header"
