--- a/pewterring/gateway/__init__.py
+++ b/pewterring/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The gateway program of the serving tier: client requests to workers, batch calls to stores."""
+"""The gateway of the serving tier: forwards live requests to workers and batch calls to stores."""
--- a/pewterring/gateway/active_configuration.py
+++ b/pewterring/gateway/active_configuration.py
@@ -1,7 +1,7 @@
-"""The configuration that this gateway has in force: its routes, ranks, limits of clients and of connections.
+"""The configuration this gateway currently applies: routes, priority ranks, client and connection limits.
 
-Owned by the gateway program, which applies each configuration as the feed of tables brings it. Until the
-first one there are no routes, and clients are held to no limit of the operator's.
+The gateway program owns it and applies each configuration that the table feed delivers. Before the first
+configuration there are no routes, and the default limits below apply to clients.
 """
 
 import asyncio
@@ -12,13 +12,13 @@
 from pewterring.transport.http_request import ServerLimits
 
 NO_CONFIGURATION = Configuration(0, (), {}, ClientLimits())
-# Before the operator's limits are known none of them may be held against a client.
-UNKNOWN_LIMITS = ServerLimits(256 * 1024, 16 * 1024 * 1024, header_timeout_s=10.0, idle_timeout_s=60.0)
-DEFAULT_MAX_CONNECTIONS = 60  # to a worker, where the operator gives no number
+# Used until the operator's limits are known: no request may be rejected that those limits could allow.
+INITIAL_LIMITS = ServerLimits(256 * 1024, 16 * 1024 * 1024, header_timeout_s=10.0, idle_timeout_s=60.0)
+DEFAULT_MAX_CONNECTIONS = 60  # per worker, if the configuration does not set a limit
 
 
 def server_limits(limits: ClientLimits) -> ServerLimits:
-    """Converts the operator's limits into those of the HTTP server."""
+    """Converts the operator's client limits into limits of the HTTP server."""
     return ServerLimits(
         limits.max_header_bytes,
         limits.max_body_bytes,
@@ -28,17 +28,17 @@
 
 
 class ActiveConfiguration:
-    """What requests are served by. `received` is set from the first configuration on."""
+    """The configuration that requests are served with. `received` is set once the first one is applied."""
 
     def __init__(self) -> None:
         self.routes: RouteTable | None = None
         self.priority_ranks = PriorityRanks(NO_CONFIGURATION)
-        self.limits = UNKNOWN_LIMITS
+        self.limits = INITIAL_LIMITS
         self.received = asyncio.Event()
         self._services = NO_CONFIGURATION.services
 
     def apply(self, configuration: Configuration) -> None:
-        """Puts a newer configuration in force."""
+        """Replaces the current configuration with a newer one."""
         self.routes = RouteTable(configuration)
         self.priority_ranks = PriorityRanks(configuration)
         self.limits = server_limits(configuration.limits)
@@ -46,6 +46,6 @@
         self.received.set()
 
     def max_connections(self, service: str) -> int:
-        """Returns how many connections may be open to one worker of a service."""
-        known = self._services.get(service)
-        return known.max_connections if known and known.max_connections else DEFAULT_MAX_CONNECTIONS
+        """Returns the maximum number of open connections to one worker of a service."""
+        settings = self._services.get(service)
+        return settings.max_connections if settings and settings.max_connections else DEFAULT_MAX_CONNECTIONS
--- a/pewterring/gateway/admissions.py
+++ b/pewterring/gateway/admissions.py
@@ -1,4 +1,4 @@
-"""Admission of live requests at one gateway: for each service how many may be in flight, whose come first."""
+"""Admission of live requests at one gateway: concurrency limit and priority order for each service."""
 
 import random
 
--- a/pewterring/gateway/dispatch.py
+++ b/pewterring/gateway/dispatch.py
@@ -1,7 +1,8 @@
-"""Dispatch of a client's request by the kind of its route: to live serving, to batch calls, or refused.
+"""Dispatches each client request by its route to the live handler or the batch handler, or rejects it.
 
-Symptoms answered: all processes start at once, and clients are there before the first tables; a gateway cut
-off from control denies a route that all others serve, and clients do not ask again after a 404.
+Clients may connect before the first tables arrive, because all processes start at the same time; such a
+request waits for them. A gateway that is disconnected from control may lack a new route that all others
+serve. Clients do not retry after a 404, so it answers 503 while its tables may be stale.
 """
 
 import contextlib
@@ -21,28 +22,28 @@
 from pewterring.transport.http_request import ServerRequest
 from pewterring.transport.http_responder import Responder
 
-# That a request waits for the first tables: they come within a second or two after the start.
+# How long a request waits for the first tables, which arrive within a second or two after the start.
 FIRST_TABLES_WAIT_S = 1.5
-FIRST_TABLES_WAIT_FRACTION = 0.4  # of the request's time at most, so that a retry elsewhere still has some
-NO_TABLES_RETRY_AFTER = b"0.5"  # seconds, as a header
-STALE_TABLES_RETRY_AFTER_S = 0.1  # a gateway with newer tables may have the route
+FIRST_TABLES_WAIT_FRACTION = 0.4  # largest part of a request's time-out to wait, leaving time for a retry
+NO_TABLES_RETRY_AFTER = b"0.5"  # seconds, as a header value
+STALE_TABLES_RETRY_AFTER_S = 0.1  # the retry may reach a gateway with newer tables
 
 
 @dataclass(frozen=True, slots=True)
 class TableFreshness:
-    """How old the tables are, and from when on they may lack a route that others serve."""
+    """The age of the tables, and the age from which they may lack a route that other gateways serve."""
 
-    age_s: Callable[[], float]  # since control confirmed them
+    age_s: Callable[[], float]  # time since control last confirmed the tables
     max_age_s: Callable[[], float]
 
     def may_be_stale(self) -> bool:
-        """Returns whether a newer configuration may be in force everywhere else."""
+        """Returns whether all other gateways may already apply a newer configuration."""
         return self.age_s() > self.max_age_s()
 
 
 @dataclass(frozen=True, slots=True)
 class Dispatcher:
-    """Finds the route of a request and passes it on; keeps no state of its own."""
+    """Finds the route of each request and passes the request to its handler. Stateless."""
 
     configuration: ActiveConfiguration
     freshness: TableFreshness
@@ -53,7 +54,7 @@
     clock: Callable[[], float]
 
     async def dispatch(self, request: ServerRequest, responder: Responder) -> None:
-        """Answers one request."""
+        """Answers one request, after waiting for the first tables if there are none."""
         path = request.target.partition("?")[0]
         if is_batch_call(request.method, path):
             await self.batch.handle(request, responder, None)
@@ -71,7 +72,7 @@
             await self.live.handle(request, responder, route)
 
     async def _first_routes(self, request: ServerRequest) -> RouteTable | None:
-        """Waits for the first tables; returns None if they do not come in time."""
+        """Waits for the first routes; returns None if they do not arrive in time."""
         wait_s = min(FIRST_TABLES_WAIT_S, FIRST_TABLES_WAIT_FRACTION * request_timeout_s(request, None))
         with contextlib.suppress(TimeoutError):
             async with self.drain.timeout_at(self.clock() + wait_s):
@@ -79,7 +80,7 @@
         return self.configuration.routes
 
     async def _answer_unrouted(self, responder: Responder) -> None:
-        """Answers 404, unless a configuration newer than the tables may have the route."""
+        """Answers 404, or 503 if a newer configuration may have the route."""
         if self.freshness.may_be_stale():
             await refuse(responder, STALE_TABLES_RETRY_AFTER_S)
             return
--- a/pewterring/gateway/errors.py
+++ b/pewterring/gateway/errors.py
@@ -1,9 +1,9 @@
-"""Errors that the gateway program raises. What goes wrong between it and workers is an `ExchangeError`."""
+"""Errors raised by the gateway. Failures of exchanges with workers are `ExchangeError`s instead."""
 
 
 class GatewayError(Exception):
-    """A gateway could not do what it was asked to; the text says why."""
+    """Base class of the errors of the gateway; the message gives the reason."""
 
 
 class InvalidSubmissionError(GatewayError):
-    """A batch submission cannot be used; the text names the item and why. The client may correct it."""
+    """A batch submission is invalid; the message names the item and the reason, for the client."""
--- a/pewterring/gateway/front.py
+++ b/pewterring/gateway/front.py
@@ -1,4 +1,4 @@
-"""The front of a gateway: the HTTP server that clients connect to, with the operator's limits in force."""
+"""The front of a gateway: the HTTP server for clients, which enforces the operator's client limits."""
 
 from collections.abc import Callable
 
@@ -11,7 +11,7 @@
 
 
 class Front:
-    """Owns the clients' connections, and passes each request that was read completely to the dispatcher."""
+    """Owns the connections of clients, and passes each completely received request to the dispatcher."""
 
     def __init__(
         self, configuration: ActiveConfiguration, dispatcher: Dispatcher, clock: Callable[[], float]
@@ -21,32 +21,32 @@
 
     @property
     def requests_in_flight(self) -> int:
-        """Requests that were read completely and are not answered yet."""
+        """Number of requests that were received completely and are not answered yet."""
         return self.http.requests_held
 
     @property
     def open_connections(self) -> int:
-        """Connections of clients."""
+        """Number of open connections of clients."""
         return self.http.open_connections
 
     async def start(self, address: Address) -> None:
         """Opens the port.
 
         Raises:
-            OSError: The address cannot be had.
+            OSError: The address is not available.
         """
         await self.http.start(address.ip, address.port)
 
     def begin_drain(self) -> None:
-        """Closes each connection after its next answer from now on."""
+        """From now on closes each connection after its next answer."""
         self.http.begin_drain()
 
     async def stop(self) -> None:
-        """Closes the port and its connections."""
+        """Closes the port and all its connections."""
         await self.http.stop()
 
     def _timeout_s(self, head: RequestHead) -> float:
-        """Returns how long a request's body may take, within the request's time (operators' page CONFIG)."""
+        """Returns how long receiving a request may take: its own time-out (see the CONFIG page)."""
         routes = self._configuration.routes
         route = routes.find(head.host, head.target.partition("?")[0]) if routes else None
         return request_timeout_s(head, route)
--- a/pewterring/gateway/readiness.py
+++ b/pewterring/gateway/readiness.py
@@ -1,4 +1,4 @@
-"""The internal HTTP address of a gateway: readiness for the load balancer, metrics for the scraper."""
+"""The internal HTTP server of a gateway: readiness for the load balancer, metrics for the scraper."""
 
 from collections.abc import Callable
 
@@ -15,7 +15,7 @@
 
 
 class ReadinessServer:
-    """Owns the server of readiness and metrics. `state` collects what a scrape shows at that moment."""
+    """Owns the server for readiness and metrics. `state` returns the values for the gauges of a scrape."""
 
     def __init__(
         self,
@@ -34,7 +34,7 @@
         """Opens the port.
 
         Raises:
-            OSError: The address cannot be had.
+            OSError: The address is not available.
         """
         await self.http.start(address.ip, address.port)
 
