--- a/pewterring/gateway/live_attempt.py
+++ b/pewterring/gateway/live_attempt.py
@@ -1,8 +1,7 @@
-"""One attempt of a live request at one worker: sent, watched, and its answer passed to the client.
+"""One attempt of a live request at one worker: sends it, watches it for stalls, and forwards the answer.
 
-Owns what the attempt counts at the worker (requests in flight, tokens of prefill) and its place among the
-attempts that are watched for stalls; both are given back however it ends. What other attempts of the same
-request must know is in `Progress`.
+An attempt counts at its worker (requests in flight, pending prefill tokens) and is registered with the stall
+detector; both are undone however the attempt ends. The attempts of one request share its `Progress`.
 """
 
 import math
@@ -22,11 +21,11 @@
     WorkerUnresponsiveError,
 )
 from pewterring.gateway.worker_protocol import (
-    Verdict,
+    AnswerClass,
+    classify_answer,
     client_headers,
     is_event_stream,
     is_misdirected,
-    judge,
     read_load,
 )
 from pewterring.routing.chooser import WorkerChooser
@@ -45,22 +44,24 @@
 from pewterring.transport.http_responder import Responder
 from pewterring.transport.sse import EventSplitter, StreamEvent
 
-FIRST_BYTE_TIMEOUT_FACTOR = 1.5  # times the expected time to the first byte, before its idle time-out begins
-MAX_SAMPLE_WAIT_FRACTION = 0.25  # of the expected time: behind a longer wait a sample says little of prefill
-MIN_EXPECTED_S = 1e-4  # a floor for what is divided by
+FIRST_BYTE_TIMEOUT_FACTOR = 1.5  # multiple of the expected time to first byte, added to the idle time-out
+# A measured time to first byte counts as a sample of prefill speed only if the expected wait for earlier
+# prompts is at most this fraction of the expected time: after a longer wait it says little about prefill.
+MAX_SAMPLE_WAIT_FRACTION = 0.25
+MIN_EXPECTED_S = 1e-4  # lower bound of divisors
 
 
-class AttemptEnd(Enum):
+class AttemptOutcome(Enum):
     """How an attempt ended."""
 
-    DONE = auto()  # the client has its answer
-    NOT_RUN = auto()
+    DONE = auto()  # the client has received its answer
+    NOT_RUN = auto()  # the worker certainly did not run the request
     MAY_HAVE_RUN = auto()
 
 
 @dataclass(slots=True)
 class WorkerFailure:
-    """A worker's own failure, kept as the answer if no further attempt does better."""
+    """A failure that a worker answered; the client gets it if no later attempt succeeds."""
 
     head: AnswerHead
     body: bytes
@@ -68,48 +69,48 @@
 
 @dataclass(frozen=True, slots=True)
 class LiveContext:
-    """What all live requests of a gateway share."""
+    """Dependencies shared by all live requests of a gateway."""
 
     pool: WorkerPool
     chooser: WorkerChooser
     stalls: StallDetector
-    announce_prompt: Callable[[WorkerState, int, Prompt], None]  # a worker was sent so many tokens to prefill
+    announce_prompt: Callable[[WorkerState, int, Prompt], None]  # called with the tokens to be prefilled
     drain: Drain = field(default_factory=Drain)
 
 
 @dataclass(slots=True)
 class AdmittedRequest:
-    """A request with its place in admission, which who admitted it gives back."""
+    """A request that holds one admission slot, which the caller that acquired it releases."""
 
     request: ServerRequest
     responder: Responder
     route: Route
     service: str
     prompt: Prompt
-    deadline: float  # of the steady clock
+    deadline: float  # monotonic time
     admission: ServiceAdmission
-    max_connections: int  # to one worker
+    max_connections: int  # limit per worker
     trace: RequestTrace | None = None
 
 
 @dataclass(slots=True)
 class Progress:
-    """How far the attempts of one request have come."""
+    """The state shared by the attempts of one request."""
 
-    runs: int = 0  # attempts that may have run
-    begun: bool = False  # the client has the head of an answer
-    last_event_id: int | None = None  # of the events that the client has
+    runs: int = 0  # number of attempts that may have run
+    begun: bool = False  # the client has received the head of an answer
+    last_event_id: int | None = None  # id of the last event sent to the client
     failure: WorkerFailure | None = None
-    limit: Limit | None = None  # what keeps the request from a worker's answer
+    limit: Limit | None = None  # the limit that prevents an answer from a worker
 
     @property
     def resume_after(self) -> int | None:
-        """The event behind which the next attempt goes on; None where it begins at the beginning."""
+        """Id of the event after which the next attempt resumes; None if it starts from the beginning."""
         return self.last_event_id if self.begun else None
 
 
 class LiveAttempt:
-    """One attempt. `stream` is the answer, requested already."""
+    """One attempt. `stream` is the answer; its request has already been submitted."""
 
     __slots__ = (
         "_admitted",
@@ -146,12 +147,12 @@
         self._first_byte_received = False
 
     def _start(self) -> None:
-        """Counts the attempt at its worker, and has it watched."""
+        """Counts the attempt at its worker and registers it with the stall detector."""
         worker, admitted = self._worker, self._admitted
         self._sent_at = now = self._now()
         self._tokens = self._pending_tokens = tokens = worker.uncached(admitted.prompt)
         times = self._context.chooser.times_of(admitted.service)
-        self._wait_s = wait_s = self._context.chooser.wait_s(now, worker, times)  # for prompts sent before
+        self._wait_s = wait_s = self._context.chooser.wait_s(now, worker, times)  # for prompts sent earlier
         prefill_s = times.per_token_s * tokens
         if admitted.trace is not None:
             admitted.trace.sent(AttemptStart(now, worker.record.id, tokens, prefill_s, wait_s, worker.out))
@@ -165,21 +166,21 @@
 
     def _watch(self, now: float, expected_s: float) -> WatchedAttempt:
         worker, route = self._worker, self._admitted.route
-        prefill_s = worker.reading_after(now)  # which the detector allows for
+        prefill_s = worker.reading_after(now)  # subtracted because the detector adds it again
         first_byte_s = max(0.0, FIRST_BYTE_TIMEOUT_FACTOR * expected_s - prefill_s)
         timeout_s = first_byte_s + self._idle_timeout_s() + worker.congested_s(now)
         may_retry = route.is_idempotent and self._progress.runs + 1 < route.max_attempts
         return WatchedAttempt(worker, self._stream, timeout_s, now, may_retry, expected_s)
 
     def _idle_timeout_s(self) -> float:
-        """Returns how long a worker may be silent: past it the answer would be late."""
+        """Returns how long a worker may send nothing before the answer is likely to miss its target."""
         route = self._admitted.route
         if route.token_gap_target_ms > 0:
             return TOKEN_GAP_FRACTION * route.token_gap_target_ms / 1000
         return route.target_latency_ms / 1000
 
-    async def run(self) -> AttemptEnd:
-        """Passes the worker's answer to the client, and says what became of the attempt."""
+    async def run(self) -> AttemptOutcome:
+        """Forwards the worker's answer to the client and returns how the attempt ended."""
         context, admitted = self._context, self._admitted
         self._start()
         try:
@@ -188,9 +189,9 @@
                 return await self._read()
         except ExchangeError as error:
             self._report_error(error)
-            return AttemptEnd.MAY_HAVE_RUN if error.sent else AttemptEnd.NOT_RUN
+            return AttemptOutcome.MAY_HAVE_RUN if error.sent else AttemptOutcome.NOT_RUN
         except TimeoutError:
-            return AttemptEnd.MAY_HAVE_RUN if self._stream.exchange.sent else AttemptEnd.NOT_RUN
+            return AttemptOutcome.MAY_HAVE_RUN if self._stream.exchange.sent else AttemptOutcome.NOT_RUN
         finally:
             self._worker.out -= 1
             self._worker.pending_tokens -= self._pending_tokens
@@ -200,11 +201,11 @@
     def _report_error(self, error: ExchangeError) -> None:
         if self._admitted.trace is not None:
             self._admitted.trace.failure = type(error).__name__
-        if not isinstance(error, WorkerUnresponsiveError):  # the detector has marked the worker
+        if not isinstance(error, WorkerUnresponsiveError):  # the detector has already marked the worker
             certain = not isinstance(error, AnswerBrokenError | StaleConnectionError)
             self._worker.failed(self._now(), certain=certain)
 
-    async def _read(self) -> AttemptEnd:
+    async def _read(self) -> AttemptOutcome:
         head = await self._stream.next_part()
         assert isinstance(head, AnswerHead)
         worker = self._worker
@@ -212,17 +213,17 @@
         load = read_load(head)
         if load is not None:
             worker.take_report(worker.heard_at, load.running, load.waiting)
-        verdict = judge(head)
-        if verdict is Verdict.UNUSABLE:
-            raise AnswerBrokenError(f"an answer of status {head.status} that may not reach the client")
-        if verdict is Verdict.SUCCESS and is_event_stream(head):
+        answer_class = classify_answer(head)
+        if answer_class is AnswerClass.UNUSABLE:
+            raise AnswerBrokenError(f"an answer with status {head.status} that must not be forwarded")
+        if answer_class is AnswerClass.SUCCESS and is_event_stream(head):
             return await self._read_events(head)
         body = await self._read_body()
-        if verdict is Verdict.NOT_RUN:
+        if answer_class is AnswerClass.NOT_RUN:
             if is_misdirected(self._admitted.request, head):
                 worker.misdirected(self._now())
-            return AttemptEnd.NOT_RUN
-        if verdict is Verdict.FAILURE or self._progress.begun:
+            return AttemptOutcome.NOT_RUN
+        if answer_class is AnswerClass.FAILURE or self._progress.begun:
             return self._keep_failure(head, body)
         return await self._pass_answer(head, body)
 
@@ -233,21 +234,21 @@
                 chunks.append(chunk)
         return b"".join(chunks)
 
-    def _keep_failure(self, head: AnswerHead, body: bytes) -> AttemptEnd:
+    def _keep_failure(self, head: AnswerHead, body: bytes) -> AttemptOutcome:
         if self._admitted.trace is not None:
             self._admitted.trace.failure = f"status {head.status}"
         self._progress.failure = WorkerFailure(head, body)
-        return AttemptEnd.MAY_HAVE_RUN
+        return AttemptOutcome.MAY_HAVE_RUN
 
-    async def _pass_answer(self, head: AnswerHead, body: bytes) -> AttemptEnd:
+    async def _pass_answer(self, head: AnswerHead, body: bytes) -> AttemptOutcome:
         self._learn_from_first_byte()
         self._worker.answered()
         if self._admitted.trace is not None:
             self._admitted.trace.event(self._worker.heard_at)
         await self._admitted.responder.respond(head.status, client_headers(head), body)
-        return AttemptEnd.DONE
+        return AttemptOutcome.DONE
 
-    async def _read_events(self, head: AnswerHead) -> AttemptEnd:
+    async def _read_events(self, head: AnswerHead) -> AttemptOutcome:
         splitter, responder, worker = EventSplitter(), self._admitted.responder, self._worker
         while (chunk := await self._stream.next_part()) is not None:
             if not isinstance(chunk, bytes):
@@ -257,19 +258,19 @@
             if responder.paused:
                 await responder.drain()
         self._pass_events(splitter.finish(), head)
-        self._check_end(head, splitter)
+        self._check_complete(head, splitter)
         if not self._progress.begun:
             self._begin_answer(head)
-        responder.write(splitter.pending)  # empty lines at most
+        responder.write(splitter.pending)  # at most blank lines
         responder.end()
         worker.answered()
-        return AttemptEnd.DONE
+        return AttemptOutcome.DONE
 
     def _pass_events(self, events: list[StreamEvent], head: AnswerHead) -> None:
-        """Gives complete events to the client.
+        """Forwards complete events to the client.
 
         Raises:
-            AnswerBrokenError: A resumed run begins at another event than the one requested.
+            AnswerBrokenError: A resumed stream does not begin with the event that was requested.
         """
         if not events:
             return
@@ -277,7 +278,7 @@
             self._learn_from_first_byte()
         if self._resume_after is not None:
             if events[0].id != self._resume_after + 1:
-                raise AnswerBrokenError("the stream does not go on behind the event that was requested")
+                raise AnswerBrokenError("the resumed stream does not continue after the requested event")
             self._resume_after = None
         if not self._progress.begun:
             self._begin_answer(head)
@@ -290,15 +291,14 @@
         self._progress.begun = True
         self._admitted.responder.begin(head.status, client_headers(head))
 
-    def _check_end(self, head: AnswerHead, splitter: EventSplitter) -> None:
-        """Checks that a stream that ended in good order is complete.
+    def _check_complete(self, head: AnswerHead, splitter: EventSplitter) -> None:
+        """Checks that a stream whose connection was closed normally is complete.
 
-        Symptom answered: a worker that breaks off closes its connection in good order, which ends an answer
-        without a length. The middle of an event, and an end before the first one, are where no complete
-        stream ends.
+        A worker that aborts a stream may close its connection normally, which is also how an answer without
+        a length ends. A stream that ends within an event, or before its first one, is truncated.
 
         Raises:
-            AnswerBrokenError: It is not complete.
+            AnswerBrokenError: The stream is truncated.
         """
         if splitter.amid_event:
             raise AnswerBrokenError("the stream ended in the middle of an event")
@@ -306,7 +306,7 @@
             raise AnswerBrokenError("the stream ended with its connection before its first event")
 
     def _learn_from_first_byte(self) -> None:
-        """Learns from the time to the first byte: the service's times, the worker's speed, the limit."""
+        """Updates the service's timing model, the worker's slowness and the concurrency limit."""
         self._first_byte_received = True
         now = self._now()
         worker, admitted = self._worker, self._admitted
--- a/pewterring/gateway/live_handler.py
+++ b/pewterring/gateway/live_handler.py
@@ -1,6 +1,6 @@
-"""Live requests at a gateway: drain, choice of service, admission, and the end with the client's connection.
+"""Handler of live requests: drain check, choice of service, admission, and cancellation on disconnect.
 
-Owns what a request takes from the gateway: its place in admission, which it gives back however it ends.
+Owns the admission slot of each request and releases it however the request ends.
 """
 
 import asyncio
@@ -29,7 +29,7 @@
 
 @dataclass(slots=True)
 class LiveHandler:
-    """Admits live requests and serves them. `request_log` may change while it runs."""
+    """Admits and serves live requests. `request_log` may change at run time."""
 
     context: LiveContext
     configuration: ActiveConfiguration
@@ -40,7 +40,7 @@
     clock: Callable[[], float]
 
     async def handle(self, request: ServerRequest, responder: Responder, route: Route) -> None:
-        """Answers one request, or refuses it with the promise that it has not run."""
+        """Answers one request, or refuses it with a status that guarantees that it has not run."""
         deadline = request.received_at + request_timeout_s(request, route)
         if not self.context.drain.accepts(self.clock(), deadline):
             self.metrics.limited(Limit.DRAIN)
@@ -62,7 +62,7 @@
         )
 
     async def _serve(self, admitted: AdmittedRequest) -> None:
-        """Serves a request until it is answered or its client leaves, which cancels this task."""
+        """Serves a request until it is answered, or its client disconnects, which cancels this task."""
         task = asyncio.current_task()
         assert task is not None
         trace = admitted.trace
@@ -87,7 +87,7 @@
         await refuse(responder, retry_after_s(route.target_latency_ms))
 
     def _trace(self, request: ServerRequest, route: Route, prompt: Prompt) -> RequestTrace | None:
-        """Returns the record of this request, where requests that end badly are to be logged."""
+        """Returns a trace for the request log, or None if the request log is off."""
         if self.request_log is RequestLogMode.OFF:
             return None
         request_id = text_header(request, REQUEST_ID) or ""
--- a/pewterring/gateway/live_request.py
+++ b/pewterring/gateway/live_request.py
@@ -1,37 +1,44 @@
-"""One live request at a gateway: attempts at workers, one after the other, within its time.
+"""One live request at a gateway: consecutive attempts at workers until its deadline.
 
-A request that may not run twice has one attempt that may have run. A stream that has begun goes on at another
-worker behind the last event that the client has, where its route allows that; else it is cut.
+A request that is not idempotent is not retried after an attempt that may have run. If a stream breaks after
+its first event, it resumes at another worker after the last event sent to the client, if its route allows
+that; otherwise the connection to the client is aborted.
 """
 
 import asyncio
 
 from pewterring.gateway.answers import refuse, retry_after_s
-from pewterring.gateway.live_attempt import AdmittedRequest, AttemptEnd, LiveAttempt, LiveContext, Progress
+from pewterring.gateway.live_attempt import (
+    AdmittedRequest,
+    AttemptOutcome,
+    LiveAttempt,
+    LiveContext,
+    Progress,
+)
 from pewterring.gateway.metrics import Limit
 from pewterring.gateway.worker_protocol import client_headers, worker_request
 from pewterring.routing.worker_state import WorkerState
 from pewterring.transport.http_client import ExchangeError
 from pewterring.transport.http_fetch import AnswerStream
 
-MAX_SENDS = 4  # attempts that certainly did not run count here only
-RETRY_PAUSE_S = 0.01  # before a request goes elsewhere that no worker took
-MIN_REMAINING_S = 0.005  # with less time left nothing is begun
-RETRY_AFTER_FRACTION = 0.25  # of the latency target, where no worker took the request
+MAX_SENDS = 4  # limit of all attempts; those that certainly did not run count only against this one
+RETRY_PAUSE_S = 0.01  # after a declined attempt other than the first, before the next one
+MIN_REMAINING_S = 0.005  # no attempt begins with less time left
+RETRY_AFTER_FRACTION = 0.25  # Retry-After as a fraction of the latency target, if no worker accepted
 
 
 class LiveRequest:
-    """Carries one admitted request to its end, in the task that the request came in."""
+    """Serves one admitted request, in the task that handles it."""
 
     def __init__(self, context: LiveContext, admitted: AdmittedRequest) -> None:
         self._context = context
         self._admitted = admitted
         self._now = context.pool.now
         self._progress = Progress()
-        self._excluded: set[str] = set()  # ids of workers that had an attempt
+        self._excluded: set[str] = set()  # ids of workers that were already tried
 
     async def run(self) -> Limit | None:
-        """Answers the client, unless it goes away first; returns what kept it from a worker's answer."""
+        """Answers the client, unless it disconnects; returns the limit that prevented a worker's answer."""
         admitted, progress = self._admitted, self._progress
         choose, sends = self._context.chooser.choose, 0
         while sends < MAX_SENDS and self._is_time_left() and not admitted.responder.disconnected:
@@ -41,12 +48,12 @@
                 break
             sends += 1
             end = await self._attempt(worker)
-            if end is AttemptEnd.DONE:
+            if end is AttemptOutcome.DONE:
                 if admitted.trace is not None:
                     admitted.trace.done = True
                 return None
             self._excluded.add(worker.record.id)
-            if end is AttemptEnd.MAY_HAVE_RUN:
+            if end is AttemptOutcome.MAY_HAVE_RUN:
                 progress.runs += 1
                 if not self._may_run_again():
                     break
@@ -55,7 +62,7 @@
         return await self._give_up()
 
     def _is_time_left(self) -> bool:
-        """Returns whether something may begin before the deadline, or before this process ends."""
+        """Returns whether enough time is left before the deadline and the end of a drain."""
         ends_at = min(self._admitted.deadline, self._context.drain.ends_at)
         return ends_at - self._now() > MIN_REMAINING_S
 
@@ -65,7 +72,7 @@
             return False
         return not progress.begun or progress.last_event_id is not None
 
-    async def _attempt(self, worker: WorkerState) -> AttemptEnd:
+    async def _attempt(self, worker: WorkerState) -> AttemptOutcome:
         admitted = self._admitted
         message = worker_request(
             admitted.request, worker.record.id, admitted.deadline, self._progress.resume_after
@@ -76,11 +83,11 @@
             )
         except ExchangeError:
             self._progress.limit = Limit.CONNECTIONS
-            return AttemptEnd.NOT_RUN
+            return AttemptOutcome.NOT_RUN
         return await LiveAttempt(self._context, admitted, self._progress, worker, stream).run()
 
     async def _give_up(self) -> Limit | None:
-        """Answers as far as the attempts allow: a 503 promises that none of them ran."""
+        """Answers after the last attempt; a 503 guarantees that none of the attempts ran."""
         responder, progress = self._admitted.responder, self._progress
         if not self._is_time_left():
             progress.limit = Limit.DEADLINE
--- a/pewterring/gateway/worker_protocol.py
+++ b/pewterring/gateway/worker_protocol.py
@@ -1,4 +1,4 @@
-"""The protocol between a gateway and workers: a request as a worker gets it, and what its answer means."""
+"""The protocol between gateways and workers: building requests, and interpreting heads of answers."""
 
 from enum import Enum, auto
 
@@ -19,26 +19,27 @@
 EVENT_STREAM = b"text/event-stream"
 REPLACED_HEADERS = frozenset({b"content-length", b"expect", REQUEST_TIMEOUT, TARGET_INSTANCE})
 
-# To a client these promise that its request has not run and never will. A worker that says so without
-# `Not-Executed` promises nothing.
+# To a client these statuses guarantee that its request has not run and never will. From a worker they
+# guarantee nothing unless the answer has a `Not-Executed` header.
 NOT_RUN_STATUSES = frozenset({408, 429, 503})
 
 
-class Verdict(Enum):
-    """What the head of a worker's answer says of the attempt."""
+class AnswerClass(Enum):
+    """What the head of a worker's answer means for the attempt."""
 
     SUCCESS = auto()
     NOT_RUN = auto()  # the worker declined; the request may go elsewhere
-    FAILURE = auto()  # the worker's own failure; it counts as run
-    UNUSABLE = auto()  # it counts as run, and nothing of the answer may reach the client
+    FAILURE = auto()  # the worker failed; the request counts as run
+    UNUSABLE = auto()  # the request counts as run; the answer must not be forwarded to the client
 
 
 def worker_request(
     request: ServerRequest, worker_id: str, deadline: float, last_event_id: int | None
 ) -> SendRequest:
-    """Returns the request as the worker gets it. `last_event_id` resumes a stream behind that event.
+    """Returns the request to send to a worker. `last_event_id` resumes a stream after that event.
 
-    The worker always gets the time that is left, also where the client named none: it ceases work then.
+    The worker always receives the remaining time, even if the client sent no time-out, so that it can stop
+    work at the deadline.
     """
     dropped = REPLACED_HEADERS | {LAST_EVENT_ID} if last_event_id is not None else REPLACED_HEADERS
     headers: Headers = [
@@ -52,42 +53,42 @@
     )
 
 
-def judge(head: AnswerHead) -> Verdict:
-    """Returns what the head of a worker's answer means.
+def classify_answer(head: AnswerHead) -> AnswerClass:
+    """Classifies a worker's answer by its head.
 
-    Symptom answered by `UNUSABLE`: a success without the worker's stamp, or with a body that was encoded on
-    the way, reached the client as a success; and a worker's own 503 for a request that had run promised the
-    client that it had not.
+    `UNUSABLE` covers successes that lack the worker's signature or whose body was encoded on the way, which
+    must not reach the client as successes. It also covers a 503 that a worker sends for a request that has
+    run, because to the client it would mean that the request has not run.
     """
     if head.status == MISDIRECTED or head.get(NOT_EXECUTED) is not None:
-        return Verdict.NOT_RUN
+        return AnswerClass.NOT_RUN
     if head.get(CONTENT_ENCODING) is not None or head.status in NOT_RUN_STATUSES:
-        return Verdict.UNUSABLE
+        return AnswerClass.UNUSABLE
     if 200 <= head.status < 300:
-        return Verdict.SUCCESS if head.get(RESPONSE_SIGNATURE) is not None else Verdict.UNUSABLE
-    return Verdict.FAILURE
+        return AnswerClass.SUCCESS if head.get(RESPONSE_SIGNATURE) is not None else AnswerClass.UNUSABLE
+    return AnswerClass.FAILURE
 
 
 def is_misdirected(request: ServerRequest, head: AnswerHead) -> bool:
-    """Returns whether the answer says that another worker has the address.
+    """Returns whether the answer shows that another worker now uses the address.
 
-    A worker answers 421 also where it holds weights of another version than the client expects: it is well.
+    A healthy worker also answers 421 if it serves another version of the weights than the client expects.
     """
     return head.status == MISDIRECTED and request.get(EXPECT_VERSION) is None
 
 
 def client_headers(head: AnswerHead) -> Headers:
-    """Returns the headers of a worker's answer as the client gets them."""
+    """Returns the headers of a worker's answer to forward to the client."""
     return [
         (name, value) for name, value in end_to_end_headers(head.headers) if name.lower() != b"content-length"
     ]
 
 
 def is_event_stream(head: AnswerHead) -> bool:
-    """Returns whether the body is a series of events."""
+    """Returns whether the body is a stream of server-sent events."""
     return (head.get(b"content-type") or b"").lower().startswith(EVENT_STREAM)
 
 
 def read_load(head: AnswerHead) -> Load | None:
-    """Returns the load that the worker reports in a head, if any."""
+    """Returns the load that the worker reports in the head, or None."""
     return parse_load(head.get(LOAD))
