--- a/pewterring/gateway/request_trace.py
+++ b/pewterring/gateway/request_trace.py
@@ -1,4 +1,4 @@
-"""The trace of one live request: what happened to it, and the line that is logged if it ended badly."""
+"""Trace of one live request: the times of its events, and the log record if it was late or failed."""
 
 from dataclasses import dataclass, field
 from typing import NamedTuple
@@ -10,7 +10,7 @@
 from pewterring.observability.log import EVENT
 from pewterring.observability.request_log import RECORD_FORMAT, REQUEST_EVENT, Reason, RequestRecord
 
-DOMINANT_FRACTION = 0.5  # of the time to the first event: a cause that took more is named for it
+DOMINANT_FRACTION = 0.5  # of the time to first event: a cause that took more is logged as the reason
 REASON_BY_LIMIT = {
     Limit.SHARE: Reason.REFUSED,
     Limit.CONCURRENCY: Reason.REFUSED,
@@ -22,14 +22,14 @@
 
 
 class AttemptStart(NamedTuple):
-    """An attempt as it was sent, with what was known of its worker then."""
+    """The start of an attempt, with what the gateway knew about the worker at that time."""
 
     sent_at: float
     worker: str
     uncached_tokens: int
     expected_prefill_s: float
-    expected_wait_s: float  # for prompts that were sent there before
-    in_flight: int  # this gateway's other requests there
+    expected_wait_s: float  # for prompts sent to the worker earlier
+    in_flight: int  # other requests of this gateway at the worker
 
 
 NO_ATTEMPT = AttemptStart(0.0, "", 0, 0.0, 0.0, 0)
@@ -37,12 +37,12 @@
 
 @dataclass(slots=True)
 class RequestTrace:
-    """Collects what happens to one request. Times are of the steady clock, 0 for what has not happened."""
+    """Records the events of one request. Times are monotonic; 0 means that the event has not happened."""
 
     request_id: str
     route: Route
     arrived_at: float
-    tokens: int = 0  # of the prompt
+    tokens: int = 0  # tokens of the prompt
     admitted_at: float = 0.0
     last_attempt: AttemptStart = NO_ATTEMPT
     attempts: int = 0
@@ -50,17 +50,17 @@
     first_at: float = 0.0
     event_at: float = 0.0
     longest_pause_s: float = 0.0
-    done: bool = False  # the client has its answer
+    done: bool = False  # the client has received its complete answer
     status: int = 0
     limit: Limit | None = field(default=None)
 
     def sent(self, attempt: AttemptStart) -> None:
-        """Notes that an attempt begins."""
+        """Records the start of an attempt."""
         self.attempts += 1
         self.last_attempt = attempt
 
     def event(self, now: float) -> None:
-        """Notes that events, or a complete answer, go to the client."""
+        """Records that events, or a complete answer, are sent to the client."""
         if not self.first_at:
             self.first_at = now
         else:
@@ -68,7 +68,7 @@
         self.event_at = now
 
     def reason(self) -> Reason | None:
-        """Returns why the request ended badly; None where it did not."""
+        """Returns why the request was late or failed; None if it succeeded in time."""
         if not self.done:
             return self._reason_of_failure()
         if self.first_at - self.arrived_at > self.route.target_latency_ms / 1000:
@@ -95,7 +95,7 @@
         return Reason.AT_WORKER
 
     def log(self, now: float) -> None:
-        """Logs the request, if it ended badly."""
+        """Logs the request if it was late or failed."""
         reason = self.reason()
         if reason is None:
             return
--- a/pewterring/gateway/stall_detector.py
+++ b/pewterring/gateway/stall_detector.py
@@ -1,7 +1,8 @@
-"""Finds workers that have become unresponsive amid attempts, by checking all attempts periodically.
+"""Detects workers that become unresponsive during attempts, by checking all attempts periodically.
 
-Symptom answered: a worker that is dead or cut off without a word. Its streams would only end at a deadline. A
-worker that still sends bytes of any answer is alive, however slow one stream is.
+If a worker crashes or is partitioned from the network without closing its connections, its streams would
+end only at their deadlines. A worker that still sends bytes of any answer counts as alive, however slow one
+stream is.
 """
 
 import math
@@ -12,34 +13,34 @@
 from pewterring.transport.http_exchange import ExchangeError
 from pewterring.transport.http_fetch import AnswerStream
 
-CHECK_INTERVAL_S = 0.05  # between checks
-PAUSED_S = 3 * CHECK_INTERVAL_S  # between checks: then this process itself was paused
-MAX_PREFILL_ALLOWANCE_S = 0.5  # of a worker's idle time that its prefills may explain
-EXCESS_WAIT_FACTOR = 2.0  # times the expected time to the first byte: from then on a wait is announced
-EXCESS_WAIT_S = 0.05  # and this much besides
-TOKEN_GAP_FRACTION = 0.7  # of the longest gap that a route allows: idle time-out amid a stream
+CHECK_INTERVAL_S = 0.05
+PROCESS_PAUSE_S = 3 * CHECK_INTERVAL_S  # a longer time between checks means this process was paused
+MAX_PREFILL_ALLOWANCE_S = 0.5  # longest idle time that prefills at the worker can excuse
+EXCESS_WAIT_FACTOR = 2.0  # waits over this multiple of the expected time to first byte are announced
+EXCESS_WAIT_S = 0.05  # added to that threshold
+TOKEN_GAP_FRACTION = 0.7  # idle time-out within a stream, as a fraction of the route's token gap target
 
 
 class WorkerUnresponsiveError(ExchangeError):
-    """The worker has sent nothing for longer than it should; the request may have run."""
+    """The worker has sent nothing for longer than its idle time-out; the request may have run."""
 
 
 @dataclass(slots=True, eq=False)
 class WatchedAttempt:
-    """One attempt in flight. `idle_timeout_s` changes with the first byte."""
+    """One attempt in flight. `idle_timeout_s` is shortened after the first byte."""
 
     worker: WorkerState
     stream: AnswerStream
     idle_timeout_s: float
-    active_at: float  # when it was sent, or this process was last paused
-    may_retry: bool  # whether the request may go elsewhere
-    expected_s: float = math.inf  # time to the first byte; infinite once it came
-    announced_s: float = 0.0  # how long it had waited when that was last announced
+    active_at: float  # when the attempt was sent, or when this process last resumed after a pause
+    may_retry: bool  # whether the request may be retried at another worker
+    expected_s: float = math.inf  # expected time to first byte; infinite after the first byte
+    announced_s: float = 0.0  # the waiting time at the last announcement
 
     def unannounced_wait_s(self, now: float) -> float:
-        """Returns how long it has waited beyond what was expected, if that is to be announced, else 0.
+        """Returns the waiting time beyond the expected one if it should be announced now, otherwise 0.
 
-        It is announced once, and again each time that the wait has doubled.
+        A wait is announced once, and again each time it has doubled.
         """
         waited_s = now - self.active_at
         if waited_s < max(EXCESS_WAIT_FACTOR * self.expected_s + EXCESS_WAIT_S, 2 * self.announced_s):
@@ -48,10 +49,10 @@
         return waited_s - self.expected_s
 
     def is_overdue(self, now: float) -> bool:
-        """Returns whether the worker is idle for longer than the time-out and its prefills explain.
+        """Returns whether the worker has been idle for longer than the time-out plus its pending prefills.
 
-        Symptom answered: streams were taken away from workers that were busy with a long prefill, and the
-        prefill of their own prompts was done again elsewhere.
+        Without the allowance for prefills, streams were interrupted at workers that were busy with a long
+        prefill, and other workers had to repeat the prefill of the interrupted requests.
         """
         heard_at = max(self.active_at, self.worker.heard_at)
         prefill_s = min(MAX_PREFILL_ALLOWANCE_S, self.worker.reading_after(heard_at))
@@ -61,7 +62,7 @@
 class StallDetector:
     """Owns the set of attempts in flight at this gateway.
 
-    `announce_wait` is called with a worker at which a request waits too long, and the seconds beyond.
+    `announce_wait` is called with a worker at which a request waits too long, and the excess in seconds.
     """
 
     def __init__(self, announce_wait: Callable[[WorkerState, float], None] | None = None) -> None:
@@ -70,20 +71,20 @@
         self._checked_at = -math.inf
 
     def add(self, attempt: WatchedAttempt) -> None:
-        """Watches an attempt."""
+        """Starts watching an attempt."""
         self._attempts.add(attempt)
 
     def remove(self, attempt: WatchedAttempt) -> None:
-        """Watches an attempt no more."""
+        """Stops watching an attempt."""
         self._attempts.discard(attempt)
 
     def check(self, now: float) -> None:
-        """Interrupts the attempts at workers that are unresponsive, where they may go elsewhere."""
-        was_paused = now - self._checked_at > PAUSED_S
+        """Marks unresponsive workers as suspect, and interrupts their attempts that may be retried."""
+        was_paused = now - self._checked_at > PROCESS_PAUSE_S
         self._checked_at = now
         for attempt in list(self._attempts):
             if was_paused:
-                attempt.active_at = now  # what came while this process was paused is not read yet
+                attempt.active_at = now  # bytes that arrived during the pause are not read yet
             else:
                 self._check_attempt(attempt, now)
 
--- a/pewterring/gateway/store_calls.py
+++ b/pewterring/gateway/store_calls.py
@@ -1,6 +1,6 @@
-"""Calls of a gateway to the batch stores: to the one that leads, until it answers or time is over.
+"""Calls of a gateway to the batch stores: finds the leading store and retries until the budget is used up.
 
-Any call may be lost before or after a store has acted on it; `StoreReply.may_have_run` tells the two apart.
+A call may be lost before or after a store has acted on it; `StoreReply.may_have_run` tells the two apart.
 """
 
 import asyncio
@@ -25,22 +25,22 @@
 from pewterring.distribution.tables import Tables
 from pewterring.transport.lines import LinkPool, RequestNotSentError, TransportError
 
-ATTEMPT_TIMEOUT_S = 1.2  # one attempt at one store; a commit takes some milliseconds
-RETRY_PAUSE_S = 0.06  # after all stores were called, give or take half of it
+ATTEMPT_TIMEOUT_S = 1.2  # per attempt at one store; a commit takes a few milliseconds
+RETRY_PAUSE_S = 0.06  # after each round through all stores; jittered by half of it in both directions
 
 StoreCall = SubmitJob | ReadResults | ReadItem | EndJob
 StoreAnswer = NotFound | ItemBody | ResultPage | JobAccepted | JobRejected | JobEnded
 
 
 class StoreReply(NamedTuple):
-    """What came of a call."""
+    """The outcome of a call."""
 
-    answer: StoreAnswer | None  # the leader's; None once time is over
-    may_have_run: bool  # whether a store that was called before may have acted
+    answer: StoreAnswer | None  # of the leader; None if the budget was used up
+    may_have_run: bool  # whether an earlier attempt that got no answer may have taken effect
 
 
 class StoreCaller:
-    """Remembers which store led last, and calls it first."""
+    """Calls the stores until the leader answers. Remembers the last known leader and calls it first."""
 
     def __init__(
         self,
@@ -53,10 +53,10 @@
         self._tables = tables
         self._rng = rng
         self._clock = clock
-        self._leader = ""  # IP that answered or was named last
+        self._leader = ""  # IP of the store that last answered as leader or was named as leader
 
     async def call(self, message: StoreCall, budget_s: float) -> StoreReply:
-        """Calls stores until the leader answers, for `budget_s` seconds at most."""
+        """Calls stores until the leader answers, for at most `budget_s` seconds."""
         ends_at = self._clock() + budget_s
         wait_s = message.wait_ms / 1000 if isinstance(message, ReadResults) else 0.0
         may_have_run = False
@@ -84,7 +84,7 @@
         return StoreReply(None, may_have_run)
 
     def _follow(self, ip: str, answer: NotLeading) -> bool:
-        """Takes the leader that a store names; returns whether it names another."""
+        """Remembers the leader that the store at `ip` names; returns whether it is another store."""
         self._forget(ip)
         named = answer.leader.partition("#")[0]
         if not named or named == ip:
@@ -97,7 +97,7 @@
             self._leader = ""
 
     def _candidates(self) -> Iterator[str]:
-        """Yields IPs to call in turn: who led last, who is said to lead, then all stores."""
+        """Returns the IPs to call in order: the last known leader, leaders in the tables, then all stores."""
         tables = self._tables()
         order = [self._leader] if self._leader else []
         order += [group.leader.partition("#")[0] for group in tables.groups if group.leader]
