--- a/pewterring/gateway/metrics.py
+++ b/pewterring/gateway/metrics.py
@@ -1,4 +1,4 @@
-"""The metrics of a gateway: its counters, and the gauges made of its state at a scrape."""
+"""Metrics of a gateway: counters, and gauges that are computed from its state at a scrape."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -12,14 +12,14 @@
 
 
 class Limit(StrEnum):
-    """What kept a live request from a worker's answer."""
+    """The limit that kept a live request from being answered by a worker."""
 
-    SHARE = "share"  # this gateway's share of the common concurrency limit
-    CONCURRENCY = "ceiling"  # the gateway's own concurrency limit; the metric's label
+    SHARE = "share"  # this gateway's share of the concurrency limit of all gateways
+    CONCURRENCY = "ceiling"  # this gateway's own concurrency limit; the value of the metric's label
     CONNECTIONS = "connections"  # all connections to the chosen workers were in use
-    NO_WORKER = "no_worker"  # none was there, or none was left for an attempt
-    DEADLINE = "deadline"  # the request's time was over
-    DRAIN = "drain"  # this gateway ends before the request's time would be over
+    NO_WORKER = "no_worker"  # there was no worker, or none that had not been tried yet
+    DEADLINE = "deadline"  # the deadline of the request was reached
+    DRAIN = "drain"  # this gateway ends before the deadline of the request
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,37 +27,37 @@
     """The state of a gateway at the moment of a scrape."""
 
     ready: bool
-    requests_in_flight: int  # read completely and not answered
+    requests_in_flight: int  # received completely and not answered yet
     client_connections: int
     worker_connections_made: int
     tables: Tables
-    tables_age_s: float  # since they were confirmed
+    tables_age_s: float  # time since control confirmed the tables
     admissions: Mapping[str, ServiceAdmission]  # by service
 
 
 class GatewayMetrics:
-    """Owns the counters, which the handlers of requests count up."""
+    """Owns the counters, which the request handlers increment."""
 
     def __init__(self) -> None:
-        self.requests = 0  # live ones that a route was found for
+        self.requests = 0  # live requests for which a route was found
         self.batch_calls = 0
         self.unrouted = 0
         self._limits = dict.fromkeys(Limit, 0)
 
     def refused(self, admission: ServiceAdmission) -> Limit:
-        """Counts a request that admission refused, and returns by which limit."""
+        """Counts a request that admission refused, and returns the limit that applied."""
         by_share = admission.shares.room(admission.out) <= admission.ceiling.limit
         limit = Limit.SHARE if by_share else Limit.CONCURRENCY
         self.limited(limit)
         return limit
 
     def limited(self, limit: Limit | None) -> None:
-        """Counts the limit that kept a request from a worker's answer, if any did."""
+        """Counts the limit that kept a request from being answered by a worker, if there was one."""
         if limit is not None:
             self._limits[limit] += 1
 
     def families(self, state: GatewayState) -> list[MetricFamily]:
-        """Returns all metrics, with the gauges of `state`."""
+        """Returns all metrics, with gauges computed from `state`."""
         return [*self._counters(state), *_gauges(state), *_admission_gauges(state.admissions)]
 
     def _counters(self, state: GatewayState) -> list[MetricFamily]:
--- a/pewterring/gateway/program.py
+++ b/pewterring/gateway/program.py
@@ -1,8 +1,8 @@
-"""The gateway program: builds the parts of a gateway, starts and stops them, and keeps them up to date.
+"""The gateway program: builds the components of a gateway, starts and stops them, and updates their tables.
 
-Requests do not pass through here: they go from the front to the dispatcher, and from there to the handler of
-live requests or of batch requests. What goes wrong here: a port cannot be had at the start, and tables that
-are late, which the feed of tables retries and the metric of their age shows.
+Requests do not pass through this module: they go from the front to the dispatcher, and from there to the live
+handler or the batch handler. If a port is not available, `start` fails. If tables are late, the table feed
+retries, and the metric of their age shows it.
 """
 
 import asyncio
@@ -40,13 +40,13 @@
 from pewterring.transport.http_client import WorkerPool
 from pewterring.transport.lines import LinkPool, MessageCodec
 
-MIN_DRAIN_S = 2.6  # after SIGTERM: the platform checks readiness each second and takes two misses
-QUIET_S = 0.3  # without a request in flight, then the process ends
+MIN_DRAIN_S = 2.6  # the platform probes readiness each second and needs two failures to stop routing here
+IDLE_BEFORE_EXIT_S = 0.3  # time without requests in flight after which the drain ends
 DRAIN_CHECK_INTERVAL_S = 0.05
 
 
 class GatewayProgram:
-    """One gateway. Owns its parts, and from `start` to `stop` the tasks of heartbeats and of stall checks."""
+    """One gateway. Owns its components and, from `start` to `stop`, the heartbeat and stall check tasks."""
 
     def __init__(
         self,
@@ -68,7 +68,7 @@
         self._build_request_path()
 
     def _build_links(self) -> None:
-        """Makes what connects the gateway to control and to the stores."""
+        """Creates the connections to control and to the stores."""
         settings = self.settings
         codec = MessageCodec((*FEED_MESSAGES, *BATCH_MESSAGES), settings.cluster)
         self.feed = FeedSubscriber(
@@ -81,7 +81,7 @@
         self._links = LinkPool(codec, settings.internal_port, rng=self._rng, source_ip=settings.ip)
 
     def _build_routing(self) -> None:
-        """Makes what chooses workers and admits requests to them, and keeps gateways in step about both."""
+        """Creates worker selection, admission, and the exchange of both states with other gateways."""
         settings = self.settings
         self.pool = WorkerPool(now=self.clock)
         self.chooser = WorkerChooser(settings.zone, self._rng, self.pool.is_connected)
@@ -96,7 +96,7 @@
         self._stalls = StallDetector(self._prompts.announce_wait)
 
     def _build_request_path(self) -> None:
-        """Makes what requests pass through, from the last stage up to the front."""
+        """Creates the stages of request handling, from the handlers up to the front."""
         context = LiveContext(
             self.pool, self.chooser, self._stalls, self._prompts.announce_prompt, self.draining
         )
@@ -124,7 +124,7 @@
         """Opens the ports and follows the control leader.
 
         Raises:
-            OSError: A port cannot be had.
+            OSError: A port is not available.
         """
         settings = self.settings
         assert settings.front is not None
@@ -139,25 +139,25 @@
             asyncio.create_task(self._check_stalls()),
         ]
         logger.bind(event="gateway_started", gateway=settings.node_id, address=str(settings.front)).info(
-            "The gateway listens on its address."
+            "Gateway listening"
         )
 
     async def drain(self) -> None:
-        """Ends readiness, takes what can end in time; returns when nothing is in flight or time is over."""
+        """Reports not ready, and waits until the gateway is idle or the drain has ended."""
         self._is_draining = True
         self.front.begin_drain()
         began_at = self.clock()
         self.draining.begin(began_at, self.settings.bounds.grace_s)
-        quiet_since = began_at
+        idle_since = began_at
         while (now := self.clock()) < self.draining.ends_at:
             if self.front.requests_in_flight:
-                quiet_since = now
-            elif now - began_at >= MIN_DRAIN_S and now - quiet_since >= QUIET_S:
+                idle_since = now
+            elif now - began_at >= MIN_DRAIN_S and now - idle_since >= IDLE_BEFORE_EXIT_S:
                 break
             await asyncio.sleep(DRAIN_CHECK_INTERVAL_S)
 
     async def stop(self) -> None:
-        """Closes all ports and connections, and ends the tasks."""
+        """Closes all ports and connections, and cancels the tasks."""
         await self.front.stop()
         await self.readiness.stop()
         await self.feed.stop()
@@ -171,7 +171,7 @@
         self.pool.close()
 
     def reload(self, settings: NodeSettings) -> None:
-        """Takes settings that have changed: the seeds, and which requests are logged."""
+        """Applies changed settings: the seeds and the request log mode."""
         self.settings = settings
         self.live.request_log = settings.request_log
         self.feed.reload(settings)
@@ -181,7 +181,7 @@
         return self.configuration.routes is not None and not self._is_draining
 
     def take_tables(self, old: Tables, new: Tables) -> None:
-        """Puts newer tables in force: the feed calls it with those from before and the new ones."""
+        """Applies new tables; called by the feed with the previous and the new ones."""
         if new.configuration is not old.configuration and new.configuration is not None:
             self.configuration.apply(new.configuration)
         if new.nodes is not old.nodes:
@@ -199,10 +199,10 @@
                 self.pool.close_address(worker.address)
 
     async def send_heartbeats(self) -> None:
-        """Sends admission's heartbeats to the other gateways and stores, without end."""
+        """Sends admission heartbeats to the other gateways and the stores until cancelled."""
         while True:
             await asyncio.sleep(BEAT_S)
-            if self.chooser.has_silent:  # those that answer no more take their slots with them
+            if self.chooser.has_silent:  # slots of workers that no longer answer no longer count
                 self.admissions.update(self.clock(), self.feed.tables, self.chooser)
             heartbeats = self.admissions.tick(self.clock())
             self._heartbeats.send(heartbeats, self.feed.tables.nodes)
@@ -235,12 +235,12 @@
 
 
 def _position(settings: NodeSettings, tables: Tables) -> float:
-    """Returns the position of this gateway among those of its zone, from 0 to 1."""
-    neighbours = sorted(
+    """Returns this gateway's position among the gateways of its zone, as a fraction from 0 to 1."""
+    zone_gateways = sorted(
         node.node_id
         for node in tables.nodes
         if node.program == GATEWAY_PROGRAM and node.zone == settings.zone
     )
-    if settings.node_id not in neighbours:
+    if settings.node_id not in zone_gateways:
         return 0.0
-    return neighbours.index(settings.node_id) / len(neighbours)
+    return zone_gateways.index(settings.node_id) / len(zone_gateways)
--- a/pewterring/gateway/prompt_exchange.py
+++ b/pewterring/gateway/prompt_exchange.py
@@ -1,6 +1,6 @@
-"""Exchange of hints between gateways: long prompts sent to workers, and waits at workers beyond expectation.
+"""Exchange of hints between gateways: long prompts sent to workers, and unexpectedly long waits at workers.
 
-Hints are datagrams of which any may be lost, sent within a budget of bytes; an unreadable one is dropped.
+Hints are datagrams that may be lost. Sending is limited by a byte budget; malformed hints are dropped.
 """
 
 import random
@@ -24,7 +24,7 @@
 
 
 class PromptExchange:
-    """One gateway's side; owns the port of hints. `peers` are the IPs of all gateways, the own among them."""
+    """Sends and receives the hints of one gateway; owns the UDP port. Drops hints of unknown peers."""
 
     def __init__(
         self,
@@ -47,7 +47,7 @@
 
     @property
     def peers(self) -> tuple[str, ...]:
-        """The addresses of all gateways, by the tables. Hints of others are not taken."""
+        """IPs of all gateways in the tables, including this one. Hints from other addresses are dropped."""
         return self._peers
 
     @peers.setter
@@ -59,18 +59,19 @@
         """Opens the port.
 
         Raises:
-            OSError: The port cannot be had.
+            OSError: The port is not available.
         """
         await self._port.start(self._ip, self._port_number)
 
     def close(self) -> None:
-        """Closes the port. Hints are neither sent nor taken any more."""
+        """Closes the port. No more hints are sent or received."""
         self._port.close()
 
     def announce_prompt(self, worker: WorkerState, tokens: int, prompt: Prompt) -> None:
-        """Announces a prompt whose prefill takes, or would take, longer than others to the first byte.
+        """Announces a prompt sent to a worker, if its prefill would take longer than the base time.
 
-        Also where the worker has its blocks cached: so that the others know them as used lately.
+        Prompts that the worker has cached are announced too, so that the other gateways know that their
+        blocks were used recently.
         """
         times = self._chooser.times_of(worker.record.service)
         if prompt.prompt_tokens * times.per_token_s < times.base_s:
@@ -78,16 +79,16 @@
         self._send(write_hint(hint_of(worker.record.id, tokens, prompt)), self._budget)
 
     def announce_wait(self, worker: WorkerState, seconds: float) -> None:
-        """Announces that a request waits at a worker for so many seconds longer than it should.
+        """Announces that a request has waited at a worker `seconds` longer than expected.
 
-        Symptom answered: workers whose slots are taken, or that are busy with prefills that nobody announced,
-        show it to none but those who wait there; each gateway found out alone, with a request of its own.
+        A worker that has no free slots, or is busy with prefills that were not announced, is noticed only by
+        gateways whose requests wait there. Without the hint each gateway finds out by a request of its own.
         """
         hint = WaitHint(worker_number(worker.record.id), seconds)
         self._send(write_wait_hint(hint), self._wait_budget)
 
     def _send(self, data: bytes, budget: HintBudget) -> None:
-        """Sends to all other gateways, or to as many of them as the budget allows."""
+        """Sends a hint to all other gateways, or to a random sample of the size that the budget allows."""
         others = [peer for peer in self._peers if peer != self._ip]
         allowed = budget.take(self._clock(), len(data), len(others))
         if allowed < len(others):
@@ -96,7 +97,7 @@
             self._port.send(peer, data)
 
     def _receive(self, data: bytes, ip: str) -> None:
-        if ip not in self._known_peers:  # no greeting names the sender
+        if ip not in self._known_peers:  # datagrams have no handshake that identifies the sender
             return
         wait = read_wait_hint(data)
         if wait is not None:
