--- a/pewterring/distribution/__init__.py
+++ b/pewterring/distribution/__init__.py
@@ -1,6 +1,6 @@
 """Distribution of tables (configuration, workers, nodes) from the control leader to all nodes.
 
-`messages` is what goes over the wire, `tables` what a node knows, `subscription` the rules by which it takes
-tables (without I/O), `subscriber` the session with the control leader. The leader's side is in the control
-package.
+`messages` defines the wire messages, `tables` the tables of a node, `subscription` the rules for accepting
+updates (without I/O), and `subscriber` the session with the control leader. The leader's side is in the
+control package.
 """
--- a/pewterring/distribution/messages.py
+++ b/pewterring/distribution/messages.py
@@ -1,8 +1,8 @@
-"""Messages of the feed: from the control leader to gateways and stores, and their renewals, as JSON lines.
+"""Messages of the table feed between the control leader and the gateways and stores, as JSON lines.
 
-A node opens a session with `Subscribe`, is answered with `CompleteTables`, gets `TableChanges` pushed, and
-renews the session with `Renew`. Fields that a later version adds are ignored by earlier ones. Worker and node
-records are also entries of the control log and parts of its snapshots.
+A node opens a session with `Subscribe` and receives `CompleteTables`. The leader then pushes `TableChanges`,
+and the node renews the session with `Renew`. Programs of earlier versions ignore fields that later versions
+add. Worker and node records are also written to the control log and its snapshots.
 """
 
 from enum import StrEnum
@@ -11,23 +11,24 @@
 
 
 class RegistrationState(StrEnum):
-    """What control knows of a worker.
+    """The state of a worker as control sees it.
 
-    Fields of records hold plain text, so that a state that a later version adds ends no session.
+    Records hold the state as a plain string, so that a state added by a later version does not end the
+    session of a node that does not know it.
     """
 
     READY = "ready"
-    DRAINING = "draining"  # it answers what it has and takes nothing new
-    UNRESPONSIVE = "silent"  # the wire's name; a gateway that it answers goes on sending to it
+    DRAINING = "draining"  # finishes its requests in flight and accepts no new ones
+    UNRESPONSIVE = "silent"  # the wire value; gateways that it still answers keep using it
 
 
-# Programs of nodes; a control machine is "control".
+# Values of `NodeRecord.program`; the third one, for control machines, is "control".
 GATEWAY_PROGRAM = "gateway"
 STORE = "store"  # a replica of batch partitions
 
 
 class WorkerRecord(msgspec.Struct, frozen=True):
-    """One incarnation of a worker as registered."""
+    """One registered incarnation of a worker."""
 
     id: str
     service: str
@@ -39,41 +40,41 @@
 
 
 class NodeRecord(msgspec.Struct, frozen=True):
-    """One running process of the tier."""
+    """One running process of the serving tier."""
 
     node_id: str
     program: str  # `GATEWAY_PROGRAM`, `STORE` or "control"
     ip: str
     zone: str
     incarnation: str = msgspec.field(name="life")  # the wire's name; drawn at each start of the process
-    member: str = ""  # name in a replicated group; a store's or control's
+    member: str = ""  # member name in a replicated group, for stores and control machines
     decommissioning: bool = msgspec.field(default=False, name="retiring")  # the wire's name
 
 
 class PlacementRecord(msgspec.Struct, frozen=True):
-    """One batch partition: the group's name and its first voters, which the group itself changes later."""
+    """The replicated group of one batch partition, and its first voters; the group may change them later."""
 
     group: str
     voters: tuple[str, ...]
 
 
 class GroupStatus(msgspec.Struct, frozen=True):
-    """What the leader of a batch partition reports of its group."""
+    """The status of a batch partition's replicated group, as its leader reports it."""
 
     group: str
     term: int
     commit: int
-    leader: str  # member
+    leader: str  # member name
     voters: tuple[str, ...]
     learners: tuple[str, ...]
-    complete: tuple[str, ...]  # voters whose logs hold every committed entry
+    complete: tuple[str, ...]  # voters whose logs contain every committed entry
 
 
 class TableVersions(msgspec.Struct, frozen=True):
     """The versions of all tables.
 
-    `epoch` is the control leader's term: versions compare within one epoch only, but for the configuration's,
-    whose number is the operator's.
+    `epoch` is the term of the control leader. Versions are comparable only within one epoch, except that of
+    the configuration, which the operator assigns.
     """
 
     epoch: int = 0
@@ -83,19 +84,19 @@
 
 
 class Subscribe(msgspec.Struct, frozen=True, tag=True):
-    """Opens a session. The answer is `Redirect` or `CompleteTables`."""
+    """Opens a session. The reply is `Redirect` or `CompleteTables`."""
 
     node: NodeRecord
 
 
 class Redirect(msgspec.Struct, frozen=True, tag=True):
-    """The answer of a machine that is not the leader; `leader` is the leader's IP, or empty if unknown."""
+    """The reply of a machine that is not the leader. `leader` is the leader's IP, or empty if unknown."""
 
     leader: str
 
 
 class CompleteTables(msgspec.Struct, frozen=True, tag="WholeTables"):  # the wire's name
-    """All tables. `configuration` is the operator's document as JSON, or null before the first."""
+    """All tables. `configuration` is the operator's JSON document, or null if there is none yet."""
 
     versions: TableVersions
     configuration: msgspec.Raw
@@ -107,29 +108,29 @@
 
 
 class TableChanges(msgspec.Struct, frozen=True, tag=True):
-    """What changed between `base` and `versions`; tables that did not change are null or empty."""
+    """The changes from `base` to `versions`; tables that did not change are null or empty."""
 
     base: TableVersions
     versions: TableVersions
-    configuration: msgspec.Raw = msgspec.Raw(b"null")  # null: not changed
+    configuration: msgspec.Raw = msgspec.Raw(b"null")  # null: unchanged
     workers: tuple[WorkerRecord, ...] = ()  # new or changed
-    workers_gone: tuple[str, ...] = ()  # ids
+    workers_gone: tuple[str, ...] = ()  # ids of removed workers
     nodes: tuple[NodeRecord, ...] = ()  # new or changed
-    nodes_gone: tuple[str, ...] = ()  # ids
+    nodes_gone: tuple[str, ...] = ()  # ids of removed nodes
     placements: tuple[PlacementRecord, ...] | None = None
     groups: tuple[GroupStatus, ...] | None = None
     controls: tuple[str, ...] | None = None
 
 
 class Renew(msgspec.Struct, frozen=True, tag=True):
-    """Renews the session and requests the current versions. A store that leads adds its group's status."""
+    """Renews the session and requests the current versions. The leader of a store group sets `status`."""
 
     node: NodeRecord
     status: GroupStatus | None = None
 
 
 class Renewed(msgspec.Struct, frozen=True, tag=True):
-    """The versions that were current when the leader answered, its lease being valid."""
+    """The versions that were current when the leader answered; it answers only while its lease is valid."""
 
     versions: TableVersions
 
--- a/pewterring/distribution/tables.py
+++ b/pewterring/distribution/tables.py
@@ -1,4 +1,4 @@
-"""What a node knows of the tier, as one immutable object that is replaced as a whole."""
+"""The tables of a node: its view of the serving tier, as one immutable object."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tables:
-    """Configuration, workers and nodes at one moment; empty before the first session."""
+    """The configuration, workers, nodes and batch groups at one time; empty before the first session."""
 
     versions: TableVersions = field(default_factory=TableVersions)
     configuration: Configuration | None = None
