--- a/pewterring/distribution/errors.py
+++ b/pewterring/distribution/errors.py
@@ -1,25 +1,25 @@
-"""Errors of the feed: each ends the session, and the node subscribes again, there or at another machine."""
+"""Errors of the table feed. Each ends the session; the node then subscribes again, possibly elsewhere."""
 
 
 class FeedError(Exception):
-    """What a control machine sent is not used; the tables that the node has stay in force."""
+    """A message from a control machine is rejected; the node keeps its current tables."""
 
 
 class FeedGapError(FeedError):
-    """A change does not follow on the tables that this node has."""
+    """A change is not based on the tables of this node, so an earlier change is missing."""
 
 
 class StaleLeaderError(FeedError):
-    """The tables are of an earlier leadership than those that this node has; ask another control machine."""
+    """The tables were sent by a leader of an earlier term than that of this node's tables."""
 
     def __init__(self, epoch: int, known_epoch: int) -> None:
-        super().__init__(f"tables of term {epoch}, known are those of term {known_epoch}")
+        super().__init__(f"received tables of term {epoch}, but this node has tables of term {known_epoch}")
         self.epoch = epoch
         self.known_epoch = known_epoch
 
 
 class StaleAnswerError(FeedError):
-    """The tables were requested too long ago to count as current; request them again."""
+    """The answer took so long that its tables may be out of date; they must be requested again."""
 
     def __init__(self, age_s: float) -> None:
         super().__init__(f"the tables were requested {age_s:.1f} s ago")
--- a/pewterring/distribution/subscriber.py
+++ b/pewterring/distribution/subscriber.py
@@ -1,8 +1,7 @@
-"""The node's session with the control leader: finds it, subscribes, renews, and swaps the tables.
+"""The session of a node with the control leader: finds the leader, subscribes, renews, and swaps the tables.
 
-What may go wrong: a machine that is not the leader, does not answer in time or sends tables that are not
-taken ends the session, and the search goes on with the next one. Meanwhile the node serves by the tables that
-it has.
+If a machine is not the leader, does not answer in time, or sends tables that are rejected, the session ends
+and the search continues with the next machine. Meanwhile the node keeps serving with its current tables.
 """
 
 import asyncio
@@ -31,11 +30,13 @@
 from pewterring.transport.channel import PeerWarnings
 from pewterring.transport.lines import Channel, ChannelSettings, MessageCodec, TransportError, connect
 
-RENEWAL_INTERVAL_S = 0.4  # a machine that lost the leadership says so at the next renewal, at the latest
-ANSWER_TIMEOUT_S = 0.9  # an answer of the leader later than this counts as lost
-CONNECT_TIMEOUT_S = 0.5  # a machine that is down delays the search by no more
-SEARCH_PAUSE_S = 0.15  # between searches through all known machines: spares them while none leads
-MAX_REDIRECTS = 2  # that are followed without a pause: machines may name each other
+RENEWAL_INTERVAL_S = 0.4  # also bounds how late a node learns that a machine has lost its leadership
+ANSWER_TIMEOUT_S = 0.9  # an answer that takes longer counts as lost
+CONNECT_TIMEOUT_S = 0.5  # bounds how long a machine that is down delays the search
+SEARCH_PAUSE_S = (
+    0.15  # between rounds through all known machines, to limit their load while there is no leader
+)
+MAX_REDIRECTS = 2  # followed without a pause; bounded because two machines may name each other
 
 OpenChannel = Callable[[ChannelSettings, str, int, float], Awaitable[Channel]]
 TablesHandler = Callable[[Tables, Tables], None]
@@ -43,30 +44,30 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeReport:
-    """What a node says of itself when it subscribes and with each renewal."""
+    """What a node reports about itself when it subscribes and with each renewal."""
 
     record: Callable[[], NodeRecord]
-    status: Callable[[], GroupStatus | None] = lambda: None  # of the group that a store leads
+    status: Callable[[], GroupStatus | None] = lambda: None  # of the group that this store leads, if any
 
 
 @dataclass(frozen=True, slots=True)
 class FeedEnvironment:
-    """Randomness, time and network below a subscriber; tests and simulations replace them."""
+    """The randomness, clock and network of a subscriber; tests and simulations replace them."""
 
     rng: random.Random = field(default_factory=random.Random)
-    clock: Callable[[], float] = time.monotonic  # seconds, steady
+    clock: Callable[[], float] = time.monotonic  # monotonic time in seconds
     open_channel: OpenChannel = field(default_factory=lambda: connect)
 
 
 def _ignore_tables(_old: Tables, _new: Tables) -> None:
-    """For a subscriber whose user reads `tables` when it needs them."""
+    """The default handler, for users that read `FeedSubscriber.tables` when they need them."""
 
 
 class FeedSubscriber:
-    """Follows the control leader from `start` to `stop`; owns the task that does so.
+    """Follows the control leader between `start` and `stop`; owns the background task for it.
 
-    `on_tables(old, new)` is called on the event loop after each swap of `tables`. All other methods are
-    called on the event loop too.
+    `on_tables(old, new)` is called on the event loop after each swap of `tables`. All methods must be called
+    on the event loop.
     """
 
     def __init__(
@@ -79,7 +80,7 @@
     ) -> None:
         environment = environment or FeedEnvironment()
         self._settings = settings
-        # Warnings of all sessions count together: a seed of another cluster is contacted again and again.
+        # Sessions share one limit on warnings, because a seed of another cluster is contacted repeatedly.
         self._channel_settings = ChannelSettings(codec, self._on_message, warnings=PeerWarnings())
         self._report = report
         self._on_tables = on_tables
@@ -87,7 +88,7 @@
         self._clock = environment.clock
         self._open_channel = environment.open_channel
         self._subscription = FeedSubscription()
-        self._leader_ip = ""  # as the last machine named it; empty where none is known
+        self._leader_ip = ""  # as named by the last machine contacted; empty if unknown
         self._change_missed = asyncio.Event()
         self._task: asyncio.Task[None] | None = None
 
@@ -97,11 +98,11 @@
         return self._subscription.tables
 
     def confirmed_age(self, now: float) -> float:
-        """Seconds since the tables were known to be current; infinite before the first."""
+        """Returns the seconds since the tables were last known to be current; infinite before the first."""
         return now - self._subscription.confirmed_at
 
     async def start(self) -> None:
-        """Starts following in the background."""
+        """Starts following the leader in the background."""
         self._task = asyncio.create_task(self._follow())
 
     async def stop(self) -> None:
@@ -112,13 +113,14 @@
                 await self._task
 
     def reload(self, settings: NodeSettings) -> None:
-        """Takes settings that have changed: other seeds are contacted from the next search on."""
+        """Applies changed settings: new seeds are contacted from the next search on."""
         self._settings = settings
 
     async def _follow(self) -> None:
-        """Searches the leader and follows it, until it is cancelled.
+        """Searches for the leader and follows it until cancelled.
 
-        Symptom answered: after a restart of all, a leader was known for 0.2 s before gateways contacted it.
+        Redirects are followed without a pause: with one, after a restart of all machines, a leader was known
+        for 0.2 s before gateways contacted it.
         """
         redirects = 0
         while True:
@@ -132,7 +134,7 @@
                 await asyncio.sleep(SEARCH_PAUSE_S * (0.5 + self._rng.random()))
 
     def _candidates(self) -> list[str]:
-        """The control machines to ask: the leader that was named, or else all in random order."""
+        """Returns the control machines to contact: the leader named last, or else all in random order."""
         if self._leader_ip:
             leader_ip, self._leader_ip = self._leader_ip, ""
             return [leader_ip]
@@ -142,7 +144,7 @@
         return order
 
     async def _run_session(self, ip: str) -> None:
-        """One session with the control machine at `ip`, until it ends; sets `_leader_ip` if one is named."""
+        """Runs one session with the control machine at `ip`; sets `_leader_ip` if it names a leader."""
         try:
             channel = await self._open_channel(
                 self._channel_settings, ip, self._settings.internal_port, CONNECT_TIMEOUT_S
@@ -155,11 +157,11 @@
                     await self._renew(channel)
             except (TransportError, FeedError) as error:
                 log = logger.bind(event="feed_session_ended", control_ip=ip, reason=str(error))
-                log.info("Feed session with a control machine ended; the leader is searched again")
+                log.info("Feed session ended; searching for the control leader")
 
     async def _subscribe(self, channel: Channel) -> bool:
-        """Takes complete tables; False where the machine is not the leader."""
-        self._change_missed.clear()  # before the request: a change may come in the same segment as the answer
+        """Requests and applies complete tables; returns False if the machine is not the leader."""
+        self._change_missed.clear()  # before the request: a change may arrive in one segment with the answer
         requested_at = self._clock()
         answer = await channel.request(Subscribe(node=self._report.record()), ANSWER_TIMEOUT_S)
         if isinstance(answer, Redirect):
@@ -173,17 +175,25 @@
         return True
 
     def _check_age(self, requested_at: float) -> None:
-        """Refuses tables requested longer ago than a configuration may take to reach every node.
+        """Rejects tables that were requested longer ago than `bounds.config_ms`.
+
+        A new configuration reaches every node within that time. A gateway that was suspended during its start
+        reads the answer from its socket before the time-out fires; without this check it becomes ready with
+        stale tables and answers 404 for routes added in the meantime.
 
-        Symptom answered: a gateway that was frozen while it started finds the answer in its socket before the
-        timer, becomes ready, and refuses with 404 what was added in the meantime.
+        Raises:
+            StaleAnswerError: The answer took too long.
         """
         age_s = self._clock() - requested_at
         if age_s > self._settings.bounds.config_s:
             raise StaleAnswerError(age_s)
 
     async def _renew(self, channel: Channel) -> None:
-        """Renews the session until it ends or the leader names another."""
+        """Renews the session until the channel closes or the machine names another leader.
+
+        Raises:
+            FeedGapError: A change was missed, or the leader has other versions of the tables.
+        """
         while not channel.closed:
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(self._change_missed.wait(), RENEWAL_INTERVAL_S)
@@ -196,10 +206,10 @@
                 self._leader_ip = answer.leader
                 return
             if not isinstance(answer, Renewed) or not self._subscription.confirm(answer, sent_at):
-                raise FeedGapError("the leader has other tables")
+                raise FeedGapError("the leader has other versions of the tables")
 
     def _on_message(self, _channel: Channel, message: object) -> None:
-        """Takes a change that the leader pushed."""
+        """Applies a change that the leader pushed."""
         if not isinstance(message, TableChanges):
             return
         old = self.tables
@@ -211,8 +221,8 @@
             self._notify(old, new)
 
     def _notify(self, old: Tables, new: Tables) -> None:
-        """Calls `on_tables`; a fault there must not end the session, on which all later tables depend."""
+        """Calls `on_tables`. An error there must not end the session, which all later updates depend on."""
         try:
             self._on_tables(old, new)
-        except Exception:  # noqa: BLE001 - a fault of the node's own code: logged, and the session goes on
-            logger.bind(event="table_update_failed").exception("Taking new tables failed")
+        except Exception:  # noqa: BLE001 - an error in the node's own code is logged, and the session goes on
+            logger.bind(event="table_update_failed").exception("Applying new tables failed")
--- a/pewterring/distribution/subscription.py
+++ b/pewterring/distribution/subscription.py
@@ -1,7 +1,7 @@
-"""The state of a node's subscription to the feed, without I/O: its tables, and when they were last confirmed.
+"""The state of a node's subscription, without I/O: its tables, and when they were last confirmed.
 
-Within one incarnation of a process neither a configuration nor a leadership goes back. What may go wrong is a
-`FeedError`, after which the tables are as they were.
+During the lifetime of a process neither the configuration version nor the leader's term decreases. Rejected
+messages raise a `FeedError` and leave the tables unchanged.
 """
 
 import math
@@ -22,24 +22,24 @@
 )
 from pewterring.distribution.tables import Tables
 
-NO_DOCUMENT = b"null"  # stands for a configuration that has not changed, or before the first
+NO_DOCUMENT = b"null"  # sent if the configuration has not changed, or there is none yet
 
 
 class FeedSubscription:
-    """Owns the newest tables of this process, which are swapped as one object.
+    """Owns the newest tables of this process, which are replaced as one immutable object.
 
-    All methods are called on the event loop. Before the first tables `confirmed_at` is minus infinity.
+    All methods must be called on the event loop. Before the first tables `confirmed_at` is minus infinity.
     """
 
     def __init__(self) -> None:
         self.tables = Tables()
-        self.confirmed_at = -math.inf  # seconds of the steady clock; the tables were current then
+        self.confirmed_at = -math.inf  # monotonic time at which the tables were known to be current
 
     def replace_all(self, message: CompleteTables, requested_at: float) -> Tables:
-        """Takes complete tables, requested at `requested_at` (seconds of the steady clock).
+        """Replaces all tables. `requested_at` is the monotonic time of the request.
 
         Raises:
-            StaleLeaderError: they are of an earlier leadership.
+            StaleLeaderError: The tables are from a leader of an earlier term.
         """
         self._check_leadership(message.versions.epoch)
         self.tables = Tables(
@@ -55,14 +55,14 @@
         return self.tables
 
     def apply_change(self, message: TableChanges) -> Tables:
-        """Takes one change.
+        """Applies one change and returns the new tables.
 
         Raises:
-            FeedGapError: changes before it are missing.
+            FeedGapError: Earlier changes are missing.
         """
         current = self.tables
         if message.base != current.versions:
-            raise FeedGapError(f"change on {message.base}, known are {current.versions}")
+            raise FeedGapError(f"the change is based on {message.base}, but this node has {current.versions}")
         self.tables = Tables(
             versions=message.versions,
             configuration=self._newer(message.configuration),
@@ -75,10 +75,10 @@
         return self.tables
 
     def confirm(self, message: Renewed, sent_at: float) -> bool:
-        """Takes the answer to a renewal sent at `sent_at` (seconds of the steady clock).
+        """Applies the answer to a renewal that was sent at the monotonic time `sent_at`.
 
         Returns:
-            False where the leader has other tables than this node.
+            False if the leader has other versions of the tables than this node.
         """
         if message.versions != self.tables.versions:
             return False
@@ -86,17 +86,20 @@
         return True
 
     def _check_leadership(self, epoch: int) -> None:
-        """Refuses tables of an earlier leadership: the epoch is the leader's term, which only rises.
+        """Rejects tables of an earlier term; the epoch is the leader's term, which never decreases.
 
-        Symptom answered: a leader that goes on after its time, should its clock or its lease be wrong, brings
-        back workers that have left.
+        A former leader that continues to serve because of a wrong clock or lease would bring back workers
+        that have left.
+
+        Raises:
+            StaleLeaderError: The tables are from a leader of an earlier term.
         """
         known_epoch = self.tables.versions.epoch
         if epoch < known_epoch:
             raise StaleLeaderError(epoch, known_epoch)
 
     def _newer(self, document: msgspec.Raw) -> Configuration | None:
-        """The configuration to serve by: the one received, unless it is older or cannot be read."""
+        """Returns the received configuration, or the current one if it is newer or the document invalid."""
         current = self.tables.configuration
         text = bytes(document)
         if text == NO_DOCUMENT or (current is not None and text == current.document):
@@ -104,7 +107,7 @@
         try:
             received = read_configuration(text)
         except ConfigurationError:
-            # Control checks before it accepts; a newer control may accept what this program cannot read.
+            # Control validates documents, but a newer control may accept what this program cannot parse.
             return current
         return received if current is None or received.version >= current.version else current
 
@@ -112,7 +115,7 @@
 def _changed_workers(
     current: Mapping[str, WorkerRecord], message: TableChanges
 ) -> Mapping[str, WorkerRecord]:
-    """The same object where nothing changed."""
+    """Returns the workers after a change; the same object if none changed."""
     if not message.workers and not message.workers_gone:
         return current
     workers = dict(current)
@@ -123,7 +126,7 @@
 
 
 def _changed_nodes(current: tuple[NodeRecord, ...], message: TableChanges) -> tuple[NodeRecord, ...]:
-    """The same object where nothing changed."""
+    """Returns the nodes after a change; the same object if none changed."""
     if not message.nodes and not message.nodes_gone:
         return current
     nodes = {node.node_id: node for node in current}
