--- a/tests/gateway/gateway.py
+++ b/tests/gateway/gateway.py
@@ -1,4 +1,4 @@
-"""A gateway's front and its workers on loopback, in virtual time; tables are put in force without control."""
+"""A gateway and simulated workers on loopback, in virtual time. Tables are applied without control."""
 
 import asyncio
 import contextlib
@@ -36,10 +36,10 @@
 from tests.transport.virtual_time import now
 
 IP = "127.0.0.1"
-PATIENCE_S = 60.0
+TEST_TIMEOUT_S = 60.0
 LIMITS = ServerLimits(65536, 4194304, 60.0, 600.0)
-SIGNED = [(b"Response-Signature", b"stamp"), (b"Request-Id", b"7")]
-EVENTS = [*SIGNED, (b"Content-Type", b"text/event-stream")]
+SIGNED_HEADERS = [(b"Response-Signature", b"stamp"), (b"Request-Id", b"7")]
+EVENT_STREAM_HEADERS = [*SIGNED_HEADERS, (b"Content-Type", b"text/event-stream")]
 GRACE_S = 8.0
 
 Behaviour = Callable[[ServerRequest, Responder], Awaitable[None]]
@@ -48,27 +48,27 @@
 def route(
     kind: RouteType = RouteType.IDEMPOTENT, prefix: str = "/p/", timeout_ms: float = 5000, **changed: Any
 ) -> Route:
-    made = Route(
+    default = Route(
         "r", "h", prefix, kind, (WeightedService("s", 1.0),), timeout_ms, 200, 0, 2, token_gap_target_ms=250
     )
-    return replace(made, **changed)
+    return replace(default, **changed)
 
 
 def event(number: int) -> bytes:
     return b"id: %d\ndata: token %d\n\n" % (number, number)
 
 
-async def answered(_request: ServerRequest, responder: Responder) -> None:
-    await responder.respond(200, SIGNED, b"result")
+async def answer_result(_request: ServerRequest, responder: Responder) -> None:
+    await responder.respond(200, SIGNED_HEADERS, b"result")
 
 
-async def unresponsive(_request: ServerRequest, responder: Responder) -> None:
+async def never_answer(_request: ServerRequest, responder: Responder) -> None:
     await responder.finished()
 
 
 async def slow_stream(_request: ServerRequest, responder: Responder) -> None:
-    """Sends an event a second, without end."""
-    responder.begin(200, EVENTS)
+    """Sends one event per second until the client disconnects."""
+    responder.begin(200, EVENT_STREAM_HEADERS)
     number = 0
     while not responder.disconnected:
         number += 1
@@ -78,14 +78,14 @@
 
 @dataclass
 class Gateway:
-    """One gateway and what its workers saw."""
+    """One gateway, its workers and clients, and what the workers received."""
 
     program: GatewayProgram
     routes: tuple[Route, ...]
-    clients: WorkerPool = field(default_factory=lambda: WorkerPool(now=now))
-    seen: list[ServerRequest] = field(default_factory=list)
-    arrived: asyncio.Event = field(default_factory=asyncio.Event)  # a request came to a worker
-    released_at: list[float] = field(default_factory=list)  # a worker's connection closed amid a request
+    client_pool: WorkerPool = field(default_factory=lambda: WorkerPool(now=now))
+    received_requests: list[ServerRequest] = field(default_factory=list)
+    request_arrived: asyncio.Event = field(default_factory=asyncio.Event)  # set when a worker gets a request
+    released_at: list[float] = field(default_factory=list)  # when workers' connections closed during requests
     servers: list[HttpServer] = field(default_factory=list)
     wires: list[Wire] = field(default_factory=list)
     workers: dict[str, WorkerRecord] = field(default_factory=dict)
@@ -101,29 +101,29 @@
 
     @property
     def subscription(self) -> FeedSubscription:
-        """What keeps the tables of the feed, which these tests set without a session with control."""
-        return self.program.feed._subscription  # noqa: SLF001 - a feed takes tables from control alone
+        """The state of the table feed, which these tests set without a session with control."""
+        return self.program.feed._subscription  # noqa: SLF001 - the feed accepts tables only from control
 
-    def age_tables(self) -> None:
-        """Makes tables that control has not confirmed for ever."""
+    def expire_tables(self) -> None:
+        """Makes the tables infinitely old since their last confirmation."""
         self.subscription.confirmed_at = -math.inf
 
-    def take_capacity(self, service: str) -> None:
-        """Takes all capacity that admission leaves for requests to a service."""
+    def exhaust_capacity(self, service: str) -> None:
+        """Acquires all free admission slots of a service."""
         admission = self.program.admissions.of(service)
         while admission.acquire(0):
             pass
 
-    def begin_drain(self, began: float, grace_s: float) -> None:
-        """Begins to drain at a time of the process's clock."""
-        self.program.draining.begin(began, grace_s)
+    def begin_drain(self, began_at: float, grace_s: float) -> None:
+        """Begins the drain as of `began_at` on the clock of the program."""
+        self.program.draining.begin(began_at, grace_s)
 
-    def take_batch_calls(self, calls: BatchCalls) -> None:
-        """Replaces what carries batch calls to stores."""
+    def set_batch_calls(self, calls: BatchCalls) -> None:
+        """Replaces the object that sends batch calls to stores."""
         self.program.batch.calls = calls
 
-    def known_of_workers(self, prompt: Prompt) -> list[tuple[int, float]]:
-        """Returns for each worker how many tokens of a prompt it would read, and its load; sorted."""
+    def worker_estimates(self, prompt: Prompt) -> list[tuple[int, float]]:
+        """Returns the sorted pairs of uncached prompt tokens and load of all workers."""
         program = self.program
         states = program.chooser.workers.values()
         return sorted((state.uncached(prompt), state.load(program.clock())) for state in states)
@@ -140,7 +140,7 @@
         self.servers += [self.program.front.http, self.program.readiness.http]
 
     def configure(self, limits: ClientLimits | None = None, engine: Engine | None = None) -> None:
-        """Puts tables in force, as control does; they count as confirmed now."""
+        """Applies tables as if control had sent and confirmed them now."""
         subscription = self.subscription
         old = subscription.tables
         configuration = Configuration(
@@ -156,8 +156,8 @@
 
     def _worker(self, behaviour: Behaviour) -> Behaviour:
         async def handle(request: ServerRequest, responder: Responder) -> None:
-            self.seen.append(request)
-            self.arrived.set()
+            self.received_requests.append(request)
+            self.request_arrived.set()
             responder.on_disconnect(lambda: self.released_at.append(now()))
             await behaviour(request, responder)
 
@@ -170,7 +170,7 @@
         if timeout_ms is not None:
             headers.append((b"Request-Timeout-Ms", b"%d" % timeout_ms))
         request = SendRequest(method, path, headers, body, request_id=b"7")
-        return await fetch(self.clients, f"{IP}:{self.port}", request, 50, PATIENCE_S)
+        return await fetch(self.client_pool, f"{IP}:{self.port}", request, 50, TEST_TIMEOUT_S)
 
     async def wire(self) -> Wire:
         self.wires.append(Wire(*await asyncio.open_connection(IP, self.port)))
@@ -179,16 +179,16 @@
     async def is_ready(self) -> bool:
         request = SendRequest("GET", "/v1/readyz", [(b"Host", b"h")])
         address = f"{IP}:{self.program.readiness.http.port}"
-        return (await fetch(self.clients, address, request, 5, 5.0)).head.status == 200
+        return (await fetch(self.client_pool, address, request, 5, 5.0)).head.status == 200
 
-    async def reached(self, requests: int = 1) -> None:
-        """Waits until workers have seen so many requests."""
-        while len(self.seen) < requests:
-            self.arrived.clear()
-            await self.arrived.wait()
+    async def wait_for_requests(self, requests: int = 1) -> None:
+        """Waits until workers have received at least `requests` requests."""
+        while len(self.received_requests) < requests:
+            self.request_arrived.clear()
+            await self.request_arrived.wait()
 
     async def stop(self) -> None:
-        self.clients.close()
+        self.client_pool.close()
         for wire in self.wires:
             await wire.closed()
         self.program.pool.close()
@@ -204,18 +204,18 @@
 
 
 @contextlib.asynccontextmanager
-async def gateway(
+async def run_gateway(
     *behaviours: Behaviour,
     routes: tuple[Route, ...] = (route(),),
     configured: bool = True,
     grace_s: float = GRACE_S,
 ) -> AsyncIterator[Gateway]:
     program = GatewayProgram(settings(grace_s), random.Random(1), now)
-    played = Gateway(program, routes)
-    await played.start(behaviours)
+    running = Gateway(program, routes)
+    await running.start(behaviours)
     if configured:
-        played.configure()
+        running.configure()
     try:
-        yield played
+        yield running
     finally:
-        await played.stop()
+        await running.stop()
--- a/tests/gateway/test_client_disconnects.py
+++ b/tests/gateway/test_client_disconnects.py
@@ -1,4 +1,4 @@
-"""A client that has left: nothing more is sent for it, and workers are let go."""
+"""After a client disconnects, nothing more is sent to workers for it, and its worker is released."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -11,14 +11,14 @@
 from pewterring.transport.http_connection import WorkerConnection
 from pewterring.transport.http_request import ServerRequest
 from pewterring.transport.http_responder import Responder
-from tests.gateway.gateway import IP, Behaviour, answered, gateway, route, slow_stream, unresponsive
+from tests.gateway.gateway import IP, Behaviour, answer_result, never_answer, route, run_gateway, slow_stream
 from tests.transport.http_stand_ins import Wire
 from tests.transport.virtual_time import now, run
 
 RELEASE_S = 0.5
 POST = b"POST /p/x HTTP/1.1\r\nHost: h\r\nRequest-Id: 7\r\nContent-Length: 4\r\n\r\nbody"
 STREAM = route(RouteType.STREAMING, timeout_ms=20_000)
-Leave = Callable[[Wire], None]
+Disconnect = Callable[[Wire], None]
 
 
 def half_close(wire: Wire) -> None:
@@ -33,153 +33,156 @@
 DISCONNECTS = [Wire.close, Wire.reset, half_close, pipeline_and_close]
 
 
-async def full(_request: ServerRequest, responder: Responder) -> None:
+async def decline(_request: ServerRequest, responder: Responder) -> None:
     await responder.respond(503, [(b"Not-Executed", b"1")])
 
 
-async def quiescence() -> None:
+async def wait_until_settled() -> None:
     await asyncio.sleep(2 * RELEASE_S)
 
 
-@pytest.mark.parametrize("leave", DISCONNECTS)
-@pytest.mark.parametrize("behaviour", [unresponsive, slow_stream])
-def test_the_worker_is_released_at_once(behaviour: Behaviour, leave: Leave) -> None:
-    async def play() -> None:
-        async with gateway(behaviour, answered, routes=(STREAM,)) as tier:
-            tier.program.chooser.workers["w1"].slowness = 5.0
-            wire = await tier.wire()
+@pytest.mark.parametrize("disconnect", DISCONNECTS)
+@pytest.mark.parametrize("behaviour", [never_answer, slow_stream])
+def test_a_client_that_disconnects_releases_its_worker_at_once(
+    behaviour: Behaviour, disconnect: Disconnect
+) -> None:
+    async def scenario() -> None:
+        async with run_gateway(behaviour, answer_result, routes=(STREAM,)) as gateway:
+            gateway.program.chooser.workers["w1"].slowness = 5.0
+            wire = await gateway.wire()
             wire.send(POST)
-            await tier.reached()
+            await gateway.wait_for_requests()
             await asyncio.sleep(0.1)
-            left_at = now()
-            leave(wire)
-            await quiescence()
-            (released_at,) = tier.released_at
-            assert released_at - left_at < RELEASE_S
-            assert len(tier.seen) == 1
-            assert tier.program.front.requests_in_flight == 0
+            disconnected_at = now()
+            disconnect(wire)
+            await wait_until_settled()
+            (released_at,) = gateway.released_at
+            assert released_at - disconnected_at < RELEASE_S
+            assert len(gateway.received_requests) == 1
+            assert gateway.program.front.requests_in_flight == 0
 
-    run(play())
+    run(scenario())
 
 
 def test_a_client_that_disconnects_before_the_first_tables_reaches_no_worker() -> None:
-    async def play() -> None:
-        async with gateway(answered) as tier:
-            await tier.request()  # a connection to the worker rests: the next request needs no wait
-            tier.program.configuration.routes = None
-            tier.program.configuration.received.clear()
-            wire = await tier.wire()
+    async def scenario() -> None:
+        async with run_gateway(answer_result) as gateway:
+            await gateway.request()  # leaves an idle connection to the worker for the next request
+            gateway.program.configuration.routes = None
+            gateway.program.configuration.received.clear()
+            wire = await gateway.wire()
             wire.send(POST)
             await asyncio.sleep(0.1)
             wire.close()
             await asyncio.sleep(0.1)
-            tier.configure()
-            await quiescence()
-            assert len(tier.seen) == 1
+            gateway.configure()
+            await wait_until_settled()
+            assert len(gateway.received_requests) == 1
 
-    run(play())
+    run(scenario())
 
 
-def test_a_client_that_disconnects_while_a_connection_comes_up_reaches_no_worker(
+def test_a_client_that_disconnects_while_a_worker_is_being_connected_reaches_no_worker(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The connection comes up after the client has left."""
-    connects: list[Awaitable[None]] = []
-    begun = asyncio.Event()
-
-    def delayed(connection: WorkerConnection, timeout_s: float) -> None:
-        connects.append(connection._connect(timeout_s))  # noqa: SLF001 - what `connect` would start
-        begun.set()
-
-    async def play() -> None:
-        async with gateway(answered) as tier:
-            monkeypatch.setattr(WorkerConnection, "connect", delayed)
-            wire = await tier.wire()
+    """The connection to the worker is established after the client has disconnected."""
+    pending_connects: list[Awaitable[None]] = []
+    connect_requested = asyncio.Event()
+
+    def delay_connect(connection: WorkerConnection, timeout_s: float) -> None:
+        pending_connects.append(connection._connect(timeout_s))  # noqa: SLF001 - started by `connect`
+        connect_requested.set()
+
+    async def scenario() -> None:
+        async with run_gateway(answer_result) as gateway:
+            monkeypatch.setattr(WorkerConnection, "connect", delay_connect)
+            wire = await gateway.wire()
             wire.send(POST)
-            await begun.wait()
+            await connect_requested.wait()
             wire.close()
             await asyncio.sleep(0.1)
-            await connects[0]
-            await quiescence()
-            assert not tier.seen
+            await pending_connects[0]
+            await wait_until_settled()
+            assert not gateway.received_requests
 
-    run(play())
+    run(scenario())
 
 
-def test_a_client_that_disconnects_in_the_pause_before_another_worker_reaches_it_no_more() -> None:
-    async def play() -> None:
-        left = asyncio.Event()
+def test_no_retry_is_sent_for_a_client_that_disconnected_before_it() -> None:
+    async def scenario() -> None:
+        client_closed = asyncio.Event()
 
         async def declines_as_the_client_disconnects(request: ServerRequest, responder: Responder) -> None:
             wire.close()
-            left.set()
-            await full(request, responder)
+            client_closed.set()
+            await decline(request, responder)
 
         routes = (route(max_attempts=4),)
-        async with gateway(*(3 * [declines_as_the_client_disconnects]), routes=routes) as tier:
-            wire = await tier.wire()
+        async with run_gateway(*(3 * [declines_as_the_client_disconnects]), routes=routes) as gateway:
+            wire = await gateway.wire()
             wire.send(POST)
-            await left.wait()
-            await quiescence()
-            assert len(tier.seen) <= 2  # the second is sent without a pause; the close may come just after
-            assert tier.program.front.requests_in_flight == 0
+            await client_closed.wait()
+            await wait_until_settled()
+            # The first retry has no pause, so it may be sent before the close is noticed.
+            assert len(gateway.received_requests) <= 2
+            assert gateway.program.front.requests_in_flight == 0
 
-    run(play())
+    run(scenario())
 
 
-def test_a_request_half_written_to_a_worker_is_reset() -> None:
-    """A worker that reads late: what the sockets hold of the request is not delivered then."""
+def test_a_partially_written_request_is_reset_when_its_client_disconnects() -> None:
+    """A worker that reads late must not receive the part of the request that the socket buffers hold."""
 
-    async def play() -> None:
-        ends: list[type[OSError] | None] = []
+    async def scenario() -> None:
+        read_results: list[type[OSError] | None] = []
 
-        async def reads_late(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def read_late(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await asyncio.sleep(1.0)
             try:
                 while await reader.read(1024 * 1024):
                     pass
-                ends.append(None)
+                read_results.append(None)
             except OSError as error:
-                ends.append(type(error))
+                read_results.append(type(error))
             writer.close()
 
-        async with gateway() as tier:
-            worker = await asyncio.start_server(reads_late, IP, 0, limit=1)
+        async with run_gateway() as gateway:
+            worker = await asyncio.start_server(read_late, IP, 0, limit=1)
             address = f"{IP}:{worker.sockets[0].getsockname()[1]}"
-            tier.workers = {"w": WorkerRecord("w", "s", address, "z", 4, "ready")}
-            tier.configure()
-            wire = await tier.wire()
+            gateway.workers = {"w": WorkerRecord("w", "s", address, "z", 4, "ready")}
+            gateway.configure()
+            wire = await gateway.wire()
             size = 4 * 1024 * 1024
             wire.send(POST.replace(b": 4\r\n\r\nbody", b": %d\r\n\r\n" % size) + b"b" * size)
             await asyncio.sleep(0.5)
             wire.close()
-            await quiescence()
-            assert ends == [ConnectionResetError]
+            await wait_until_settled()
+            assert read_results == [ConnectionResetError]
             worker.close()
 
-    run(play())
+    run(scenario())
 
 
-def test_a_client_that_disconnects_with_much_sent_ahead_is_noticed() -> None:
-    """More than is kept of later requests: what lies behind it is read all the same, its end too."""
+def test_a_disconnect_behind_much_pipelined_data_is_detected() -> None:
+    """Data beyond the limit for pipelined requests is still read, so that the end of stream is noticed."""
 
-    async def play() -> None:
-        async with gateway(unresponsive, routes=(STREAM,)) as tier:
-            wire = await tier.wire()
+    async def scenario() -> None:
+        async with run_gateway(never_answer, routes=(STREAM,)) as gateway:
+            wire = await gateway.wire()
             wire.send(POST)
-            await tier.reached()
+            await gateway.wait_for_requests()
             wire.send(b"x" * 200_000)
             await asyncio.sleep(0.1)
-            left_at = now()
+            disconnected_at = now()
             wire.close()
-            await quiescence()
-            (released_at,) = tier.released_at
-            assert released_at - left_at < RELEASE_S
+            await wait_until_settled()
+            (released_at,) = gateway.released_at
+            assert released_at - disconnected_at < RELEASE_S
 
-    run(play())
+    run(scenario())
 
 
-def test_a_client_that_disconnects_while_it_reads_too_slowly_releases_its_worker() -> None:
+def test_a_slow_reader_that_disconnects_releases_its_worker() -> None:
     async def endless(_request: ServerRequest, responder: Responder) -> None:
         responder.begin(200, [(b"Response-Signature", b"s"), (b"Content-Type", b"text/event-stream")])
         number = 0
@@ -189,17 +192,17 @@
             await responder.drain()
             await asyncio.sleep(0)
 
-    async def play() -> None:
-        async with gateway(endless, routes=(STREAM,)) as tier:
-            wire = await tier.wire()
+    async def scenario() -> None:
+        async with run_gateway(endless, routes=(STREAM,)) as gateway:
+            wire = await gateway.wire()
             cast(asyncio.Transport, wire.writer.transport).pause_reading()
             wire.send(POST)
-            await tier.reached()
+            await gateway.wait_for_requests()
             await asyncio.sleep(1.0)
-            left_at = now()
+            disconnected_at = now()
             wire.reset()
-            await quiescence()
-            (released_at,) = tier.released_at
-            assert released_at - left_at < RELEASE_S
+            await wait_until_settled()
+            (released_at,) = gateway.released_at
+            assert released_at - disconnected_at < RELEASE_S
 
-    run(play())
+    run(scenario())
--- a/tests/gateway/test_request_log.py
+++ b/tests/gateway/test_request_log.py
@@ -1,4 +1,4 @@
-"""A gateway logs its bad requests where the settings ask for it, with what happened to each."""
+"""A gateway logs late and failed requests, with their details, if the settings enable it."""
 
 from collections.abc import Iterator
 from typing import Any
@@ -13,7 +13,7 @@
 from pewterring.observability.request_log import REQUEST_EVENT
 from pewterring.transport.http_request import ServerRequest
 from pewterring.transport.http_responder import Responder
-from tests.gateway.gateway import Gateway, answered, gateway
+from tests.gateway.gateway import Gateway, answer_result, run_gateway
 from tests.transport.virtual_time import run
 
 LogRecords = list[dict[str, Any]]
@@ -21,59 +21,59 @@
 
 @pytest.fixture
 def records() -> Iterator[LogRecords]:
-    written: LogRecords = []
-    sink = JsonLineSink(lambda record: written.append(orjson.loads(record)), {}, EventThinner())
+    log_records: LogRecords = []
+    sink = JsonLineSink(lambda record: log_records.append(orjson.loads(record)), {}, EventThinner())
     logger.remove()
-    number = logger.add(sink, format="{message}")
-    yield written
-    logger.remove(number)
+    sink_id = logger.add(sink, format="{message}")
+    yield log_records
+    logger.remove(sink_id)
 
 
-def log_requests(tier: Gateway) -> None:
-    tier.program.live.request_log = RequestLogMode.ALL
+def enable_request_log(gateway: Gateway) -> None:
+    gateway.program.live.request_log = RequestLogMode.ALL
 
 
-def requests(records: LogRecords) -> LogRecords:
+def request_records(records: LogRecords) -> LogRecords:
     return [record for record in records if record["event"] == REQUEST_EVENT]
 
 
-async def declined(_request: ServerRequest, responder: Responder) -> None:
+async def decline(_request: ServerRequest, responder: Responder) -> None:
     await responder.respond(503, [(b"Not-Executed", b"full")])
 
 
-def test_a_request_that_no_worker_took_is_logged_with_its_worker(records: LogRecords) -> None:
-    async def play() -> None:
-        async with gateway(declined) as tier:
-            log_requests(tier)
-            assert (await tier.request()).head.status == 503
+def test_a_request_that_no_worker_accepted_is_logged_with_its_worker(records: LogRecords) -> None:
+    async def scenario() -> None:
+        async with run_gateway(decline) as gateway:
+            enable_request_log(gateway)
+            assert (await gateway.request()).head.status == 503
 
-    run(play())
-    (record,) = requests(records)
+    run(scenario())
+    (record,) = request_records(records)
     assert record["worker"] == "w0"
     assert record["attempts"] >= 1
     assert record["end_s"] >= record["sent_s"] >= record["admitted_s"] >= 0
 
 
 def test_a_refused_request_is_logged_as_refused(records: LogRecords) -> None:
-    async def play() -> None:
-        async with gateway(answered) as tier:
-            log_requests(tier)
-            admission = tier.program.admissions.of("s")
+    async def scenario() -> None:
+        async with run_gateway(answer_result) as gateway:
+            enable_request_log(gateway)
+            admission = gateway.program.admissions.of("s")
             admission.out = 10**6
-            assert (await tier.request()).head.status == 503
+            assert (await gateway.request()).head.status == 503
             admission.out = 0
 
-    run(play())
-    assert [record["reason"] for record in requests(records)] == ["refused"]
+    run(scenario())
+    assert [record["reason"] for record in request_records(records)] == ["refused"]
 
 
-def test_good_requests_are_not_logged_and_nothing_is_by_default(records: LogRecords) -> None:
-    async def play() -> None:
-        async with gateway(answered) as tier:
-            log_requests(tier)
-            assert (await tier.request()).head.status == 200
-        async with gateway(declined) as tier:
-            assert (await tier.request()).head.status == 503
+def test_successful_requests_are_not_logged_and_by_default_none_are(records: LogRecords) -> None:
+    async def scenario() -> None:
+        async with run_gateway(answer_result) as gateway:
+            enable_request_log(gateway)
+            assert (await gateway.request()).head.status == 200
+        async with run_gateway(decline) as gateway:
+            assert (await gateway.request()).head.status == 503
 
-    run(play())
-    assert requests(records) == []
+    run(scenario())
+    assert request_records(records) == []
--- a/tests/golden/gateway_http_cases.py
+++ b/tests/golden/gateway_http_cases.py
@@ -1,6 +1,7 @@
-"""HTTP conversations at the gateway of the serving tier: live requests, batch calls, readiness, refusals.
+"""HTTP conversations with a gateway: live requests, batch calls, readiness and refusals.
 
-This is the one place where the gateway is built. Its clock stands still, so that times in headers are exact.
+Only this module of the golden tests builds a gateway. The clock of the gateway is frozen, so that times in
+headers are exact.
 """
 
 import asyncio
@@ -22,7 +23,7 @@
 from tests.gateway.gateway import Gateway, route, settings
 from tests.golden.http_transcripts import IP, RecordingWorker, Transcript, ask
 
-PATIENCE_S = 20.0
+TEST_TIMEOUT_S = 20.0
 ROUTES = (
     route(RouteType.IDEMPOTENT, "/live/"),
     route(RouteType.STREAMING, "/stream/", resumable=True),
@@ -30,12 +31,12 @@
     route(RouteType.BATCH_JOB, "/jobs/"),
 )
 WORKERS = 2
-CALL_S = 5.0  # more than any call may take: each is tried once
-MOST_SENDS = 4  # of one request to workers that decline it
+CALL_S = 5.0  # time that a store takes; longer than the budget of any call, so that each has one attempt
+MAX_SENDS = 4  # attempts of one request if all workers decline it
 HEAD = "Host: h\r\nRequest-Id: 7\r\nConnection: close\r\n"
 SIGNED = "Request-Id: 7\r\nResponse-Signature: stamp\r\nInstance-Load: 3,2\r\n"
 ITEMS = b'{"requests":[{"id":"a","path":"/jobs/1","headers":{"Model-Id":"m"},"body":"q83v","tokens":5}]}'
-TWICE = ITEMS.replace(b"}]", b"},%b]" % ITEMS[len(b'{"requests":[') : -len(b"]}")])
+DUPLICATE_ITEMS = ITEMS.replace(b"}]", b"},%b]" % ITEMS[len(b'{"requests":[') : -len(b"]}")])
 Reply = Callable[[msgspec.Struct], msgspec.Struct]
 
 
@@ -48,11 +49,11 @@
     return f"HTTP/1.1 {status}\r\n{headers}Content-Length: {len(body)}\r\n\r\n".encode("latin-1") + body
 
 
-def _stream(*events: int, whole: bool) -> bytes:
+def _stream(*events: int, complete: bool) -> bytes:
     head = f"HTTP/1.1 200 OK\r\n{SIGNED}Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
     parts = [b"id: %d\ndata: token %d\n\n" % (number, number) for number in events]
     chunks = b"".join(b"%x\r\n%b\r\n" % (len(part), part) for part in parts)
-    return head.encode() + chunks + (b"0\r\n\r\n" if whole else b"")
+    return head.encode() + chunks + (b"0\r\n\r\n" if complete else b"")
 
 
 LIVE = _request(
@@ -61,89 +62,89 @@
     "Expect-Version: 2\r\nModel-Id: m\r\nTarget-Instance: other\r\nX-Own: kept\r\n",
     b"question",
 )
-PROMPT = read_prompt("9c2e41:300,5d07b8:240", "540,20")  # as `LIVE` has it
+PROMPT = read_prompt("9c2e41:300,5d07b8:240", "540,20")  # the prompt of `LIVE`
 STREAM = _request("POST /stream/x", "Request-Timeout-Ms: 4000\r\nAccept: text/event-stream\r\n", b"question")
 
 
 @dataclass
-class Played:
-    """A gateway whose clock stands still."""
+class Conversation:
+    """A gateway whose clock is frozen, and the transcript of its conversations."""
 
     gateway: Gateway
     transcript: Transcript
 
-    async def ask(self, request: bytes) -> None:
-        """A request of a client."""
+    async def request(self, request: bytes) -> None:
+        """Sends a request of a client and records the conversation."""
         await ask(self.transcript, self.gateway.port, request)
 
-    async def ask_readiness(self, request: bytes) -> None:
-        """A request at the address of readiness and metrics."""
+    async def request_readiness(self, request: bytes) -> None:
+        """Sends a request to the address of readiness and metrics."""
         await ask(self.transcript, self.gateway.ready_port, request)
 
 
-Story = Callable[[Played], Awaitable[None]]
+Scenario = Callable[[Conversation], Awaitable[None]]
 
 
-async def _play(story: Story, answers: tuple[bytes, ...]) -> str:
-    moment = float(int(asyncio.get_running_loop().time()))
-    program = GatewayProgram(settings(), random.Random(1), lambda: moment)
+async def _run_scenario(scenario: Scenario, answers: tuple[bytes, ...]) -> str:
+    frozen_time_s = float(int(asyncio.get_running_loop().time()))
+    program = GatewayProgram(settings(), random.Random(1), lambda: frozen_time_s)
     transcript = Transcript()
-    played = Played(Gateway(program, ROUTES), transcript)
-    async with asyncio.timeout(PATIENCE_S), RecordingWorker(transcript, answers) as worker:
-        await played.gateway.start(())
+    conversation = Conversation(Gateway(program, ROUTES), transcript)
+    async with asyncio.timeout(TEST_TIMEOUT_S), RecordingWorker(transcript, answers) as worker:
+        await conversation.gateway.start(())
         for number in range(WORKERS if answers else 0):
             address = f"{IP}:{await worker.listen()}"
             record = WorkerRecord(f"w{number}", "s", address, "z", 4, "ready")
-            played.gateway.workers[record.id] = record
+            conversation.gateway.workers[record.id] = record
         try:
-            await story(played)
+            await scenario(conversation)
         finally:
-            await played.gateway.stop()
+            await conversation.gateway.stop()
     return transcript.text()
 
 
-def _asked(*requests: bytes, limits: ClientLimits | None = None) -> Story:
-    async def story(played: Played) -> None:
-        played.gateway.configure(limits)
+def _send_requests(*requests: bytes, limits: ClientLimits | None = None) -> Scenario:
+    async def scenario(conversation: Conversation) -> None:
+        conversation.gateway.configure(limits)
         for request in requests:
-            await played.ask(request)
+            await conversation.request(request)
 
-    return story
+    return scenario
 
 
-async def _readiness(played: Played) -> None:
+async def _readiness(conversation: Conversation) -> None:
     ready = _request("GET /v1/readyz")
-    await played.ask_readiness(ready)
-    played.gateway.configure()
-    await played.ask_readiness(ready)
-    await played.ask_readiness(_request("GET /other"))
+    await conversation.request_readiness(ready)
+    conversation.gateway.configure()
+    await conversation.request_readiness(ready)
+    await conversation.request_readiness(_request("GET /other"))
 
 
-async def _without_tables(played: Played) -> None:
-    await played.ask(_request("POST /live/x", "Request-Timeout-Ms: 1\r\n", b"question"))
+async def _without_tables(conversation: Conversation) -> None:
+    await conversation.request(_request("POST /live/x", "Request-Timeout-Ms: 1\r\n", b"question"))
 
 
-async def _with_old_tables(played: Played) -> None:
-    played.gateway.configure()
-    played.gateway.age_tables()
-    await played.ask(_request("GET /nowhere"))
+async def _with_stale_tables(conversation: Conversation) -> None:
+    conversation.gateway.configure()
+    conversation.gateway.expire_tables()
+    await conversation.request(_request("GET /nowhere"))
 
 
-async def _without_room(played: Played) -> None:
-    played.gateway.configure()
-    played.gateway.take_capacity("s")
-    await played.ask(LIVE)
+async def _without_capacity(conversation: Conversation) -> None:
+    conversation.gateway.configure()
+    conversation.gateway.exhaust_capacity("s")
+    await conversation.request(LIVE)
 
 
-async def _draining(played: Played) -> None:
-    played.gateway.configure()
-    played.gateway.begin_drain(-1000.0, 1.0)
-    await played.ask(LIVE)
-    await played.ask(_request("POST /jobs/1", "", ITEMS))
+async def _draining(conversation: Conversation) -> None:
+    conversation.gateway.configure()
+    conversation.gateway.begin_drain(-1000.0, 1.0)
+    await conversation.request(LIVE)
+    await conversation.request(_request("POST /jobs/1", "", ITEMS))
 
 
 class _Links:
-    """Stands in for the links to stores; the clock moves on with each call."""
+    """Replaces the links to stores; each call advances the clock."""
 
     def __init__(self, reply: Reply, transcript: Transcript) -> None:
         self.reply = reply
@@ -151,27 +152,27 @@
         self.now = 0.0
 
     async def request(self, _ip: str, message: msgspec.Struct, _timeout_s: float) -> msgspec.Struct:
-        """Answers as `reply` says."""
+        """Records the message and returns the answer of `reply`."""
         self.now += CALL_S
         self.transcript.add("message to the store", msgspec.json.encode(message))
         return self.reply(message)
 
 
-def _batch(reply: Reply, *requests: bytes) -> Story:
-    async def story(played: Played) -> None:
-        played.gateway.configure()
-        links = _Links(reply, played.transcript)
-        store = NodeRecord("s1", "store", "10.0.0.1", "z", "life", "10.0.0.1#m")
+def _batch(reply: Reply, *requests: bytes) -> Scenario:
+    async def scenario(conversation: Conversation) -> None:
+        conversation.gateway.configure()
+        links = _Links(reply, conversation.transcript)
+        store = NodeRecord("s1", "store", "10.0.0.1", "z", "incarnation", "10.0.0.1#m")
         tables = Tables(nodes=(store,))
         calls = BatchCalls(cast(LinkPool, links), lambda: tables, random.Random(1), lambda: links.now)
-        played.gateway.take_batch_calls(calls)
+        conversation.gateway.set_batch_calls(calls)
         for request in requests:
-            await played.ask(request)
+            await conversation.request(request)
 
-    return story
+    return scenario
 
 
-def _told(answer: msgspec.Struct) -> Reply:
+def _always_reply(answer: msgspec.Struct) -> Reply:
     return lambda _message: answer
 
 
@@ -185,38 +186,44 @@
 RESULTS = batch.ResultPage(
     2, 2, (batch.ItemResult("a", "succeeded", "some text"), batch.ItemResult("b", "dead_letter", ""))
 )
-SUBMIT = _request("POST /jobs/1", "", ITEMS)
-PAGE = _request("GET /v1/lots/job-1?after=0", "Wait-Ms: 10\r\n")
-ITEM = _request("GET /v1/items/job-1?id=a")
-END = _request("DELETE /v1/lots/job-1")
-# Each conversation by name: what happens, and the answers of workers in the order of their connections.
-CASES: dict[str, tuple[Story, tuple[bytes, ...]]] = {
-    "live-answer": (_asked(LIVE), (_worker_answer("200 OK", body=b"result"),)),
+SUBMIT_JOB = _request("POST /jobs/1", "", ITEMS)
+READ_PAGE = _request("GET /v1/lots/job-1?after=0", "Wait-Ms: 10\r\n")
+READ_ITEM = _request("GET /v1/items/job-1?id=a")
+END_JOB = _request("DELETE /v1/lots/job-1")
+# Each conversation by name: the scenario, and the answers of the workers in the order of their connections.
+CASES: dict[str, tuple[Scenario, tuple[bytes, ...]]] = {
+    "live-answer": (_send_requests(LIVE), (_worker_answer("200 OK", body=b"result"),)),
     "live-declined-then-answered": (
-        _asked(LIVE),
+        _send_requests(LIVE),
         (_worker_answer("503 Busy", "Not-Executed: 1\r\n"), _worker_answer("200 OK", body=b"result")),
     ),
-    "live-failure": (_asked(_request("POST /once/x", "", b"q")), (_worker_answer("500 Broken", body=b"oh"),)),
+    "live-failure": (
+        _send_requests(_request("POST /once/x", "", b"q")),
+        (_worker_answer("500 Broken", body=b"oh"),),
+    ),
     "live-answer-without-signature": (
-        _asked(_request("POST /once/x", "", b"q")),
+        _send_requests(_request("POST /once/x", "", b"q")),
         (_worker_answer("200 OK", "Request-Id: 7\r\n", b"result"),),
     ),
     "live-encoded-answer": (
-        _asked(_request("POST /once/x", "", b"q")),
+        _send_requests(_request("POST /once/x", "", b"q")),
         (_worker_answer("200 OK", SIGNED + "Content-Encoding: gzip\r\n", b"result"),),
     ),
-    "live-all-declined": (_asked(LIVE), (_worker_answer("429 Full", "Not-Executed: 1\r\n"),) * MOST_SENDS),
-    "live-no-worker": (_asked(LIVE), ()),
-    "live-no-room": (_without_room, ()),
-    "stream": (_asked(STREAM), (_stream(1, 2, 3, whole=True),)),
-    "stream-resumed": (_asked(STREAM), (_stream(1, 2, whole=False), _stream(3, whole=True))),
+    "live-all-declined": (
+        _send_requests(LIVE),
+        (_worker_answer("429 Full", "Not-Executed: 1\r\n"),) * MAX_SENDS,
+    ),
+    "live-no-worker": (_send_requests(LIVE), ()),
+    "live-no-room": (_without_capacity, ()),
+    "stream": (_send_requests(STREAM), (_stream(1, 2, 3, complete=True),)),
+    "stream-resumed": (_send_requests(STREAM), (_stream(1, 2, complete=False), _stream(3, complete=True))),
     "readiness": (_readiness, ()),
     "without-tables": (_without_tables, ()),
-    "unknown-route": (_asked(_request("GET /nowhere")), ()),
-    "unknown-route-with-old-tables": (_with_old_tables, ()),
+    "unknown-route": (_send_requests(_request("GET /nowhere")), ()),
+    "unknown-route-with-old-tables": (_with_stale_tables, ()),
     "draining": (_draining, ()),
     "malformed-requests": (
-        _asked(
+        _send_requests(
             b"nonsense\r\n\r\n",
             b"GET /live/x HTTP/1.1\r\nConnection: close\r\n\r\n",
             _request("POST /live/x", "", b"x" * 11),
@@ -225,44 +232,50 @@
         ),
         (),
     ),
-    "batch-submitted": (_batch(_told(batch.JobAccepted()), SUBMIT), ()),
-    "batch-quota-full": (_batch(_told(batch.JobRejected(True, 1.5)), SUBMIT), ()),
-    "batch-not-taken": (_batch(_told(batch.JobRejected(False, 0.25)), SUBMIT), ()),
+    "batch-submitted": (_batch(_always_reply(batch.JobAccepted()), SUBMIT_JOB), ()),
+    "batch-quota-full": (_batch(_always_reply(batch.JobRejected(True, 1.5)), SUBMIT_JOB), ()),
+    "batch-not-taken": (_batch(_always_reply(batch.JobRejected(False, 0.25)), SUBMIT_JOB), ()),
     "batch-bad-submission": (
         _batch(
-            _told(batch.JobAccepted()),
-            _request("POST /jobs/1", "", TWICE),
+            _always_reply(batch.JobAccepted()),
+            _request("POST /jobs/1", "", DUPLICATE_ITEMS),
             b"POST /jobs/1 HTTP/1.1\r\nHost: h\r\nConnection: close\r\nContent-Length: 0\r\n\r\n",
         ),
         (),
     ),
-    "batch-results": (_batch(_told(RESULTS), PAGE), ()),
+    "batch-results": (_batch(_always_reply(RESULTS), READ_PAGE), ()),
     "batch-results-from-no-position": (
-        _batch(_told(RESULTS), _request("GET /v1/lots/j?after=x")),
+        _batch(_always_reply(RESULTS), _request("GET /v1/lots/j?after=x")),
+        (),
+    ),
+    "batch-item": (_batch(_always_reply(batch.ItemBody("q83v")), READ_ITEM), ()),
+    "batch-ended": (_batch(_always_reply(batch.JobEnded()), END_JOB), ()),
+    "batch-unknown": (_batch(_always_reply(batch.NotFound()), READ_PAGE, READ_ITEM, END_JOB), ()),
+    "batch-no-store-asked": (
+        _batch(_raise(RequestNotSentError("down")), SUBMIT_JOB, READ_PAGE, READ_ITEM, END_JOB),
+        (),
+    ),
+    "batch-no-store-sure": (
+        _batch(_raise(TransportError("lost")), SUBMIT_JOB, READ_PAGE, READ_ITEM, END_JOB),
         (),
     ),
-    "batch-item": (_batch(_told(batch.ItemBody("q83v")), ITEM), ()),
-    "batch-ended": (_batch(_told(batch.JobEnded()), END), ()),
-    "batch-unknown": (_batch(_told(batch.NotFound()), PAGE, ITEM, END), ()),
-    "batch-no-store-asked": (_batch(_raise(RequestNotSentError("down")), SUBMIT, PAGE, ITEM, END), ()),
-    "batch-no-store-sure": (_batch(_raise(TransportError("lost")), SUBMIT, PAGE, ITEM, END), ()),
 }
 
 
 def known_after_an_answer() -> list[tuple[int, float]]:
-    """What the gateway knows of its workers after one has answered: tokens of `PROMPT` to read, and load."""
+    """Returns for each worker the uncached tokens of `PROMPT` and its load, after one worker has answered."""
     known: list[tuple[int, float]] = []
 
-    async def story(played: Played) -> None:
-        played.gateway.configure(engine=Engine(capacity=4, kv_tokens=100_000))
-        await played.ask(LIVE)
-        known.extend(played.gateway.known_of_workers(PROMPT))
+    async def scenario(conversation: Conversation) -> None:
+        conversation.gateway.configure(engine=Engine(capacity=4, kv_tokens=100_000))
+        await conversation.request(LIVE)
+        known.extend(conversation.gateway.worker_estimates(PROMPT))
 
-    asyncio.run(_play(story, CASES["live-answer"][1]))
+    asyncio.run(_run_scenario(scenario, CASES["live-answer"][1]))
     return known
 
 
 def transcript(name: str) -> str:
-    """One conversation."""
-    story, answers = CASES[name]
-    return asyncio.run(_play(story, answers))
+    """Runs one conversation and returns its transcript."""
+    scenario, answers = CASES[name]
+    return asyncio.run(_run_scenario(scenario, answers))
