--- a/tests/distribution/test_subscriber.py
+++ b/tests/distribution/test_subscriber.py
@@ -1,4 +1,4 @@
-"""How a node finds the leader: a redirect is followed at once, machines that name each other are not."""
+"""How a node finds and follows the control leader, and which failures end its session."""
 
 import asyncio
 import itertools
@@ -34,11 +34,11 @@
 VERSIONS = TableVersions(1)
 TABLES = CompleteTables(VERSIONS, msgspec.Raw(b"null"), (), (), (), (), ())
 CHANGE = TableChanges(VERSIONS, TableVersions(1, 0, 1))
-ON_ANOTHER_BASE = TableChanges(TableVersions(1, 0, 8), TableVersions(1, 0, 9))
+CHANGE_ON_ANOTHER_BASE = TableChanges(TableVersions(1, 0, 8), TableVersions(1, 0, 9))
 
 
-class Machine:
-    """A control machine's end of a connection: its first answer is to `Subscribe`, its last to renewals."""
+class ControlMachine:
+    """A control machine's end of a connection: answers requests in order, and repeats the last answer."""
 
     closed = False
 
@@ -57,20 +57,20 @@
 
 
 class Network:
-    """The control machines by IP, and when which of them was contacted, in virtual time."""
+    """Control machines with scripted answers, by IP, and a record of the contacts in virtual time."""
 
     def __init__(self, answers: Mapping[str, tuple[msgspec.Struct, ...]]) -> None:
         self.loop = VirtualTimeLoop()
-        self.requests: list[tuple[float, str]] = []
-        self.machines: list[Machine] = []
+        self.contacts: list[tuple[float, str]] = []
+        self.machines: list[ControlMachine] = []
         self._answers = answers
 
     async def open_channel(
         self, settings: ChannelSettings, ip: str, _port: int, _timeout_s: float
     ) -> Channel:
-        self.requests.append((self.loop.time(), ip))
+        self.contacts.append((self.loop.time(), ip))
         assert settings.on_message is not None
-        self.machines.append(Machine(*self._answers[ip], handler=settings.on_message))
+        self.machines.append(ControlMachine(*self._answers[ip], handler=settings.on_message))
         return cast(Channel, self.machines[-1])
 
     def subscriber(self, on_tables: Any) -> FeedSubscriber:
@@ -84,56 +84,58 @@
         )
 
 
-def requests(answers: Mapping[str, tuple[msgspec.Struct, ...]], duration_s: float) -> list[tuple[float, str]]:
-    """When which machine was contacted."""
+def contacts_of(
+    answers: Mapping[str, tuple[msgspec.Struct, ...]], duration_s: float
+) -> list[tuple[float, str]]:
+    """Returns the time and IP of each contact of a subscriber that runs for `duration_s`."""
     network = Network(answers)
 
-    async def play() -> None:
+    async def scenario() -> None:
         subscriber = network.subscriber(lambda _old, _new: None)
         await subscriber.start()
         await asyncio.sleep(duration_s)
         await subscriber.stop()
 
-    network.loop.run_until_complete(play())
+    network.loop.run_until_complete(scenario())
     network.loop.close()
-    return network.requests
+    return network.contacts
 
 
 def test_a_redirect_is_followed_at_once() -> None:
     answers = {SEED: (Redirect(LEADER),), LEADER: (TABLES, Redirect(""))}
-    assert requests(answers, 0.3) == [(0.0, SEED), (0.0, LEADER)]
+    assert contacts_of(answers, 0.3) == [(0.0, SEED), (0.0, LEADER)]
 
 
-def test_machines_that_name_each_other_are_contacted_with_pauses() -> None:
+def test_machines_that_redirect_to_each_other_are_contacted_with_pauses() -> None:
     duration_s = 40 * SEARCH_PAUSE_S
-    seen = requests({SEED: (Redirect(LEADER),), LEADER: (Redirect(SEED),)}, duration_s)
-    most_rounds = duration_s / (0.5 * SEARCH_PAUSE_S) + 1
-    assert len(seen) <= (MAX_REDIRECTS + 1) * most_rounds
-    assert len({moment for moment, _ in seen}) > 20
+    contacts = contacts_of({SEED: (Redirect(LEADER),), LEADER: (Redirect(SEED),)}, duration_s)
+    max_rounds = duration_s / (0.5 * SEARCH_PAUSE_S) + 1
+    assert len(contacts) <= (MAX_REDIRECTS + 1) * max_rounds
+    assert len({at for at, _ in contacts}) > 20
 
 
-def test_where_no_leader_is_known_each_round_has_a_pause() -> None:
-    moments = [moment for moment, _ in requests({SEED: (Redirect(""),)}, 2.0)]
-    pauses = [later - earlier for earlier, later in itertools.pairwise(moments)]
+def test_each_search_round_without_a_known_leader_has_a_pause() -> None:
+    contacted_at = [at for at, _ in contacts_of({SEED: (Redirect(""),)}, 2.0)]
+    pauses = [later - earlier for earlier, later in itertools.pairwise(contacted_at)]
     assert all(0.5 * SEARCH_PAUSE_S <= pause <= 1.5 * SEARCH_PAUSE_S for pause in pauses)
 
 
-class Session:
-    """Plays a session with a leader to which `push` sends a change, and keeps what happens."""
+class SessionScenario:
+    """Runs a session with a leader that pushes one change, and records the table updates."""
 
-    def __init__(self, change: TableChanges, fails: bool = False) -> None:
+    def __init__(self, change: TableChanges, handler_fails: bool = False) -> None:
         self.network = Network({SEED: (TABLES, Renewed(VERSIONS))})
-        self.swaps: list[tuple[Tables, Tables]] = []
+        self.table_swaps: list[tuple[Tables, Tables]] = []
         self._change = change
-        self._fails = fails
+        self._fails = handler_fails
 
-    def take(self, old: Tables, new: Tables) -> None:
-        self.swaps.append((old, new))
+    def record_tables(self, old: Tables, new: Tables) -> None:
+        self.table_swaps.append((old, new))
         if self._fails:
-            raise LookupError("a fault of the node")
+            raise LookupError("error in the table handler")
 
-    async def _play(self) -> None:
-        subscriber = self.network.subscriber(self.take)
+    async def _run_session(self) -> None:
+        subscriber = self.network.subscriber(self.record_tables)
         await subscriber.start()
         await asyncio.sleep(0.5 * RENEWAL_INTERVAL_S)
         self.network.machines[0].push(self._change)
@@ -141,33 +143,33 @@
         await subscriber.stop()
 
     def run(self) -> list[dict[str, Any]]:
-        """The events that were logged, as what was bound to them."""
+        """Runs the session and returns the bound fields of the logged events."""
         events: list[dict[str, Any]] = []
         sink = logger.add(lambda message: events.append(message.record["extra"]), level="INFO")
         try:
-            self.network.loop.run_until_complete(self._play())
+            self.network.loop.run_until_complete(self._run_session())
         finally:
             logger.remove(sink)
             self.network.loop.close()
         return events
 
 
-def test_a_change_reaches_the_node() -> None:
-    session = Session(CHANGE)
+def test_a_pushed_change_is_passed_to_the_table_handler() -> None:
+    session = SessionScenario(CHANGE)
     assert session.run() == []
-    assert [new.versions for _, new in session.swaps] == [VERSIONS, CHANGE.versions]
-    assert session.swaps[0][1] is session.swaps[1][0]
+    assert [new.versions for _, new in session.table_swaps] == [VERSIONS, CHANGE.versions]
+    assert session.table_swaps[0][1] is session.table_swaps[1][0]
 
 
-def test_a_missed_change_ends_the_session_which_is_logged_as_an_event() -> None:
-    session = Session(ON_ANOTHER_BASE)
+def test_a_missed_change_ends_the_session_and_is_logged() -> None:
+    session = SessionScenario(CHANGE_ON_ANOTHER_BASE)
     ended = {"event": "feed_session_ended", "control_ip": SEED, "reason": "a change was missed"}
     assert ended in session.run()
     assert session.network.machines[0].closed
 
 
-def test_a_fault_of_the_node_while_it_takes_tables_does_not_end_the_session() -> None:
-    session = Session(CHANGE, fails=True)
+def test_an_error_of_the_table_handler_does_not_end_the_session() -> None:
+    session = SessionScenario(CHANGE, handler_fails=True)
     assert session.run() == [{"event": "table_update_failed"}] * 2
-    assert [new.versions for _, new in session.swaps] == [VERSIONS, CHANGE.versions]
-    assert len(session.network.requests) == 1
+    assert [new.versions for _, new in session.table_swaps] == [VERSIONS, CHANGE.versions]
+    assert len(session.network.contacts) == 1
--- a/tests/distribution/test_subscription.py
+++ b/tests/distribution/test_subscription.py
@@ -1,4 +1,4 @@
-"""What a node takes of the feed, and what it refuses."""
+"""Which messages of the table feed a node applies, and which it rejects."""
 
 import math
 
@@ -20,7 +20,7 @@
 
 NO_DOCUMENT = msgspec.Raw(b"null")
 VERSIONS = TableVersions(epoch=3, configuration=0, workers=5, nodes=2)
-NEXT = msgspec.structs.replace(VERSIONS, workers=6)
+NEXT_VERSIONS = msgspec.structs.replace(VERSIONS, workers=6)
 PLACEMENTS = (PlacementRecord("batch-0", ("a", "b", "c")),)
 
 
@@ -39,24 +39,26 @@
 
 @pytest.fixture
 def subscription() -> FeedSubscription:
-    """One that has complete tables, requested at 10 s."""
+    """Returns a subscription with complete tables that were requested at 10 s."""
     result = FeedSubscription()
     result.replace_all(TABLES, 10.0)
     return result
 
 
-def test_before_the_first_tables_nothing_was_ever_confirmed() -> None:
+def test_no_tables_are_confirmed_before_the_first() -> None:
     assert FeedSubscription().confirmed_at == -math.inf
 
 
-def test_complete_tables_are_current_when_they_were_requested(subscription: FeedSubscription) -> None:
+def test_complete_tables_count_as_confirmed_at_the_time_of_their_request(
+    subscription: FeedSubscription,
+) -> None:
     assert subscription.confirmed_at == 10.0
     assert set(subscription.tables.workers) == {"w-1", "w-2"}
     subscription.replace_all(TABLES, 9.0)
     assert subscription.confirmed_at == 10.0
 
 
-def test_tables_of_an_earlier_term_are_refused_and_change_nothing(subscription: FeedSubscription) -> None:
+def test_tables_of_an_earlier_term_are_rejected_and_change_nothing(subscription: FeedSubscription) -> None:
     before = subscription.tables
     earlier = msgspec.structs.replace(TABLES, versions=msgspec.structs.replace(VERSIONS, epoch=2))
     with pytest.raises(
@@ -67,34 +69,36 @@
     assert subscription.confirmed_at == 10.0
 
 
-def test_a_change_replaces_only_what_it_names(subscription: FeedSubscription) -> None:
+def test_a_change_replaces_only_the_entries_it_contains(subscription: FeedSubscription) -> None:
     before = subscription.tables
     changed = msgspec.structs.replace(worker(2), capacity=9)
     tables = subscription.apply_change(
-        TableChanges(VERSIONS, NEXT, workers=(changed, worker(3)), workers_gone=("w-1",), nodes_gone=("n-1",))
+        TableChanges(
+            VERSIONS, NEXT_VERSIONS, workers=(changed, worker(3)), workers_gone=("w-1",), nodes_gone=("n-1",)
+        )
     )
     assert dict(tables.workers) == {"w-2": changed, "w-3": worker(3)}
     assert tables.nodes == (node(2),)
     assert tables.placements is before.placements
-    assert set(before.workers) == {"w-1", "w-2"}, "the former tables stay as they were"
+    assert set(before.workers) == {"w-1", "w-2"}, "the previous tables are not modified"
 
 
 def test_tables_that_did_not_change_are_the_same_objects(subscription: FeedSubscription) -> None:
     before = subscription.tables
-    after = subscription.apply_change(TableChanges(VERSIONS, NEXT, controls=("10.0.0.2",)))
+    after = subscription.apply_change(TableChanges(VERSIONS, NEXT_VERSIONS, controls=("10.0.0.2",)))
     assert after.workers is before.workers
     assert after.nodes is before.nodes
     assert after.controls == ("10.0.0.2",)
 
 
-def test_a_change_on_other_versions_is_a_gap_and_changes_nothing(subscription: FeedSubscription) -> None:
+def test_a_change_on_other_versions_is_rejected_as_a_gap(subscription: FeedSubscription) -> None:
     before = subscription.tables
     with pytest.raises(FeedGapError):
-        subscription.apply_change(TableChanges(NEXT, VERSIONS, workers_gone=("w-1",)))
+        subscription.apply_change(TableChanges(NEXT_VERSIONS, VERSIONS, workers_gone=("w-1",)))
     assert subscription.tables is before
 
 
-@pytest.mark.parametrize(("versions", "is_confirmed"), [(VERSIONS, True), (NEXT, False)])
+@pytest.mark.parametrize(("versions", "is_confirmed"), [(VERSIONS, True), (NEXT_VERSIONS, False)])
 def test_only_equal_versions_confirm_the_tables(
     versions: TableVersions, is_confirmed: bool, subscription: FeedSubscription
 ) -> None:
@@ -102,9 +106,9 @@
     assert subscription.confirmed_at == (12.0 if is_confirmed else 10.0)
 
 
-def test_a_document_that_cannot_be_read_changes_no_configuration(subscription: FeedSubscription) -> None:
+def test_an_unreadable_document_does_not_change_the_configuration(subscription: FeedSubscription) -> None:
     tables = subscription.apply_change(
-        TableChanges(VERSIONS, NEXT, msgspec.Raw(b'{"version":"of a later one"}'))
+        TableChanges(VERSIONS, NEXT_VERSIONS, msgspec.Raw(b'{"version":"of a later one"}'))
     )
     assert tables.configuration is None
-    assert tables.versions == NEXT
+    assert tables.versions == NEXT_VERSIONS
