--- a/tests/gateway/test_batch_calls.py
+++ b/tests/gateway/test_batch_calls.py
@@ -1,4 +1,4 @@
-"""Batch calls at a gateway: bad input is named, the leader is found, the unsure is answered neither way."""
+"""Batch calls at a gateway: validation, search for the leading store, and calls of unknown outcome."""
 
 import asyncio
 import random
@@ -47,7 +47,7 @@
 
 
 @pytest.mark.parametrize(
-    ("body", "named"),
+    ("body", "message"),
     [
         (b"{", "cannot be read"),
         (b'{"requests": 3}', "cannot be read"),
@@ -66,8 +66,8 @@
         (document(item("e", headers={"X": "\u20ac"})), "'e': its header 'X'"),
     ],
 )
-def test_bad_submissions_are_refused_by_name(body: bytes, named: str) -> None:
-    with pytest.raises(InvalidSubmissionError, match=named):
+def test_an_invalid_submission_is_rejected_with_the_item_and_the_reason(body: bytes, message: str) -> None:
+    with pytest.raises(InvalidSubmissionError, match=message):
         read_submission(body)
 
 
@@ -76,13 +76,13 @@
     assert (read.id, read.headers, read.body, read.tokens) == ("a", {"Model-Id": "m"}, "q83v", 5)
 
 
-def test_a_proper_item_of_any_header_is_taken() -> None:
+def test_an_item_with_any_valid_header_is_accepted() -> None:
     headers = {"Prompt-Prefix": "9c2e41:300,5d07b8:240", "X-Empty": "", "X-Latin": "caf\xe9", "X.Y_z": "a\tb"}
     (read,) = read_submission(document(item("e5b2907c14da6f38", path="/jobs/1?a=%20&b", headers=headers)))
     assert read.headers == headers
 
 
-def test_only_calls_of_the_batch_interface_count_as_such() -> None:
+def test_batch_calls_are_recognized_by_method_and_path() -> None:
     assert is_batch_call("GET", "/v1/lots/1")
     assert is_batch_call("DELETE", "/v1/lots/1")
     assert is_batch_call("GET", "/v1/items/1")
@@ -90,22 +90,22 @@
     assert not is_batch_call("DELETE", "/v1/items/1")
 
 
-class Links:
-    """Stands in for the links to stores; the clock moves on with each call."""
+class FakeLinks:
+    """Replaces the links to stores; each call advances the clock by 0.5 s."""
 
     def __init__(self, reply: Reply) -> None:
         self.reply = reply
-        self.called: list[str] = []
+        self.called_ips: list[str] = []
         self.now = 0.0
 
     async def request(self, ip: str, message: msgspec.Struct, _timeout_s: float) -> msgspec.Struct:
-        self.called.append(ip)
+        self.called_ips.append(ip)
         self.now += 0.5
         return self.reply(ip, message)
 
 
-def call(reply: Reply, method: str = "POST", target: str = "/jobs/1") -> tuple[Answer, Links]:
-    links = Links(reply)
+def call(reply: Reply, method: str = "POST", target: str = "/jobs/1") -> tuple[Answer, FakeLinks]:
+    links = FakeLinks(reply)
     nodes = tuple(
         NodeRecord(f"s{number}", "store", f"10.0.0.{number}", "z", "incarnation", f"10.0.0.{number}#m")
         for number in (1, 2, 3)
@@ -119,18 +119,18 @@
     return asyncio.run(calls.call(request)), links
 
 
-def test_the_named_leader_is_called_next() -> None:
+def test_the_leader_that_a_store_names_is_called_next() -> None:
     def reply(ip: str, _message: msgspec.Struct) -> msgspec.Struct:
         return JobAccepted() if ip == "10.0.0.2" else NotLeading("10.0.0.2#m")
 
     answer, links = call(reply)
     assert answer.status == 202
-    assert links.called[-1] == "10.0.0.2"
-    assert len(links.called) <= 2
+    assert links.called_ips[-1] == "10.0.0.2"
+    assert len(links.called_ips) <= 2
 
 
 @pytest.mark.parametrize(("over_quota", "status"), [(True, 429), (False, 503)])
-def test_a_refusal_says_when_to_come_back(over_quota: bool, status: int) -> None:
+def test_a_rejected_job_is_answered_with_retry_after(over_quota: bool, status: int) -> None:
     answer, _ = call(lambda *_: JobRejected(over_quota, 1.5))
     assert answer.status == status
     assert ("Retry-After", "1.50") in answer.headers
@@ -143,17 +143,17 @@
     assert call(reply)[0].status == 503
 
 
-@pytest.mark.parametrize("unsure", [True, False])
-def test_what_may_have_been_taken_is_answered_neither_way(unsure: bool) -> None:
+@pytest.mark.parametrize("is_answered", [True, False])
+def test_a_job_that_may_have_been_accepted_is_answered_with_504(is_answered: bool) -> None:
     def reply(_ip: str, _message: msgspec.Struct) -> msgspec.Struct:
-        if unsure:
+        if is_answered:
             return OutcomeUnknown()
         raise RequestTimeoutError("late")
 
     assert call(reply)[0].status == 504
 
 
-def test_a_refusal_after_an_unanswered_attempt_promises_nothing() -> None:
+def test_a_rejection_after_an_unanswered_attempt_is_answered_with_504() -> None:
     attempts = iter(range(10))
 
     def reply(_ip: str, _message: msgspec.Struct) -> msgspec.Struct:
@@ -164,15 +164,15 @@
     assert call(reply)[0].status == 504
 
 
-def test_a_job_without_an_id_is_bad() -> None:
-    links = Links(lambda *_: JobAccepted())
+def test_a_job_without_an_id_is_rejected() -> None:
+    links = FakeLinks(lambda *_: JobAccepted())
     calls = BatchCalls(cast(LinkPool, links), Tables, random.Random(1))
     request = BatchRequest("POST", "/jobs/1", "h", "", 0.0, 3.0, document(item()))
     assert asyncio.run(calls.submit(request, ROUTE)).status == 400
-    assert links.called == []
+    assert links.called_ips == []
 
 
-def test_reads_pass_pages_on_and_tell_unknown_from_unsure() -> None:
+def test_reads_forward_pages_and_distinguish_unknown_jobs_from_unknown_outcomes() -> None:
     page, _ = call(lambda *_: ResultPage(4, 2, ()), "GET", "/v1/lots/job-1?after=2")
     assert orjson.loads(page.body) == {"total": 4, "next_page_token": 2, "results": []}
     assert call(lambda *_: NotFound(), "GET", "/v1/lots/job-1")[0].status == 404
@@ -181,10 +181,10 @@
 
 
 @pytest.mark.parametrize("after", ["x", "-1", "%D9%A3", "9" * 19, "9" * 5000])
-def test_what_is_no_position_is_refused_at_once(after: str) -> None:
+def test_an_invalid_position_is_rejected_without_a_call(after: str) -> None:
     answer, links = call(lambda *_: NotFound(), "GET", f"/v1/lots/job-1?after={after}")
     assert answer.status == 400
-    assert links.called == []
+    assert links.called_ips == []
 
 
 def test_a_submission_carries_its_route() -> None:
@@ -208,11 +208,11 @@
     target = "/jobs/1" if method == "POST" else "/v1/lots/job-1"
 
     def reply_with(*errors: type[TransportError]) -> Reply:
-        called: list[str] = []
+        called_ips: list[str] = []
 
         def reply(ip: str, _message: msgspec.Struct) -> msgspec.Struct:
-            called.append(ip)
-            raise errors[min(len(called), len(errors)) - 1]("lost")
+            called_ips.append(ip)
+            raise errors[min(len(called_ips), len(errors)) - 1]("lost")
 
         return reply
 
--- a/tests/gateway/test_worker_resets.py
+++ b/tests/gateway/test_worker_resets.py
@@ -1,4 +1,4 @@
-"""Live requests whose workers break off at each byte: what may have run is neither repeated nor refused."""
+"""Connections to workers that fail at every byte: a request that may have run is not retried or refused."""
 
 import asyncio
 import random
@@ -31,12 +31,12 @@
 )
 
 BODY = b"0123456789"
-TIME_S = 5.0
+TIMEOUT_S = 5.0
 OK = b"HTTP/1.1 200 OK\r\nRequest-Id: a1\r\nResponse-Signature: s\r\nContent-Length: 2\r\n\r\nok"
 DECLINE = b"HTTP/1.1 503 Busy\r\nRequest-Id: a1\r\nNot-Executed: 1\r\nContent-Length: 2\r\n\r\nno"
-BEFORE = SendRequest("POST", "/p/x", [(b"Host", b"h"), (b"Request-Id", b"b2")], b"", b"b2")
-BEFORE_OK = OK.replace(b"a1", b"b2")
-PROMISES = (b"408", b"421", b"429", b"503")
+PREVIOUS_REQUEST = SendRequest("POST", "/p/x", [(b"Host", b"h"), (b"Request-Id", b"b2")], b"", b"b2")
+PREVIOUS_OK = OK.replace(b"a1", b"b2")
+NOT_RUN_STATUSES = (b"408", b"421", b"429", b"503")
 KINDS = {
     "non-idempotent": RouteType.NON_IDEMPOTENT,
     "stream": RouteType.STREAMING,
@@ -45,7 +45,7 @@
 
 @dataclass
 class Gateway:
-    """Requests of one route at two workers; the first is chosen first."""
+    """Live requests of one route to two scripted workers, of which `w0` is chosen first."""
 
     network: ScriptedNetwork
     kind: RouteType
@@ -65,7 +65,7 @@
         self.context = LiveContext(self.worker.pool, chooser, StallDetector(), lambda *_: None)
 
     async def request(self) -> "asyncio.Task[Limit | None]":
-        """Begins a request, as far as the connection to its first worker takes it."""
+        """Starts a request and lets it write to its first worker as much as the connection accepts."""
         now = asyncio.get_running_loop().time()
         headers = [(b"Host", b"h"), (b"Request-Id", b"a1"), (b"Request-Timeout-Ms", b"5000")]
         fields = {name.lower(): value for name, value in headers}
@@ -76,7 +76,7 @@
             self.route,
             "s",
             NO_PROMPT,
-            now + TIME_S,
+            now + TIMEOUT_S,
             ServiceAdmission(1),
             10,
         )
@@ -86,15 +86,15 @@
 
     @property
     def runs(self) -> list[ScriptedTransport]:
-        """The connections that carried a byte of the request."""
+        """The connections on which the request line was written."""
         return [transport for transport in self.network.transports if b"POST /p/x" in transport.taken]
 
 
-def play(kind: RouteType, story: Callable[[Gateway], Awaitable[None]]) -> None:
+def run_scenario(kind: RouteType, scenario: Callable[[Gateway], Awaitable[None]]) -> None:
     async def run() -> None:
         with scripted_network() as network:
             gateway = Gateway(network, kind)
-            await story(gateway)
+            await scenario(gateway)
             gateway.worker.pool.close()
             await settle()
 
@@ -110,9 +110,9 @@
 ) -> None:
     for size in range(len(raw)):
 
-        async def story(gateway: Gateway, size: int = size) -> None:
+        async def scenario(gateway: Gateway, size: int = size) -> None:
             if reused:
-                await gateway.worker.serve(BEFORE, BEFORE_OK)
+                await gateway.worker.serve(PREVIOUS_REQUEST, PREVIOUS_OK)
             task = await gateway.request()
             transport = gateway.network.last
             transport.deliver(raw[:size])
@@ -121,7 +121,7 @@
             assert gateway.client.status == b"502"
             assert len(gateway.network.transports) == 1
 
-        play(KINDS[kind], story)
+        run_scenario(KINDS[kind], scenario)
 
 
 @pytest.mark.parametrize("ending", Ending)
@@ -133,10 +133,10 @@
         await task
 
     sizes: list[int] = []
-    play(RouteType.NON_IDEMPOTENT, complete)
+    run_scenario(RouteType.NON_IDEMPOTENT, complete)
     for size in range(sizes[0] + 1):
 
-        async def story(gateway: Gateway, size: int = size) -> None:
+        async def scenario(gateway: Gateway, size: int = size) -> None:
             gateway.network.room = size
             task = await gateway.request()
             gateway.network.last.end(ending)
@@ -144,25 +144,25 @@
             assert gateway.client.status == b"502"
             assert len(gateway.network.transports) == 1
 
-        play(RouteType.NON_IDEMPOTENT, story)
+        run_scenario(RouteType.NON_IDEMPOTENT, scenario)
 
 
-def test_a_request_given_up_while_it_is_half_written_promises_nothing() -> None:
+def test_a_request_that_times_out_while_partially_written_is_answered_with_504() -> None:
     for capacity in (0, 1, 50, None):
 
-        async def story(gateway: Gateway, capacity: int | None = capacity) -> None:
+        async def scenario(gateway: Gateway, capacity: int | None = capacity) -> None:
             gateway.network.room = capacity
             await (await gateway.request())
             assert gateway.client.status == b"504"
             (transport,) = gateway.network.transports
             assert transport.ended
             transport.make_room()
-            assert capacity is None or len(transport.taken) == capacity  # what waited never leaves
+            assert capacity is None or len(transport.taken) == capacity  # buffered bytes are never sent
 
-        play(RouteType.NON_IDEMPOTENT, story)
+        run_scenario(RouteType.NON_IDEMPOTENT, scenario)
 
 
-def test_a_worker_that_cannot_be_reached_and_one_that_declines_took_nothing() -> None:
+def test_a_request_is_retried_after_a_refused_connection_or_a_decline() -> None:
     async def refused(gateway: Gateway) -> None:
         gateway.network.refusing.add("192.0.2.1")
         task = await gateway.request()
@@ -180,24 +180,24 @@
         assert gateway.client.status == b"200"
         assert len(gateway.runs) == 2
 
-    async def nowhere(gateway: Gateway) -> None:
+    async def both_refused(gateway: Gateway) -> None:
         gateway.network.refusing |= {"192.0.2.1", "192.0.2.2"}
         await (await gateway.request())
         assert gateway.client.status == b"503"
         assert not gateway.runs
 
-    for story in (refused, declined, nowhere):
-        play(RouteType.NON_IDEMPOTENT, story)
+    for scenario in (refused, declined, both_refused):
+        run_scenario(RouteType.NON_IDEMPOTENT, scenario)
 
 
-@pytest.mark.parametrize("surplus", [BEFORE_OK, DECLINE.replace(b"a1", b"b2")], ids=["success", "decline"])
+@pytest.mark.parametrize("surplus", [PREVIOUS_OK, DECLINE.replace(b"a1", b"b2")], ids=["success", "decline"])
 def test_a_surplus_answer_neither_answers_nor_declines_the_next_request(surplus: bytes) -> None:
-    async def story(gateway: Gateway) -> None:
-        await gateway.worker.serve(BEFORE, BEFORE_OK)
+    async def scenario(gateway: Gateway) -> None:
+        await gateway.worker.serve(PREVIOUS_REQUEST, PREVIOUS_OK)
         task = await gateway.request()
         gateway.network.last.deliver(surplus + OK)
         await task
-        assert gateway.client.status not in (b"200", *PROMISES)
+        assert gateway.client.status not in (b"200", *NOT_RUN_STATUSES)
         assert len(gateway.network.transports) == 1
 
-    play(RouteType.NON_IDEMPOTENT, story)
+    run_scenario(RouteType.NON_IDEMPOTENT, scenario)
