--- a/pewterring/distribution/subscriber.py
+++ b/pewterring/distribution/subscriber.py
@@ -33,9 +33,7 @@
 RENEWAL_INTERVAL_S = 0.4  # also bounds how late a node learns that a machine has lost its leadership
 ANSWER_TIMEOUT_S = 0.9  # an answer that takes longer counts as lost
 CONNECT_TIMEOUT_S = 0.5  # bounds how long a machine that is down delays the search
-SEARCH_PAUSE_S = (
-    0.15  # between rounds through all known machines, to limit their load while there is no leader
-)
+SEARCH_PAUSE_S = 0.15  # between rounds through all known machines; limits their load during an election
 MAX_REDIRECTS = 2  # followed without a pause; bounded because two machines may name each other
 
 OpenChannel = Callable[[ChannelSettings, str, int, float], Awaitable[Channel]]
--- a/tests/gateway/test_request_trace.py
+++ b/tests/gateway/test_request_trace.py
@@ -99,7 +99,7 @@
 
     lines: list[str] = []
     sink = JsonLineSink(
-        lines.append, {"node": "gateway-1"}, EventThinner(unthinned=(REQUEST_EVENT,)), lambda: 0.0
+        lines.append, {"node": "edge-1"}, EventThinner(unthinned=(REQUEST_EVENT,)), lambda: 0.0
     )
     logger.remove()
     sink_id = logger.add(sink, format="{message}")
@@ -128,7 +128,7 @@
     other_version = lines[0].replace(b'"format":1', b'"format":2')
     file = tmp_path / "gateway.log"
     file.write_bytes(
-        b"".join([*lines, b"12.5 gateway-1: " + lines[0], truncated + b"\n", other_version, b"no line\n"])
+        b"".join([*lines, b"12.5 edge-1: " + lines[0], truncated + b"\n", other_version, b"no line\n"])
     )
     assert main(["inspect", "requests", str(file), "--plot", str(tmp_path / "plot.svg")]) == 0
     stdout = capsys.readouterr().out
--- a/tests/golden/feed_messages.py
+++ b/tests/golden/feed_messages.py
@@ -1,4 +1,4 @@
-"""Messages of the feed of tables and messages between control machines, as lines of the transport."""
+"""Golden cases: messages of the table feed and between control machines, as lines of the transport."""
 
 import msgspec
 
@@ -102,7 +102,7 @@
 
 
 def _rows() -> tuple[Row, ...]:
-    """Requests carry an id, replies the id of their request, and messages that are pushed neither."""
+    """Returns all rows. Requests carry an id, replies the id of their request, pushed messages no id."""
     return (
         *(message_row(CODEC, name, message, request_id=3) for name, message in _REQUESTS),
         *(message_row(CODEC, name, message, reply_to=3) for name, message in _REPLIES),
--- a/tests/golden/metric_cases.py
+++ b/tests/golden/metric_cases.py
@@ -1,7 +1,4 @@
-"""The metrics of each program that has any: names, kinds, labels and the values that labels may have.
-
-This is the one place where the gateway's metrics are built.
-"""
+"""Golden cases: names, types, labels and label values of the metrics. Only the gateway has metrics."""
 
 from prometheus_client.parser import text_string_to_metric_families
 
@@ -18,7 +15,7 @@
 
 
 def families() -> list[MetricFamily]:
-    """The gateway's families with one service and distinct values."""
+    """Returns the metric families of a gateway with one service and distinct values."""
     admission = ServiceAdmission(incarnation=1)
     admission.rescale(0.0, slots=10, processes=1)
     admission.ceiling.limit = 7.5
@@ -37,13 +34,13 @@
 
 
 def exposed() -> str:
-    """The text that a scrape gets, without help and without the lines that measure this very process."""
+    """Returns the text of a scrape without help texts and without the metrics of this test process."""
     lines = render(families()).decode().splitlines(keepends=True)
     return "".join(line for line in lines if PROCESS_PREFIX not in line and not line.startswith(HELP_PREFIX))
 
 
 def names_and_labels() -> str:
-    """Each sample's name with its kind and labels, those of the process too, and where it is served."""
+    """Returns the name, labels and type of every sample, the path of the metrics, and their content type."""
     lines = {f"path {METRICS_PATH}", f"content type {CONTENT_TYPE}"}
     for family in text_string_to_metric_families(render(families()).decode()):
         for sample in family.samples:
--- a/tests/golden/request_log_cases.py
+++ b/tests/golden/request_log_cases.py
@@ -1,11 +1,11 @@
-"""Log lines of single requests: one for each reason, and one with every field set."""
+"""Golden cases: request log records, one for each reason and one with all fields set."""
 
 import msgspec
 
 from pewterring.observability.request_log import RECORD_FORMAT, REQUEST_EVENT, Reason, RequestRecord
 
 GOLDEN_FILE = "request-log.txt"
-FULL_LINE = RequestRecord(
+FULL_RECORD = RequestRecord(
     format=RECORD_FORMAT,
     request="7",
     route="chat",
@@ -25,18 +25,18 @@
     in_flight=3,
     failure="reset",
 )
-LINES = [
-    FULL_LINE,
-    *(RequestRecord(RECORD_FORMAT, str(n), "code", reason) for n, reason in enumerate(Reason)),
+RECORDS = [
+    FULL_RECORD,
+    *(RequestRecord(RECORD_FORMAT, str(number), "code", reason) for number, reason in enumerate(Reason)),
 ]
 
 
 def encoded() -> str:
-    """The lines as JSON, with the name of their event before them."""
-    return "".join(f"{REQUEST_EVENT} {msgspec.json.encode(line).decode()}\n" for line in LINES)
+    """Returns the records as lines of JSON, each after the name of its event."""
+    return "".join(f"{REQUEST_EVENT} {msgspec.json.encode(record).decode()}\n" for record in RECORDS)
 
 
 def decoded(text: str) -> list[RequestRecord]:
-    """The lines that `encoded` made."""
+    """Parses the lines that `encoded` returns."""
     prefix = f"{REQUEST_EVENT} "
     return [msgspec.json.decode(line.removeprefix(prefix), type=RequestRecord) for line in text.splitlines()]
--- a/tests/golden/test_feed_messages.py
+++ b/tests/golden/test_feed_messages.py
@@ -1,4 +1,4 @@
-"""Messages of the feed and between control machines have the bytes that running clusters know."""
+"""Messages of the table feed and between control machines keep the encoding that running clusters use."""
 
 import pytest
 
@@ -7,15 +7,15 @@
 
 
 @pytest.mark.parametrize("row", FAMILY.rows, ids=ids(FAMILY.rows))
-def test_the_bytes_written(row: Row) -> None:
+def test_messages_are_encoded_to_the_golden_bytes(row: Row) -> None:
     check_encoding(FAMILY, row)
 
 
 @pytest.mark.parametrize("row", FAMILY.rows, ids=ids(FAMILY.rows))
-def test_the_bytes_read(row: Row) -> None:
+def test_the_golden_bytes_are_decoded_to_the_messages(row: Row) -> None:
     check_decoding(FAMILY, row)
 
 
-def test_each_type_has_rows() -> None:
+def test_each_message_type_has_rows() -> None:
     check_complete(FAMILY)
     check_tags(FAMILY, FAMILY.types)
--- a/tests/golden/test_metric_names.py
+++ b/tests/golden/test_metric_names.py
@@ -1,4 +1,4 @@
-"""Names, kinds and labels of the metrics, and the text of a scrape. Only the gateway has metrics."""
+"""The names, types and labels of the metrics, and the text of a scrape, match the golden files."""
 
 from tests.golden import metric_cases as cases
 from tests.golden.golden_files import read_text
