--- a/pewterring/distribution/subscription.py
+++ b/pewterring/distribution/subscription.py
@@ -44,7 +44,7 @@
         self._check_leadership(message.versions.epoch)
         self.tables = Tables(
             versions=message.versions,
-            configuration=self._newer(message.configuration),
+            configuration=self._newest_configuration(message.configuration),
             workers={worker.id: worker for worker in message.workers},
             nodes=message.nodes,
             placements=message.placements,
@@ -65,7 +65,7 @@
             raise FeedGapError(f"the change is based on {message.base}, but this node has {current.versions}")
         self.tables = Tables(
             versions=message.versions,
-            configuration=self._newer(message.configuration),
+            configuration=self._newest_configuration(message.configuration),
             workers=_changed_workers(current.workers, message),
             nodes=_changed_nodes(current.nodes, message),
             placements=current.placements if message.placements is None else message.placements,
@@ -98,7 +98,7 @@
         if epoch < known_epoch:
             raise StaleLeaderError(epoch, known_epoch)
 
-    def _newer(self, document: msgspec.Raw) -> Configuration | None:
+    def _newest_configuration(self, document: msgspec.Raw) -> Configuration | None:
         """Returns the received configuration, or the current one if it is newer or the document invalid."""
         current = self.tables.configuration
         text = bytes(document)
--- a/pewterring/gateway/dispatch.py
+++ b/pewterring/gateway/dispatch.py
@@ -60,7 +60,7 @@
             await self.batch.handle(request, responder, None)
             return
         routes = self.configuration.routes
-        if routes is None and (routes := await self._first_routes(request)) is None:
+        if routes is None and (routes := await self._wait_for_routes(request)) is None:
             await responder.respond(503, [(b"Retry-After", NO_TABLES_RETRY_AFTER)])
             return
         route = routes.find(request.host, path)
@@ -71,7 +71,7 @@
         else:
             await self.live.handle(request, responder, route)
 
-    async def _first_routes(self, request: ServerRequest) -> RouteTable | None:
+    async def _wait_for_routes(self, request: ServerRequest) -> RouteTable | None:
         """Waits for the first routes; returns None if they do not arrive in time."""
         wait_s = min(FIRST_TABLES_WAIT_S, FIRST_TABLES_WAIT_FRACTION * request_timeout_s(request, None))
         with contextlib.suppress(TimeoutError):
--- a/pewterring/gateway/live_attempt.py
+++ b/pewterring/gateway/live_attempt.py
@@ -97,8 +97,8 @@
 class Progress:
     """The state shared by the attempts of one request."""
 
-    runs: int = 0  # number of attempts that may have run
-    begun: bool = False  # the client has received the head of an answer
+    possible_runs: int = 0  # number of attempts that may have run
+    answer_begun: bool = False  # the client has received the head of an answer
     last_event_id: int | None = None  # id of the last event sent to the client
     failure: WorkerFailure | None = None
     limit: Limit | None = None  # the limit that prevents an answer from a worker
@@ -106,7 +106,7 @@
     @property
     def resume_after(self) -> int | None:
         """Id of the event after which the next attempt resumes; None if it starts from the beginning."""
-        return self.last_event_id if self.begun else None
+        return self.last_event_id if self.answer_begun else None
 
 
 class LiveAttempt:
@@ -155,21 +155,23 @@
         self._wait_s = wait_s = self._context.chooser.wait_s(now, worker, times)  # for prompts sent earlier
         prefill_s = times.per_token_s * tokens
         if admitted.trace is not None:
-            admitted.trace.sent(AttemptStart(now, worker.record.id, tokens, prefill_s, wait_s, worker.out))
+            admitted.trace.add_attempt(
+                AttemptStart(now, worker.record.id, tokens, prefill_s, wait_s, worker.out)
+            )
         worker.out += 1
         worker.pending_tokens += tokens
         worker.expect_reading(now, prefill_s)
         expected_s = times.expected(tokens)
-        self._watched = self._watch(now, expected_s + wait_s)
+        self._watched = self._create_watched_attempt(now, expected_s + wait_s)
         self._is_clean_sample = wait_s < MAX_SAMPLE_WAIT_FRACTION * expected_s and not worker.congested_s(now)
         self._context.stalls.add(self._watched)
 
-    def _watch(self, now: float, expected_s: float) -> WatchedAttempt:
+    def _create_watched_attempt(self, now: float, expected_s: float) -> WatchedAttempt:
         worker, route = self._worker, self._admitted.route
         prefill_s = worker.reading_after(now)  # subtracted because the detector adds it again
         first_byte_s = max(0.0, FIRST_BYTE_TIMEOUT_FACTOR * expected_s - prefill_s)
         timeout_s = first_byte_s + self._idle_timeout_s() + worker.congested_s(now)
-        may_retry = route.is_idempotent and self._progress.runs + 1 < route.max_attempts
+        may_retry = route.is_idempotent and self._progress.possible_runs + 1 < route.max_attempts
         return WatchedAttempt(worker, self._stream, timeout_s, now, may_retry, expected_s)
 
     def _idle_timeout_s(self) -> float:
@@ -223,9 +225,9 @@
             if is_misdirected(self._admitted.request, head):
                 worker.misdirected(self._now())
             return AttemptOutcome.NOT_RUN
-        if answer_class is AnswerClass.FAILURE or self._progress.begun:
+        if answer_class is AnswerClass.FAILURE or self._progress.answer_begun:
             return self._keep_failure(head, body)
-        return await self._pass_answer(head, body)
+        return await self._forward_answer(head, body)
 
     async def _read_body(self) -> bytes:
         chunks: list[bytes] = []
@@ -240,11 +242,11 @@
         self._progress.failure = WorkerFailure(head, body)
         return AttemptOutcome.MAY_HAVE_RUN
 
-    async def _pass_answer(self, head: AnswerHead, body: bytes) -> AttemptOutcome:
-        self._learn_from_first_byte()
+    async def _forward_answer(self, head: AnswerHead, body: bytes) -> AttemptOutcome:
+        self._record_first_byte()
         self._worker.answered()
         if self._admitted.trace is not None:
-            self._admitted.trace.event(self._worker.heard_at)
+            self._admitted.trace.add_event(self._worker.heard_at)
         await self._admitted.responder.respond(head.status, client_headers(head), body)
         return AttemptOutcome.DONE
 
@@ -254,19 +256,19 @@
             if not isinstance(chunk, bytes):
                 continue
             worker.heard(self._now())
-            self._pass_events(splitter.feed(chunk), head)
+            self._forward_events(splitter.feed(chunk), head)
             if responder.paused:
                 await responder.drain()
-        self._pass_events(splitter.finish(), head)
+        self._forward_events(splitter.finish(), head)
         self._check_complete(head, splitter)
-        if not self._progress.begun:
+        if not self._progress.answer_begun:
             self._begin_answer(head)
         responder.write(splitter.pending)  # at most blank lines
         responder.end()
         worker.answered()
         return AttemptOutcome.DONE
 
-    def _pass_events(self, events: list[StreamEvent], head: AnswerHead) -> None:
+    def _forward_events(self, events: list[StreamEvent], head: AnswerHead) -> None:
         """Forwards complete events to the client.
 
         Raises:
@@ -275,20 +277,20 @@
         if not events:
             return
         if not self._first_byte_received:
-            self._learn_from_first_byte()
+            self._record_first_byte()
         if self._resume_after is not None:
             if events[0].id != self._resume_after + 1:
                 raise AnswerBrokenError("the resumed stream does not continue after the requested event")
             self._resume_after = None
-        if not self._progress.begun:
+        if not self._progress.answer_begun:
             self._begin_answer(head)
         if self._admitted.trace is not None:
-            self._admitted.trace.event(self._worker.heard_at)
+            self._admitted.trace.add_event(self._worker.heard_at)
         self._admitted.responder.write(b"".join(event.raw for event in events))
         self._progress.last_event_id = events[-1].id
 
     def _begin_answer(self, head: AnswerHead) -> None:
-        self._progress.begun = True
+        self._progress.answer_begun = True
         self._admitted.responder.begin(head.status, client_headers(head))
 
     def _check_complete(self, head: AnswerHead, splitter: EventSplitter) -> None:
@@ -305,7 +307,7 @@
         if not head.framed and not self._first_byte_received:
             raise AnswerBrokenError("the stream ended with its connection before its first event")
 
-    def _learn_from_first_byte(self) -> None:
+    def _record_first_byte(self) -> None:
         """Updates the service's timing model, the worker's slowness and the concurrency limit."""
         self._first_byte_received = True
         now = self._now()
--- a/pewterring/gateway/live_request.py
+++ b/pewterring/gateway/live_request.py
@@ -40,13 +40,13 @@
     async def run(self) -> Limit | None:
         """Answers the client, unless it disconnects; returns the limit that prevented a worker's answer."""
         admitted, progress = self._admitted, self._progress
-        choose, sends = self._context.chooser.choose, 0
-        while sends < MAX_SENDS and self._is_time_left() and not admitted.responder.disconnected:
+        choose, attempts = self._context.chooser.choose, 0
+        while attempts < MAX_SENDS and self._is_time_left() and not admitted.responder.disconnected:
             worker = choose(self._now(), admitted.service, admitted.prompt, self._excluded)
             if worker is None:
                 progress.limit = progress.limit or Limit.NO_WORKER
                 break
-            sends += 1
+            attempts += 1
             end = await self._attempt(worker)
             if end is AttemptOutcome.DONE:
                 if admitted.trace is not None:
@@ -54,12 +54,12 @@
                 return None
             self._excluded.add(worker.record.id)
             if end is AttemptOutcome.MAY_HAVE_RUN:
-                progress.runs += 1
+                progress.possible_runs += 1
                 if not self._may_run_again():
                     break
-            elif sends > 1:
+            elif attempts > 1:
                 await asyncio.sleep(RETRY_PAUSE_S)
-        return await self._give_up()
+        return await self._answer_last_failure()
 
     def _is_time_left(self) -> bool:
         """Returns whether enough time is left before the deadline and the end of a drain."""
@@ -68,9 +68,9 @@
 
     def _may_run_again(self) -> bool:
         route, progress = self._admitted.route, self._progress
-        if not route.is_idempotent or progress.runs >= route.max_attempts:
+        if not route.is_idempotent or progress.possible_runs >= route.max_attempts:
             return False
-        return not progress.begun or progress.last_event_id is not None
+        return not progress.answer_begun or progress.last_event_id is not None
 
     async def _attempt(self, worker: WorkerState) -> AttemptOutcome:
         admitted = self._admitted
@@ -86,17 +86,17 @@
             return AttemptOutcome.NOT_RUN
         return await LiveAttempt(self._context, admitted, self._progress, worker, stream).run()
 
-    async def _give_up(self) -> Limit | None:
+    async def _answer_last_failure(self) -> Limit | None:
         """Answers after the last attempt; a 503 guarantees that none of the attempts ran."""
         responder, progress = self._admitted.responder, self._progress
         if not self._is_time_left():
             progress.limit = Limit.DEADLINE
-        if progress.begun:
+        if progress.answer_begun:
             responder.abort()
         elif progress.failure is not None:
             head = progress.failure.head
             await responder.respond(head.status, client_headers(head), progress.failure.body)
-        elif not progress.runs:
+        elif not progress.possible_runs:
             target_ms = self._admitted.route.target_latency_ms
             await refuse(responder, retry_after_s(RETRY_AFTER_FRACTION * target_ms))
         else:
--- a/pewterring/gateway/program.py
+++ b/pewterring/gateway/program.py
@@ -74,8 +74,8 @@
         self.feed = FeedSubscriber(
             settings,
             codec,
-            NodeReport(self._record),
-            self.take_tables,
+            NodeReport(self._node_record),
+            self.apply_tables,
             FeedEnvironment(self._rng, self.clock),
         )
         self._links = LinkPool(codec, settings.internal_port, rng=self._rng, source_ip=settings.ip)
@@ -118,7 +118,7 @@
             self.configuration, freshness, self.draining, self.metrics, self.live, self.batch, self.clock
         )
         self.front = Front(self.configuration, dispatcher, self.clock)
-        self.readiness = ReadinessServer(self.is_ready, self.metrics, self._state, self.clock)
+        self.readiness = ReadinessServer(self.is_ready, self.metrics, self._collect_state, self.clock)
 
     async def start(self) -> None:
         """Opens the ports and follows the control leader.
@@ -180,21 +180,21 @@
         """Returns whether the load balancer may send requests here."""
         return self.configuration.routes is not None and not self._is_draining
 
-    def take_tables(self, old: Tables, new: Tables) -> None:
+    def apply_tables(self, previous: Tables, new: Tables) -> None:
         """Applies new tables; called by the feed with the previous and the new ones."""
-        if new.configuration is not old.configuration and new.configuration is not None:
+        if new.configuration is not previous.configuration and new.configuration is not None:
             self.configuration.apply(new.configuration)
-        if new.nodes is not old.nodes:
-            self.chooser.take_place(_position(self.settings, new))
-        if new.workers is not old.workers or new.configuration is not old.configuration:
+        if new.nodes is not previous.nodes:
+            self.chooser.take_place(_position_in_zone(self.settings, new))
+        if new.workers is not previous.workers or new.configuration is not previous.configuration:
             self.chooser.update(new.workers, new.configuration)
-            self._close_stale_connections(old, new)
+            self._close_stale_connections(previous, new)
         self._prompts.peers = tuple(node.ip for node in new.nodes if node.program == GATEWAY_PROGRAM)
         self.admissions.update(self.clock(), new, self.chooser)
 
-    def _close_stale_connections(self, old: Tables, new: Tables) -> None:
+    def _close_stale_connections(self, previous: Tables, new: Tables) -> None:
         addresses = {worker.address for worker in new.workers.values()}
-        for worker in old.workers.values():
+        for worker in previous.workers.values():
             if worker.address not in addresses:
                 self.pool.close_address(worker.address)
 
@@ -218,11 +218,11 @@
     def _receive_totals(self, service: int, totals: Totals) -> None:
         self.admissions.hear_totals(self.clock(), service, totals)
 
-    def _record(self) -> NodeRecord:
+    def _node_record(self) -> NodeRecord:
         settings = self.settings
         return NodeRecord(settings.node_id, GATEWAY_PROGRAM, settings.ip, settings.zone, self._incarnation)
 
-    def _state(self) -> GatewayState:
+    def _collect_state(self) -> GatewayState:
         return GatewayState(
             ready=self.is_ready(),
             requests_in_flight=self.front.requests_in_flight,
@@ -234,7 +234,7 @@
         )
 
 
-def _position(settings: NodeSettings, tables: Tables) -> float:
+def _position_in_zone(settings: NodeSettings, tables: Tables) -> float:
     """Returns this gateway's position among the gateways of its zone, as a fraction from 0 to 1."""
     zone_gateways = sorted(
         node.node_id
--- a/pewterring/gateway/request_trace.py
+++ b/pewterring/gateway/request_trace.py
@@ -41,44 +41,44 @@
 
     request_id: str
     route: Route
-    arrived_at: float
+    received_at: float
     tokens: int = 0  # tokens of the prompt
     admitted_at: float = 0.0
     last_attempt: AttemptStart = NO_ATTEMPT
     attempts: int = 0
     failure: str = ""
-    first_at: float = 0.0
-    event_at: float = 0.0
+    first_event_at: float = 0.0
+    last_event_at: float = 0.0
     longest_pause_s: float = 0.0
     done: bool = False  # the client has received its complete answer
     status: int = 0
     limit: Limit | None = field(default=None)
 
-    def sent(self, attempt: AttemptStart) -> None:
+    def add_attempt(self, attempt: AttemptStart) -> None:
         """Records the start of an attempt."""
         self.attempts += 1
         self.last_attempt = attempt
 
-    def event(self, now: float) -> None:
+    def add_event(self, now: float) -> None:
         """Records that events, or a complete answer, are sent to the client."""
-        if not self.first_at:
-            self.first_at = now
+        if not self.first_event_at:
+            self.first_event_at = now
         else:
-            self.longest_pause_s = max(self.longest_pause_s, now - self.event_at)
-        self.event_at = now
+            self.longest_pause_s = max(self.longest_pause_s, now - self.last_event_at)
+        self.last_event_at = now
 
     def reason(self) -> Reason | None:
         """Returns why the request was late or failed; None if it succeeded in time."""
         if not self.done:
             return self._reason_of_failure()
-        if self.first_at - self.arrived_at > self.route.target_latency_ms / 1000:
+        if self.first_event_at - self.received_at > self.route.target_latency_ms / 1000:
             return self._reason_of_lateness()
         if 0.0 < self.route.token_gap_target_ms / 1000 < self.longest_pause_s:
             return Reason.WORKER_FAILED if self.attempts > 1 else Reason.PAUSE
         return None
 
     def _reason_of_failure(self) -> Reason:
-        if self.first_at:
+        if self.first_event_at:
             return Reason.STREAM_BROKEN
         if self.limit is not None:
             return REASON_BY_LIMIT[self.limit]
@@ -87,7 +87,7 @@
     def _reason_of_lateness(self) -> Reason:
         if self.attempts > 1:
             return Reason.WORKER_FAILED
-        took_s = self.first_at - self.arrived_at
+        took_s = self.first_event_at - self.received_at
         if self.last_attempt.expected_wait_s > DOMINANT_FRACTION * took_s:
             return Reason.BEHIND_PREFILLS
         if self.last_attempt.expected_prefill_s > DOMINANT_FRACTION * took_s:
@@ -112,7 +112,7 @@
             admitted_s=self._since(self.admitted_at),
             sent_s=self._since(attempt.sent_at),
             expected_wait_s=round(attempt.expected_wait_s, 4),
-            first_s=self._since(self.first_at),
+            first_s=self._since(self.first_event_at),
             end_s=self._since(now),
             pause_s=round(self.longest_pause_s, 4),
             attempts=self.attempts,
@@ -123,4 +123,4 @@
         logger.bind(**{EVENT: REQUEST_EVENT}, **record.log_fields()).info("")
 
     def _since(self, moment: float) -> float:
-        return round(moment - self.arrived_at, 4) if moment else 0.0
+        return round(moment - self.received_at, 4) if moment else 0.0
--- a/pewterring/gateway/store_calls.py
+++ b/pewterring/gateway/store_calls.py
@@ -78,12 +78,12 @@
                 return StoreReply(answer, may_have_run)
             if not isinstance(answer, NotLeading):
                 may_have_run = True
-            elif self._follow(ip, answer):
+            elif self._note_named_leader(ip, answer):
                 candidates = self._candidates()
                 await asyncio.sleep(0)
         return StoreReply(None, may_have_run)
 
-    def _follow(self, ip: str, answer: NotLeading) -> bool:
+    def _note_named_leader(self, ip: str, answer: NotLeading) -> bool:
         """Remembers the leader that the store at `ip` names; returns whether it is another store."""
         self._forget(ip)
         named = answer.leader.partition("#")[0]
--- a/tests/gateway/gateway.py
+++ b/tests/gateway/gateway.py
@@ -152,7 +152,7 @@
         )
         subscription.tables = Tables(configuration=configuration, workers=self.workers)
         subscription.confirmed_at = now()
-        self.program.take_tables(old, subscription.tables)
+        self.program.apply_tables(old, subscription.tables)
 
     def _worker(self, behaviour: Behaviour) -> Behaviour:
         async def handle(request: ServerRequest, responder: Responder) -> None:
--- a/tests/gateway/test_request_trace.py
+++ b/tests/gateway/test_request_trace.py
@@ -29,7 +29,7 @@
 
 def make_trace(**sent: float) -> RequestTrace:
     request_trace = RequestTrace("id-1", ROUTE, 100.0, tokens=17_000, admitted_at=100.01)
-    request_trace.sent(
+    request_trace.add_attempt(
         AttemptStart(100.02, "i-1", 15_000, sent.get("prefill_s", 0.0), sent.get("wait_s", 0.0), 1)
     )
     return request_trace
@@ -37,7 +37,7 @@
 
 def complete(request_trace: RequestTrace, *events: float) -> Reason | None:
     for event_s in events:
-        request_trace.event(100.0 + event_s)
+        request_trace.add_event(100.0 + event_s)
     request_trace.done = True
     return request_trace.reason()
 
@@ -64,7 +64,7 @@
     assert complete(make_trace(), 0.1, 0.5) is Reason.PAUSE
     retried = make_trace()
     retried.failure = "WorkerUnresponsiveError"
-    retried.sent(AttemptStart(100.4, "i-2", 0, 0.0, 0.0, 0))
+    retried.add_attempt(AttemptStart(100.4, "i-2", 0, 0.0, 0.0, 0))
     assert complete(retried, 0.5) is Reason.WORKER_FAILED
 
 
@@ -90,7 +90,7 @@
     request_trace = make_trace()
     request_trace.failure = "AnswerBrokenError"
     assert request_trace.reason() is Reason.WORKER_FAILED
-    request_trace.event(100.1)
+    request_trace.add_event(100.1)
     assert request_trace.reason() is Reason.STREAM_BROKEN
 
 
--- a/tests/gateway/test_unresponsive_workers.py
+++ b/tests/gateway/test_unresponsive_workers.py
@@ -21,7 +21,7 @@
     for worker_id in worker_ids:
         workers[worker_id] = msgspec.structs.replace(workers[worker_id], state=state)
     subscription.tables = Tables(configuration=old.configuration, workers=workers)
-    gateway.program.take_tables(old, subscription.tables)
+    gateway.program.apply_tables(old, subscription.tables)
 
 
 async def answer_misdirected(_request: ServerRequest, responder: Responder) -> None:
