--- a/pewterring/gateway/drain.py
+++ b/pewterring/gateway/drain.py
@@ -17,7 +17,8 @@
 class Drain:
     """Decides which requests may begin, and ends those in flight in time. Without effect before `begin`.
 
-    A request accepted 6.9 s after SIGTERM was sent to a worker and aborted when the grace period ended.
+    Without it, a request that arrived 6.9 s after SIGTERM was sent to a worker, and its answer was aborted at
+    the end of the grace period.
     """
 
     def __init__(self) -> None:
--- a/pewterring/gateway/prompt_exchange.py
+++ b/pewterring/gateway/prompt_exchange.py
@@ -68,7 +68,7 @@
         self._port.close()
 
     def announce_prompt(self, worker: WorkerState, tokens: int, prompt: Prompt) -> None:
-        """Announces a prompt sent to a worker, if its prefill would take longer than the base time.
+        """Announces a prompt sent to a worker, if its prefill would exceed the base time to first byte.
 
         Prompts that the worker has cached are announced too, so that the other gateways know that their
         blocks were used recently.
