--- a/pewterring/gateway/batch_handler.py
+++ b/pewterring/gateway/batch_handler.py
@@ -30,7 +30,7 @@
         call = _batch_request(request, route)
         now = self._clock()
         if not self._drain.accepts(now, now + max_duration_s(call)):
-            self._metrics.limited(Limit.DRAIN)
+            self._metrics.count_limited(Limit.DRAIN)
             await refuse(responder, DRAIN_RETRY_AFTER_S)
             return
         self._metrics.batch_calls += 1
--- a/pewterring/gateway/live_handler.py
+++ b/pewterring/gateway/live_handler.py
@@ -43,7 +43,7 @@
         """Answers one request, or refuses it with a status that guarantees that it has not run."""
         deadline = request.received_at + request_timeout_s(request, route)
         if not self.context.drain.accepts(self.clock(), deadline):
-            self.metrics.limited(Limit.DRAIN)
+            self.metrics.count_limited(Limit.DRAIN)
             await refuse(responder, DRAIN_RETRY_AFTER_S)
             return
         service = self._choose_service(route)
@@ -69,7 +69,7 @@
         try:
             admitted.responder.on_disconnect(lambda: _cancel(task))
             limit = await LiveRequest(self.context, admitted).run()
-            self.metrics.limited(limit)
+            self.metrics.count_limited(limit)
             if trace is not None:
                 trace.limit = limit
         finally:
@@ -80,7 +80,7 @@
     async def _refuse(
         self, responder: Responder, route: Route, admission: ServiceAdmission, trace: RequestTrace | None
     ) -> None:
-        limit = self.metrics.refused(admission)
+        limit = self.metrics.count_refused(admission)
         if trace is not None:
             trace.limit = limit
             trace.log(self.clock())
--- a/pewterring/gateway/metrics.py
+++ b/pewterring/gateway/metrics.py
@@ -44,14 +44,14 @@
         self.unrouted = 0
         self._limits = dict.fromkeys(Limit, 0)
 
-    def refused(self, admission: ServiceAdmission) -> Limit:
+    def count_refused(self, admission: ServiceAdmission) -> Limit:
         """Counts a request that admission refused, and returns the limit that applied."""
         by_share = admission.shares.room(admission.out) <= admission.ceiling.limit
         limit = Limit.SHARE if by_share else Limit.CONCURRENCY
-        self.limited(limit)
+        self.count_limited(limit)
         return limit
 
-    def limited(self, limit: Limit | None) -> None:
+    def count_limited(self, limit: Limit | None) -> None:
         """Counts the limit that kept a request from being answered by a worker, if there was one."""
         if limit is not None:
             self._limits[limit] += 1
--- a/tests/observability/test_metrics.py
+++ b/tests/observability/test_metrics.py
@@ -57,9 +57,9 @@
 def test_a_gateway_counts_each_limit() -> None:
     metrics = GatewayMetrics()
     for limit in Limit:
-        metrics.limited(limit)
-    metrics.limited(Limit.DEADLINE)
-    metrics.limited(None)
+        metrics.count_limited(limit)
+    metrics.count_limited(Limit.DEADLINE)
+    metrics.count_limited(None)
     found = samples(render(metrics.families(state())))
     name = "pewterring_gateway_limited_total"
     assert found[name, ("deadline",)] == 2
@@ -71,7 +71,7 @@
     admission = ServiceAdmission(incarnation=1)
     admission.rescale(0.0, slots=10, processes=1)
     admission.ceiling.limit = 0.0
-    metrics.refused(admission)
+    metrics.count_refused(admission)
     found = samples(render(metrics.families(state(chat=admission))))
     assert found["pewterring_gateway_limited_total", ("ceiling",)] == 1
     assert found["pewterring_gateway_limited_total", ("share",)] == 0
