--- a/pewterring/gateway/program.py
+++ b/pewterring/gateway/program.py
@@ -139,7 +139,7 @@
             asyncio.create_task(self._check_stalls()),
         ]
         logger.bind(event="gateway_started", gateway=settings.node_id, address=str(settings.front)).info(
-            "Gateway listening"
+            "The gateway listens on its address."
         )
 
     async def drain(self) -> None:
