--- a/pewterring/admission/relayed_shares.py
+++ b/pewterring/admission/relayed_shares.py
@@ -56,7 +56,7 @@
             return
         self.whole = self.totals.limit if self.totals.gateways else limit
         demands = self._demands(now, self.totals)
-        self.total, self.at = demands, now
+        self.total, self.summed_at = demands, now
         is_new = now - self.began < LEASE_S
         knows_own = demands > 0 and (self.demand > 0 or not is_new)
         target = self.whole * (self.demand / demands if knows_own else 1 / self.fleet)
@@ -79,7 +79,7 @@
 
     def _demands(self, now: float, totals: Totals) -> float:
         """The demand of the fleet. That of gateways unheard counts on for a while, as it does in `Shares`."""
-        remembered = self.total * math.exp((self.at - now) / GHOST_S)
+        remembered = self.total * math.exp((self.summed_at - now) / GHOST_S)
         if not self.has_totals(now):
             return max(self.demand, remembered)
         demands = max(0.0, totals.demand - self._told.demand) + self.demand
--- a/pewterring/admission/service.py
+++ b/pewterring/admission/service.py
@@ -26,7 +26,7 @@
 class SlotCeiling(Ceiling):
     """The ceiling in slots that workers register: it begins at all of them."""
 
-    START, FLOOR = 1.0, 0.6  # of the slots: at the start and at the least; below, workers would stand idle
+    INITIAL_SLOTS, MIN_SLOTS = 1.0, 0.6  # of the slots: at the start and at the least; below, workers would stand idle
     MOST = 1.5  # of the slots: past them requests wait in the workers' own queues
 
     def observe(self, cls: i.RequestClass, latency: float, fleet_out: float) -> None:
--- a/tests/admission/test_service.py
+++ b/tests/admission/test_service.py
@@ -102,7 +102,7 @@
     assert ceiling.limit == pytest.approx(SlotCeiling.MOST * 100)
     for n in range(5000):
         ceiling.observe(ROUTE, 50.0 + n, 1e9)
-    assert ceiling.limit >= SlotCeiling.FLOOR * 100
+    assert ceiling.limit >= SlotCeiling.MIN_SLOTS * 100
 
 
 def test_batch_items_reserve_nothing_of_the_share() -> None:
--- a/tests/standalone/test_ceiling.py
+++ b/tests/standalone/test_ceiling.py
@@ -1,109 +1,111 @@
-"""Gradient2, its baseline and what moves it."""
+"""The Gradient2 concurrency limit: its baseline, and what raises and lowers it."""
 
 import pytest
 
 from pewterring.admission.ceiling import Ceiling
-from pewterring.standalone.policy import interface as i
+from pewterring.standalone.policy import interface
 from tests.standalone.helpers import CLASSES, SERVERS, Drive
 
 PURE = CLASSES["pure"]
 
 
-def grown(latency: float, count: int = 600, out: float = 1e9) -> Ceiling:
-    c = Ceiling(3)
-    c.rescale(8.0, 8)
+def ceiling_after(latency: float, count: int = 600, in_flight: float = 1e9) -> Ceiling:
+    ceiling = Ceiling(3)
+    ceiling.rescale(8.0, 8)
     for _ in range(count):
-        c.observe(PURE, latency, out)
-    return c
+        ceiling.observe(PURE, latency, in_flight)
+    return ceiling
 
 
 def test_grows_while_latency_stays_low_and_the_fleet_is_busy() -> None:
-    assert grown(0.05).limit > 2 * Ceiling.START * 8
+    assert ceiling_after(0.05).limit > 2 * Ceiling.INITIAL_SLOTS * 8
 
 
 def test_does_not_grow_while_the_fleet_is_idle() -> None:
-    assert grown(0.05, out=1.0).limit == Ceiling.START * 8
+    assert ceiling_after(0.05, in_flight=1.0).limit == Ceiling.INITIAL_SLOTS * 8
 
 
-def test_shrinks_when_latency_rises_and_keeps_the_floor() -> None:
-    c = grown(0.05)
-    high = c.limit
+def test_shrinks_when_latency_rises_but_not_below_its_minimum() -> None:
+    ceiling = ceiling_after(0.05)
+    highest = ceiling.limit
     for _ in range(200):
-        c.observe(PURE, 0.9, 1e9)
-    assert c.limit < high / 2
+        ceiling.observe(PURE, 0.9, 1e9)
+    assert ceiling.limit < highest / 2
     for _ in range(5000):
-        c.observe(PURE, 0.9, 1e9)
-    assert c.limit >= Ceiling.FLOOR * 8
+        ceiling.observe(PURE, 0.9, 1e9)
+    assert ceiling.limit >= Ceiling.MIN_SLOTS * 8
 
 
-def test_baseline_may_not_drift_past_the_aim() -> None:
-    """All servers slow for so long that the rolling minimum holds slow means alone."""
-    c = grown(0.05)
-    for _ in range(Ceiling.WINDOW + 400):
-        c.observe(PURE, 0.9, 1e9)
-    assert min(c.lows["pure"]) > Ceiling.AIM_SHARE * PURE.aim
-    low = c.limit
+def test_baseline_drift_is_bounded_by_the_latency_target() -> None:
+    """All servers are slow for so long that the window of the rolling minimum holds only slow means."""
+    ceiling = ceiling_after(0.05)
+    for _ in range(Ceiling.WINDOW_SAMPLES + 400):
+        ceiling.observe(PURE, 0.9, 1e9)
+    assert min(ceiling.recent_means["pure"]) > Ceiling.MAX_TARGET_SHARE * PURE.aim
+    drifted = ceiling.limit
     for _ in range(500):
-        c.observe(PURE, 0.9, 1e9)
-    assert c.limit <= low
+        ceiling.observe(PURE, 0.9, 1e9)
+    assert ceiling.limit <= drifted
 
 
-def test_single_fast_answers_do_not_make_the_baseline() -> None:
-    c = Ceiling(3)
-    c.rescale(8.0, 8)
-    for n in range(640):
-        c.observe(PURE, 0.001 if n % 16 == 0 else 0.1, 1e9)
-    assert min(c.lows["pure"]) > 0.05
+def test_single_fast_responses_do_not_set_the_baseline() -> None:
+    ceiling = Ceiling(3)
+    ceiling.rescale(8.0, 8)
+    for count in range(640):
+        ceiling.observe(PURE, 0.001 if count % 16 == 0 else 0.1, 1e9)
+    assert min(ceiling.recent_means["pure"]) > 0.05
 
 
-def test_follows_the_serving_rating_at_once() -> None:
-    c = grown(0.05)
-    before = c.limit
-    c.rescale(4.0, 4)
-    assert c.limit == pytest.approx(before / 2)
-    c.rescale(0.0, 0)  # an empty list says nothing of slots
-    assert c.limit == pytest.approx(before / 2)
+def test_scales_at_once_with_the_rating_of_the_listed_servers() -> None:
+    ceiling = ceiling_after(0.05)
+    before = ceiling.limit
+    ceiling.rescale(4.0, 4)
+    assert ceiling.limit == pytest.approx(before / 2)
+    ceiling.rescale(0.0, 0)  # an empty list gives no number of slots
+    assert ceiling.limit == pytest.approx(before / 2)
 
 
-@pytest.mark.parametrize("code", [c for c in i.Code if c != i.Code.OK])
-def test_only_good_answers_are_latencies(code: i.Code) -> None:
-    """A fast error is no good latency, a cancel no slow one, a time-out belongs to its server."""
-    d = Drive()
-    d.end(d.sent("once"), code, took=0.001)
-    assert d.gatekeeper.ceiling.count == {}
+@pytest.mark.parametrize("code", [code for code in interface.Code if code != interface.Code.OK])
+def test_only_successful_responses_count_as_latencies(code: interface.Code) -> None:
+    """Errors may be fast, cancelled attempts end early, and a timeout concerns one server only."""
+    driver = Drive()
+    driver.end(driver.sent("once"), code, took=0.001)
+    assert driver.gatekeeper.ceiling.count == {}
 
 
-def test_past_the_ceiling_is_refused_at_once() -> None:
-    d = Drive()
-    d.gatekeeper.ceiling.limit = 3.0
-    answers = [d.ask()[0] for _ in range(5)]
-    assert [type(a) for a in answers] == [i.Send] * 3 + [i.Refuse] * 2
+def test_requests_beyond_the_limit_are_rejected_at_once() -> None:
+    driver = Drive()
+    driver.gatekeeper.ceiling.limit = 3.0
+    actions = [driver.ask()[0] for _ in range(5)]
+    assert [type(action) for action in actions] == [interface.Send] * 3 + [interface.Refuse] * 2
 
 
 def test_live_ratings_do_not_scale_the_ceiling() -> None:
-    d = Drive()
-    assert d.gatekeeper.fleet.rating == len(SERVERS)
+    driver = Drive()
+    assert driver.gatekeeper.fleet.rating == len(SERVERS)
 
 
 def test_large_fleets_adapt_as_fast_as_small_ones() -> None:
-    """Of the same answers each of twelve gatekeepers sees a twelfth, and its ceiling moves as far."""
-    lone, one_of_twelve = Ceiling(1), Ceiling(12)
-    for c, count in ((lone, 2400), (one_of_twelve, 200)):
-        c.rescale(8.0, 8)
+    """Each of twelve gateways sees a twelfth of the responses, and its limit moves as far."""
+    single, one_of_twelve = Ceiling(1), Ceiling(12)
+    for ceiling, count in ((single, 2400), (one_of_twelve, 200)):
+        ceiling.rescale(8.0, 8)
         for _ in range(count):
-            c.observe(PURE, 0.05, 1e9)
-    assert one_of_twelve.limit == pytest.approx(lone.limit, rel=0.1)
+            ceiling.observe(PURE, 0.05, 1e9)
+    assert one_of_twelve.limit == pytest.approx(single.limit, rel=0.1)
 
 
-def test_copies_that_win_do_not_hide_how_long_answers_take() -> None:
-    """The slow attempts were cancelled and left out: the usual latency fell to a third, more attempts looked
-    silent and got copies, and a fleet of forty stayed so, with a probe for every second request.
+def test_cancelled_attempts_do_not_hide_how_long_responses_take() -> None:
+    """Guards against leaving slow attempts that were cancelled out of the usual latency.
+
+    The usual latency then fell to a third, more attempts seemed unresponsive and were duplicated, and a
+    fleet of forty stayed in that state, with a probe for every second request.
     """
-    d = Drive()
-    d.serve(40)
+    driver = Drive()
+    driver.serve(40)
     for _ in range(60):
-        first = d.sent()
-        d.now += 1.5
-        d.do(i.TimerDue(2))
-        d.end(first, i.Code.CANCELLED, took=1.5)
-    assert d.gatekeeper.usual() > 0.8
+        first = driver.sent()
+        driver.now += 1.5
+        driver.do(interface.TimerDue(2))
+        driver.end(first, interface.Code.CANCELLED, took=1.5)
+    assert driver.gatekeeper.usual() > 0.8
--- a/tests/standalone/test_shares.py
+++ b/tests/standalone/test_shares.py
@@ -1,4 +1,4 @@
-"""Heartbeats: what they carry, what they divide, and mail that is lost, late, foreign or broken."""
+"""Heartbeats and the shares derived from them; messages that are lost, late, unknown or malformed."""
 
 import itertools
 import random
@@ -7,150 +7,156 @@
 
 from pewterring.admission.shares import LEASE_S, Shares
 from pewterring.standalone.peer_messages import BEAT_FORM
-from pewterring.standalone.policy import interface as i
+from pewterring.standalone.policy import interface
 from tests.standalone.helpers import Drive, settings
 
 
-def beat(incarnation: int, sequence: int, limit: float = 30.0, out: int = 0, share: float = 10.0) -> bytes:
-    return BEAT_FORM.pack(b"B", incarnation, sequence, limit, out, share, 10.0)
+def heartbeat(
+    incarnation: int, sequence: int, limit: float = 30.0, in_flight: int = 0, share: float = 10.0
+) -> bytes:
+    return BEAT_FORM.pack(b"B", incarnation, sequence, limit, in_flight, share, 10.0)
 
 
-def test_a_heartbeat_goes_to_each_peer_every_half_second_though_nothing_is_new() -> None:
-    d = Drive()
-    assert [t.peer for t in d.tick()] == [1, 2]
-    told = [t for _ in range(50) for t in d.tick(0.1)]
-    assert 18 <= len(told) <= 26
+def test_heartbeats_go_to_each_peer_every_half_second_even_if_nothing_changed() -> None:
+    driver = Drive()
+    assert [message.peer for message in driver.tick()] == [1, 2]
+    sent = [message for _ in range(50) for message in driver.tick(0.1)]
+    assert 18 <= len(sent) <= 26
 
 
-def test_no_mail_where_peers_may_not_be_told_or_there_are_none() -> None:
-    for setup in (settings(limits=i.Limits()), settings(fleet=1)):
-        d = Drive(setup)
-        assert d.tick() == []
-        assert d.tick(1.0) == []
+def test_no_messages_are_sent_without_permission_or_without_peers() -> None:
+    for setup in (settings(limits=interface.Limits()), settings(fleet=1)):
+        driver = Drive(setup)
+        assert driver.tick() == []
+        assert driver.tick(1.0) == []
 
 
-def test_lower_median_of_live_limits() -> None:
-    s = Shares(3, 1)
-    s.hear(0.0, 1, beat(11, 1, limit=10.0, share=0.0), 100.0)
-    s.demand = 1e9
-    s.divide(0.0, 100.0)
-    assert s.share == pytest.approx(10.0, rel=0.01)
-    s.hear(0.0, 2, beat(12, 1, limit=50.0, share=0.0), 100.0)
-    s.divide(0.0, 100.0)
-    assert s.share == pytest.approx(50.0, rel=0.01)
+def test_the_limit_is_the_lower_median_of_live_limits() -> None:
+    shares = Shares(3, 1)
+    shares.hear(0.0, 1, heartbeat(11, 1, limit=10.0, share=0.0), 100.0)
+    shares.demand = 1e9
+    shares.divide(0.0, 100.0)
+    assert shares.share == pytest.approx(10.0, rel=0.01)
+    shares.hear(0.0, 2, heartbeat(12, 1, limit=50.0, share=0.0), 100.0)
+    shares.divide(0.0, 100.0)
+    assert shares.share == pytest.approx(50.0, rel=0.01)
 
 
-def test_reserves_the_larger_of_share_and_occupancy_and_keeps_one_slot() -> None:
-    s = Shares(3, 1)
-    s.demand = 1e9
-    s.hear(0.0, 1, beat(11, 1, out=25, share=5.0), 30.0)
-    assert s.share == pytest.approx(5.0)
-    s.hear(0.0, 1, beat(11, 2, out=5, share=29.9), 30.0)
-    assert s.share == 1.0
+def test_a_peer_reserves_its_share_or_its_attempts_in_flight_and_one_slot_remains() -> None:
+    shares = Shares(3, 1)
+    shares.demand = 1e9
+    shares.hear(0.0, 1, heartbeat(11, 1, in_flight=25, share=5.0), 30.0)
+    assert shares.share == pytest.approx(5.0)
+    shares.hear(0.0, 1, heartbeat(11, 2, in_flight=5, share=29.9), 30.0)
+    assert shares.share == 1.0
 
 
-def test_silent_peer_is_evicted() -> None:
-    s = Shares(3, 1)
-    s.demand = 1e9
-    s.hear(0.0, 1, beat(11, 1, out=25), 30.0)
-    s.divide(LEASE_S - 0.01, 30.0)
-    assert s.share < 30.0
-    s.divide(LEASE_S, 30.0)
-    assert s.share == 30.0
+def test_an_unresponsive_peer_is_evicted() -> None:
+    shares = Shares(3, 1)
+    shares.demand = 1e9
+    shares.hear(0.0, 1, heartbeat(11, 1, in_flight=25), 30.0)
+    shares.divide(LEASE_S - 0.01, 30.0)
+    assert shares.share < 30.0
+    shares.divide(LEASE_S, 30.0)
+    assert shares.share == 30.0
 
 
-def test_late_and_repeated_mail_is_dropped() -> None:
-    s = Shares(3, 1)
-    s.hear(0.0, 1, beat(11, 5, out=5), 30.0)
-    s.hear(0.1, 1, beat(11, 4, out=25), 30.0)
-    s.hear(0.2, 1, beat(11, 5, out=25), 30.0)
-    assert s.peers[1].beat.out == 5
-    assert s.peers[1].heard == 0.0
+def test_late_and_repeated_heartbeats_are_dropped() -> None:
+    shares = Shares(3, 1)
+    shares.hear(0.0, 1, heartbeat(11, 5, in_flight=5), 30.0)
+    shares.hear(0.1, 1, heartbeat(11, 4, in_flight=25), 30.0)
+    shares.hear(0.2, 1, heartbeat(11, 5, in_flight=25), 30.0)
+    assert shares.peers[1].beat.out == 5
+    assert shares.peers[1].heard == 0.0
 
 
-def test_restarted_peer_is_heard_and_its_former_life_is_not() -> None:
-    s = Shares(3, 1)
-    s.hear(0.0, 1, beat(11, 500, out=5), 30.0)
-    s.hear(0.1, 1, beat(22, 1, out=7), 30.0)
-    assert s.peers[1].beat.out == 7
-    s.hear(0.2, 1, beat(11, 501, out=9), 30.0)
-    assert s.peers[1].beat.out == 7
+def test_heartbeats_of_a_restarted_peer_count_and_those_of_its_earlier_incarnation_do_not() -> None:
+    shares = Shares(3, 1)
+    shares.hear(0.0, 1, heartbeat(11, 500, in_flight=5), 30.0)
+    shares.hear(0.1, 1, heartbeat(22, 1, in_flight=7), 30.0)
+    assert shares.peers[1].beat.out == 7
+    shares.hear(0.2, 1, heartbeat(11, 501, in_flight=9), 30.0)
+    assert shares.peers[1].beat.out == 7
 
 
-def test_malformed_mail_is_dropped() -> None:
-    d = Drive()
+def test_malformed_heartbeats_are_dropped() -> None:
+    driver = Drive()
     rng = random.Random(3)
-    good = beat(11, 1)
-    bad = [good[:n] for n in range(len(good))] + [b"D", b"D" + bytes(8) + b"123"]
-    bad += [rng.randbytes(rng.randrange(257)) for _ in range(500)]
-    bad += [BEAT_FORM.pack(b"B", 1, 1, x, 0, 1.0, 1.0) for x in (float("nan"), float("inf"), -1.0)]
-    for data in bad:
-        d.do(i.PeerMail(1, data))
-    assert d.gatekeeper.shares.peers == {}
-    d.do(i.PeerMail(7, good))  # nobody of this fleet
-    assert 7 not in d.gatekeeper.shares.peers
-
-
-def test_fleet_stays_below_its_ceiling_once_heartbeats_are_through() -> None:
-    """Uneven demand that moves: shares sum to the ceiling, but for the floor of one slot each."""
-    fleet = [Shares(3, 100 + n) for n in range(3)]
-    wants = itertools.cycle([(90, 5, 5), (90, 5, 5), (90, 5, 5), (5, 90, 5), (5, 90, 5), (5, 5, 90)])
+    valid = heartbeat(11, 1)
+    invalid = [valid[:size] for size in range(len(valid))] + [b"D", b"D" + bytes(8) + b"123"]
+    invalid += [rng.randbytes(rng.randrange(257)) for _ in range(500)]
+    invalid += [
+        BEAT_FORM.pack(b"B", 1, 1, limit, 0, 1.0, 1.0) for limit in (float("nan"), float("inf"), -1.0)
+    ]
+    for data in invalid:
+        driver.do(interface.PeerMail(1, data))
+    assert driver.gatekeeper.shares.peers == {}
+    driver.do(interface.PeerMail(7, valid))  # not a member of this fleet
+    assert 7 not in driver.gatekeeper.shares.peers
+
+
+def test_shares_sum_to_the_limit_once_heartbeats_have_arrived() -> None:
+    """Demand is uneven and moves between gateways; the minimum of one slot each may exceed the limit."""
+    fleet = [Shares(3, 100 + index) for index in range(3)]
+    demands = itertools.cycle([(90, 5, 5), (90, 5, 5), (90, 5, 5), (5, 90, 5), (5, 90, 5), (5, 5, 90)])
     for step in range(60):
         now = step * 0.5
-        for s, wanted in zip(fleet, next(wants), strict=True):
-            s.wanted = wanted
-            s.settle(now, 0.5, 30.0)
-            data = s.beat(30.0, int(min(s.share, 30.0)))
+        for shares, wanted in zip(fleet, next(demands), strict=True):
+            shares.wanted = wanted
+            shares.settle(now, 0.5, 30.0)
+            data = shares.beat(30.0, int(min(shares.share, 30.0)))
             for other in fleet:
-                if other is not s:
-                    other.hear(now, s.incarnation, data, 30.0)
+                if other is not shares:
+                    other.hear(now, shares.incarnation, data, 30.0)
         if step > 4:
-            assert sum(s.share for s in fleet) <= 30.0 + 2.0
+            assert sum(shares.share for shares in fleet) <= 30.0 + 2.0
 
 
-def test_alone_the_whole_ceiling_becomes_its_own() -> None:
-    """Nobody was ever heard: an even part at first, the whole as the memory of a fleet fades."""
-    d = Drive()
-    limit = d.gatekeeper.ceiling.limit
-    assert d.gatekeeper.shares.share == pytest.approx(limit / 3)
+def test_a_gateway_without_peers_comes_to_hold_the_whole_limit() -> None:
+    """No peer was ever heard: the share is even at first, and grows as the assumed demand of peers decays."""
+    driver = Drive()
+    limit = driver.gatekeeper.ceiling.limit
+    assert driver.gatekeeper.shares.share == pytest.approx(limit / 3)
     for _ in range(400):
-        d.serve(2, latency=0.01)
-        d.tick(0.25)
-    assert d.gatekeeper.shares.share == pytest.approx(d.gatekeeper.ceiling.limit)
+        driver.serve(2, latency=0.01)
+        driver.tick(0.25)
+    assert driver.gatekeeper.shares.share == pytest.approx(driver.gatekeeper.ceiling.limit)
 
 
-def test_lapse_of_all_mail_leaves_each_side_about_its_part() -> None:
-    s = Shares(3, 1)
-    for n in range(20):
-        s.wanted = 10.0
-        s.settle(n * 0.5, 0.5, 30.0)
+def test_in_a_network_partition_each_side_keeps_about_its_share() -> None:
+    shares = Shares(3, 1)
+    for step in range(20):
+        shares.wanted = 10.0
+        shares.settle(step * 0.5, 0.5, 30.0)
         for peer in (1, 2):
-            s.hear(n * 0.5, peer, BEAT_FORM.pack(b"B", peer, n, 30.0, 5, 8.0, 20.0), 30.0)
-    before = s.share
-    s.wanted = 10.0
-    s.settle(9.5 + 2 * LEASE_S, 0.5, 30.0)
-    assert s.share <= 1.3 * before
-    s.wanted = 60.0  # their callers come here: they are dead
-    for n in range(20):
-        s.wanted = 30.0
-        s.settle(9.5 + 2 * LEASE_S + n * 0.5, 0.5, 30.0)
-    assert s.share > 25.0
-
-
-def test_who_restarts_takes_its_part_at_once() -> None:
-    """Its peers have shared the whole ceiling out among them, and its demand would grow from nought: with the
-    floor of one slot it refused most of its first seconds.
+            shares.hear(step * 0.5, peer, BEAT_FORM.pack(b"B", peer, step, 30.0, 5, 8.0, 20.0), 30.0)
+    before = shares.share
+    shares.wanted = 10.0
+    shares.settle(9.5 + 2 * LEASE_S, 0.5, 30.0)
+    assert shares.share <= 1.3 * before
+    shares.wanted = 60.0  # the peers are dead, and their clients come here
+    for step in range(20):
+        shares.wanted = 30.0
+        shares.settle(9.5 + 2 * LEASE_S + step * 0.5, 0.5, 30.0)
+    assert shares.share > 25.0
+
+
+def test_a_restarted_gateway_takes_its_share_at_once() -> None:
+    """Guards against a restarted gateway that rejects most requests of its first seconds.
+
+    Its peers have divided the whole limit among themselves, and its measured demand would grow from zero, so
+    it would be left with the minimum of one slot.
     """
-    d = Drive()
+    driver = Drive()
     for peer in (1, 2):
-        d.do(i.PeerMail(peer, beat(peer, 1, limit=32.0, share=16.0)))
-    assert d.gatekeeper.shares.share == pytest.approx(32 / 3)  # its demand is unknown: an even part
+        driver.do(interface.PeerMail(peer, heartbeat(peer, 1, limit=32.0, share=16.0)))
+    assert driver.gatekeeper.shares.share == pytest.approx(32 / 3)  # its demand is unknown: an even share
     for _ in range(5):
         for _ in range(2):
-            d.sent()
-        d.tick(0.1)
-    assert d.gatekeeper.shares.demand == pytest.approx(20.0)  # the mean, not a tenth of it
-    assert d.gatekeeper.shares.share == pytest.approx(32 / 2)  # of 40 a second in all
-    d.tick(LEASE_S)
-    d.do(i.PeerMail(1, beat(1, 2, limit=32.0, share=30.0)))
-    assert d.gatekeeper.shares.share <= 2.0  # from then on what peers reserve binds
+            driver.sent()
+        driver.tick(0.1)
+    assert driver.gatekeeper.shares.demand == pytest.approx(20.0)  # a plain mean, not a tenth of it
+    assert driver.gatekeeper.shares.share == pytest.approx(32 / 2)  # 20 of the fleet's 40 per second
+    driver.tick(LEASE_S)
+    driver.do(interface.PeerMail(1, heartbeat(1, 2, limit=32.0, share=30.0)))
+    assert driver.gatekeeper.shares.share <= 2.0  # no longer new: slots that peers reserve are left to them
