--- a/pewterring/admission/__init__.py
+++ b/pewterring/admission/__init__.py
@@ -1,1 +1,1 @@
-"""Admission: gradient ceiling and reserved shares, for the gatekeeper and the serving tier."""
+"""Admission control: a gradient concurrency limit, divided into shares by heartbeats between processes."""
--- a/pewterring/admission/batch.py
+++ b/pewterring/admission/batch.py
@@ -1,6 +1,7 @@
-"""Admission of batch items to one service: the room that live requests leave.
+"""Admission of batch items to one service, within the capacity that live requests leave free.
 
-The unit is a slot of a worker, and latencies are ratios, as in `pewterring.admission.service`.
+As in `pewterring.admission.service`, limits count slots of workers, and latencies are ratios of observed to
+expected latency.
 """
 
 import math
@@ -9,78 +10,84 @@
 from pewterring.admission.service import ServiceAdmission
 from pewterring.admission.shares import BEAT_S, LEASE_S
 from pewterring.standalone.peer_messages import read_beat
-from pewterring.standalone.policy import interface as i
+from pewterring.standalone.policy.interface import RequestClass
 
 
 class BatchAdmission:
-    """What batch items may use of one service: the room that live requests leave below the common ceiling."""
-
-    LIVE_MARGIN = 2.0  # of the square root of live attempts out: what they may grow by between heartbeats
-    FILL = 0.9  # of the ceiling at most, live requests included
-    LONE_FILL = 0.5  # of the slots: while live requests take less, one item may run whatever the ceiling
-    UNHEARD_FILL = 0.5  # of the ceiling while no gateway is heard
-    # Another store's items count for so long. With a dead store its items are gone: its room is soon free.
-    PEER_LIFE_S = 2 * BEAT_S
+    """Limits the batch items in flight at one service to what live requests leave of the common limit."""
+
+    # Multiplied by the square root of the live attempts in flight: their possible growth between heartbeats.
+    LIVE_MARGIN = 2.0
+    MAX_FILL = 0.9  # fraction of the limit that live requests and batch items together may use
+    # One item may always run while live requests use less than this fraction of the slots.
+    SINGLE_ITEM_LIVE_FILL = 0.5
+    MAX_FILL_WITHOUT_GATEWAYS = 0.5  # fraction of the limit to use while no gateway's heartbeats arrive
+    # How long another store's items count after its last heartbeat. The items of a store that died have
+    # ended, so their slots are freed soon.
+    PEER_TIMEOUT_S = 2 * BEAT_S
 
     def __init__(self, incarnation: int) -> None:
-        self._view = ServiceAdmission(incarnation, counted=False)
+        self._admission = ServiceAdmission(incarnation, counted=False)
         self._gateways = 0
         self._slots = 0
-        self._peers: dict[int, tuple[float, int]] = {}  # by store: when heard, its items out
+        # By peer number of the store: the time of its last heartbeat, and its items in flight.
+        self._stores: dict[int, tuple[float, int]] = {}
         self.out = 0
 
     def rescale(self, now: float, slots: int, gateways: int) -> None:
-        """Takes the number of slots of the ready workers, and of gateways that share them."""
+        """Sets the number of slots of the ready workers, and the number of gateways that share them."""
         self._gateways, self._slots = gateways, slots
-        self._view.rescale(now, slots, gateways)
+        self._admission.rescale(now, slots, gateways)
 
     def hear(self, now: float, peer: int, data: bytes) -> None:
-        """Takes a gateway's heartbeat."""
-        self._view.hear(now, peer, data)
+        """Takes a heartbeat from a gateway."""
+        self._admission.hear(now, peer, data)
 
     def hear_batch(self, now: float, peer: int, data: bytes) -> None:
-        """Takes the heartbeat of another store that runs items."""
+        """Takes a heartbeat from another store that runs batch items."""
         beat = read_beat(data)
         if beat is not None:
-            self._peers[peer] = (now, beat.out)
+            self._stores[peer] = (now, beat.out)
 
     def hear_totals(self, now: float, totals: Totals) -> None:
-        """Takes the totals of a fleet too large for heartbeats from all to all."""
-        self._view.hear_totals(now, totals)
+        """Takes the totals of a fleet that is too large for all-to-all heartbeats."""
+        self._admission.hear_totals(now, totals)
 
-    def observe(self, now: float, route: i.RequestClass, ratio: float) -> None:
-        """Takes a ratio of seen to expected time to the first byte."""
-        self._view.ceiling.observe(route, ratio, self._view.shares.elsewhere + self.out)
+    def observe(self, now: float, route: RequestClass, ratio: float) -> None:
+        """Takes a sample: the ratio of the observed to the expected time to the first byte."""
+        self._admission.ceiling.observe(route, ratio, self._admission.shares.elsewhere + self.out)
 
     def tick(self, now: float) -> None:
-        """Once a heartbeat period."""
-        self._view.tick(now)
+        """Updates demand and share. Called once per heartbeat period."""
+        self._admission.tick(now)
 
     def room(self, now: float) -> int:
-        """How many more items may start now."""
-        live = self._view.shares.elsewhere
-        limit = min(self._view.whole, self._view.ceiling.limit, self._slots)
-        usable = self._fill(now) * limit - live - self.LIVE_MARGIN * math.sqrt(live)
-        out = self.out + self._elsewhere(now)
-        if not out and live < self.LONE_FILL * self._slots:
-            # Symptom answered: a service of one slot left no room for any item, ever.
+        """Returns how many more items may start now."""
+        live = self._admission.shares.elsewhere
+        limit = min(self._admission.whole, self._admission.ceiling.limit, self._slots)
+        usable = self._max_fill(now) * limit - live - self.LIVE_MARGIN * math.sqrt(live)
+        in_flight = self.out + self._in_flight_at_other_stores(now)
+        if not in_flight and live < self.SINGLE_ITEM_LIVE_FILL * self._slots:
+            # Otherwise a service with a single slot would never run an item.
             return max(1, math.floor(usable))
-        return max(0, math.floor(usable) - out)
+        return max(0, math.floor(usable) - in_flight)
 
     def beat(self) -> bytes:
-        """The heartbeat for this service: attempts out, no share and no demand."""
-        return self._view.shares.beat(self._view.ceiling.limit, self.out)
-
-    def _fill(self, now: float) -> float:
-        """Answers gateways that cannot be heard, such as behind a cut: what they have out is not known."""
-        shares = self._view.shares
-        heard = shares.has_totals(now) or any(now - peer.heard < LEASE_S for peer in shares.peers.values())
-        return self.FILL if heard or not self._gateways else self.UNHEARD_FILL
-
-    def _elsewhere(self, now: float) -> int:
-        """Items that other stores have out."""
-        told = sum(out for heard, out in self._peers.values() if now - heard < self.PEER_LIFE_S)
-        shares = self._view.shares
+        """Encodes this store's heartbeat for the service: attempts in flight, without share and demand."""
+        return self._admission.shares.beat(self._admission.ceiling.limit, self.out)
+
+    def _max_fill(self, now: float) -> float:
+        """The usable fraction of the limit; lower while no gateway is heard, as in a network partition.
+
+        The number of attempts that those gateways have in flight is then unknown.
+        """
+        shares = self._admission.shares
+        is_heard = shares.has_totals(now) or any(now - peer.heard < LEASE_S for peer in shares.peers.values())
+        return self.MAX_FILL if is_heard or not self._gateways else self.MAX_FILL_WITHOUT_GATEWAYS
+
+    def _in_flight_at_other_stores(self, now: float) -> int:
+        reported = sum(items for heard, items in self._stores.values() if now - heard < self.PEER_TIMEOUT_S)
+        shares = self._admission.shares
         if shares.totals is not None and shares.has_totals(now):
-            return max(told, int(shares.totals.batch_out) - self.out)
-        return told
+            return max(reported, int(shares.totals.batch_in_flight) - self.out)
+        return reported
--- a/pewterring/admission/digests.py
+++ b/pewterring/admission/digests.py
@@ -1,4 +1,4 @@
-"""Digests of admission heartbeats: what many processes say of each service, summed, and their datagrams."""
+"""Digests: admission heartbeats of many processes, summed for each service, and their encoding."""
 
 import math
 import struct
@@ -7,44 +7,44 @@
 
 from pewterring.standalone.peer_messages import Beat
 
-GROUP_MAGIC = b"PG1"  # of one group of processes, between relays
-FLEET_MAGIC = b"PF1"  # of the whole fleet, from a relay to the members of its group
-LIMIT_SAMPLES = 7  # quantiles that stand for the local limits of a group
-MAX_BYTES = 1400  # of one datagram: fits an Ethernet packet with its headers
-HEAD = struct.Struct(">3sIIIH")  # magic, group, incarnation, sequence, entries
+GROUP_MAGIC = b"PG1"  # digest of one group of processes, sent between relays
+FLEET_MAGIC = b"PF1"  # totals of the whole fleet, sent from a relay to the members of its group
+LIMIT_SAMPLES = 7  # quantiles that represent the local limits of a group
+MAX_BYTES = 1400  # size of one datagram: fits an Ethernet packet with all headers
+HEAD = struct.Struct(">3sIIIH")  # magic, group, incarnation, sequence, number of entries
 GROUP_ENTRY = struct.Struct(f">IH4f{LIMIT_SAMPLES}f")
 FLEET_ENTRY = struct.Struct(">IH5f")
 
 
 class Digest(NamedTuple):
-    """What a set of processes says of one service.
+    """Summed heartbeats of a group of processes for one service.
 
-    `limits` are quantiles of the gateways' local limits, each standing for as many gateways as the others.
-    `reserved` sums for each gateway the larger one of its share and its attempts out. Processes that run
-    batch items count in `batch_out` only.
+    `limits` are quantiles of the gateways' local limits; each represents the same number of gateways.
+    `reserved` sums, over the gateways, the larger of the share and the attempts in flight. Processes that run
+    batch items count in `batch_in_flight` only.
     """
 
     gateways: int
     limits: tuple[float, ...]
-    out: float
+    in_flight: float
     reserved: float
     demand: float
-    batch_out: float
+    batch_in_flight: float
 
 
 class Totals(NamedTuple):
-    """What the whole fleet says of one service; `limit` is the lower median of local limits."""
+    """Summed heartbeats of the whole fleet for one service; `limit` is the lower median of local limits."""
 
     gateways: int
     limit: float
-    out: float
+    in_flight: float
     reserved: float
     demand: float
-    batch_out: float
+    batch_in_flight: float
 
 
 class DigestMessage(NamedTuple):
-    """The content of one datagram: entries by service number."""
+    """The decoded content of one datagram: digests or totals by service number."""
 
     magic: bytes
     group: int
@@ -55,47 +55,50 @@
 
 
 def summarize(gateways: Iterable[Beat], batch: Iterable[Beat]) -> Digest:
-    """The digest of one service's beats."""
-    beats = list(gateways)
-    limits = sorted(beat.limit for beat in beats)
+    """Sums the heartbeats of one service, from gateways and from processes that run batch items."""
+    heartbeats = list(gateways)
+    limits = sorted(heartbeat.limit for heartbeat in heartbeats)
     return Digest(
-        gateways=len(beats),
+        gateways=len(heartbeats),
         limits=_quantiles(limits),
-        out=sum(beat.out for beat in beats),
-        reserved=sum(max(beat.share, beat.out) for beat in beats),
-        demand=sum(beat.demand for beat in beats),
-        batch_out=sum(beat.out for beat in batch),
+        in_flight=sum(heartbeat.out for heartbeat in heartbeats),
+        reserved=sum(max(heartbeat.share, heartbeat.out) for heartbeat in heartbeats),
+        demand=sum(heartbeat.demand for heartbeat in heartbeats),
+        batch_in_flight=sum(heartbeat.out for heartbeat in batch),
     )
 
 
 def _quantiles(limits: list[float]) -> tuple[float, ...]:
-    """The middles of `LIMIT_SAMPLES` equal parts of a sorted list; few limits are given as they are."""
+    """Returns the middles of `LIMIT_SAMPLES` equal sections of a sorted list; a short list is unchanged."""
     count = len(limits)
     if count <= LIMIT_SAMPLES:
         return tuple(limits)
-    return tuple(limits[(2 * part + 1) * count // (2 * LIMIT_SAMPLES)] for part in range(LIMIT_SAMPLES))
+    return tuple(limits[(2 * index + 1) * count // (2 * LIMIT_SAMPLES)] for index in range(LIMIT_SAMPLES))
 
 
 def merge(digests: Iterable[Digest]) -> Totals:
-    """The totals over disjoint groups."""
-    parts = list(digests)
+    """Sums the digests of disjoint groups."""
+    groups = list(digests)
     return Totals(
-        gateways=sum(part.gateways for part in parts),
-        limit=_lower_median(parts),
-        out=sum(part.out for part in parts),
-        reserved=sum(part.reserved for part in parts),
-        demand=sum(part.demand for part in parts),
-        batch_out=sum(part.batch_out for part in parts),
+        gateways=sum(group.gateways for group in groups),
+        limit=_lower_median(groups),
+        in_flight=sum(group.in_flight for group in groups),
+        reserved=sum(group.reserved for group in groups),
+        demand=sum(group.demand for group in groups),
+        batch_in_flight=sum(group.batch_in_flight for group in groups),
     )
 
 
-def _lower_median(parts: list[Digest]) -> float:
-    weighted = sorted((limit, part.gateways / len(part.limits)) for part in parts for limit in part.limits)
+def _lower_median(groups: list[Digest]) -> float:
+    """The lower median of the gateways' limits, as far as the quantiles tell; 0 without gateways."""
+    weighted = sorted(
+        (limit, group.gateways / len(group.limits)) for group in groups for limit in group.limits
+    )
     half = sum(weight for _, weight in weighted) / 2
-    passed = 0.0
+    cumulative = 0.0
     for limit, weight in weighted:
-        passed += weight
-        if passed >= half * (1 - 1e-9):
+        cumulative += weight
+        if cumulative >= half * (1 - 1e-9):
             return limit
     return 0.0
 
@@ -103,7 +106,7 @@
 def write_group_digest(
     group: int, incarnation: int, sequence: int, digests: Mapping[int, Digest]
 ) -> list[bytes]:
-    """Datagrams from a relay to the relays of other groups."""
+    """Encodes the digests of a group in datagrams that its relay sends to the relays of other groups."""
     entries = []
     for number, digest in digests.items():
         unused = (-1.0,) * (LIMIT_SAMPLES - len(digest.limits))
@@ -111,52 +114,53 @@
             GROUP_ENTRY.pack(
                 number,
                 digest.gateways,
-                digest.out,
+                digest.in_flight,
                 digest.reserved,
                 digest.demand,
-                digest.batch_out,
+                digest.batch_in_flight,
                 *digest.limits,
                 *unused,
             )
         )
-    return _datagrams(GROUP_MAGIC, group, incarnation, sequence, entries)
+    return _pack_datagrams(GROUP_MAGIC, group, incarnation, sequence, entries)
 
 
 def write_fleet_digest(
     group: int, incarnation: int, sequence: int, totals: Mapping[int, Totals]
 ) -> list[bytes]:
-    """Datagrams from a relay to the members of its group."""
-    entries = [FLEET_ENTRY.pack(number, *total) for number, total in totals.items()]
-    return _datagrams(FLEET_MAGIC, group, incarnation, sequence, entries)
+    """Encodes the totals of the fleet in datagrams that a relay sends to the members of its group."""
+    entries = [FLEET_ENTRY.pack(number, *service_totals) for number, service_totals in totals.items()]
+    return _pack_datagrams(FLEET_MAGIC, group, incarnation, sequence, entries)
 
 
-def _datagrams(
+def _pack_datagrams(
     magic: bytes, group: int, incarnation: int, sequence: int, entries: list[bytes]
 ) -> list[bytes]:
+    """Packs entries of one size into as few datagrams of at most `MAX_BYTES` as hold them."""
     if not entries:
         return []
-    fitting = (MAX_BYTES - HEAD.size) // len(entries[0])
-    parts = [entries[first : first + fitting] for first in range(0, len(entries), fitting)]
-    return [HEAD.pack(magic, group, incarnation, sequence, len(part)) + b"".join(part) for part in parts]
+    max_entries = (MAX_BYTES - HEAD.size) // len(entries[0])
+    chunks = [entries[first : first + max_entries] for first in range(0, len(entries), max_entries)]
+    return [HEAD.pack(magic, group, incarnation, sequence, len(chunk)) + b"".join(chunk) for chunk in chunks]
 
 
 def read_digest(data: bytes) -> DigestMessage | None:
-    """The message in a datagram; None where the bytes are no digest."""
+    """Decodes a datagram; None if it is malformed or holds numbers that are not finite."""
     if len(data) < HEAD.size:
         return None
     magic, group, incarnation, sequence, count = HEAD.unpack_from(data)
-    form = {GROUP_MAGIC: GROUP_ENTRY, FLEET_MAGIC: FLEET_ENTRY}.get(magic)
-    if form is None or len(data) != HEAD.size + count * form.size:
+    entry_format = {GROUP_MAGIC: GROUP_ENTRY, FLEET_MAGIC: FLEET_ENTRY}.get(magic)
+    if entry_format is None or len(data) != HEAD.size + count * entry_format.size:
         return None
     digests: dict[int, Digest] = {}
     totals: dict[int, Totals] = {}
-    for number, gateways, *numbers in form.iter_unpack(data[HEAD.size :]):
-        if not all(math.isfinite(value) for value in numbers):
+    for number, gateways, *values in entry_format.iter_unpack(data[HEAD.size :]):
+        if not all(math.isfinite(value) for value in values):
             return None
         if magic == FLEET_MAGIC:
-            totals[number] = Totals(gateways, *numbers)
+            totals[number] = Totals(gateways, *values)
         else:
-            out, reserved, demand, batch_out, *limits = numbers
+            in_flight, reserved, demand, batch_in_flight, *limits = values
             known = tuple(limit for limit in limits if limit >= 0)
-            digests[number] = Digest(gateways, known, out, reserved, demand, batch_out)
+            digests[number] = Digest(gateways, known, in_flight, reserved, demand, batch_in_flight)
     return DigestMessage(magic, group, incarnation, sequence, digests, totals)
--- a/pewterring/admission/relay_plan.py
+++ b/pewterring/admission/relay_plan.py
@@ -1,6 +1,6 @@
-"""Which processes gather admission heartbeats for the others: groups within zones, and relays of each group.
+"""Plan of the heartbeat exchange: groups of processes within each zone, and the relays of each group.
 
-All processes that hold the same table of nodes come to the same plan without a word.
+The plan depends only on the table of nodes, so processes with the same table agree without communication.
 """
 
 import math
@@ -10,12 +10,12 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-MAX_MEMBERS = 128  # of a group: bounds what one relay takes in and sends out
-RELAYS = 2  # of a group, each addressed in turn: the loss of one leaves half of the datagrams
+MAX_MEMBERS = 128  # per group: bounds the datagrams that one relay receives and sends
+RELAYS = 2  # per group, addressed alternately: if one is lost, half of the datagrams still arrive
 
 
 class Speaker(NamedTuple):
-    """One process that sends attempts to workers."""
+    """A process that sends attempts to workers and therefore takes part in the exchange."""
 
     ip: str
     zone: str
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Group:
-    """The members of a group and its relays, best first."""
+    """The IPs of a group's members, and of its relays in order of preference."""
 
     members: tuple[str, ...]
     relays: tuple[str, ...]
@@ -32,38 +32,38 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayPlan:
-    """All groups by number, and the number of each process's group."""
+    """All groups by number, and the group number of each process by its IP."""
 
     groups: Mapping[int, Group]
     group_of: Mapping[str, int]
 
 
 def make_plan(speakers: Iterable[Speaker]) -> RelayPlan:
-    """Divides each zone into as few groups as `MAX_MEMBERS` allows."""
+    """Divides each zone into the fewest groups that have about `MAX_MEMBERS` members at most."""
     zones: defaultdict[str, list[Speaker]] = defaultdict(list)
     for speaker in speakers:
         zones[speaker.zone].append(speaker)
     groups: dict[int, Group] = {}
     group_of: dict[str, int] = {}
-    for zone, inhabitants in zones.items():
-        parts = math.ceil(len(inhabitants) / MAX_MEMBERS)
-        divided: defaultdict[int, list[Speaker]] = defaultdict(list)
-        for speaker in inhabitants:
-            divided[_weight("part", speaker.ip) % parts].append(speaker)
-        for part, members in divided.items():
-            number = _weight(zone, f"{part}/{parts}")
+    for zone, zone_speakers in zones.items():
+        group_count = math.ceil(len(zone_speakers) / MAX_MEMBERS)
+        by_index: defaultdict[int, list[Speaker]] = defaultdict(list)
+        for speaker in zone_speakers:
+            by_index[_weight("part", speaker.ip) % group_count].append(speaker)
+        for index, members in by_index.items():
+            number = _weight(zone, f"{index}/{group_count}")
             groups[number] = Group(tuple(member.ip for member in members), _relays(number, members))
             group_of.update((member.ip, number) for member in members)
     return RelayPlan(groups, group_of)
 
 
 def _relays(number: int, members: list[Speaker]) -> tuple[str, ...]:
-    """The relays of a group, by rendezvous hashing, so that a node that comes or goes seldom changes them.
+    """Selects relays by rendezvous hashing, so that a node that joins or leaves seldom changes them.
 
-    A group in which nobody may relay is relayed by its members all the same.
+    If no member may relay, all members are candidates.
     """
-    able = [member.ip for member in members if member.may_relay] or [member.ip for member in members]
-    return tuple(sorted(able, key=lambda ip: _weight(str(number), ip))[:RELAYS])
+    candidates = [member.ip for member in members if member.may_relay] or [member.ip for member in members]
+    return tuple(sorted(candidates, key=lambda ip: _weight(str(number), ip))[:RELAYS])
 
 
 def _weight(key: str, value: str) -> int:
--- a/pewterring/admission/relayed_shares.py
+++ b/pewterring/admission/relayed_shares.py
@@ -1,4 +1,4 @@
-"""Shares where the fleet is known by totals, as relays tell them, instead of by each peer's heartbeats."""
+"""Shares derived from the fleet's totals, as relays send them, instead of from each peer's heartbeats."""
 
 import math
 from typing import NamedTuple
@@ -6,20 +6,20 @@
 from pewterring.admission.digests import Totals
 from pewterring.admission.shares import GHOST_S, LEASE_S, Shares
 
-TOTALS_S = 2 * LEASE_S  # totals older than this tell nothing of the present
+TOTALS_EXPIRY_S = 2 * LEASE_S  # age from which totals are too old to be used
 
 
-class _Told(NamedTuple):
-    """What the last heartbeat of this process said, which totals contain."""
+class _Announced(NamedTuple):
+    """The figures of this process's last heartbeat, which the totals include."""
 
-    out: int
+    in_flight: int
     demand: float
 
 
 class RelayedShares(Shares):
-    """Goes by totals from the first that come until a peer is heard directly.
+    """Shares that follow totals from the first that arrive until a peer's heartbeat arrives directly.
 
-    `counted` says whether the totals contain this process.
+    `counted` says whether the totals include this process.
     """
 
     def __init__(self, fleet: int, incarnation: int, counted: bool = True) -> None:
@@ -27,10 +27,10 @@
         self.totals: Totals | None = None
         self._totals_at = -math.inf
         self._counted = counted
-        self._told = _Told(0, 0.0)
+        self._announced = _Announced(0, 0.0)
 
     def hear(self, now: float, peer: int, data: bytes, limit: float) -> bool:
-        """Takes a heartbeat that a peer sent here itself."""
+        """Takes a heartbeat that a peer sent directly; False if it was not accepted."""
         self.totals = None
         return super().hear(now, peer, data, limit)
 
@@ -40,17 +40,17 @@
         self.divide(now, limit)
 
     def has_totals(self, now: float) -> bool:
-        """Whether totals are known that are not too old."""
-        return self.totals is not None and now - self._totals_at < TOTALS_S
+        """Whether totals are known and have not expired."""
+        return self.totals is not None and now - self._totals_at < TOTALS_EXPIRY_S
 
-    def beat(self, limit: float, out: int) -> bytes:
-        """The heartbeat of this process."""
+    def beat(self, limit: float, in_flight: int) -> bytes:
+        """Encodes the heartbeat of this process."""
         if self._counted:
-            self._told = _Told(out, self.demand)
-        return super().beat(limit, out)
+            self._announced = _Announced(in_flight, self.demand)
+        return super().beat(limit, in_flight)
 
     def divide(self, now: float, limit: float) -> None:
-        """Finds the share anew."""
+        """Recomputes the share."""
         if self.totals is None:
             super().divide(now, limit)
             return
@@ -58,41 +58,41 @@
         demands = self._demands(now, self.totals)
         self.total, self.summed_at = demands, now
         is_new = now - self.began < LEASE_S
-        knows_own = demands > 0 and (self.demand > 0 or not is_new)
-        target = self.whole * (self.demand / demands if knows_own else 1 / self.fleet)
+        is_demand_known = demands > 0 and (self.demand > 0 or not is_new)
+        target = self.whole * (self.demand / demands if is_demand_known else 1 / self.fleet)
         if self.has_totals(now):
-            self.elsewhere = max(0.0, self.totals.out - self._told.out)
-            self.share = max(1.0, target if is_new else target * self._part_unreserved(self.totals))
+            self.elsewhere = max(0.0, self.totals.in_flight - self._announced.in_flight)
+            self.share = max(1.0, target if is_new else target * self._unreserved_fraction(self.totals))
         else:
-            # Symptom: cut off from all relays. The others count as busy, so nothing is lent, and the share
-            # goes on by the demand that was known last.
+            # No relay is reachable. All peers count as busy, so no idle slots are lent, and the share follows
+            # the last known demand of the fleet.
             self.elsewhere = self.whole
             self.share = max(1.0, target)
 
     def _unreserved(self, target: float, reserved: float) -> float:
-        """Gives way in proportion, as with totals.
+        """Scales the target down in proportion to the excess, as with totals.
 
-        Symptom answered: gateways whose heartbeats go out together all take what one of them could have, then
-        all refuse; what is out swings between half of the ceiling and twice.
+        Otherwise gateways that send their heartbeats at the same moment would all take the same free slots,
+        and then all reject requests: attempts in flight would swing between half of the limit and twice it.
         """
         return target * min(1.0, self.whole / max(target + reserved, 1.0))
 
     def _demands(self, now: float, totals: Totals) -> float:
-        """The demand of the fleet. That of gateways unheard counts on for a while, as it does in `Shares`."""
+        """The demand of the fleet. As in `Shares`, that of gateways no longer heard decays slowly."""
         remembered = self.total * math.exp((self.summed_at - now) / GHOST_S)
         if not self.has_totals(now):
             return max(self.demand, remembered)
-        demands = max(0.0, totals.demand - self._told.demand) + self.demand
+        demands = max(0.0, totals.demand - self._announced.demand) + self.demand
         missing = max(0, self.fleet - totals.gateways)
         if now - self.began < LEASE_S:
             demands += missing * self.demand
         return max(demands, remembered) if missing > 0 else demands
 
-    def _part_unreserved(self, totals: Totals) -> float:
-        """What part of the ceiling is left where others reserve more than their parts.
+    def _unreserved_fraction(self, totals: Totals) -> float:
+        """The factor by which the target shrinks when gateways reserve more than the limit in total.
 
-        `Shares` takes what others reserve from the ceiling, and who hears it first gives way. Totals reach
-        all at the same moment: if each gave way for the whole excess, shares would swing between the floor
-        and the target. So each gives way for its part.
+        `Shares` subtracts the peers' reserved slots from the limit, so the first gateway that learns of an
+        excess gives it up. Totals reach all gateways at the same moment: if each gave up the whole excess,
+        shares would swing between the minimum and the target. So each gives up its fraction of it.
         """
         return min(1.0, self.whole / max(totals.reserved, 1.0))
--- a/tests/admission/test_relayed_shares.py
+++ b/tests/admission/test_relayed_shares.py
@@ -5,7 +5,7 @@
 import pytest
 
 from pewterring.admission.digests import Totals
-from pewterring.admission.relayed_shares import TOTALS_S, RelayedShares
+from pewterring.admission.relayed_shares import TOTALS_EXPIRY_S, RelayedShares
 from pewterring.admission.service import ServiceAdmission
 from pewterring.admission.shares import BEAT_S, GHOST_S, LEASE_S, Shares
 from pewterring.standalone.peer_messages import Beat, write_beat
@@ -61,8 +61,8 @@
     held = shares(2.0)
     held.hear_totals(LATER, CALM, CEILING)
     share = held.share
-    held.divide(LATER + TOTALS_S, CEILING)
-    assert held.share == pytest.approx(share * math.exp(TOTALS_S / GHOST_S))
+    held.divide(LATER + TOTALS_EXPIRY_S, CEILING)
+    assert held.share == pytest.approx(share * math.exp(TOTALS_EXPIRY_S / GHOST_S))
     assert held.elsewhere == CEILING
     assert held.room(0) == pytest.approx(held.share + held.LENT * math.sqrt(held.share) / 2)
 
@@ -90,6 +90,6 @@
     admission = ServiceAdmission(1, FLEET)
     admission.rescale(0.0, 400, FLEET)
     admission.hear_totals(LATER, CALM)
-    assert admission.batch_out(LATER) == 30
+    assert admission.batch_in_flight(LATER) == 30
     assert admission.elsewhere(LATER) == 230.0
-    assert admission.batch_out(LATER + TOTALS_S) == 0
+    assert admission.batch_in_flight(LATER + TOTALS_EXPIRY_S) == 0
--- a/tests/admission/test_relays.py
+++ b/tests/admission/test_relays.py
@@ -17,7 +17,7 @@
     write_fleet_digest,
     write_group_digest,
 )
-from pewterring.admission.relay_exchange import KEPT_ROUNDS
+from pewterring.admission.relay_exchange import EXPIRY_ROUNDS
 from pewterring.admission.relay_plan import MAX_MEMBERS, RELAYS, Speaker, make_plan
 from pewterring.standalone.peer_messages import Beat
 from tests.admission.relayed_fleet import SERVICE, Fleet
@@ -153,7 +153,7 @@
     fleet = Fleet(66)
     fleet.run(SETTLED)
     fleet.dead = {group.relays[0] for group in fleet.plan.groups.values()}
-    for _ in range(2 * KEPT_ROUNDS):
+    for _ in range(2 * EXPIRY_ROUNDS):
         fleet.run(1)
         assert all(fleet.now - process.told_at <= 1.5 for process in fleet.live())
 
@@ -172,7 +172,7 @@
     fleet.run(SETTLED)
     lost = set(next(iter(fleet.plan.groups.values())).members)
     fleet.is_cut = lambda source, target: (source in lost) != (target in lost)
-    fleet.run(KEPT_ROUNDS + SETTLED)
+    fleet.run(EXPIRY_ROUNDS + SETTLED)
     inside = sum(fleet.processes[ip].kind == 0 for ip in lost)
     for process in fleet.live():
         assert process.totals[SERVICE].gateways == (inside if process.ip in lost else 64 - inside)
--- a/tests/admission/test_service.py
+++ b/tests/admission/test_service.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from pewterring.admission.service import IDLE_LENT, URGENT_SHARE, ServiceAdmission, SlotCeiling
+from pewterring.admission.service import MAX_IDLE_FRACTION, URGENT_FRACTION, ServiceAdmission, SlotCeiling
 from pewterring.standalone.peer_messages import Beat, write_beat
 from pewterring.standalone.policy import interface as i
 
@@ -42,7 +42,7 @@
     room = made.room
     while made.acquire(rank=1):
         pass
-    assert made.out == pytest.approx((1 - URGENT_SHARE) * room, abs=1)
+    assert made.out == pytest.approx((1 - URGENT_FRACTION) * room, abs=1)
     assert not made.acquire(rank=2)
     assert taken(made) == pytest.approx(room, abs=1)
 
@@ -71,7 +71,7 @@
     for peer in (1, 2, 3):
         hear(busy, 1.0, peer, out=25, share=25.0)
         hear(idle, 1.0, peer, out=0, share=25.0)
-    assert taken(idle) >= taken(busy) + IDLE_LENT * 40
+    assert taken(idle) >= taken(busy) + MAX_IDLE_FRACTION * 40
 
 
 def test_the_lower_median_of_limits_is_the_ceiling_of_all() -> None:
@@ -99,7 +99,7 @@
     ceiling.rescale(100.0, 100)
     for _ in range(5000):
         ceiling.observe(ROUTE, 1.0, 1e9)
-    assert ceiling.limit == pytest.approx(SlotCeiling.MOST * 100)
+    assert ceiling.limit == pytest.approx(SlotCeiling.MAX_SLOTS * 100)
     for n in range(5000):
         ceiling.observe(ROUTE, 50.0 + n, 1e9)
     assert ceiling.limit >= SlotCeiling.MIN_SLOTS * 100
--- a/tests/routing/test_heartbeats.py
+++ b/tests/routing/test_heartbeats.py
@@ -125,7 +125,7 @@
             )
         )
         assert not any(peers.beats.values())
-        assert all(totals.out == count for totals in peers.totals.values())
+        assert all(totals.in_flight == count for totals in peers.totals.values())
         peers.close()
 
     asyncio.run(scenario())
