--- a/tests/admission/__init__.py
+++ b/tests/admission/__init__.py
@@ -1,1 +1,1 @@
-"""Admission without sockets."""
+"""Tests of admission, without sockets."""
--- a/tests/admission/relayed_fleet.py
+++ b/tests/admission/relayed_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet whose processes exchange heartbeats by relays, on a simulated network with a simulated clock."""
+"""A fleet that exchanges heartbeats through relays, on a simulated network with a simulated clock."""
 
 from collections.abc import Callable, Collection
 
@@ -14,35 +14,35 @@
 
 
 class Process:
-    """One process: its exchange, and the totals that it was told last."""
+    """One process: its side of the exchange, and the totals that it received last, by service number."""
 
-    def __init__(self, ip: str, kind: int, limit: float, out: int) -> None:
+    def __init__(self, ip: str, kind: int, limit: float, in_flight: int) -> None:
         self.ip = ip
         self.kind = kind
-        self.beat = Beat(1, 1, limit, out, 3.0, 2.0)
+        self.beat = Beat(1, 1, limit, in_flight, 3.0, 2.0)
         self.totals: dict[int, Totals] = {}
-        self.told_at = -1.0
+        self.totals_at = -1.0
         self.now = 0.0
         self.sent = 0
         self.services = [SERVICE]
-        self.exchange = RelayExchange(ip, 1, self._hear)
+        self.exchange = RelayExchange(ip, 1, self._receive_totals)
 
-    def _hear(self, number: int, totals: Totals) -> None:
+    def _receive_totals(self, number: int, totals: Totals) -> None:
         self.totals[number] = totals
-        self.told_at = self.now
+        self.totals_at = self.now
 
     def heartbeat(self) -> bytes:
-        """The datagram of this process's beats."""
+        """Encodes the same heartbeat for each service."""
         return write_heartbeat(self.kind, dict.fromkeys(self.services, write_beat(self.beat)))
 
 
 class Fleet:
-    """Gateways, and one store, in zones; `is_cut` says which datagrams are lost."""
+    """Gateways and one store in several zones; `is_lost` decides which datagrams are lost."""
 
     def __init__(self, gateways: int, zones: int = 4) -> None:
         self.now = 0.0
         self.zones = zones
-        self.is_cut: Callable[[str, str], bool] = lambda _source, _target: False
+        self.is_lost: Callable[[str, str], bool] = lambda _source, _target: False
         self.processes = {
             f"10.0.{index // 256}.{index % 256}": Process(
                 f"10.0.{index // 256}.{index % 256}", GATEWAY, 100.0 + index, index % 4
@@ -53,12 +53,12 @@
         self.dead: set[str] = set()
         self.plan_without(())
 
-    def plan_without(self, gone: Collection[str]) -> RelayPlan:
-        """Gives all the plan of a table of nodes without those that are gone."""
+    def plan_without(self, removed: Collection[str]) -> RelayPlan:
+        """Gives all processes the plan of a table of nodes that lacks the given IPs."""
         plan = make_plan(
             Speaker(process.ip, f"zone-{index % self.zones}", process.kind == GATEWAY)
             for index, process in enumerate(self.processes.values())
-            if process.ip not in gone
+            if process.ip not in removed
         )
         for process in self.processes.values():
             process.exchange.plan = plan
@@ -66,15 +66,15 @@
 
     @property
     def plan(self) -> RelayPlan:
-        """The plan that all hold."""
+        """The plan of all processes."""
         return self.processes["10.1.0.1"].exchange.plan
 
     def live(self) -> list[Process]:
-        """All but the dead."""
+        """All processes that are not in `dead`."""
         return [process for process in self.processes.values() if process.ip not in self.dead]
 
     def run(self, rounds: int) -> None:
-        """So many rounds, in which all send and what they sent arrives."""
+        """Runs a number of rounds: in each, all processes send and the datagrams that are not lost arrive."""
         for _ in range(rounds):
             self.now += BEAT_S
             datagrams = []
@@ -84,7 +84,7 @@
                 process.sent += len(sent)
                 datagrams += [(process.ip, target, data) for target, data in sent]
             for source, target, data in datagrams:
-                if target not in self.dead and not self.is_cut(source, target):
+                if target not in self.dead and not self.is_lost(source, target):
                     receiver = self.processes[target]
                     receiver.now = self.now + DELAY_S
                     receiver.exchange.receive(receiver.now, source, data)
--- a/tests/admission/test_relayed_shares.py
+++ b/tests/admission/test_relayed_shares.py
@@ -1,4 +1,4 @@
-"""Shares that go by the totals of the fleet."""
+"""Shares that are derived from the totals of the fleet."""
 
 import math
 
@@ -11,85 +11,85 @@
 from pewterring.standalone.peer_messages import Beat, write_beat
 
 FLEET = 100
-CEILING = 400.0
-LATER = 10.0  # past the time in which a gateway counts as new
-CALM = Totals(FLEET, CEILING, 200.0, CEILING, 200.0, 30.0)
+LIMIT = 400.0
+LATER = 10.0  # seconds from the start, after which a gateway no longer counts as new
+TOTALS = Totals(FLEET, LIMIT, 200.0, LIMIT, 200.0, 30.0)
 
 
-def shares(demand: float = 2.0) -> RelayedShares:
-    made = RelayedShares(FLEET, 1)
-    made.began = 0.0
-    made.lends = True
-    made.demand = demand
-    return made
+def new_shares(demand: float = 2.0) -> RelayedShares:
+    shares = RelayedShares(FLEET, 1)
+    shares.began = 0.0
+    shares.lends = True
+    shares.demand = demand
+    return shares
 
 
-def test_the_share_follows_demand() -> None:
+def test_the_share_is_proportional_to_demand() -> None:
     for demand in (1.0, 2.0, 8.0):
-        held = shares(demand)
-        held.beat(CEILING, 1)
-        held.hear_totals(LATER, CALM, CEILING)
-        assert held.share == pytest.approx(CEILING * demand / 200.0)
-        assert held.whole == CEILING
-        assert held.elsewhere == 199.0
+        shares = new_shares(demand)
+        shares.beat(LIMIT, 1)
+        shares.hear_totals(LATER, TOTALS, LIMIT)
+        assert shares.share == pytest.approx(LIMIT * demand / 200.0)
+        assert shares.whole == LIMIT
+        assert shares.elsewhere == 199.0
 
 
-def test_the_floor_is_one_slot() -> None:
-    held = shares(0.0)
-    held.hear_totals(LATER, CALM, CEILING)
-    assert held.share == 1.0
+def test_the_share_is_at_least_one_slot() -> None:
+    shares = new_shares(0.0)
+    shares.hear_totals(LATER, TOTALS, LIMIT)
+    assert shares.share == 1.0
 
 
-def test_all_give_way_by_their_parts_where_too_much_is_reserved() -> None:
-    held = shares(8.0)
-    held.beat(CEILING, 1)
+def test_shares_shrink_in_proportion_when_too_many_slots_are_reserved() -> None:
+    shares = new_shares(8.0)
+    shares.beat(LIMIT, 1)
     for _ in range(5):
-        held.hear_totals(LATER, CALM._replace(reserved=1.25 * CEILING), CEILING)
-    assert held.share == pytest.approx(0.8 * CEILING * 8.0 / 200.0)
+        shares.hear_totals(LATER, TOTALS._replace(reserved=1.25 * LIMIT), LIMIT)
+    assert shares.share == pytest.approx(0.8 * LIMIT * 8.0 / 200.0)
 
 
-def test_demand_of_gateways_unheard_counts_on() -> None:
-    """Else those that are heard would take the parts of a zone at a stroke when its relays are cut off."""
-    held = shares(2.0)
-    held.beat(CEILING, 1)
-    held.hear_totals(LATER, CALM, CEILING)
-    held.hear_totals(LATER + BEAT_S, CALM._replace(gateways=50, demand=100.0), CEILING)
-    assert held.share == pytest.approx(CEILING / FLEET, rel=0.1)
+def test_demand_of_gateways_no_longer_heard_still_counts() -> None:
+    """Otherwise the rest would take over a zone's shares as soon as a partition isolates its relays."""
+    shares = new_shares(2.0)
+    shares.beat(LIMIT, 1)
+    shares.hear_totals(LATER, TOTALS, LIMIT)
+    shares.hear_totals(LATER + BEAT_S, TOTALS._replace(gateways=50, demand=100.0), LIMIT)
+    assert shares.share == pytest.approx(LIMIT / FLEET, rel=0.1)
 
 
-def test_cut_off_from_all_relays_it_keeps_its_share_and_borrows_as_if_all_were_busy() -> None:
-    held = shares(2.0)
-    held.hear_totals(LATER, CALM, CEILING)
-    share = held.share
-    held.divide(LATER + TOTALS_EXPIRY_S, CEILING)
-    assert held.share == pytest.approx(share * math.exp(TOTALS_EXPIRY_S / GHOST_S))
-    assert held.elsewhere == CEILING
-    assert held.room(0) == pytest.approx(held.share + held.LENT * math.sqrt(held.share) / 2)
+def test_without_any_relay_the_share_stays_and_idle_slots_are_lent_as_if_all_were_busy() -> None:
+    shares = new_shares(2.0)
+    shares.hear_totals(LATER, TOTALS, LIMIT)
+    share_before = shares.share
+    shares.divide(LATER + TOTALS_EXPIRY_S, LIMIT)
+    assert shares.share == pytest.approx(share_before * math.exp(TOTALS_EXPIRY_S / GHOST_S))
+    assert shares.elsewhere == LIMIT
+    assert shares.room(0) == pytest.approx(shares.share + shares.LENT * math.sqrt(shares.share) / 2)
 
 
-def test_a_new_gateway_takes_its_part_before_it_has_demand() -> None:
-    held = shares(0.0)
-    held.hear_totals(LEASE_S / 2, CALM, CEILING)
-    assert held.share == CEILING / FLEET
+def test_a_new_gateway_takes_an_even_share_before_it_has_demand() -> None:
+    shares = new_shares(0.0)
+    shares.hear_totals(LEASE_S / 2, TOTALS, LIMIT)
+    assert shares.share == LIMIT / FLEET
 
 
-def test_a_peer_heard_directly_takes_the_place_of_totals() -> None:
-    """Where the fleet shrinks below the size that needs relays, heartbeats go to all again."""
-    held, plain = shares(), Shares(FLEET, 1)
+def test_a_heartbeat_received_directly_replaces_the_totals() -> None:
+    """When the fleet shrinks below the size that needs relays, heartbeats go to all peers again."""
+    shares, plain = new_shares(), Shares(FLEET, 1)
     plain.began, plain.lends, plain.demand = 0.0, True, 2.0
-    held.hear_totals(LATER, CALM, CEILING)
-    beat = write_beat(Beat(5, 1, CEILING, 3, 4.0, 2.0))
-    held.total = plain.total
-    for each in (held, plain):
-        each.hear(LATER + BEAT_S, 9, beat, CEILING)
-    assert held.totals is None
-    assert (held.share, held.elsewhere, held.whole) == (plain.share, plain.elsewhere, plain.whole)
+    shares.hear_totals(LATER, TOTALS, LIMIT)
+    heartbeat = write_beat(Beat(5, 1, LIMIT, 3, 4.0, 2.0))
+    shares.total = plain.total
+    for each in (shares, plain):
+        each.hear(LATER + BEAT_S, 9, heartbeat, LIMIT)
+    assert shares.totals is None
+    assert (shares.share, shares.elsewhere, shares.whole) == (plain.share, plain.elsewhere, plain.whole)
 
 
-def test_batch_items_of_the_totals_count_as_attempts_elsewhere() -> None:
+def test_batch_items_in_the_totals_count_as_attempts_of_other_processes() -> None:
     admission = ServiceAdmission(1, FLEET)
     admission.rescale(0.0, 400, FLEET)
-    admission.hear_totals(LATER, CALM)
+    admission.hear_totals(LATER, TOTALS)
     assert admission.batch_in_flight(LATER) == 30
     assert admission.elsewhere(LATER) == 230.0
     assert admission.batch_in_flight(LATER + TOTALS_EXPIRY_S) == 0
--- a/tests/admission/test_relays.py
+++ b/tests/admission/test_relays.py
@@ -1,4 +1,4 @@
-"""Heartbeats by relays: plans, digests and the exchange."""
+"""The exchange of heartbeats through relays: digests, plans and rounds."""
 
 import itertools
 import math
@@ -22,40 +22,42 @@
 from pewterring.standalone.peer_messages import Beat
 from tests.admission.relayed_fleet import SERVICE, Fleet
 
-SETTLED = 6  # rounds from the first heartbeat until all know of all
+CONVERGENCE_ROUNDS = 6  # from the first heartbeat until all totals include all processes
 
 
-def beat(limit: float, out: int = 0, share: float = 1.0) -> Beat:
-    return Beat(1, 1, limit, out, share, 2.0)
+def heartbeat(limit: float, in_flight: int = 0, share: float = 1.0) -> Beat:
+    return Beat(1, 1, limit, in_flight, share, 2.0)
 
 
 # Digests
 
 
-def test_a_digest_sums_what_gateways_say_and_keeps_batch_items_apart() -> None:
-    digest = summarize([beat(10, 4, 3.0), beat(30, 1, 2.0)], [beat(99, 6)])
+def test_a_digest_sums_heartbeats_of_gateways_and_counts_batch_items_separately() -> None:
+    digest = summarize([heartbeat(10, 4, 3.0), heartbeat(30, 1, 2.0)], [heartbeat(99, 6)])
     assert digest == Digest(2, (10.0, 30.0), 5, 4.0 + 2.0, 4.0, 6)
 
 
 def test_the_merged_limit_is_the_lower_median_of_small_groups() -> None:
     for count in range(1, 8):
         limits = random.Random(count).sample(range(100), 2 * count)
-        halves = [summarize(map(beat, limits[part::2]), ()) for part in (0, 1)]
+        halves = [summarize(map(heartbeat, limits[start::2]), ()) for start in (0, 1)]
         assert merge(halves).limit == sorted(limits)[(len(limits) - 1) // 2]
 
 
 def test_the_merged_limit_is_close_to_the_median_of_large_groups() -> None:
     rng = random.Random(3)
     groups = [[rng.gauss(400, 40) for _ in range(size)] for size in (90, 103, 30, 128)]
-    merged = merge(summarize(map(beat, limits), ()) for limits in groups).limit
+    merged = merge(summarize(map(heartbeat, limits), ()) for limits in groups).limit
     assert merged == pytest.approx(statistics.median(itertools.chain(*groups)), rel=0.03)
 
 
 def test_a_group_without_gateways_does_not_count_for_the_limit() -> None:
-    assert merge([summarize([beat(8)], ()), summarize((), [beat(1, 5)])]) == Totals(1, 8, 0, 1.0, 2.0, 5)
+    assert merge([summarize([heartbeat(8)], ()), summarize((), [heartbeat(1, 5)])]) == Totals(
+        1, 8, 0, 1.0, 2.0, 5
+    )
 
 
-def test_digests_of_many_services_travel_in_several_datagrams() -> None:
+def test_digests_of_many_services_are_sent_in_several_datagrams() -> None:
     digests = {number: Digest(3, (1.0, 2.0), 4.0, 5.0, 6.0, 7.0) for number in range(100)}
     totals = {number: Totals(3, 1.0, 4.0, 5.0, 6.0, 7.0) for number in range(100)}
     read_digests: dict[int, Digest] = {}
@@ -71,10 +73,10 @@
     assert read_totals == totals
 
 
-def test_what_is_cut_or_no_number_is_no_digest() -> None:
+def test_truncated_datagrams_and_numbers_that_are_not_finite_are_rejected() -> None:
     (data,) = write_fleet_digest(1, 1, 1, {1: Totals(3, 1.0, 4.0, 5.0, 6.0, 7.0)})
-    (bad,) = write_fleet_digest(1, 1, 1, {1: Totals(3, math.nan, 4.0, 5.0, 6.0, 7.0)})
-    assert read_digest(bad) is None
+    (invalid,) = write_fleet_digest(1, 1, 1, {1: Totals(3, math.nan, 4.0, 5.0, 6.0, 7.0)})
+    assert read_digest(invalid) is None
     assert all(read_digest(data[:size]) is None for size in range(len(data)))
     assert read_digest(b"XX1" + data[3:]) is None
 
@@ -83,10 +85,13 @@
 
 
 def speakers(count: int, zones: int = 4) -> list[Speaker]:
-    return [Speaker(f"10.0.{n // 256}.{n % 256}", f"zone-{n % zones}", n % 10 > 0) for n in range(count)]
+    return [
+        Speaker(f"10.0.{index // 256}.{index % 256}", f"zone-{index % zones}", index % 10 > 0)
+        for index in range(count)
+    ]
 
 
-def test_groups_lie_within_zones_and_are_bounded() -> None:
+def test_groups_do_not_span_zones_and_are_bounded() -> None:
     for count, zones in ((1, 1), (24, 4), (410, 4), (1000, 2)):
         plan = make_plan(speakers(count, zones))
         zone_of = {speaker.ip: speaker.zone for speaker in speakers(count, zones)}
@@ -98,40 +103,42 @@
             assert set(group.relays) <= set(group.members)
 
 
-def test_the_order_of_the_table_changes_nothing() -> None:
+def test_the_plan_does_not_depend_on_the_order_of_the_table() -> None:
     table = speakers(100)
     plan = make_plan(table)
     random.Random(1).shuffle(table)
-    other = make_plan(table)
-    assert other.group_of == plan.group_of
-    assert {n: group.relays for n, group in other.groups.items()} == {
-        n: group.relays for n, group in plan.groups.items()
+    shuffled = make_plan(table)
+    assert shuffled.group_of == plan.group_of
+    assert {number: group.relays for number, group in shuffled.groups.items()} == {
+        number: group.relays for number, group in plan.groups.items()
     }
 
 
-def test_a_node_that_goes_changes_relays_only_where_it_was_one() -> None:
+def test_a_node_that_leaves_changes_the_relays_only_if_it_was_one() -> None:
     table = speakers(100)
     plan = make_plan(table)
     relays = {ip for group in plan.groups.values() for ip in group.relays}
-    for gone in table:
-        rest = make_plan(speaker for speaker in table if speaker is not gone)
-        changed = {ip for group in rest.groups.values() for ip in group.relays} - relays
-        assert len(changed) == (gone.ip in relays)
+    for leaving in table:
+        remaining = make_plan(speaker for speaker in table if speaker is not leaving)
+        changed = {ip for group in remaining.groups.values() for ip in group.relays} - relays
+        assert len(changed) == (leaving.ip in relays)
 
 
 # The exchange
 
 
 def expected(fleet: Fleet) -> Totals:
-    beats = [process.beat for process in fleet.live() if process.kind == 0]
-    reserved = sum(max(beat.share, beat.out) for beat in beats)
-    return Totals(len(beats), 0.0, sum(beat.out for beat in beats), reserved, 2.0 * len(beats), 11.0)
+    heartbeats = [process.beat for process in fleet.live() if process.kind == 0]
+    reserved = sum(max(each.share, each.out) for each in heartbeats)
+    return Totals(
+        len(heartbeats), 0.0, sum(each.out for each in heartbeats), reserved, 2.0 * len(heartbeats), 11.0
+    )
 
 
 @pytest.mark.parametrize("gateways", [24, 66, 410])
-def test_all_learn_the_totals(gateways: int) -> None:
+def test_all_processes_receive_the_totals(gateways: int) -> None:
     fleet = Fleet(gateways)
-    fleet.run(SETTLED)
+    fleet.run(CONVERGENCE_ROUNDS)
     limits = sorted(process.beat.limit for process in fleet.processes.values() if process.kind == 0)
     for process in fleet.live():
         totals = process.totals[SERVICE]
@@ -145,83 +152,83 @@
     fleet.run(40)
     others = RELAYS * (len(fleet.plan.groups) - 1)
     for process in fleet.live():
-        most = 1 + (1.3 * MAX_MEMBERS + others) / RELAYS if process.ip in relays else 1
-        assert process.sent <= 40 * most
+        max_per_round = 1 + (1.3 * MAX_MEMBERS + others) / RELAYS if process.ip in relays else 1
+        assert process.sent <= 40 * max_per_round
 
 
-def test_the_loss_of_one_relay_of_each_group_is_not_noticed() -> None:
+def test_totals_stay_recent_when_one_relay_of_each_group_is_lost() -> None:
     fleet = Fleet(66)
-    fleet.run(SETTLED)
+    fleet.run(CONVERGENCE_ROUNDS)
     fleet.dead = {group.relays[0] for group in fleet.plan.groups.values()}
     for _ in range(2 * EXPIRY_ROUNDS):
         fleet.run(1)
-        assert all(fleet.now - process.told_at <= 1.5 for process in fleet.live())
+        assert all(fleet.now - process.totals_at <= 1.5 for process in fleet.live())
 
 
-def test_the_dead_count_no_more_once_the_table_of_nodes_says_so() -> None:
+def test_dead_processes_no_longer_count_once_they_are_removed_from_the_table_of_nodes() -> None:
     fleet = Fleet(66)
-    fleet.run(SETTLED)
+    fleet.run(CONVERGENCE_ROUNDS)
     fleet.dead = {group.relays[0] for group in fleet.plan.groups.values()}
     fleet.plan_without(fleet.dead)
-    fleet.run(SETTLED)
+    fleet.run(CONVERGENCE_ROUNDS)
     assert all(process.totals[SERVICE]._replace(limit=0.0) == expected(fleet) for process in fleet.live())
 
 
-def test_a_zone_that_is_cut_off_ages_out_of_the_totals_of_the_others() -> None:
+def test_an_isolated_zone_expires_from_the_totals_of_the_others() -> None:
     fleet = Fleet(64)
-    fleet.run(SETTLED)
-    lost = set(next(iter(fleet.plan.groups.values())).members)
-    fleet.is_cut = lambda source, target: (source in lost) != (target in lost)
-    fleet.run(EXPIRY_ROUNDS + SETTLED)
-    inside = sum(fleet.processes[ip].kind == 0 for ip in lost)
+    fleet.run(CONVERGENCE_ROUNDS)
+    isolated = set(next(iter(fleet.plan.groups.values())).members)
+    fleet.is_lost = lambda source, target: (source in isolated) != (target in isolated)
+    fleet.run(EXPIRY_ROUNDS + CONVERGENCE_ROUNDS)
+    inside = sum(fleet.processes[ip].kind == 0 for ip in isolated)
     for process in fleet.live():
-        assert process.totals[SERVICE].gateways == (inside if process.ip in lost else 64 - inside)
-    fleet.is_cut = lambda _source, _target: False
-    fleet.run(SETTLED)
+        assert process.totals[SERVICE].gateways == (inside if process.ip in isolated else 64 - inside)
+    fleet.is_lost = lambda _source, _target: False
+    fleet.run(CONVERGENCE_ROUNDS)
     assert all(process.totals[SERVICE].gateways == 64 for process in fleet.live())
 
 
-def test_a_group_that_the_table_has_no_longer_counts_no_more() -> None:
-    """One zone of `MAX_MEMBERS` and more is divided anew: nobody counts in the old and the new group."""
+def test_a_group_that_no_longer_exists_does_not_count() -> None:
+    """A zone shrinks to one group instead of several; no process may count in both its old and new group."""
     fleet = Fleet(MAX_MEMBERS + 4, zones=1)
-    fleet.run(SETTLED)
-    kept = list(fleet.processes)[: MAX_MEMBERS - 1]
-    fleet.dead = set(fleet.processes) - set(kept)
+    fleet.run(CONVERGENCE_ROUNDS)
+    remaining = list(fleet.processes)[: MAX_MEMBERS - 1]
+    fleet.dead = set(fleet.processes) - set(remaining)
     fleet.plan_without(fleet.dead)
     assert len(fleet.plan.groups) == 1
-    fleet.run(SETTLED)
-    assert all(process.totals[SERVICE].gateways == len(kept) for process in fleet.live())
+    fleet.run(CONVERGENCE_ROUNDS)
+    assert all(process.totals[SERVICE].gateways == len(remaining) for process in fleet.live())
 
 
-def test_strangers_and_overtaken_datagrams_are_dropped() -> None:
+def test_datagrams_that_were_overtaken_or_whose_sender_is_unknown_are_dropped() -> None:
     fleet = Fleet(24)
-    fleet.run(SETTLED)
+    fleet.run(CONVERGENCE_ROUNDS)
     process = next(iter(fleet.live()))
     group = fleet.plan.group_of[process.ip]
     relay = next(ip for ip in fleet.plan.groups[group].relays if ip != process.ip)
-    told = dict(process.totals)
+    totals = dict(process.totals)
     (stale,) = write_fleet_digest(group, 1, 1, {SERVICE: Totals(1, 1.0, 1.0, 1.0, 1.0, 1.0)})
     process.exchange.receive(fleet.now, relay, stale)
     process.exchange.receive(fleet.now, "10.9.9.9", stale)
     process.exchange.receive(fleet.now, relay, b"no digest")
-    assert process.totals == told
+    assert process.totals == totals
     (restarted,) = write_fleet_digest(group, 2, 1, {SERVICE: Totals(1, 1.0, 1.0, 1.0, 1.0, 1.0)})
     process.exchange.receive(fleet.now, relay, restarted)
     assert process.totals[SERVICE].gateways == 1
 
 
-def test_a_process_that_is_not_in_the_table_yet_sends_nothing() -> None:
+def test_a_process_that_is_not_yet_in_the_table_of_nodes_sends_nothing() -> None:
     fleet = Fleet(24)
     newcomer = next(iter(fleet.live()))
     fleet.plan_without({newcomer.ip})
     assert newcomer.exchange.round(0.5, newcomer.heartbeat(), 0.5) == []
 
 
-def test_many_services_are_known_whole() -> None:
+def test_the_totals_of_many_services_arrive_completely() -> None:
     fleet = Fleet(30)
     services = list(range(40))
     for process in fleet.live():
         process.services = services
-    fleet.run(SETTLED)
+    fleet.run(CONVERGENCE_ROUNDS)
     assert all(sorted(process.totals) == services for process in fleet.live())
     assert all(totals.gateways == 30 for process in fleet.live() for totals in process.totals.values())
--- a/tests/admission/test_service.py
+++ b/tests/admission/test_service.py
@@ -1,4 +1,4 @@
-"""Admission to one service: the design's ceiling, median and shares decide, and idle slots are lent."""
+"""Admission to one service: concurrency limit, shares and priorities decide, and idle slots are lent."""
 
 import random
 
@@ -6,108 +6,110 @@
 
 from pewterring.admission.service import MAX_IDLE_FRACTION, URGENT_FRACTION, ServiceAdmission, SlotCeiling
 from pewterring.standalone.peer_messages import Beat, write_beat
-from pewterring.standalone.policy import interface as i
+from pewterring.standalone.policy.interface import RequestClass
 
-ROUTE = i.RequestClass("r", aim=100.0, deadline=100.0)
+ROUTE = RequestClass("r", aim=100.0, deadline=100.0)
 
 
-def admission(slots: int = 100, gateways: int = 4) -> ServiceAdmission:
-    made = ServiceAdmission(1, gateways)
-    made.rescale(0.0, slots, gateways)
-    return made
+def new_admission(slots: int = 100, gateways: int = 4) -> ServiceAdmission:
+    admission = ServiceAdmission(1, gateways)
+    admission.rescale(0.0, slots, gateways)
+    return admission
 
 
-def hear(to: ServiceAdmission, now: float, peer: int, **said: float) -> None:
-    said = {"limit": 100.0, "out": 0, "share": 25.0, "demand": 10.0} | said
-    beat = Beat(peer, int(now * 10) + 1, said["limit"], int(said["out"]), said["share"], said["demand"])
+def send_heartbeat(to: ServiceAdmission, now: float, peer: int, **fields: float) -> None:
+    fields = {"limit": 100.0, "out": 0, "share": 25.0, "demand": 10.0} | fields
+    beat = Beat(
+        peer, int(now * 10) + 1, fields["limit"], int(fields["out"]), fields["share"], fields["demand"]
+    )
     to.hear(now, peer, write_beat(beat))
 
 
-def taken(by: ServiceAdmission) -> int:
-    while by.acquire():
+def acquire_all(admission: ServiceAdmission) -> int:
+    while admission.acquire():
         pass
-    return by.out
+    return admission.out
 
 
-def test_refused_past_the_reserved_share_when_peers_have_the_rest_out() -> None:
-    made = admission()
+def test_requests_beyond_the_share_are_rejected_when_peers_use_the_rest() -> None:
+    admission = new_admission()
     for peer in (1, 2, 3):
-        hear(made, 1.0, peer, out=25, share=25.0)
-    made.tick(1.0)
-    assert taken(made) <= 100 - 75 + 11  # the share, and what chance adds
+        send_heartbeat(admission, 1.0, peer, out=25, share=25.0)
+    admission.tick(1.0)
+    assert acquire_all(admission) <= 100 - 75 + 11  # the share, and an allowance for chance variation
 
 
-def test_less_urgent_requests_leave_a_part_of_the_room_to_more_urgent_ones() -> None:
-    made = admission(gateways=1)
-    room = made.room
-    while made.acquire(rank=1):
+def test_less_urgent_requests_leave_free_capacity_to_more_urgent_ones() -> None:
+    admission = new_admission(gateways=1)
+    capacity = admission.room
+    while admission.acquire(rank=1):
         pass
-    assert made.out == pytest.approx((1 - URGENT_FRACTION) * room, abs=1)
-    assert not made.acquire(rank=2)
-    assert taken(made) == pytest.approx(room, abs=1)
+    assert admission.out == pytest.approx((1 - URGENT_FRACTION) * capacity, abs=1)
+    assert not admission.acquire(rank=2)
+    assert acquire_all(admission) == pytest.approx(capacity, abs=1)
 
 
-def test_in_overload_the_more_urgent_kind_is_served_first() -> None:
-    """Both kinds ask twice as often as slots come free; the urgent one alone would fit."""
-    made, rng = admission(gateways=1), random.Random(3)
-    served, asked = [0, 0], [0, 0]
+def test_in_overload_requests_of_the_more_urgent_priority_are_served_first() -> None:
+    """Together both request twice as many slots as become free; the more urgent one alone would fit."""
+    admission, rng = new_admission(gateways=1), random.Random(3)
+    served, requested = [0, 0], [0, 0]
     ends: list[int] = []
     for step in range(4000):
         for _ in [end for end in ends if end == step]:
-            made.release()
+            admission.release()
         ends = [end for end in ends if end > step]
         for rank in (0, 1):
             for _ in range(rng.choice((1, 2))):
-                asked[rank] += 1
-                if made.acquire(rank):
+                requested[rank] += 1
+                if admission.acquire(rank):
                     served[rank] += 1
                     ends.append(step + rng.randint(30, 60))
-    assert served[0] / asked[0] > 0.95
-    assert served[1] / asked[1] < served[0] / asked[0] - 0.2
+    assert served[0] / requested[0] > 0.95
+    assert served[1] / requested[1] < served[0] / requested[0] - 0.2
 
 
-def test_idle_slots_of_others_are_lent_in_part() -> None:
-    busy, idle = admission(), admission()
+def test_some_idle_slots_of_peers_are_lent() -> None:
+    busy, idle = new_admission(), new_admission()
     for peer in (1, 2, 3):
-        hear(busy, 1.0, peer, out=25, share=25.0)
-        hear(idle, 1.0, peer, out=0, share=25.0)
-    assert taken(idle) >= taken(busy) + MAX_IDLE_FRACTION * 40
+        send_heartbeat(busy, 1.0, peer, out=25, share=25.0)
+        send_heartbeat(idle, 1.0, peer, out=0, share=25.0)
+    assert acquire_all(idle) >= acquire_all(busy) + MAX_IDLE_FRACTION * 40
 
 
-def test_the_lower_median_of_limits_is_the_ceiling_of_all() -> None:
-    made = admission()
+def test_the_common_limit_is_the_lower_median_of_all_limits() -> None:
+    admission = new_admission()
     for peer, limit in ((1, 10.0), (2, 12.0), (3, 90.0)):
-        hear(made, 1.0, peer, limit=limit, share=0.0)
-    assert made.whole == 12.0
+        send_heartbeat(admission, 1.0, peer, limit=limit, share=0.0)
+    assert admission.whole == 12.0
 
 
-def test_rising_ratios_lower_the_ceiling_and_with_it_what_is_admitted() -> None:
-    calm, slow = admission(gateways=1), admission(gateways=1)
+def test_rising_latency_ratios_lower_the_limit_and_the_number_of_admitted_requests() -> None:
+    steady, slow = new_admission(gateways=1), new_admission(gateways=1)
     rng = random.Random(5)
-    for n in range(3000):
+    for index in range(3000):
         ratio = rng.uniform(0.9, 1.1)
-        calm.observe(n / 100, ROUTE, ratio)
-        slow.observe(n / 100, ROUTE, ratio * (1.0 if n < 1000 else 20.0))
-    for made in (calm, slow):
-        made.rescale(31.0, 100, 1)
-        made.tick(31.0)
-    assert taken(slow) < 0.8 * taken(calm)
+        steady.observe(index / 100, ROUTE, ratio)
+        slow.observe(index / 100, ROUTE, ratio * (1.0 if index < 1000 else 20.0))
+    for admission in (steady, slow):
+        admission.rescale(31.0, 100, 1)
+        admission.tick(31.0)
+    assert acquire_all(slow) < 0.8 * acquire_all(steady)
 
 
-def test_the_ceiling_never_leaves_workers_idle_and_is_bounded_above() -> None:
+def test_the_limit_is_bounded_below_and_above_by_the_number_of_slots() -> None:
     ceiling = SlotCeiling(1)
     ceiling.rescale(100.0, 100)
     for _ in range(5000):
         ceiling.observe(ROUTE, 1.0, 1e9)
     assert ceiling.limit == pytest.approx(SlotCeiling.MAX_SLOTS * 100)
-    for n in range(5000):
-        ceiling.observe(ROUTE, 50.0 + n, 1e9)
+    for step in range(5000):
+        ceiling.observe(ROUTE, 50.0 + step, 1e9)
     assert ceiling.limit >= SlotCeiling.MIN_SLOTS * 100
 
 
-def test_batch_items_reserve_nothing_of_the_share() -> None:
-    made, other = admission(), admission()
+def test_batch_items_do_not_reduce_the_share() -> None:
+    admission, unaffected = new_admission(), new_admission()
     beat = write_beat(Beat(9, 1, 100.0, 60, 0.0, 0.0))
-    made.hear_batch(1.0, 9, beat)
-    assert made.elsewhere(1.0) == 60
-    assert taken(made) == taken(other)
+    admission.hear_batch(1.0, 9, beat)
+    assert admission.elsewhere(1.0) == 60
+    assert acquire_all(admission) == acquire_all(unaffected)
