--- a/pewterring/routing/__init__.py
+++ b/pewterring/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Choice of route and worker: prefix caches, load, health."""
+"""Choice of a worker for each request, by prefix caches, load and health, and what it depends on."""
--- a/pewterring/routing/admissions.py
+++ b/pewterring/routing/admissions.py
@@ -1,4 +1,4 @@
-"""Admission to all services at one process: one a service, kept up with the tables and with heartbeats."""
+"""Admission to all services at one process, updated from the tables and from heartbeats."""
 
 import random
 from collections.abc import Callable, Mapping
@@ -12,22 +12,22 @@
 
 
 class Admission(Protocol):
-    """Admission to one service, of live requests or of batch items."""
+    """Admission of live requests or of batch items to one service."""
 
     def rescale(self, now: float, slots: int, gateways: int, /) -> None:
-        """Takes the number of slots of the ready workers, and of gateways that share them."""
+        """Sets the number of slots of the ready workers, and the number of gateways that share them."""
 
     def tick(self, now: float) -> None:
-        """Once a heartbeat period."""
+        """Updates demand and share. Called once per heartbeat period."""
 
     def beat(self) -> bytes:
-        """The heartbeat to send."""
+        """Encodes the heartbeat to send."""
 
     def hear(self, now: float, peer: int, data: bytes) -> None:
-        """Takes a gateway's heartbeat."""
+        """Takes a heartbeat from a gateway."""
 
     def hear_batch(self, now: float, peer: int, data: bytes) -> None:
-        """Takes the heartbeat of a process that runs batch items."""
+        """Takes a heartbeat from a process that runs batch items."""
 
     def hear_totals(self, now: float, totals: Totals) -> None:
         """Takes the totals of the fleet."""
@@ -37,9 +37,9 @@
 
 
 class Admissions(Generic[AnyAdmission]):
-    """Finds the admission of a service, and passes heartbeats between them and the network.
+    """Owns the admission of each service, and passes heartbeats between admissions and the network.
 
-    `make` is given the process's incarnation and the number of gateways.
+    `make` creates an admission from the incarnation of this process and the number of gateways.
     """
 
     def __init__(self, make: Callable[[int, int], AnyAdmission], rng: random.Random) -> None:
@@ -50,11 +50,11 @@
         self._gateways = 0
 
     def by_service(self) -> Mapping[str, AnyAdmission]:
-        """All admissions by the name of their service."""
+        """The admissions by the name of their service."""
         return self._by_service
 
     def of(self, service: str) -> AnyAdmission:
-        """The admission of a service; made anew where there is none."""
+        """Returns the admission of a service, and creates it if there is none."""
         admission = self._by_service.get(service)
         if admission is None:
             admission = self._make(self._incarnation, self._gateways)
@@ -63,32 +63,35 @@
         return admission
 
     def update(self, now: float, tables: Tables, chooser: WorkerChooser) -> None:
-        """Takes new tables: slots of ready workers, and how many gateways share them."""
+        """Takes the number of gateways and the slots of ready workers from new tables."""
         self._gateways = sum(node.program == GATEWAY_PROGRAM for node in tables.nodes)
         services = tables.configuration.services if tables.configuration else {}
         for service in services:
             self.of(service).rescale(now, chooser.slots(now, service), self._gateways)
 
     def tick(self, now: float) -> Mapping[int, bytes]:
-        """Once a heartbeat period: settles demand and gives the heartbeats to send."""
-        beats: dict[int, bytes] = {}
+        """Updates all demands, and returns the heartbeats to send by service number.
+
+        Called once per heartbeat period.
+        """
+        heartbeats: dict[int, bytes] = {}
         for number, admission in self._by_number.items():
             admission.tick(now)
-            beats[number] = admission.beat()
-        return beats
+            heartbeats[number] = admission.beat()
+        return heartbeats
 
-    def hear(self, now: float, kind: int, peer: int, number: int, beat: bytes) -> None:
-        """Takes one heartbeat of a peer."""
+    def hear(self, now: float, kind: int, peer: int, number: int, heartbeat: bytes) -> None:
+        """Takes a peer's heartbeat for one service."""
         admission = self._by_number.get(number)
         if admission is None:
             return
         if kind == GATEWAY:
-            admission.hear(now, peer, beat)
+            admission.hear(now, peer, heartbeat)
         elif kind == BATCH:
-            admission.hear_batch(now, peer, beat)
+            admission.hear_batch(now, peer, heartbeat)
 
     def hear_totals(self, now: float, number: int, totals: Totals) -> None:
-        """Takes the totals of the fleet for one service, where relays tell them."""
+        """Takes the totals of the fleet for one service, as relays send them."""
         admission = self._by_number.get(number)
         if admission is not None:
             admission.hear_totals(now, totals)
--- a/pewterring/routing/heartbeats.py
+++ b/pewterring/routing/heartbeats.py
@@ -1,4 +1,4 @@
-"""Admission heartbeats on the network: from all to all in small fleets, by relays in large ones."""
+"""Admission heartbeats on the network: all-to-all in small fleets, through relays in large ones."""
 
 import ipaddress
 import math
@@ -15,58 +15,60 @@
 from pewterring.distribution.messages import GATEWAY_PROGRAM, STORE, NodeRecord
 from pewterring.transport.datagrams import IP_UDP_BYTES, DatagramPort
 
-SPEAKERS = (GATEWAY_PROGRAM, STORE)  # programs that send attempts to workers
+SENDER_PROGRAMS = (GATEWAY_PROGRAM, STORE)  # programs that send attempts to workers, and so heartbeats
 RELAY_PROGRAM = GATEWAY_PROGRAM
-ALL_TO_ALL_BYTES_A_SECOND = 3000.0  # that one process may send for heartbeats to all
-RETURN_SHARE = 0.75  # of both limits, below which a fleet that has relays goes back to all to all
-RELAYED_BYTES_A_SECOND = 2000.0  # that a member may send and get for heartbeats by relays
-RELAYED_FLEET = 24  # processes; smaller fleets tell all: relays would halve no more than a few datagrams
+MAX_ALL_TO_ALL_BYTES_PER_S = 3000.0  # limit of what one process sends for all-to-all heartbeats
+# A fleet with relays returns to all-to-all heartbeats below this fraction of both limits.
+HYSTERESIS_FRACTION = 0.75
+MAX_RELAYED_BYTES_PER_S = 2000.0  # limit of what a member sends and receives for heartbeats through relays
+# Number of processes from which relays may be used. In a smaller fleet they would save only a few datagrams.
+MIN_RELAYED_FLEET = 24
 INCARNATION_BITS = 32
 
-OnBeat = Callable[[int, int, int, bytes], None]  # kind, peer, service number, beat
+OnHeartbeat = Callable[[int, int, int, bytes], None]  # kind of process, peer, service number, heartbeat
 OnTotals = Callable[[int, Totals], None]  # service number, totals of the fleet
 
 
 def _ignore_totals(_number: int, _totals: Totals) -> None:
-    """For a process that does not go by totals."""
+    """Handler for a process that does not use totals."""
 
 
 @dataclass(frozen=True, slots=True)
 class HeartbeatHandlers:
-    """What takes the heartbeats that arrive: those of single processes, and in a large fleet its totals."""
+    """Callbacks for heartbeats of single processes, and for the totals of a fleet that uses relays."""
 
-    on_beat: OnBeat
+    on_heartbeat: OnHeartbeat
     on_totals: OnTotals = _ignore_totals
 
 
 def peer_number(ip: str) -> int:
-    """What a process is called among its peers."""
+    """Returns the number that identifies a process among its peers: its IPv4 address as an integer."""
     return int(ipaddress.IPv4Address(ip))
 
 
 def needs_relays(processes: int, heartbeat_bytes: int, has_relays: bool) -> bool:
-    """Whether heartbeats of that size to all would take more than a process may send."""
-    scale = RETURN_SHARE if has_relays else 1.0
-    sent = (processes - 1) * (heartbeat_bytes + IP_UDP_BYTES) / BEAT_S
-    return processes >= RELAYED_FLEET * scale and sent > ALL_TO_ALL_BYTES_A_SECOND * scale
+    """Whether all-to-all heartbeats of the given size would exceed what one process may send."""
+    scale = HYSTERESIS_FRACTION if has_relays else 1.0
+    bytes_per_s = (processes - 1) * (heartbeat_bytes + IP_UDP_BYTES) / BEAT_S
+    return processes >= MIN_RELAYED_FLEET * scale and bytes_per_s > MAX_ALL_TO_ALL_BYTES_PER_S * scale
 
 
-def rounds_apart(heartbeat_bytes: int, services: int) -> int:
-    """How many heartbeat periods one exchange with a relay takes, so that it stays in its budget."""
+def periods_per_round(heartbeat_bytes: int, services: int) -> int:
+    """Returns the heartbeat periods between two rounds, so that a member's traffic stays within its limit."""
     digest_bytes = HEAD.size + services * FLEET_ENTRY.size
-    exchanged = heartbeat_bytes + digest_bytes + 2 * IP_UDP_BYTES
-    return max(1, math.ceil(exchanged / BEAT_S / RELAYED_BYTES_A_SECOND))
+    round_bytes = heartbeat_bytes + digest_bytes + 2 * IP_UDP_BYTES
+    return max(1, math.ceil(round_bytes / BEAT_S / MAX_RELAYED_BYTES_PER_S))
 
 
 class AdmissionHeartbeats:
-    """One process's side of the exchange.
+    """One process's side of the exchange of heartbeats. Owns the port on which they are sent and received.
 
     Args:
-        ip: Of this process.
-        port: Of all processes; 0 for one that is free.
-        kind: What it is, as in `admission.datagram`.
-        handlers: What takes what arrives.
-        clock: Monotonic seconds.
+        ip: The address of this process.
+        port: The port that all processes use; 0 to choose a free one.
+        kind: The kind of this process, as in `admission.datagram`.
+        handlers: Callbacks for what is received.
+        clock: Returns monotonic time in seconds.
     """
 
     def __init__(
@@ -80,64 +82,71 @@
         self._ip = ip
         self._port_number = port
         self._kind = kind
-        self._on_beat = handlers.on_beat
+        self._on_heartbeat = handlers.on_heartbeat
         self._clock = clock
-        self._port = DatagramPort(self._received)
+        self._port = DatagramPort(self._receive)
         self._exchange = RelayExchange(ip, secrets.randbits(INCARNATION_BITS), handlers.on_totals)
-        self._relayed = False
+        self._uses_relays = False
         self._periods = 0
         self._nodes: tuple[NodeRecord, ...] | None = None
         self._peers: tuple[str, ...] = ()
 
     @property
     def port(self) -> int:
-        """The port that it is bound to, which its peers have as well."""
+        """The port number that this process is bound to; its peers use the same one."""
         return self._port.port
 
     async def start(self) -> None:
-        """Opens the port."""
+        """Opens the port.
+
+        Raises:
+            OSError: The address or the port cannot be bound.
+        """
         await self._port.start(self._ip, self._port_number)
 
     def close(self) -> None:
         """Closes the port."""
         self._port.close()
 
-    def send(self, beats: Mapping[int, bytes], nodes: Iterable[NodeRecord]) -> None:
-        """Tells the others that send attempts; called once a heartbeat period."""
-        self._take_nodes(tuple(nodes))
-        data = write_heartbeat(self._kind, beats)
-        self._relayed = needs_relays(len(self._peers) + 1, len(data), self._relayed)
-        if self._relayed:
-            self._send_round(data, len(beats))
+    def send(self, heartbeats: Mapping[int, bytes], nodes: Iterable[NodeRecord]) -> None:
+        """Sends the heartbeats, given by service number, to all peers or to a relay.
+
+        Called once per heartbeat period with the current table of nodes.
+        """
+        self._update_nodes(tuple(nodes))
+        data = write_heartbeat(self._kind, heartbeats)
+        self._uses_relays = needs_relays(len(self._peers) + 1, len(data), self._uses_relays)
+        if self._uses_relays:
+            self._send_round(data, len(heartbeats))
             return
         for ip in self._peers:
             self._port.send(ip, data)
 
     def _send_round(self, data: bytes, services: int) -> None:
         self._periods += 1
-        apart = rounds_apart(len(data), services)
-        if self._periods % apart == 0:
-            for ip, datagram in self._exchange.round(self._clock(), data, apart * BEAT_S):
+        periods = periods_per_round(len(data), services)
+        if self._periods % periods == 0:
+            for ip, datagram in self._exchange.round(self._clock(), data, periods * BEAT_S):
                 self._port.send(ip, datagram)
 
-    def _take_nodes(self, nodes: tuple[NodeRecord, ...]) -> None:
+    def _update_nodes(self, nodes: tuple[NodeRecord, ...]) -> None:
         if nodes == self._nodes:
             return
         self._nodes = nodes
-        speakers = [node for node in nodes if node.program in SPEAKERS]
-        self._peers = tuple(node.ip for node in speakers if node.ip != self._ip)
+        senders = [node for node in nodes if node.program in SENDER_PROGRAMS]
+        self._peers = tuple(node.ip for node in senders if node.ip != self._ip)
         self._exchange.plan = make_plan(
-            Speaker(node.ip, node.zone, node.program == RELAY_PROGRAM) for node in speakers
+            Speaker(node.ip, node.zone, node.program == RELAY_PROGRAM) for node in senders
         )
 
-    def _received(self, data: bytes, ip: str) -> None:
-        if self._relayed:
+    def _receive(self, data: bytes, ip: str) -> None:
+        if self._uses_relays:
             self._exchange.receive(self._clock(), ip, data)
             return
-        heard = read_heartbeat(data)
-        if heard is None or ip not in self._peers:  # no greeting names the sender
+        decoded = read_heartbeat(data)
+        if decoded is None or ip not in self._peers:  # datagrams have no handshake that identifies the sender
             return
-        kind, beats = heard
+        kind, heartbeats = decoded
         peer = peer_number(ip)
-        for number, beat in beats:
-            self._on_beat(kind, peer, number, beat)
+        for number, heartbeat in heartbeats:
+            self._on_heartbeat(kind, peer, number, heartbeat)
--- a/tests/routing/__init__.py
+++ b/tests/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Routing without sockets."""
+"""Tests of routing, most of them without sockets."""
