--- a/pewterring/routing/load_report.py
+++ b/pewterring/routing/load_report.py
@@ -1,20 +1,20 @@
-"""What an answer of a worker says of the worker's load."""
+"""The load that a worker reports in a header of its responses."""
 
 from dataclasses import dataclass
 
-LOAD = b"instance-load"  # the header
+LOAD = b"instance-load"  # name of the header
 
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """A worker's load as an answer tells it."""
+    """A worker's reported numbers of running and of waiting requests."""
 
     running: int
     waiting: int
 
 
 def parse_load(value: bytes | None) -> Load | None:
-    """Reads the value of `Instance-Load`; None where there is none or it makes no sense."""
+    """Parses the value of `Instance-Load`; None if it is missing or malformed."""
     if value is None:
         return None
     numbers = value.split(b",")
--- a/pewterring/routing/prompt_hints.py
+++ b/pewterring/routing/prompt_hints.py
@@ -1,11 +1,11 @@
-"""Hints between gateways of long prompts and of unexpected waits.
+"""Hints that gateways send each other about long prompts and about unexpected waits at workers.
 
-One kind says which worker has just been given a long prompt to read, and of which parts; the other at which
-worker requests wait for longer than all that was known of it explains.
+A prompt hint announces that a worker was sent a long prompt, and which blocks of it other prompts may share.
+A wait hint announces that requests at a worker wait longer than the known prompts explain.
 
-A worker reads prompts in the order they came, so a request behind a long one waits; and the parts that it has
-read need not be read by another. Both show to other gateways only too late. Symptoms answered: first events
-late behind prompts that other gateways sent; the same shared parts read at several workers.
+A worker does the prefill of prompts in order of arrival, so a request behind a long prompt waits. Blocks that
+it has cached need no prefill at another worker. Other gateways would notice both too late: first events came
+late behind prompts that other gateways had sent, and several workers did the prefill of the same blocks.
 """
 
 import struct
@@ -16,24 +16,24 @@
 from pewterring.transport.datagrams import IP_UDP_BYTES
 
 MAGIC = b"PH1"
-HEAD = struct.Struct(">3sBII")  # magic, number of parts, worker, tokens to read
-PART = struct.Struct(">II")  # number of the part, tokens
-MOST_PARTS = 16
+HEAD = struct.Struct(">3sBII")  # magic, number of blocks, worker number, tokens of the prefill
+BLOCK = struct.Struct(">II")  # checksum of the block's id, tokens
+MAX_BLOCKS = 16
 WAIT_MAGIC = b"WW1"
-WAIT = struct.Struct(">3sII")  # magic, worker, milliseconds
-MOST_WAIT_S = 2.0  # that a hint may tell of
-BYTES_A_SECOND = 3000.0  # that one process may spend on hints
-BURST_S = 2.0  # unspent bytes are kept for so long
+WAIT = struct.Struct(">3sII")  # magic, worker number, milliseconds
+MAX_WAIT_S = 2.0  # longer waits are announced and taken as this
+BYTES_PER_S = 3000.0  # budget of one process for each kind of hint
+BURST_S = 2.0  # the budget of this many seconds may be saved up
 
 
 def worker_number(worker_id: str) -> int:
-    """What a worker is called in hints."""
+    """Returns the number that identifies a worker in hints: a checksum of its id."""
     return zlib.crc32(worker_id.encode())
 
 
 @dataclass(frozen=True, slots=True)
 class PromptHint:
-    """A worker was given a prompt and must read `tokens` of it; `parts` are those that others may share."""
+    """Says that a worker was sent a prompt, with a prefill of `tokens`, and which blocks others may share."""
 
     worker: int
     tokens: int
@@ -41,61 +41,61 @@
 
 
 def hint_of(worker_id: str, tokens: int, prompt: Prompt) -> PromptHint:
-    """The hint that tells of a prompt. The last part belongs to the request and is left out."""
-    return PromptHint(worker_number(worker_id), tokens, prompt.parts[:-1][:MOST_PARTS])
+    """Builds the hint for a prompt, without its last block, which belongs to the request alone."""
+    return PromptHint(worker_number(worker_id), tokens, prompt.parts[:-1][:MAX_BLOCKS])
 
 
 def write_hint(hint: PromptHint) -> bytes:
-    """One datagram."""
-    parts = [PART.pack(*part) for part in hint.parts]
-    return HEAD.pack(MAGIC, len(parts), hint.worker, hint.tokens) + b"".join(parts)
+    """Encodes a prompt hint as one datagram."""
+    blocks = [BLOCK.pack(*block) for block in hint.parts]
+    return HEAD.pack(MAGIC, len(blocks), hint.worker, hint.tokens) + b"".join(blocks)
 
 
 def read_hint(data: bytes) -> PromptHint | None:
-    """None where the bytes are no hint."""
+    """Decodes a datagram; None if it is not a valid prompt hint."""
     if len(data) < HEAD.size:
         return None
     magic, count, worker, tokens = HEAD.unpack_from(data)
-    if magic != MAGIC or len(data) != HEAD.size + count * PART.size:
+    if magic != MAGIC or len(data) != HEAD.size + count * BLOCK.size:
         return None
-    starts = range(HEAD.size, len(data), PART.size)
-    return PromptHint(worker, tokens, tuple(PART.unpack_from(data, start) for start in starts))
+    offsets = range(HEAD.size, len(data), BLOCK.size)
+    return PromptHint(worker, tokens, tuple(BLOCK.unpack_from(data, offset) for offset in offsets))
 
 
 @dataclass(frozen=True, slots=True)
 class WaitHint:
-    """A request has waited at a worker for so much longer than it should; the next one may as well."""
+    """Says that a request waited `seconds` longer at a worker than expected, as the next one may too."""
 
     worker: int
     seconds: float
 
 
 def write_wait_hint(hint: WaitHint) -> bytes:
-    """One datagram."""
-    return WAIT.pack(WAIT_MAGIC, hint.worker, int(1000 * min(MOST_WAIT_S, hint.seconds)))
+    """Encodes a wait hint as one datagram."""
+    return WAIT.pack(WAIT_MAGIC, hint.worker, int(1000 * min(MAX_WAIT_S, hint.seconds)))
 
 
 def read_wait_hint(data: bytes) -> WaitHint | None:
-    """None where the bytes are no such hint."""
+    """Decodes a datagram; None if it is not a valid wait hint."""
     if len(data) != WAIT.size or not data.startswith(WAIT_MAGIC):
         return None
     _, worker, milliseconds = WAIT.unpack(data)
-    return WaitHint(worker, min(MOST_WAIT_S, milliseconds / 1000))
+    return WaitHint(worker, min(MAX_WAIT_S, milliseconds / 1000))
 
 
 class HintBudget:
-    """Bounds the bytes spent on hints; in a large fleet only as many peers are told as fit."""
+    """Token bucket for the bytes of hints. In a large fleet a hint is sent to as many peers as it allows."""
 
     def __init__(self, now: float) -> None:
-        self._left = BYTES_A_SECOND * BURST_S
-        self._at = now
+        self._available_bytes = BYTES_PER_S * BURST_S
+        self._refilled_at = now
 
     def take(self, now: float, data_bytes: int, peers: int) -> int:
-        """How many of the peers may be told now."""
-        most = BYTES_A_SECOND * BURST_S
-        self._left = min(most, self._left + (now - self._at) * BYTES_A_SECOND)
-        self._at = now
-        each = data_bytes + IP_UDP_BYTES
-        told = min(peers, int(self._left / each))
-        self._left -= told * each
-        return told
+        """Spends the bytes of one hint to up to `peers` peers, and returns how many may receive it now."""
+        capacity = BYTES_PER_S * BURST_S
+        self._available_bytes = min(capacity, self._available_bytes + (now - self._refilled_at) * BYTES_PER_S)
+        self._refilled_at = now
+        datagram_bytes = data_bytes + IP_UDP_BYTES
+        receivers = min(peers, int(self._available_bytes / datagram_bytes))
+        self._available_bytes -= receivers * datagram_bytes
+        return receivers
--- a/tests/routing/test_prompt.py
+++ b/tests/routing/test_prompt.py
@@ -1,12 +1,12 @@
-"""What is read of the headers that tell of a prompt."""
+"""Parsing of the headers that describe a prompt."""
 
 import pytest
 
-from pewterring.routing.prompt import MOST_TOKENS, NO_PROMPT, read_prompt
+from pewterring.routing.prompt import MAX_TOKENS, NO_PROMPT, read_prompt
 from pewterring.routing.prompt_hints import hint_of, read_hint, write_hint
 
 
-def test_parts_come_in_order_with_their_tokens() -> None:
+def test_blocks_are_parsed_in_order_with_their_tokens() -> None:
     prompt = read_prompt("5c1e07a2:800, 91bd3f06:410,e4402b7d:250", "1460,80")
     assert [tokens for _, tokens in prompt.parts] == [800, 410, 250]
     assert (prompt.prompt_tokens, prompt.output_tokens, prompt.tokens) == (1460, 80, 1540)
@@ -20,17 +20,17 @@
         ("aa:1", "x"),
         ("aa:-1", "5,5"),
         ("aa:1", "-5,5"),
-        (f"aa:{MOST_TOKENS + 1}", "5,5"),
-        (f"aa:{MOST_TOKENS},bb:{MOST_TOKENS}", None),
+        (f"aa:{MAX_TOKENS + 1}", "5,5"),
+        (f"aa:{MAX_TOKENS},bb:{MAX_TOKENS}", None),
         ("aa:1", "9" * 400),
         ("aa:1", "9" * 5000),
         (None, None),
     ],
 )
-def test_what_cannot_be_counts_as_not_given(prefix: str | None, usage: str | None) -> None:
+def test_malformed_headers_count_as_missing(prefix: str | None, usage: str | None) -> None:
     assert read_prompt(prefix, usage) == NO_PROMPT
 
 
-def test_the_largest_prompt_fits_into_a_hint() -> None:
-    hint = hint_of("w", MOST_TOKENS, read_prompt(f"aa:{MOST_TOKENS},bb:0", f"{MOST_TOKENS},1"))
+def test_the_largest_prompt_fits_in_a_hint() -> None:
+    hint = hint_of("w", MAX_TOKENS, read_prompt(f"aa:{MAX_TOKENS},bb:0", f"{MAX_TOKENS},1"))
     assert read_hint(write_hint(hint)) == hint
--- a/tests/routing/test_prompt_hints.py
+++ b/tests/routing/test_prompt_hints.py
@@ -1,4 +1,4 @@
-"""Hints of long prompts: what they carry, what they cost, and what they change in the choice of worker."""
+"""Hints about prompts and waits: their encoding, their budget, and their effect on the choice of a worker."""
 
 import random
 
@@ -9,7 +9,7 @@
 from pewterring.routing.chooser import WorkerChooser
 from pewterring.routing.prompt import read_prompt
 from pewterring.routing.prompt_hints import (
-    MOST_WAIT_S,
+    MAX_WAIT_S,
     HintBudget,
     WaitHint,
     hint_of,
@@ -32,27 +32,28 @@
 def chooser_with(workers: int) -> WorkerChooser:
     chooser = WorkerChooser("z", random.Random(3))
     records = {
-        f"w{n}": WorkerRecord(f"w{n}", "s", f"10.0.0.{n}:80", "z", 24, "ready") for n in range(workers)
+        f"w{index}": WorkerRecord(f"w{index}", "s", f"10.0.0.{index}:80", "z", 24, "ready")
+        for index in range(workers)
     }
     chooser.update(records, CONFIGURATION)
     return chooser
 
 
-def test_a_hint_survives_the_wire_and_leaves_the_requests_own_part_out() -> None:
+def test_an_encoded_hint_can_be_decoded_and_omits_the_last_block() -> None:
     prompt = read_prompt("aa:13000,bb:3700", "16700,100")
     hint = hint_of("w1", 16700, prompt)
     assert read_hint(write_hint(hint)) == hint
     assert hint.parts == prompt.parts[:1]
 
 
-def test_bytes_that_are_no_hint_are_left_alone() -> None:
+def test_data_that_is_not_a_hint_is_rejected() -> None:
     data = write_hint(hint_of("w1", 5, read_prompt("aa:1,bb:2", "3,1")))
     assert read_hint(data[:-1]) is None
     assert read_hint(b"XX1" + data[3:]) is None
     assert read_hint(b"") is None
 
 
-def test_a_request_goes_round_a_worker_that_reads_a_long_prompt_of_another_gateway() -> None:
+def test_a_worker_is_avoided_during_a_long_prefill_for_another_gateway() -> None:
     chooser = chooser_with(2)
     small = read_prompt("cc:500", "500,100")
     chooser.workers["w0"].announce(10.0, 0.2, ())
@@ -60,14 +61,14 @@
     assert any(chooser.choose(10.3, "s", small) is chooser.workers["w0"] for _ in range(20))
 
 
-def test_a_prompt_goes_where_another_gateway_had_its_shared_parts_read() -> None:
+def test_a_prompt_goes_to_the_worker_that_cached_its_shared_blocks_for_another_gateway() -> None:
     chooser = chooser_with(8)
     prompt = read_prompt("aa:13000,bb:700", "13700,100")
     chooser.workers["w5"].announce(0.0, 0.1, prompt.parts[:-1])
     assert chooser.choose(1.0, "s", prompt) is chooser.workers["w5"]
 
 
-def test_without_a_known_keeper_all_gateways_choose_the_same_worker() -> None:
+def test_if_no_worker_is_known_to_have_the_blocks_cached_all_gateways_choose_the_same_one() -> None:
     prompt = read_prompt("aa:13000,bb:700", "13700,100")
     chosen = set()
     for _ in range(5):
@@ -77,39 +78,39 @@
     assert len(chosen) == 1
 
 
-def test_a_suspect_worker_is_no_home() -> None:
+def test_prompts_with_shared_blocks_avoid_a_suspect_worker() -> None:
     prompt = read_prompt("aa:13000,bb:700", "13700,100")
     chooser = chooser_with(8)
-    home = chooser.choose(0.0, "s", prompt)
-    assert home is not None
-    home.failed(0.0)
-    assert chooser.choose(0.1, "s", prompt) is not home
+    preferred = chooser.choose(0.0, "s", prompt)
+    assert preferred is not None
+    preferred.failed(0.0)
+    assert chooser.choose(0.1, "s", prompt) is not preferred
 
 
-def test_the_budget_bounds_what_is_told_and_refills() -> None:
+def test_the_budget_limits_hints_and_is_refilled() -> None:
     budget = HintBudget(0.0)
     assert budget.take(0.0, 40, 10) == 10
-    told = sum(budget.take(0.0, 40, 400) for _ in range(10))
-    assert told < 100
+    allowed = sum(budget.take(0.0, 40, 400) for _ in range(10))
+    assert allowed < 100
     assert budget.take(0.0, 40, 10) == 0
     assert budget.take(1.0, 40, 10) == 10
 
 
-def test_a_hint_of_a_wait_survives_the_wire_and_is_bounded() -> None:
+def test_an_encoded_wait_hint_can_be_decoded_and_is_bounded() -> None:
     hint = WaitHint(worker_number("w1"), 0.25)
     assert read_wait_hint(write_wait_hint(hint)) == hint
-    assert read_wait_hint(write_wait_hint(WaitHint(1, 1e9))) == WaitHint(1, MOST_WAIT_S)
+    assert read_wait_hint(write_wait_hint(WaitHint(1, 1e9))) == WaitHint(1, MAX_WAIT_S)
     assert read_hint(write_wait_hint(hint)) is None
     for data in (b"", write_wait_hint(hint)[:-1], write_hint(hint_of("w1", 5, read_prompt("a:1", "1,1")))):
         assert read_wait_hint(data) is None
 
 
-def test_waits_that_several_tell_of_do_not_add_up() -> None:
+def test_waits_announced_by_several_gateways_do_not_add_up() -> None:
     chooser = chooser_with(2)
     worker = chooser.workers["w0"]
     for _ in range(5):
         worker.expect_wait(10.0, 0.2)
     assert worker.congested_s(10.0) == pytest.approx(0.2)
-    assert worker.announced_s(10.0) == 0.0  # the ceiling must see such a wait as queueing
+    assert worker.announced_s(10.0) == 0.0  # the concurrency limit must treat such a wait as queueing
     small = read_prompt("cc:500", "500,100")
     assert all(chooser.choose(10.0, "s", small) is chooser.workers["w1"] for _ in range(10))
