--- a/pewterring/routing/worker_state.py
+++ b/pewterring/routing/worker_state.py
@@ -1,4 +1,4 @@
-"""What one process knows of one worker: its load, what it keeps of prompts, and how attempts there ended."""
+"""State of a worker as one process knows it: load, expected prefills, cached blocks, and recent failures."""
 
 import math
 from collections import OrderedDict
@@ -6,163 +6,168 @@
 from pewterring.distribution.messages import WorkerRecord
 from pewterring.routing.prompt import Prompt
 
-REPORT_LIFE_S = 0.5  # a load report fades by 1/e in this time
-SUSPECT_S = 1.0  # how long the first failure keeps requests away; doubled by each further one
-SUSPECT_MOST_S = 8.0
-MOST_DOUBLINGS = 3  # they reach `SUSPECT_MOST_S`
-MOST_RATIO, SLOWNESS_WEIGHT = 10.0, 0.1  # of one sample: what it counts at most, its weight in the mean
-# A worker that control does not hear is sent requests for so long after its last answer here: less than the
-# silence by which control finds a worker that crashed.
+REPORT_DECAY_S = 0.5  # time in which the weight of a load report decays by 1/e
+SUSPECT_S = 1.0  # how long a worker is avoided after a first failure; doubled by each further one
+MAX_SUSPECT_S = 8.0
+MAX_DOUBLINGS = 3  # after these `MAX_SUSPECT_S` is reached
+MAX_RATIO = 10.0  # upper bound of one sample of slowness
+SLOWNESS_WEIGHT = 0.1  # weight of one sample in the moving average
+# How long after its last response a worker still gets requests from this process while control receives none
+# of its heartbeats. Shorter than the time after which control considers a crashed worker unresponsive.
 VOUCHED_S = 2.0
-KEPT_SHARE = 0.8  # of the worker's memory that is taken to hold parts of prompts
+CACHE_FRACTION = 0.8  # fraction of the worker's memory that is assumed to hold cached blocks
 
 
 class WorkerState:
-    """One incarnation of a worker as this process sees it."""
+    """One incarnation of a worker as this process sees it. All times are seconds of one monotonic clock."""
 
     def __init__(self, record: WorkerRecord, memory_tokens: int) -> None:
         self.record = record
-        self.out = 0  # own attempts out
-        self.turn = 0.0  # when its turn is among its zone's workers, from 0 to 1
-        self.pending_tokens = 0  # of own attempts that have no first byte yet: tokens to be read
+        self.out = 0  # own attempts in flight
+        # Position among the workers of its zone in this process's order of preference, from 0 to 1.
+        self.preference_offset = 0.0
+        self.pending_tokens = 0  # prefill tokens of own attempts that are waiting for their first byte
         self._memory_tokens = memory_tokens
-        self._kept: OrderedDict[int, int] = OrderedDict()  # parts by last use
-        self._kept_tokens = 0
-        self._announced_until = -math.inf  # when it will have read what other gateways announced
-        self._waits_until = -math.inf  # up to when requests there were told to wait
-        self.heard_at = -math.inf  # when any byte of an answer last came from it
-        self._silent = False  # it is suspected for its silence alone
-        self._reading_until = -math.inf  # when it will have read the prompts that are known here
-        self._reported = 0.0  # attempts of others by the last report
+        self._cached: OrderedDict[int, int] = OrderedDict()  # tokens by block, least recently used first
+        self._cached_tokens = 0
+        self._announced_until = -math.inf  # when prefills that other gateways announced will be done
+        self._congested_until = -math.inf  # until when a new request would probably wait, by hints of waits
+        self.heard_at = -math.inf  # when any byte of a response last arrived from it
+        self._is_unresponsive = False  # it is suspect only because it sends nothing
+        self._prefill_until = -math.inf  # when all prefills known to this process will be done
+        self._reported = 0.0  # attempts of other processes by the last load report
         self._reported_at = -math.inf
         self._failures = 0
         self._suspect_until = -math.inf
-        self.failed_at = -math.inf  # when it was last taken for failing
-        self.slowness = 1.0  # seen over expected time to the first byte, a running mean
+        self.failed_at = -math.inf  # when it last became suspect
+        self.slowness = 1.0  # moving average of observed over expected time to the first byte
 
     def others(self, now: float) -> float:
-        """Attempts that others have there, by the last report, fading."""
-        return self._reported * math.exp((self._reported_at - now) / REPORT_LIFE_S)
+        """Attempts of other processes at the worker by its last load report, which decays with age."""
+        return self._reported * math.exp((self._reported_at - now) / REPORT_DECAY_S)
 
     def load(self, now: float) -> float:
-        """Attempts out there, own and others', over its slots."""
+        """Attempts in flight at the worker, from this and other processes, divided by its slots."""
         return (self.out + self.others(now)) / max(1, self.record.capacity)
 
     def take_report(self, now: float, running: int, waiting: int) -> None:
-        """Takes what an answer said of the worker's load."""
+        """Takes the worker's load report: its numbers of running and of waiting requests."""
         self._reported = max(0.0, running + waiting - self.out)
         self._reported_at = now
 
     def uncached(self, prompt: Prompt) -> int:
-        """Tokens of the prompt that it must read: all behind the first part that it does not keep."""
-        left = prompt.prompt_tokens
-        for part, tokens in prompt.parts:
-            if part not in self._kept:
+        """Prefill tokens of a prompt: all tokens from its first block on that is not cached."""
+        remaining = prompt.prompt_tokens
+        for block, tokens in prompt.parts:
+            if block not in self._cached:
                 break
-            left -= tokens
-        return max(0, left)
+            remaining -= tokens
+        return max(0, remaining)
 
     def announced_s(self, now: float) -> float:
-        """Seconds that it will still read prompts that other gateways announced."""
+        """Seconds until the prefills that other gateways announced will be done."""
         return max(0.0, self._announced_until - now)
 
-    def announce(self, now: float, seconds: float, parts: tuple[tuple[int, int], ...]) -> None:
-        """Another gateway sent it a prompt that takes `seconds` to read; it keeps the parts from now on."""
+    def announce(self, now: float, seconds: float, blocks: tuple[tuple[int, int], ...]) -> None:
+        """Takes another gateway's announcement of a prompt whose prefill takes `seconds`.
+
+        The prompt's shared blocks count as cached from now on.
+        """
         self._announced_until = max(now, self._announced_until) + seconds
         self.expect_reading(now, seconds)
-        self._keep_parts(parts)
+        self._add_to_cache(blocks)
 
     def expect_reading(self, now: float, seconds: float) -> None:
-        """It is given a prompt that takes `seconds` to read."""
-        self._reading_until = max(now, self._reading_until) + seconds
+        """Notes that the worker was sent a prompt whose prefill takes `seconds`."""
+        self._prefill_until = max(now, self._prefill_until) + seconds
 
     def reading_after(self, moment: float) -> float:
-        """Seconds after `moment` in which it reads prompts, for all that is known here."""
-        return max(0.0, self._reading_until - moment)
+        """Seconds of prefill that remain after `moment`, as far as this process knows."""
+        return max(0.0, self._prefill_until - moment)
 
     def heard(self, now: float) -> None:
-        """A byte of an answer came from it."""
+        """Notes that a byte of a response arrived from the worker."""
         self.heard_at = now
-        if self._silent:
+        if self._is_unresponsive:
             self.answered()
 
     def fell_silent(self, now: float) -> None:
-        """It says nothing for longer than it should; what it keeps is as it was if it is heard again.
+        """Makes the worker suspect because it sent nothing for too long; its blocks still count as cached.
 
-        Symptom answered: a worker that was reading a long prompt was taken for one that had lost what it
-        keeps, and its prompts were read once more at another worker.
+        Otherwise a worker that was busy with a long prefill would count as one that had lost its cache, and
+        the prefill of its prompts would be repeated at another worker.
         """
-        self._silent = True
+        self._is_unresponsive = True
         self._failures += 1
-        self._keep_away(now)
+        self._become_suspect(now)
 
     def expect_wait(self, now: float, seconds: float) -> None:
-        """Requests wait there; one sent now would probably wait for `seconds`."""
-        self._waits_until = max(self._waits_until, now + seconds)
+        """Notes that a request sent now would probably wait for `seconds`, as others wait there."""
+        self._congested_until = max(self._congested_until, now + seconds)
 
     def congested_s(self, now: float) -> float:
-        """Seconds that a request would probably wait there, beyond what prompts to be read explain."""
-        return max(0.0, self._waits_until - now)
+        """Seconds that a request would probably wait, for other reasons than known prefills."""
+        return max(0.0, self._congested_until - now)
 
     def vouched(self, now: float) -> bool:
-        """Whether it answers this process, whatever control hears of it."""
+        """Whether the worker responded to this process recently, whatever control knows of it."""
         return now - self.heard_at < VOUCHED_S
 
     def misdirected(self, now: float) -> None:
-        """Another worker has its address."""
+        """Notes that another worker responds at this worker's address."""
         self.failed(now)
         self.heard_at = -math.inf
 
-    def keeps(self, part: int) -> bool:
-        """Whether it is thought to keep a part."""
-        return part in self._kept
+    def keeps(self, block: int) -> bool:
+        """Whether a block is assumed to be cached."""
+        return block in self._cached
 
     def keep(self, prompt: Prompt) -> None:
-        """Notes that it has read the prompt; the parts unused for longest give way."""
-        self._keep_parts(prompt.parts)
+        """Notes that the worker has done the prompt's prefill; least recently used blocks are evicted."""
+        self._add_to_cache(prompt.parts)
 
-    def _keep_parts(self, parts: tuple[tuple[int, int], ...]) -> None:
-        for part, tokens in parts:
-            if part in self._kept:
-                self._kept.move_to_end(part)
+    def _add_to_cache(self, blocks: tuple[tuple[int, int], ...]) -> None:
+        for block, tokens in blocks:
+            if block in self._cached:
+                self._cached.move_to_end(block)
             else:
-                self._kept[part] = tokens
-                self._kept_tokens += tokens
-        while self._kept_tokens > KEPT_SHARE * self._memory_tokens and self._kept:
-            _, tokens = self._kept.popitem(last=False)
-            self._kept_tokens -= tokens
+                self._cached[block] = tokens
+                self._cached_tokens += tokens
+        while self._cached_tokens > CACHE_FRACTION * self._memory_tokens and self._cached:
+            _, tokens = self._cached.popitem(last=False)
+            self._cached_tokens -= tokens
 
     def note_ratio(self, ratio: float) -> None:
-        """Takes the seen over the expected time to a first byte."""
-        self.slowness += (min(MOST_RATIO, ratio) - self.slowness) * SLOWNESS_WEIGHT
+        """Takes a sample of slowness: the observed over the expected time to a first byte."""
+        self.slowness += (min(MAX_RATIO, ratio) - self.slowness) * SLOWNESS_WEIGHT
 
     def failed(self, now: float, certain: bool = True) -> None:
-        """An attempt ended badly: keeps requests away for a while, longer each time.
+        """Notes a failed attempt, and makes the worker suspect for a time that doubles with each failure.
 
-        Not `certain`: one answer was cut or spoilt, which a worker that is well may do; only a second one
-        without a good answer between them counts.
+        Not `certain`: a response was truncated or corrupt, which may happen once at a healthy worker. Such a
+        failure counts only if another failure preceded it without a successful response between them.
         """
         self._failures += 1
         if not certain and self._failures < 2:
             return
-        self._silent = False
-        self._keep_away(now)
-        self._kept.clear()  # a worker that fails may have restarted
-        self._kept_tokens = 0
-
-    def _keep_away(self, now: float) -> None:
-        doublings = min(self._failures - 1, MOST_DOUBLINGS)  # a power of any size is no float
-        self._suspect_until = now + min(SUSPECT_MOST_S, SUSPECT_S * 2**doublings)
+        self._is_unresponsive = False
+        self._become_suspect(now)
+        self._cached.clear()  # the worker may have restarted
+        self._cached_tokens = 0
+
+    def _become_suspect(self, now: float) -> None:
+        doublings = min(self._failures - 1, MAX_DOUBLINGS)  # an unbounded power would overflow a float
+        self._suspect_until = now + min(MAX_SUSPECT_S, SUSPECT_S * 2**doublings)
         self.failed_at = now
 
     def answered(self) -> None:
-        """An attempt went well."""
+        """Notes a successful attempt, after which the worker is no longer suspect."""
         self._failures = 0
-        self._silent = False
+        self._is_unresponsive = False
         self._suspect_until = -math.inf
 
     def suspect(self, now: float) -> bool:
-        """Whether a failure is recent, or one attempt is out that is to show whether it answers again."""
+        """Whether a failure is recent, or an attempt in flight may still show that the worker recovered."""
         if self._suspect_until == -math.inf:
             return False
         return now < self._suspect_until or self.out > 0
--- a/tests/routing/test_chooser.py
+++ b/tests/routing/test_chooser.py
@@ -1,60 +1,61 @@
-"""The choice among workers that are equally well: connections at rest, turns, and how slowness counts."""
+"""The choice among healthy workers: idle connections, the order of preference, and slowness."""
 
 import random
 
 from pewterring.distribution.messages import WorkerRecord
-from pewterring.routing.chooser import SLOW_FROM, WorkerChooser
+from pewterring.routing.chooser import SLOW_RATIO, WorkerChooser
 from pewterring.routing.prompt import NO_PROMPT
 from pewterring.routing.worker_state import WorkerState
 
 WORKERS = 12
 
 
-def chooser(connected: set[str], place: float = 0.0, seed: int = 1) -> WorkerChooser:
-    made = WorkerChooser("z", random.Random(seed), connected.__contains__)
+def new_chooser(connected: set[str], position: float = 0.0, seed: int = 1) -> WorkerChooser:
+    chooser = WorkerChooser("z", random.Random(seed), connected.__contains__)
     records = {
-        f"w{n}": WorkerRecord(f"w{n}", "s", f"10.0.0.{n}:80", "z", 12, "ready") for n in range(WORKERS)
+        f"w{index}": WorkerRecord(f"w{index}", "s", f"10.0.0.{index}:80", "z", 12, "ready")
+        for index in range(WORKERS)
     }
-    made.update(records, None)
-    made.take_place(place)
-    return made
+    chooser.update(records, None)
+    chooser.take_place(position)
+    return chooser
 
 
-def chosen(made: WorkerChooser) -> WorkerState:
-    worker = made.choose(0.0, "s", NO_PROMPT)
+def chosen_worker(chooser: WorkerChooser) -> WorkerState:
+    worker = chooser.choose(0.0, "s", NO_PROMPT)
     assert worker is not None
     return worker
 
 
-def test_a_worker_to_which_a_connection_rests_comes_first() -> None:
-    made = chooser({"10.0.0.7:80"})
-    assert {chosen(made).record.id for _ in range(20)} == {"w7"}
+def test_a_worker_with_an_idle_connection_is_preferred() -> None:
+    chooser = new_chooser({"10.0.0.7:80"})
+    assert {chosen_worker(chooser).record.id for _ in range(20)} == {"w7"}
 
 
-def test_a_second_request_at_once_goes_elsewhere() -> None:
+def test_a_concurrent_request_goes_to_another_worker() -> None:
     connected = {"10.0.0.7:80"}
-    made = chooser(connected)
-    first = chosen(made)
+    chooser = new_chooser(connected)
+    first = chosen_worker(chooser)
     first.out += 1
     connected.clear()  # its connection is in use
-    assert chosen(made) is not first
+    assert chosen_worker(chooser) is not first
 
 
-def test_processes_of_a_zone_begin_at_workers_of_their_own() -> None:
-    first = [chosen(chooser(set(), place=index / 6)).record.id for index in range(6)]
+def test_processes_of_a_zone_prefer_different_workers() -> None:
+    first = [chosen_worker(new_chooser(set(), position=index / 6)).record.id for index in range(6)]
     assert len(set(first)) == 6
 
 
-def test_all_processes_know_the_same_order() -> None:
-    assert {chosen(chooser(set(), 0.5, seed)).record.id for seed in range(8)} == {
-        chosen(chooser(set(), 0.5)).record.id
+def test_processes_at_the_same_position_choose_the_same_worker() -> None:
+    assert {chosen_worker(new_chooser(set(), 0.5, seed)).record.id for seed in range(8)} == {
+        chosen_worker(new_chooser(set(), 0.5)).record.id
     }
 
 
-def test_a_little_slowness_moves_nobody_and_much_does() -> None:
-    made = chooser(set())
-    first = chosen(made)
-    first.slowness = 0.9 * SLOW_FROM
-    assert chosen(made) is first
-    first.slowness = 2.5 * SLOW_FROM
-    assert chosen(made) is not first
+def test_slight_slowness_does_not_change_the_choice_and_great_slowness_does() -> None:
+    chooser = new_chooser(set())
+    first = chosen_worker(chooser)
+    first.slowness = 0.9 * SLOW_RATIO
+    assert chosen_worker(chooser) is first
+    first.slowness = 2.5 * SLOW_RATIO
+    assert chosen_worker(chooser) is not first
