--- a/pewterring/registry/__init__.py
+++ b/pewterring/registry/__init__.py
@@ -1,1 +1,1 @@
-"""Workers as control knows them: heartbeats, registrations, time-outs."""
+"""Registration of workers with control: heartbeats, changes to commit, and timeouts."""
--- a/pewterring/registry/heartbeats.py
+++ b/pewterring/registry/heartbeats.py
@@ -1,6 +1,6 @@
-"""What a worker states about itself in a heartbeat, and the check of it.
+"""Decoding and validation of the heartbeats that workers send to control.
 
-What passes here is committed and sent to all gateways, which connect to the address as it stands.
+Accepted values are committed and sent to all gateways, which connect to the address without checking it.
 """
 
 import ipaddress
@@ -10,37 +10,37 @@
 
 from pewterring.distribution.messages import RegistrationState, WorkerRecord
 
-MAX_CAPACITY = 1_000_000  # requests at once: more than any worker runs, and sums of it stay exact
+MAX_CAPACITY = 1_000_000  # concurrent requests: more than any worker serves, and sums of it stay exact
 MAX_PORT = 65535
 
 
 class InvalidHeartbeatError(Exception):
-    """A heartbeat's body cannot be used: the text names the field. The worker has to send another."""
+    """The body of a heartbeat is invalid; the message names the field. The worker has to send another."""
 
 
 class LoadedModel(msgspec.Struct, frozen=True):
-    """One model that the worker has loaded."""
+    """A model that the worker has loaded."""
 
     name: str = ""
     version: int = 0
 
 
 class Heartbeat(msgspec.Struct, frozen=True):
-    """The body of a heartbeat. Unknown fields are ignored; `sequence` rises with each call."""
+    """The body of a heartbeat. Unknown fields are ignored; `sequence` increases with each call."""
 
-    service: str = msgspec.field(name="backend")  # the wire's name
+    service: str = msgspec.field(name="backend")  # name on the wire
     address: str  # IP:port
     zone: str = ""
     version: str = ""
     capacity: Annotated[int, msgspec.Meta(ge=0, le=MAX_CAPACITY)] = 1
     state: str = RegistrationState.READY
-    warm_up_remaining_ms: float = msgspec.field(name="cold_remaining_ms", default=0.0)  # the wire's name
+    warm_up_remaining_ms: float = msgspec.field(name="cold_remaining_ms", default=0.0)  # name on the wire
     stage: str = ""
     models: tuple[LoadedModel, ...] = ()
     sequence: int = 0
 
     def record(self, worker_id: str) -> WorkerRecord:
-        """What is committed of the worker. Any state other than ready counts as draining."""
+        """Builds the record to commit for the worker. Any state other than ready counts as draining."""
         return WorkerRecord(
             id=worker_id,
             service=self.service,
@@ -61,7 +61,7 @@
     """Decodes the body of a heartbeat.
 
     Raises:
-        InvalidHeartbeatError: It is no heartbeat, or its address is none that a gateway can connect to.
+        InvalidHeartbeatError: The body is malformed, or a gateway could not connect to its address.
     """
     try:
         heartbeat = _decoder.decode(body)
@@ -82,7 +82,7 @@
 
 
 def _is_port(text: str) -> bool:
-    """Whether the text is a port. Its length is limited first: the sender may write millions of digits."""
+    """Whether the text is a port number. Checks its length first, as it may have millions of digits."""
     if not (text.isascii() and text.isdecimal()) or len(text) > len(str(MAX_PORT)):
         return False
     return 0 < int(text) <= MAX_PORT
--- a/tests/registry/test_heartbeats.py
+++ b/tests/registry/test_heartbeats.py
@@ -1,4 +1,4 @@
-"""Which heartbeats are read, and which are refused."""
+"""Decoding and validation of workers' heartbeats."""
 
 import msgspec
 import pytest
@@ -6,7 +6,7 @@
 from pewterring.registry.heartbeats import InvalidHeartbeatError, read_heartbeat
 
 
-def test_heartbeats_are_read_leniently() -> None:
+def test_heartbeats_are_decoded_leniently() -> None:
     heartbeat = read_heartbeat(
         b'{"backend":"b","address":"10.0.0.1:80","capacity":"4","state":"ready","new":[1],'
         b'"models":[{"name":"m","version":1,"adapters":[]}],"sequence":4}'
@@ -34,13 +34,13 @@
         "::1:80",
     ],
 )
-def test_an_address_that_no_gateway_can_connect_to_is_refused(address: str) -> None:
+def test_an_address_that_no_gateway_can_connect_to_is_rejected(address: str) -> None:
     with pytest.raises(InvalidHeartbeatError, match="address"):
         read_heartbeat(msgspec.json.encode({"backend": "b", "address": address}))
 
 
 @pytest.mark.parametrize("capacity", [b"-1", b"1e30", b"1" * 30, b"1" * 5000, b"1.5", b'"x"', b"null"])
-def test_a_capacity_that_no_worker_has_is_refused(capacity: bytes) -> None:
+def test_an_impossible_capacity_is_rejected(capacity: bytes) -> None:
     with pytest.raises(InvalidHeartbeatError):
         read_heartbeat(b'{"backend":"b","address":"10.0.0.1:80","capacity":' + capacity + b"}")
 
@@ -59,6 +59,6 @@
         b'{"backend":"b","address":"10.0.0.1:80","sequence":' + b"1" * 5000 + b"}",
     ],
 )
-def test_what_is_no_heartbeat_is_refused(body: bytes) -> None:
+def test_a_malformed_heartbeat_is_rejected(body: bytes) -> None:
     with pytest.raises(InvalidHeartbeatError):
         read_heartbeat(body)
--- a/tests/registry/test_workers.py
+++ b/tests/registry/test_workers.py
@@ -1,4 +1,4 @@
-"""What heartbeats and time-outs change of what is committed of workers."""
+"""Changes of committed worker records that follow from heartbeats and timeouts."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -14,7 +14,7 @@
 
 
 class Fleet:
-    """A registry whose changes are committed at once."""
+    """A registry whose changes are committed immediately."""
 
     def __init__(self) -> None:
         self.state = ControlState()
@@ -28,7 +28,7 @@
     def heartbeat(
         self, now: float, worker_id: str, sequence: int, state: str = "ready", address: str = "10.0.0.1:80"
     ) -> bool:
-        """Takes a heartbeat; says whether it changed something."""
+        """Sends a heartbeat to the registry; returns whether it changed a committed record."""
         heartbeat = Heartbeat("search", address, "a", state=state, sequence=sequence, capacity=4)
         record = self.registry.observe(now, worker_id, heartbeat)
         if record is not None:
@@ -39,7 +39,7 @@
         self.state.apply(0, encode_command(RemoveWorkers(ids, permanent)))
 
     def run(self, start: float, end: float) -> UnresponsiveWorkers:
-        """Checks for unresponsive workers until there are some."""
+        """Checks periodically until there are unresponsive workers, and returns them."""
         now = start
         while now <= end:
             unresponsive = self.registry.unresponsive_workers(now)
@@ -60,7 +60,7 @@
     assert not fleet.heartbeat(3.0, "i-1", 4, state="draining")
 
 
-def test_a_draining_worker_never_turns_back() -> None:
+def test_a_draining_worker_never_becomes_ready_again() -> None:
     fleet = Fleet()
     fleet.heartbeat(0.0, "i-1", 1)
     fleet.heartbeat(1.0, "i-1", 3, state="draining")
@@ -95,7 +95,7 @@
     assert set(fleet.state.workers) == {"i-2"}
 
 
-def test_an_incarnation_that_was_replaced_wrongly_comes_back() -> None:
+def test_an_incarnation_that_was_replaced_by_mistake_is_restored() -> None:
     fleet = Fleet()
     fleet.heartbeat(0.0, "i-2", 1)
     fleet.heartbeat(0.1, "i-1", 9)
@@ -103,7 +103,7 @@
     assert set(fleet.state.workers) == {"i-2"}
 
 
-def test_a_worker_that_deregistered_never_comes_back() -> None:
+def test_a_worker_that_deregistered_is_never_registered_again() -> None:
     fleet = Fleet()
     fleet.heartbeat(0.0, "i-1", 1)
     fleet.remove("i-1", permanent=True)
@@ -112,19 +112,21 @@
     assert not fleet.state.workers
 
 
-def test_an_unresponsive_worker_is_reported_and_may_come_back() -> None:
+def test_an_unresponsive_worker_is_reported_and_may_become_ready_again() -> None:
     fleet = Fleet()
     fleet.heartbeat(0.0, "i-1", 1)
     assert fleet.run(0.0, 3.5) == UnresponsiveWorkers()
     assert fleet.run(3.5, 4.0) == UnresponsiveWorkers(newly=("i-1",))
     fleet.mark_unresponsive("i-1")
     assert fleet.run(4.0, 5.0) == UnresponsiveWorkers()
-    assert fleet.heartbeat(5.0, "i-1", 6), "by its number it was cut off, and went on calling"
+    assert fleet.heartbeat(5.0, "i-1", 6), (
+        "the sequence number shows that the worker continued its calls during a partition"
+    )
     assert fleet.state.workers["i-1"].state == "ready"
 
 
 def unresponsive_fleet() -> Fleet:
-    """One worker, last heard at 0.0 with number 1, and unresponsive at 10.0."""
+    """One worker whose last heartbeat had number 1 and came at 0.0 s; it is unresponsive at 10.0 s."""
     fleet = Fleet()
     fleet.heartbeat(0.0, "i-1", 1)
     fleet.run(0.0, 4.0)
@@ -133,20 +135,20 @@
     return fleet
 
 
-def test_a_worker_that_was_frozen_comes_back_with_its_second_heartbeat() -> None:
+def test_a_worker_that_was_frozen_becomes_ready_with_its_second_heartbeat() -> None:
     fleet = unresponsive_fleet()
     assert not fleet.heartbeat(10.0, "i-1", 2)
     assert fleet.heartbeat(10.0 + PERIOD_S, "i-1", 3)
     assert fleet.state.workers["i-1"].state == "ready"
 
 
-def test_heartbeats_that_were_held_up_together_bring_no_crashed_worker_back() -> None:
+def test_heartbeats_that_were_delayed_together_do_not_restore_a_crashed_worker() -> None:
     fleet = unresponsive_fleet()
     assert not any(fleet.heartbeat(10.0 + number / 100, "i-1", number) for number in range(2, 7))
     assert fleet.state.workers["i-1"].state == "silent"
 
 
-def test_a_heartbeat_that_was_held_up_takes_no_address_back() -> None:
+def test_a_delayed_heartbeat_does_not_reclaim_an_address() -> None:
     fleet = Fleet()
     fleet.heartbeat(0.0, "i-1", 1)
     fleet.heartbeat(5.0, "i-2", 1)
@@ -157,25 +159,25 @@
 
 @given(
     crash_s=st.floats(0.5, 30.0),
-    cut_s=st.floats(4.0, 60.0),
+    partition_s=st.floats(4.0, 60.0),
     call_s=st.floats(PERIOD_S, SLOWEST_CALL_FACTOR * PERIOD_S),
 )
-def test_a_heartbeat_that_is_believed_alone_is_not_much_older_than_a_quarter_of_the_calls(
-    crash_s: float, cut_s: float, call_s: float
+def test_a_heartbeat_accepted_without_confirmation_is_not_much_older_than_a_quarter_of_the_calls(
+    crash_s: float, partition_s: float, call_s: float
 ) -> None:
-    """The worker is cut off at 0, crashes, and all its calls arrive when the cut ends."""
+    """A partition begins at 0, the worker crashes, and all its calls arrive when the partition ends."""
     fleet = Fleet()
     fleet.heartbeat(0.0, "i-1", 1)
     fleet.run(0.0, 4.0)
     fleet.mark_unresponsive("i-1")
-    calls = int(min(crash_s, cut_s) / call_s)
-    came_back = any(fleet.heartbeat(cut_s, "i-1", 2 + number) for number in range(calls))
-    age_s = cut_s - calls * call_s
+    calls = int(min(crash_s, partition_s) / call_s)
+    restored = any(fleet.heartbeat(partition_s, "i-1", 2 + number) for number in range(calls))
+    age_s = partition_s - calls * call_s
     slowest_s = SLOWEST_CALL_FACTOR * PERIOD_S
-    assert not came_back or age_s <= slowest_s + calls * (slowest_s - call_s) + 1e-9
+    assert not restored or age_s <= slowest_s + calls * (slowest_s - call_s) + 1e-9
 
 
-def test_a_worker_that_stays_unresponsive_is_removed_and_may_come_back() -> None:
+def test_a_worker_that_stays_unresponsive_is_removed_and_may_register_again() -> None:
     fleet = Fleet()
     fleet.heartbeat(0.0, "i-1", 1)
     fleet.mark_unresponsive("i-1")
@@ -206,7 +208,7 @@
 
 
 def test_only_a_ready_worker_is_marked_unresponsive() -> None:
-    """The mark may be committed after what the worker said meanwhile."""
+    """The command may be committed after a heartbeat that arrived in the meantime."""
     fleet = Fleet()
     fleet.heartbeat(0.0, "i-1", 1, state="draining")
     fleet.mark_unresponsive("i-1", "i-unknown")
@@ -223,7 +225,7 @@
     assert fleet.state.workers["i-1"].state == "draining"
 
 
-def test_a_draining_worker_that_timed_out_does_not_come_back() -> None:
+def test_a_draining_worker_that_timed_out_is_not_registered_again() -> None:
     fleet = Fleet()
     fleet.heartbeat(0.0, "i-1", 1, state="draining")
     fleet.remove("i-1")
@@ -239,7 +241,7 @@
     assert fleet.run(6.5, 7.0) == UnresponsiveWorkers(newly=("i-1",))
 
 
-def test_a_process_that_was_paused_removes_nobody() -> None:
+def test_a_process_that_was_paused_reports_no_unresponsive_workers() -> None:
     fleet = Fleet()
     fleet.heartbeat(0.0, "i-1", 1)
     fleet.run(0.0, 1.0)
