--- a/pewterring/standalone/proxy/switch.py
+++ b/pewterring/standalone/proxy/switch.py
@@ -11,7 +11,7 @@
 
 # By part of the module: what follows from the settings and nothing else.
 FOLLOWS = {
-    "ceiling": ("batch", "smooth"),
+    "ceiling": ("update_samples", "step"),
     "shares": ("fleet", "sparse", "lease"),
     "fleet": ("s", "unseen", "sparse", "sample", "forget_s"),
     "quota": ("s", "sparse", "plans"),
