--- a/benchmarks/admission_exchange.py
+++ b/benchmarks/admission_exchange.py
@@ -23,7 +23,7 @@
 from pewterring.admission.relay_exchange import RelayExchange
 from pewterring.admission.relay_plan import Speaker, make_plan
 from pewterring.admission.relayed_shares import RelayedShares
-from pewterring.admission.shares import BEAT_S, LEASE_S
+from pewterring.admission.shares import HEARTBEAT_PERIOD_S, LEASE_S
 from pewterring.standalone.peer_messages import read_beat
 from pewterring.standalone.policy.state import Peer
 from pewterring.transport.datagrams import IP_UDP_BYTES
@@ -77,10 +77,10 @@
 
     def tick(self, now: float, everybody: "list[Gateway]") -> Iterator[tuple[str, bytes]]:
         self.now = now
-        self.shares.settle(now, BEAT_S, self.limit)
+        self.shares.settle(now, HEARTBEAT_PERIOD_S, self.limit)
         data = write_heartbeat(GATEWAY, {SERVICE: self.shares.beat(self.limit, self.out)})
         if self.way == "relayed":
-            yield from self.exchange.round(now, data, BEAT_S)
+            yield from self.exchange.round(now, data, HEARTBEAT_PERIOD_S)
         elif self.way == "all":
             yield from ((peer.ip, data) for peer in everybody if peer is not self)
         else:
@@ -117,7 +117,7 @@
         heapq.heappush(events, (at, next(order), what, index, value))
 
     for index in range(fleet):
-        plan_event(rng.uniform(0, BEAT_S), "tick", index)
+        plan_event(rng.uniform(0, HEARTBEAT_PERIOD_S), "tick", index)
     plan_event(0.0, "request", 0)
     asked = refused = 0
     errors: list[float] = []
@@ -141,7 +141,7 @@
         elif what == "end":
             gateway.out -= 1
         elif what == "tick":
-            plan_event(now + BEAT_S, "tick", index)
+            plan_event(now + HEARTBEAT_PERIOD_S, "tick", index)
             for ip, data in gateway.tick(now, gateways):
                 gateway.sent_bytes += len(data) + IP_UDP_BYTES
                 if rng.random() >= LOST:
@@ -163,17 +163,17 @@
     plan = make_plan(Speaker(gateway.ip, f"zone-{gateway.index % ZONES}", True) for gateway in gateways)
     by_ip = {gateway.ip: gateway for gateway in gateways}
     spent = dict.fromkeys(by_ip, 0.0)
-    gateways[0].shares.settle(1.0, BEAT_S, 4.0)
+    gateways[0].shares.settle(1.0, HEARTBEAT_PERIOD_S, 4.0)
     beat = gateways[0].shares.beat(4.0, 1)
     heartbeat = write_heartbeat(GATEWAY, dict.fromkeys(range(services), beat))
     for gateway in gateways:
         gateway.exchange.plan = plan
     for number in range(rounds):
-        now = number * BEAT_S
+        now = number * HEARTBEAT_PERIOD_S
         datagrams = []
         for gateway in gateways:
             began = time.process_time()
-            sent = gateway.exchange.round(now, heartbeat, BEAT_S)
+            sent = gateway.exchange.round(now, heartbeat, HEARTBEAT_PERIOD_S)
             spent[gateway.ip] += time.process_time() - began
             datagrams += [(gateway, by_ip[ip], data) for ip, data in sent]
         for source, target, data in datagrams:
--- a/pewterring/admission/batch.py
+++ b/pewterring/admission/batch.py
@@ -8,7 +8,7 @@
 
 from pewterring.admission.digests import Totals
 from pewterring.admission.service import ServiceAdmission
-from pewterring.admission.shares import BEAT_S, LEASE_S
+from pewterring.admission.shares import HEARTBEAT_PERIOD_S, LEASE_S
 from pewterring.standalone.peer_messages import read_beat
 from pewterring.standalone.policy.interface import RequestClass
 
@@ -24,7 +24,7 @@
     MAX_FILL_WITHOUT_GATEWAYS = 0.5  # fraction of the limit to use while no gateway's heartbeats arrive
     # How long another store's items count after its last heartbeat. The items of a store that died have
     # ended, so their slots are freed soon.
-    PEER_TIMEOUT_S = 2 * BEAT_S
+    PEER_TIMEOUT_S = 2 * HEARTBEAT_PERIOD_S
 
     def __init__(self, incarnation: int) -> None:
         self._admission = ServiceAdmission(incarnation, counted=False)
--- a/pewterring/admission/shares.py
+++ b/pewterring/admission/shares.py
@@ -5,8 +5,8 @@
 from pewterring.standalone import peer_messages as messages
 from pewterring.standalone.policy.state import Peer
 
-BEAT_S = 0.5  # period of heartbeats
-LEASE_S = 4 * BEAT_S  # silence after which a peer is evicted: at 8% loss, wrongly once in 24,000 heartbeats
+HEARTBEAT_PERIOD_S = 0.5
+LEASE_S = 4 * HEARTBEAT_PERIOD_S  # silence that evicts a peer: at 8% loss, wrongly once in 24,000 heartbeats
 GHOST_S = 15 * LEASE_S  # the demand of peers no longer heard decays by 1/e in this: longer than a restart
 
 
--- a/pewterring/batch/worker_access.py
+++ b/pewterring/batch/worker_access.py
@@ -11,7 +11,7 @@
 
 from pewterring.admission.datagram import BATCH
 from pewterring.admission.digests import Totals
-from pewterring.admission.shares import BEAT_S
+from pewterring.admission.shares import HEARTBEAT_PERIOD_S
 from pewterring.batch.admissions import BatchAdmissions
 from pewterring.batch.dispatch import AdmissionDispatcher
 from pewterring.batch.runner import HttpItemRunner
@@ -78,7 +78,7 @@
 
     async def _send_heartbeats(self) -> None:
         while True:
-            await asyncio.sleep(BEAT_S)
+            await asyncio.sleep(HEARTBEAT_PERIOD_S)
             heartbeats = self._admissions.tick(self._clock())
             self._heartbeats.send(heartbeats, self._tables().nodes)
 
--- a/pewterring/gateway/program.py
+++ b/pewterring/gateway/program.py
@@ -16,7 +16,7 @@
 
 from pewterring.admission.datagram import GATEWAY
 from pewterring.admission.digests import Totals
-from pewterring.admission.shares import BEAT_S
+from pewterring.admission.shares import HEARTBEAT_PERIOD_S
 from pewterring.batch.messages import BATCH_MESSAGES
 from pewterring.distribution.messages import FEED_MESSAGES, GATEWAY_PROGRAM, NodeRecord
 from pewterring.distribution.subscriber import FeedEnvironment, FeedSubscriber, NodeReport
@@ -201,7 +201,7 @@
     async def send_heartbeats(self) -> None:
         """Sends admission's heartbeats to the other gateways and stores, without end."""
         while True:
-            await asyncio.sleep(BEAT_S)
+            await asyncio.sleep(HEARTBEAT_PERIOD_S)
             if self.chooser.has_silent:  # those that answer no more take their slots with them
                 self.admissions.update(self.clock(), self.feed.tables, self.chooser)
             heartbeats = self.admissions.tick(self.clock())
--- a/pewterring/routing/heartbeats.py
+++ b/pewterring/routing/heartbeats.py
@@ -11,7 +11,7 @@
 from pewterring.admission.digests import FLEET_ENTRY, HEAD, Totals
 from pewterring.admission.relay_exchange import RelayExchange
 from pewterring.admission.relay_plan import Speaker, make_plan
-from pewterring.admission.shares import BEAT_S
+from pewterring.admission.shares import HEARTBEAT_PERIOD_S
 from pewterring.distribution.messages import GATEWAY_PROGRAM, STORE, NodeRecord
 from pewterring.transport.datagrams import IP_UDP_BYTES, DatagramPort
 
@@ -49,7 +49,7 @@
 def needs_relays(processes: int, heartbeat_bytes: int, has_relays: bool) -> bool:
     """Whether all-to-all heartbeats of the given size would exceed what one process may send."""
     scale = HYSTERESIS_FRACTION if has_relays else 1.0
-    bytes_per_s = (processes - 1) * (heartbeat_bytes + IP_UDP_BYTES) / BEAT_S
+    bytes_per_s = (processes - 1) * (heartbeat_bytes + IP_UDP_BYTES) / HEARTBEAT_PERIOD_S
     return processes >= MIN_RELAYED_FLEET * scale and bytes_per_s > MAX_ALL_TO_ALL_BYTES_PER_S * scale
 
 
@@ -57,7 +57,7 @@
     """Returns the heartbeat periods between two rounds, so that a member's traffic stays within its limit."""
     digest_bytes = HEAD.size + services * FLEET_ENTRY.size
     round_bytes = heartbeat_bytes + digest_bytes + 2 * IP_UDP_BYTES
-    return max(1, math.ceil(round_bytes / BEAT_S / MAX_RELAYED_BYTES_PER_S))
+    return max(1, math.ceil(round_bytes / HEARTBEAT_PERIOD_S / MAX_RELAYED_BYTES_PER_S))
 
 
 class AdmissionHeartbeats:
@@ -126,7 +126,7 @@
         self._periods += 1
         periods = periods_per_round(len(data), services)
         if self._periods % periods == 0:
-            for ip, datagram in self._exchange.round(self._clock(), data, periods * BEAT_S):
+            for ip, datagram in self._exchange.round(self._clock(), data, periods * HEARTBEAT_PERIOD_S):
                 self._port.send(ip, datagram)
 
     def _update_nodes(self, nodes: tuple[NodeRecord, ...]) -> None:
--- a/pewterring/standalone/policy/decisions.py
+++ b/pewterring/standalone/policy/decisions.py
@@ -9,7 +9,7 @@
 import random
 
 from pewterring.admission.ceiling import Ceiling
-from pewterring.admission.shares import BEAT_S, Shares
+from pewterring.admission.shares import HEARTBEAT_PERIOD_S, Shares
 from pewterring.standalone import peer_messages as mail
 from pewterring.standalone.peer_messages import Ask, Back, Grant
 from pewterring.standalone.policy import interface as i
@@ -332,7 +332,7 @@
         self.ceiling = Ceiling(settings.fleet_size)
         # Sparse: so many that beats to all would cost more than they are worth, long before they overrun it.
         self.mail, others = 0.8 * settings.mail_per_s, settings.fleet_size - 1
-        self.sparse = settings.limits.peers and 0.0 < SPARSE * self.mail * BEAT_S < others
+        self.sparse = settings.limits.peers and 0.0 < SPARSE * self.mail * HEARTBEAT_PERIOD_S < others
         self.shares = Shares(settings.fleet_size, self.rng.getrandbits(32), self.sparse)
         self.fleet = Fleet(settings, self.rng, self.sparse)
         self.quota = Quota(settings, self.rng, self.sparse)
@@ -341,7 +341,7 @@
         self.actions: list[i.Action] = []
         self.lost, self.spare, self.tokens, self.echo = 0, 1.0, 0, 1.0  # echo: of questions answered
         self.asking: dict[int, Held] = {}  # by token: requests that wait for the keeper of their account
-        self.tick_s = BEAT_S / 2 if self.sparse else max(NEWS_S, others / max(self.mail, 1.0))
+        self.tick_s = HEARTBEAT_PERIOD_S / 2 if self.sparse else max(NEWS_S, others / max(self.mail, 1.0))
         self.ticked, self.beaten = 0.0, dict[int, float]()
         self.look_s = min((c.aim for c in settings.classes.values()), default=1.0) / LOOKS
         self.wait_s = self.look_s * LOOKS * self.WAIT
@@ -451,7 +451,7 @@
             return self.actions.append(i.Tell(other, beat))
         news = self.quota.news(now)
         for peer in [n for n in range(self.s.fleet_size) if n != self.s.me]:
-            if peer in news or now + self.tick_s / 2 - self.beaten.get(peer, -math.inf) > BEAT_S:
+            if peer in news or now + self.tick_s / 2 - self.beaten.get(peer, -math.inf) > HEARTBEAT_PERIOD_S:
                 self.beaten[peer] = now
                 self.actions.append(i.Tell(peer, beat + news.get(peer, b"")))
 
@@ -611,7 +611,7 @@
         self.end(held)
 
     def refuse(self, held: Held, why: str) -> None:
-        refill, slot = held.plan.refill, BEAT_S if why == "tries" else self.usual()
+        refill, slot = held.plan.refill, HEARTBEAT_PERIOD_S if why == "tries" else self.usual()
         after = held.r.units / refill if why == "quota" and refill else slot
         advice = min(after, self.s.limits.max_retry_after) if self.s.limits.retry_after else 0.0
         self.actions.append(i.Refuse(held.r.id, advice, why))
--- a/tests/admission/relayed_fleet.py
+++ b/tests/admission/relayed_fleet.py
@@ -6,7 +6,7 @@
 from pewterring.admission.digests import Totals
 from pewterring.admission.relay_exchange import RelayExchange
 from pewterring.admission.relay_plan import RelayPlan, Speaker, make_plan
-from pewterring.admission.shares import BEAT_S
+from pewterring.admission.shares import HEARTBEAT_PERIOD_S
 from pewterring.standalone.peer_messages import Beat, write_beat
 
 SERVICE = 7
@@ -76,11 +76,11 @@
     def run(self, rounds: int) -> None:
         """Runs a number of rounds: in each, all processes send and the datagrams that are not lost arrive."""
         for _ in range(rounds):
-            self.now += BEAT_S
+            self.now += HEARTBEAT_PERIOD_S
             datagrams = []
             for process in self.live():
                 process.now = self.now
-                sent = process.exchange.round(self.now, process.heartbeat(), BEAT_S)
+                sent = process.exchange.round(self.now, process.heartbeat(), HEARTBEAT_PERIOD_S)
                 process.sent += len(sent)
                 datagrams += [(process.ip, target, data) for target, data in sent]
             for source, target, data in datagrams:
--- a/tests/admission/test_fleet_in_overload.py
+++ b/tests/admission/test_fleet_in_overload.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from pewterring.admission.service import ServiceAdmission
-from pewterring.admission.shares import BEAT_S
+from pewterring.admission.shares import HEARTBEAT_PERIOD_S
 from pewterring.standalone.peer_messages import Beat, write_beat
 
 GATEWAYS, SLOTS, RUN_S = 8, 144, 0.75
@@ -35,7 +35,7 @@
         in_flight = []
         for step in range(round(seconds / STEP_S)):
             self.now += STEP_S
-            if step % round(BEAT_S / STEP_S) == 0:
+            if step % round(HEARTBEAT_PERIOD_S / STEP_S) == 0:
                 self._exchange_heartbeats()
             self._step()
             in_flight.append(self.in_flight)
--- a/tests/admission/test_relayed_shares.py
+++ b/tests/admission/test_relayed_shares.py
@@ -7,7 +7,7 @@
 from pewterring.admission.digests import Totals
 from pewterring.admission.relayed_shares import TOTALS_EXPIRY_S, RelayedShares
 from pewterring.admission.service import ServiceAdmission
-from pewterring.admission.shares import BEAT_S, GHOST_S, LEASE_S, Shares
+from pewterring.admission.shares import GHOST_S, HEARTBEAT_PERIOD_S, LEASE_S, Shares
 from pewterring.standalone.peer_messages import Beat, write_beat
 
 FLEET = 100
@@ -53,7 +53,7 @@
     shares = new_shares(2.0)
     shares.beat(LIMIT, 1)
     shares.hear_totals(LATER, TOTALS, LIMIT)
-    shares.hear_totals(LATER + BEAT_S, TOTALS._replace(gateways=50, demand=100.0), LIMIT)
+    shares.hear_totals(LATER + HEARTBEAT_PERIOD_S, TOTALS._replace(gateways=50, demand=100.0), LIMIT)
     assert shares.share == pytest.approx(LIMIT / FLEET, rel=0.1)
 
 
@@ -81,7 +81,7 @@
     heartbeat = write_beat(Beat(5, 1, LIMIT, 3, 4.0, 2.0))
     shares.total = plain.total
     for each in (shares, plain):
-        each.hear(LATER + BEAT_S, 9, heartbeat, LIMIT)
+        each.hear(LATER + HEARTBEAT_PERIOD_S, 9, heartbeat, LIMIT)
     assert shares.totals is None
     assert (shares.share, shares.elsewhere, shares.whole) == (plain.share, plain.elsewhere, plain.whole)
 
--- a/tests/routing/test_heartbeats.py
+++ b/tests/routing/test_heartbeats.py
@@ -8,7 +8,7 @@
 from pewterring.admission.datagram import ENTRY_BYTES, GATEWAY, HEAD
 from pewterring.admission.digests import FLEET_ENTRY, Totals
 from pewterring.admission.digests import HEAD as DIGEST_HEAD
-from pewterring.admission.shares import BEAT_S
+from pewterring.admission.shares import HEARTBEAT_PERIOD_S
 from pewterring.distribution.messages import NodeRecord
 from pewterring.routing.heartbeats import (
     MAX_RELAYED_BYTES_PER_S,
@@ -50,9 +50,9 @@
 def test_a_members_traffic_stays_within_its_limit(services: int) -> None:
     size = heartbeat_bytes(services)
     round_bytes = size + DIGEST_HEAD.size + services * FLEET_ENTRY.size + 2 * IP_UDP_BYTES
-    period_s = periods_per_round(size, services) * BEAT_S
+    period_s = periods_per_round(size, services) * HEARTBEAT_PERIOD_S
     assert round_bytes / period_s <= MAX_RELAYED_BYTES_PER_S
-    assert services > 2 or period_s == BEAT_S
+    assert services > 2 or period_s == HEARTBEAT_PERIOD_S
 
 
 class Peers:
--- a/tests/standalone/test_sparse.py
+++ b/tests/standalone/test_sparse.py
@@ -4,7 +4,7 @@
 import random
 
 from pewterring.admission.ceiling import Ceiling
-from pewterring.admission.shares import BEAT_S, Shares
+from pewterring.admission.shares import HEARTBEAT_PERIOD_S, Shares
 from pewterring.standalone.peer_messages import BEAT, Beat, write_beat
 from pewterring.standalone.policy import interface as i
 from pewterring.standalone.policy.decisions import Fleet
@@ -23,7 +23,7 @@
 
 def test_beats_go_to_a_few_whatever_the_size() -> None:
     d = member(3)
-    told = [t for _ in range(40) for t in d.tick(BEAT_S / 2)]
+    told = [t for _ in range(40) for t in d.tick(HEARTBEAT_PERIOD_S / 2)]
     assert len(told) == 40
     assert len({t.peer for t in told}) > 20
     assert all(t.peer != 3 and t.data[:1] == BEAT for t in told)
@@ -34,7 +34,7 @@
         d = member(3)
         for n in range(10, 30):
             d.do(i.PeerMail(n, beat(out, n)))
-        d.tick(BEAT_S)
+        d.tick(HEARTBEAT_PERIOD_S)
         d.gatekeeper.shares.share = 1.0
         count = sum(len(sends(d.ask())) for _ in range(10))
         assert count >= 3 if out == 0 else count == served
