--- a/pewterring/admission/relayed_shares.py
+++ b/pewterring/admission/relayed_shares.py
@@ -4,7 +4,7 @@
 from typing import NamedTuple
 
 from pewterring.admission.digests import Totals
-from pewterring.admission.shares import GHOST_S, LEASE_S, Shares
+from pewterring.admission.shares import DEMAND_DECAY_S, LEASE_S, Shares
 
 TOTALS_EXPIRY_S = 2 * LEASE_S  # age from which totals are too old to be used
 
@@ -79,7 +79,7 @@
 
     def _demands(self, now: float, totals: Totals) -> float:
         """The demand of the fleet. As in `Shares`, that of gateways no longer heard decays slowly."""
-        remembered = self.total * math.exp((self.summed_at - now) / GHOST_S)
+        remembered = self.total * math.exp((self.summed_at - now) / DEMAND_DECAY_S)
         if not self.has_totals(now):
             return max(self.demand, remembered)
         demands = max(0.0, totals.demand - self._announced.demand) + self.demand
--- a/pewterring/admission/shares.py
+++ b/pewterring/admission/shares.py
@@ -7,7 +7,7 @@
 
 HEARTBEAT_PERIOD_S = 0.5
 LEASE_S = 4 * HEARTBEAT_PERIOD_S  # silence that evicts a peer: at 8% loss, wrongly once in 24,000 heartbeats
-GHOST_S = 15 * LEASE_S  # the demand of peers no longer heard decays by 1/e in this: longer than a restart
+DEMAND_DECAY_S = 15 * LEASE_S  # demand of missing peers decays by 1/e in this: longer than a restart takes
 
 
 class Shares:
@@ -49,7 +49,7 @@
         if now - self.began < LEASE_S:
             demands += missing * self.demand
         if missing > 0:
-            demands = max(demands, self.total * math.exp((self.summed_at - now) / GHOST_S))
+            demands = max(demands, self.total * math.exp((self.summed_at - now) / DEMAND_DECAY_S))
         self.total, self.summed_at, self.whole = demands, now, whole
         # A new gateway takes its target despite what peers still reserve: they give way once they hear it.
         new = not self.sparse and now - self.began < LEASE_S
--- a/tests/admission/test_relayed_shares.py
+++ b/tests/admission/test_relayed_shares.py
@@ -7,7 +7,7 @@
 from pewterring.admission.digests import Totals
 from pewterring.admission.relayed_shares import TOTALS_EXPIRY_S, RelayedShares
 from pewterring.admission.service import ServiceAdmission
-from pewterring.admission.shares import GHOST_S, HEARTBEAT_PERIOD_S, LEASE_S, Shares
+from pewterring.admission.shares import DEMAND_DECAY_S, HEARTBEAT_PERIOD_S, LEASE_S, Shares
 from pewterring.standalone.peer_messages import Beat, write_beat
 
 FLEET = 100
@@ -62,7 +62,7 @@
     shares.hear_totals(LATER, TOTALS, LIMIT)
     share_before = shares.share
     shares.divide(LATER + TOTALS_EXPIRY_S, LIMIT)
-    assert shares.share == pytest.approx(share_before * math.exp(TOTALS_EXPIRY_S / GHOST_S))
+    assert shares.share == pytest.approx(share_before * math.exp(TOTALS_EXPIRY_S / DEMAND_DECAY_S))
     assert shares.elsewhere == LIMIT
     assert shares.room(0) == pytest.approx(shares.share + shares.LENT * math.sqrt(shares.share) / 2)
 
