--- a/pewterring/admission/batch.py
+++ b/pewterring/admission/batch.py
@@ -24,7 +24,7 @@
     MAX_FILL_WITHOUT_GATEWAYS = 0.5  # fraction of the limit to use while no gateway's heartbeats arrive
     # How long another store's items count after its last heartbeat. The items of a store that died have
     # ended, so their slots are freed soon.
-    PEER_TIMEOUT_S = 2 * HEARTBEAT_PERIOD_S
+    STORE_TIMEOUT_S = 2 * HEARTBEAT_PERIOD_S
 
     def __init__(self, incarnation: int) -> None:
         self._admission = ServiceAdmission(incarnation, counted=False)
@@ -32,7 +32,7 @@
         self._slots = 0
         # By peer number of the store: the time of its last heartbeat, and its items in flight.
         self._stores: dict[int, tuple[float, int]] = {}
-        self.out = 0
+        self.in_flight = 0
 
     def rescale(self, now: float, slots: int, gateways: int) -> None:
         """Sets the number of slots of the ready workers, and the number of gateways that share them."""
@@ -55,7 +55,7 @@
 
     def observe(self, now: float, route: RequestClass, ratio: float) -> None:
         """Takes a sample: the ratio of the observed to the expected time to the first byte."""
-        self._admission.ceiling.observe(route, ratio, self._admission.shares.elsewhere + self.out)
+        self._admission.ceiling.observe(route, ratio, self._admission.shares.elsewhere + self.in_flight)
 
     def tick(self, now: float) -> None:
         """Updates demand and share. Called once per heartbeat period."""
@@ -66,7 +66,7 @@
         live = self._admission.shares.elsewhere
         limit = min(self._admission.whole, self._admission.ceiling.limit, self._slots)
         usable = self._max_fill(now) * limit - live - self.LIVE_MARGIN * math.sqrt(live)
-        in_flight = self.out + self._in_flight_at_other_stores(now)
+        in_flight = self.in_flight + self._in_flight_at_other_stores(now)
         if not in_flight and live < self.SINGLE_ITEM_LIVE_FILL * self._slots:
             # Otherwise a service with a single slot would never run an item.
             return max(1, math.floor(usable))
@@ -74,7 +74,7 @@
 
     def beat(self) -> bytes:
         """Encodes this store's heartbeat for the service: attempts in flight, without share and demand."""
-        return self._admission.shares.beat(self._admission.ceiling.limit, self.out)
+        return self._admission.shares.beat(self._admission.ceiling.limit, self.in_flight)
 
     def _max_fill(self, now: float) -> float:
         """The usable fraction of the limit; lower while no gateway is heard, as in a network partition.
@@ -86,8 +86,8 @@
         return self.MAX_FILL if is_heard or not self._gateways else self.MAX_FILL_WITHOUT_GATEWAYS
 
     def _in_flight_at_other_stores(self, now: float) -> int:
-        reported = sum(items for heard, items in self._stores.values() if now - heard < self.PEER_TIMEOUT_S)
+        reported = sum(items for heard, items in self._stores.values() if now - heard < self.STORE_TIMEOUT_S)
         shares = self._admission.shares
         if shares.totals is not None and shares.has_totals(now):
-            return max(reported, int(shares.totals.batch_in_flight) - self.out)
+            return max(reported, int(shares.totals.batch_in_flight) - self.in_flight)
         return reported
--- a/pewterring/admission/service.py
+++ b/pewterring/admission/service.py
@@ -47,7 +47,7 @@
         self.ceiling = SlotCeiling(max(1, processes))
         self.shares = RelayedShares(max(1, processes), incarnation, counted)
         self.shares.lends = True
-        self.out = 0
+        self.in_flight = 0
         # By peer number of processes that run batch items: the time of the last heartbeat, and the heartbeat.
         self._batch_peers: dict[int, tuple[float, Beat]] = {}
         self._demand_updated_at = -math.inf
@@ -63,9 +63,9 @@
     @property
     def room(self) -> float:
         """How many attempts this process may have in flight: its share, and a fraction of the idle slots."""
-        idle = max(0.0, self.shares.whole - self.shares.elsewhere - self.out)
+        idle = max(0.0, self.shares.whole - self.shares.elsewhere - self.in_flight)
         lent = min(MAX_IDLE_FRACTION, MAX_IDLE_EVEN_SHARES / self.shares.fleet) * idle
-        return min(self.shares.room(self.out) + lent, self.ceiling.limit)
+        return min(self.shares.room(self.in_flight) + lent, self.ceiling.limit)
 
     @property
     def whole(self) -> float:
@@ -89,19 +89,19 @@
         `rank` is the number of the service's live priorities that are more urgent.
         """
         self.shares.wanted += 1
-        if self.out >= self.room * max(MIN_CAPACITY_FRACTION, 1 - URGENT_FRACTION * rank):
+        if self.in_flight >= self.room * max(MIN_CAPACITY_FRACTION, 1 - URGENT_FRACTION * rank):
             return False
         self.shares.passed += 1
-        self.out += 1
+        self.in_flight += 1
         return True
 
     def release(self) -> None:
         """Returns a slot that `acquire` took."""
-        self.out -= 1
+        self.in_flight -= 1
 
     def observe(self, now: float, route: RequestClass, ratio: float) -> None:
         """Takes a sample: the ratio of the observed to the expected time to the first byte."""
-        self.ceiling.observe(route, ratio, self.elsewhere(now) + self.out)
+        self.ceiling.observe(route, ratio, self.elsewhere(now) + self.in_flight)
 
     def tick(self, now: float) -> None:
         """Updates demand, and the share derived from it. Called once per heartbeat period."""
@@ -111,7 +111,7 @@
 
     def beat(self) -> bytes:
         """Encodes the heartbeat of this process for this service."""
-        return self.shares.beat(self.ceiling.limit, self.out)
+        return self.shares.beat(self.ceiling.limit, self.in_flight)
 
     def hear(self, now: float, peer: int, data: bytes) -> None:
         """Takes a heartbeat from a gateway."""
--- a/pewterring/batch/dispatch.py
+++ b/pewterring/batch/dispatch.py
@@ -164,7 +164,7 @@
             self._end_prefill(assignment)
         worker = assignment.worker
         worker.out -= 1
-        self._admissions.of(assignment.service).out -= 1
+        self._admissions.of(assignment.service).in_flight -= 1
         now = self._clock()
         if outcome is ExchangeOutcome.ANSWERED:
             worker.answered()
@@ -184,7 +184,7 @@
         self._assignments[item] = assignment
         assignment.worker.out += 1
         assignment.worker.pending_tokens += assignment.tokens
-        self._admissions.of(assignment.service).out += 1
+        self._admissions.of(assignment.service).in_flight += 1
 
     @staticmethod
     def _end_prefill(assignment: _Assignment) -> None:
@@ -194,7 +194,7 @@
     def _services_by_weight(self, route: Route) -> list[str]:
         """The route's services, the one furthest below its weight first."""
         weighted = [entry for entry in route.services if entry.weight > 0]
-        weighted.sort(key=lambda entry: self._admissions.of(entry.service).out / entry.weight)
+        weighted.sort(key=lambda entry: self._admissions.of(entry.service).in_flight / entry.weight)
         return [entry.service for entry in weighted]
 
     def _choose(self, now: float, service: str, prompt: Prompt, avoid: str) -> WorkerState | None:
--- a/pewterring/gateway/metrics.py
+++ b/pewterring/gateway/metrics.py
@@ -46,7 +46,7 @@
 
     def refused(self, admission: ServiceAdmission) -> Limit:
         """Counts a request that admission refused, and returns by which limit."""
-        by_share = admission.shares.room(admission.out) <= admission.ceiling.limit
+        by_share = admission.shares.room(admission.in_flight) <= admission.ceiling.limit
         limit = Limit.SHARE if by_share else Limit.CONCURRENCY
         self.limited(limit)
         return limit
@@ -109,7 +109,11 @@
         return MetricFamily(PREFIX + name, description, samples, ("service",))
 
     return [
-        family("attempts", "Requests out at workers.", {name: each.out for name, each in admissions.items()}),
+        family(
+            "attempts",
+            "Requests out at workers.",
+            {name: each.in_flight for name, each in admissions.items()},
+        ),
         family(
             "room",
             "Requests that may be out at once.",
--- a/tests/admission/test_fleet_in_overload.py
+++ b/tests/admission/test_fleet_in_overload.py
@@ -28,7 +28,7 @@
 
     @property
     def in_flight(self) -> int:
-        return sum(gateway.out for gateway in self.gateways)
+        return sum(gateway.in_flight for gateway in self.gateways)
 
     def run(self, seconds: float) -> list[int]:
         """Runs the fleet and returns the attempts in flight after each step."""
--- a/tests/admission/test_service.py
+++ b/tests/admission/test_service.py
@@ -28,7 +28,7 @@
 def acquire_all(admission: ServiceAdmission) -> int:
     while admission.acquire():
         pass
-    return admission.out
+    return admission.in_flight
 
 
 def test_requests_beyond_the_share_are_rejected_when_peers_use_the_rest() -> None:
@@ -44,7 +44,7 @@
     capacity = admission.room
     while admission.acquire(rank=1):
         pass
-    assert admission.out == pytest.approx((1 - URGENT_FRACTION) * capacity, abs=1)
+    assert admission.in_flight == pytest.approx((1 - URGENT_FRACTION) * capacity, abs=1)
     assert not admission.acquire(rank=2)
     assert acquire_all(admission) == pytest.approx(capacity, abs=1)
 
--- a/tests/batch/test_dispatch.py
+++ b/tests/batch/test_dispatch.py
@@ -133,7 +133,7 @@
         fixture.dispatcher.finished(fixture.items[-1], ExchangeOutcome.ANSWERED)
         fixture.admissions.tick(fixture.clock.now)
         fixture.heartbeat(1, out=0, limit=0.0)
-    assert admission.out == 0
+    assert admission.in_flight == 0
     assert admission.room(fixture.clock.now) < before
 
 
@@ -299,8 +299,8 @@
         fixture.admissions.of(name).rescale(fixture.clock.now, 100, 0)
     for _ in range(40):
         fixture.assign()
-    assert fixture.admissions.of("s").out == 30
-    assert fixture.admissions.of("t").out == 10
+    assert fixture.admissions.of("s").in_flight == 30
+    assert fixture.admissions.of("t").in_flight == 10
 
 
 def test_an_item_whose_exchange_is_unknown_changes_nothing() -> None:
@@ -308,7 +308,7 @@
     stranger = QueuedItem("j", ROUTE, item("stranger"))
     fixture.dispatcher.first_event(stranger)
     fixture.dispatcher.finished(stranger, ExchangeOutcome.TRUNCATED)
-    assert fixture.admissions.of("s").out == 0
+    assert fixture.admissions.of("s").in_flight == 0
 
 
 def test_items_of_one_shared_prefix_do_not_crowd_the_worker_that_caches_it() -> None:
--- a/tests/gateway/test_request_log.py
+++ b/tests/gateway/test_request_log.py
@@ -59,9 +59,9 @@
         async with gateway(answered) as tier:
             log_requests(tier)
             admission = tier.program.admissions.of("s")
-            admission.out = 10**6
+            admission.in_flight = 10**6
             assert (await tier.request()).head.status == 503
-            admission.out = 0
+            admission.in_flight = 0
 
     run(play())
     assert [record["reason"] for record in requests(records)] == ["refused"]
--- a/tests/golden/datagram_cases.py
+++ b/tests/golden/datagram_cases.py
@@ -112,7 +112,7 @@
 def _batch_admission_beat() -> bytes:
     admission = BatchAdmission(INCARNATION)
     admission.rescale(100.0, slots=8, gateways=2)
-    admission.out = 3
+    admission.in_flight = 3
     return datagram.write_heartbeat(datagram.BATCH, {datagram.service_number("chat"): admission.beat()})
 
 
