--- a/pewterring/batch/dispatch.py
+++ b/pewterring/batch/dispatch.py
@@ -163,7 +163,7 @@
         if assignment.in_prefill:
             self._end_prefill(assignment)
         worker = assignment.worker
-        worker.out -= 1
+        worker.in_flight -= 1
         self._admissions.of(assignment.service).in_flight -= 1
         now = self._clock()
         if outcome is ExchangeOutcome.ANSWERED:
@@ -182,7 +182,7 @@
 
     def _begin(self, item: QueuedItem, assignment: _Assignment) -> None:
         self._assignments[item] = assignment
-        assignment.worker.out += 1
+        assignment.worker.in_flight += 1
         assignment.worker.pending_tokens += assignment.tokens
         self._admissions.of(assignment.service).in_flight += 1
 
@@ -217,7 +217,7 @@
     """
     if not all(worker.suspect(now) for worker in workers):
         return None
-    due = [worker for worker in workers if worker.out == 0 and now - worker.failed_at >= PROBE_AFTER_S]
+    due = [worker for worker in workers if worker.in_flight == 0 and now - worker.failed_at >= PROBE_AFTER_S]
     return min(due, key=lambda worker: worker.failed_at, default=None)
 
 
@@ -234,4 +234,4 @@
 def _has_capacity(now: float, worker: WorkerState, per_token_s: float) -> bool:
     if worker.suspect(now) or worker.pending_tokens * per_token_s > MAX_PREFILL_S:
         return False
-    return worker.load(now) < MAX_WORKER_LOAD or worker.out == 0 == worker.others(now)
+    return worker.load(now) < MAX_WORKER_LOAD or worker.in_flight == 0 == worker.others(now)
--- a/pewterring/gateway/live_attempt.py
+++ b/pewterring/gateway/live_attempt.py
@@ -154,8 +154,10 @@
         self._wait_s = wait_s = self._context.chooser.wait_s(now, worker, times)  # for prompts sent before
         prefill_s = times.per_token_s * tokens
         if admitted.trace is not None:
-            admitted.trace.sent(AttemptStart(now, worker.record.id, tokens, prefill_s, wait_s, worker.out))
-        worker.out += 1
+            admitted.trace.sent(
+                AttemptStart(now, worker.record.id, tokens, prefill_s, wait_s, worker.in_flight)
+            )
+        worker.in_flight += 1
         worker.pending_tokens += tokens
         worker.expect_reading(now, prefill_s)
         expected_s = times.expected(tokens)
@@ -192,7 +194,7 @@
         except TimeoutError:
             return AttemptEnd.MAY_HAVE_RUN if self._stream.exchange.sent else AttemptEnd.NOT_RUN
         finally:
-            self._worker.out -= 1
+            self._worker.in_flight -= 1
             self._worker.pending_tokens -= self._pending_tokens
             context.stalls.remove(self._watched)
             self._stream.cancel()
--- a/pewterring/routing/worker_state.py
+++ b/pewterring/routing/worker_state.py
@@ -23,7 +23,7 @@
 
     def __init__(self, record: WorkerRecord, memory_tokens: int) -> None:
         self.record = record
-        self.out = 0  # own attempts in flight
+        self.in_flight = 0  # own attempts in flight
         # Position among the workers of its zone in this process's order of preference, from 0 to 1.
         self.preference_offset = 0.0
         self.pending_tokens = 0  # prefill tokens of own attempts that are waiting for their first byte
@@ -48,11 +48,11 @@
 
     def load(self, now: float) -> float:
         """Attempts in flight at the worker, from this and other processes, divided by its slots."""
-        return (self.out + self.others(now)) / max(1, self.record.capacity)
+        return (self.in_flight + self.others(now)) / max(1, self.record.capacity)
 
     def take_report(self, now: float, running: int, waiting: int) -> None:
         """Takes the worker's load report: its numbers of running and of waiting requests."""
-        self._reported = max(0.0, running + waiting - self.out)
+        self._reported = max(0.0, running + waiting - self.in_flight)
         self._reported_at = now
 
     def uncached(self, prompt: Prompt) -> int:
@@ -170,4 +170,4 @@
         """Whether a failure is recent, or an attempt in flight may still show that the worker recovered."""
         if self._suspect_until == -math.inf:
             return False
-        return now < self._suspect_until or self.out > 0
+        return now < self._suspect_until or self.in_flight > 0
--- a/tests/gateway/test_live_request.py
+++ b/tests/gateway/test_live_request.py
@@ -351,7 +351,7 @@
         with contextlib.suppress(ExchangeError):
             await tier.request()
         worker = tier.context.chooser.workers["w0"]
-        assert (worker.out, worker.pending_tokens) == (0, 0)
+        assert (worker.in_flight, worker.pending_tokens) == (0, 0)
 
     play(tier, story)
 
--- a/tests/routing/test_chooser.py
+++ b/tests/routing/test_chooser.py
@@ -36,7 +36,7 @@
     connected = {"10.0.0.7:80"}
     chooser = new_chooser(connected)
     first = chosen_worker(chooser)
-    first.out += 1
+    first.in_flight += 1
     connected.clear()  # its connection is in use
     assert chosen_worker(chooser) is not first
 
