--- a/pewterring/routing/chooser.py
+++ b/pewterring/routing/chooser.py
@@ -161,9 +161,9 @@
 
         None if a healthy worker is known to have the shared blocks cached, or if the prompt shares none.
         """
-        if len(prompt.parts) < 2:
+        if len(prompt.blocks) < 2:
             return None
-        shared = prompt.parts[-2][0]
+        shared = prompt.blocks[-2][0]
         healthy = [state for state in states if not state.suspect(now)]
         if any(state.keeps(shared) for state in healthy):
             return None
@@ -182,8 +182,8 @@
         self, now: float, state: WorkerState, prompt: Prompt, times: ServiceTimes, has_affinity: bool
     ) -> float:
         tokens = state.uncached(prompt)
-        if has_affinity and prompt.parts:
-            tokens = min(tokens, prompt.parts[-1][1])  # other processes send the shared blocks there
+        if has_affinity and prompt.blocks:
+            tokens = min(tokens, prompt.blocks[-1][1])  # other processes send the shared blocks there
         load = state.load(now)
         wait_s = max(state.congested_s(now), self.wait_s(now, state, times))
         cost = times.base_s * (1 + load) + times.per_token_s * tokens + wait_s
--- a/pewterring/routing/prompt.py
+++ b/pewterring/routing/prompt.py
@@ -15,7 +15,7 @@
     The last block belongs to the request or its session alone; those before it may be shared with others.
     """
 
-    parts: tuple[tuple[int, int], ...] = ()
+    blocks: tuple[tuple[int, int], ...] = ()
     prompt_tokens: int = 0
     output_tokens: int = 0  # upper bound
 
--- a/pewterring/routing/prompt_hints.py
+++ b/pewterring/routing/prompt_hints.py
@@ -37,17 +37,17 @@
 
     worker: int
     tokens: int
-    parts: tuple[tuple[int, int], ...]
+    blocks: tuple[tuple[int, int], ...]
 
 
 def hint_of(worker_id: str, tokens: int, prompt: Prompt) -> PromptHint:
     """Builds the hint for a prompt, without its last block, which belongs to the request alone."""
-    return PromptHint(worker_number(worker_id), tokens, prompt.parts[:-1][:MAX_BLOCKS])
+    return PromptHint(worker_number(worker_id), tokens, prompt.blocks[:-1][:MAX_BLOCKS])
 
 
 def write_hint(hint: PromptHint) -> bytes:
     """Encodes a prompt hint as one datagram."""
-    blocks = [BLOCK.pack(*block) for block in hint.parts]
+    blocks = [BLOCK.pack(*block) for block in hint.blocks]
     return HEAD.pack(MAGIC, len(blocks), hint.worker, hint.tokens) + b"".join(blocks)
 
 
--- a/pewterring/routing/worker_state.py
+++ b/pewterring/routing/worker_state.py
@@ -58,7 +58,7 @@
     def uncached(self, prompt: Prompt) -> int:
         """Prefill tokens of a prompt: all tokens from its first block on that is not cached."""
         remaining = prompt.prompt_tokens
-        for block, tokens in prompt.parts:
+        for block, tokens in prompt.blocks:
             if block not in self._cached:
                 break
             remaining -= tokens
@@ -124,7 +124,7 @@
 
     def keep(self, prompt: Prompt) -> None:
         """Notes that the worker has done the prompt's prefill; least recently used blocks are evicted."""
-        self._add_to_cache(prompt.parts)
+        self._add_to_cache(prompt.blocks)
 
     def _add_to_cache(self, blocks: tuple[tuple[int, int], ...]) -> None:
         for block, tokens in blocks:
--- a/tests/routing/test_prompt.py
+++ b/tests/routing/test_prompt.py
@@ -8,7 +8,7 @@
 
 def test_blocks_are_parsed_in_order_with_their_tokens() -> None:
     prompt = read_prompt("5c1e07a2:800, 91bd3f06:410,e4402b7d:250", "1460,80")
-    assert [tokens for _, tokens in prompt.parts] == [800, 410, 250]
+    assert [tokens for _, tokens in prompt.blocks] == [800, 410, 250]
     assert (prompt.prompt_tokens, prompt.output_tokens, prompt.tokens) == (1460, 80, 1540)
 
 
--- a/tests/routing/test_prompt_hints.py
+++ b/tests/routing/test_prompt_hints.py
@@ -43,7 +43,7 @@
     prompt = read_prompt("aa:13000,bb:3700", "16700,100")
     hint = hint_of("w1", 16700, prompt)
     assert read_hint(write_hint(hint)) == hint
-    assert hint.parts == prompt.parts[:1]
+    assert hint.blocks == prompt.blocks[:1]
 
 
 def test_data_that_is_not_a_hint_is_rejected() -> None:
@@ -64,7 +64,7 @@
 def test_a_prompt_goes_to_the_worker_that_cached_its_shared_blocks_for_another_gateway() -> None:
     chooser = chooser_with(8)
     prompt = read_prompt("aa:13000,bb:700", "13700,100")
-    chooser.workers["w5"].announce(0.0, 0.1, prompt.parts[:-1])
+    chooser.workers["w5"].announce(0.0, 0.1, prompt.blocks[:-1])
     assert chooser.choose(1.0, "s", prompt) is chooser.workers["w5"]
 
 
