--- a/pewterring/gateway/stall_detector.py
+++ b/pewterring/gateway/stall_detector.py
@@ -54,7 +54,7 @@
         prefill of their own prompts was done again elsewhere.
         """
         heard_at = max(self.active_at, self.worker.heard_at)
-        prefill_s = min(MAX_PREFILL_ALLOWANCE_S, self.worker.reading_after(heard_at))
+        prefill_s = min(MAX_PREFILL_ALLOWANCE_S, self.worker.prefill_s_after(heard_at))
         return now - heard_at > self.idle_timeout_s + prefill_s
 
 
--- a/pewterring/routing/worker_state.py
+++ b/pewterring/routing/worker_state.py
@@ -74,14 +74,14 @@
         The prompt's shared blocks count as cached from now on.
         """
         self._announced_until = max(now, self._announced_until) + seconds
-        self.expect_reading(now, seconds)
+        self.expect_prefill(now, seconds)
         self._add_to_cache(blocks)
 
-    def expect_reading(self, now: float, seconds: float) -> None:
+    def expect_prefill(self, now: float, seconds: float) -> None:
         """Notes that the worker was sent a prompt whose prefill takes `seconds`."""
         self._prefill_until = max(now, self._prefill_until) + seconds
 
-    def reading_after(self, moment: float) -> float:
+    def prefill_s_after(self, moment: float) -> float:
         """Seconds of prefill that remain after `moment`, as far as this process knows."""
         return max(0.0, self._prefill_until - moment)
 
--- a/tests/gateway/test_stall_detector.py
+++ b/tests/gateway/test_stall_detector.py
@@ -71,13 +71,13 @@
 
 def test_prefills_explain_that_it_is_idle() -> None:
     watched = Watched()
-    watched.worker.expect_reading(0.0, 0.3)
+    watched.worker.expect_prefill(0.0, 0.3)
     assert watched.interrupted_at() == pytest.approx(PATIENCE_S + 0.3 + CHECK_INTERVAL_S)
 
 
 def test_prefills_explain_a_bounded_idle_time() -> None:
     watched = Watched()
-    watched.worker.expect_reading(0.0, 60.0)
+    watched.worker.expect_prefill(0.0, 60.0)
     assert watched.interrupted_at() == pytest.approx(PATIENCE_S + MAX_PREFILL_ALLOWANCE_S + CHECK_INTERVAL_S)
 
 
--- a/tests/routing/test_worker_state.py
+++ b/tests/routing/test_worker_state.py
@@ -53,9 +53,9 @@
 
 def test_expected_prefills_add_up_and_are_done_with_time() -> None:
     state = worker_state()
-    state.expect_reading(10.0, 0.2)
+    state.expect_prefill(10.0, 0.2)
     state.announce(10.1, 0.3, ())
-    assert state.reading_after(10.1) == pytest.approx(0.4)
-    assert state.reading_after(11.0) == 0.0
-    state.expect_reading(12.0, 0.1)
-    assert state.reading_after(12.0) == pytest.approx(0.1)
+    assert state.prefill_s_after(10.1) == pytest.approx(0.4)
+    assert state.prefill_s_after(11.0) == 0.0
+    state.expect_prefill(12.0, 0.1)
+    assert state.prefill_s_after(12.0) == pytest.approx(0.1)
