--- a/pewterring/gateway/program.py
+++ b/pewterring/gateway/program.py
@@ -202,7 +202,7 @@
         """Sends admission's heartbeats to the other gateways and stores, without end."""
         while True:
             await asyncio.sleep(HEARTBEAT_PERIOD_S)
-            if self.chooser.has_silent:  # those that answer no more take their slots with them
+            if self.chooser.has_unresponsive:  # those that answer no more take their slots with them
                 self.admissions.update(self.clock(), self.feed.tables, self.chooser)
             heartbeats = self.admissions.tick(self.clock())
             self._heartbeats.send(heartbeats, self.feed.tables.nodes)
--- a/pewterring/gateway/stall_detector.py
+++ b/pewterring/gateway/stall_detector.py
@@ -96,7 +96,7 @@
         if not attempt.is_overdue(now):
             return
         if not attempt.worker.suspect(now):
-            attempt.worker.fell_silent(now)
+            attempt.worker.mark_unresponsive(now)
         if attempt.may_retry:
             self._attempts.discard(attempt)
             attempt.stream.interrupt(WorkerUnresponsiveError("the worker is unresponsive"))
--- a/pewterring/routing/chooser.py
+++ b/pewterring/routing/chooser.py
@@ -114,7 +114,7 @@
         return service.engine.kv_tokens if service and service.engine else 0
 
     @property
-    def has_silent(self) -> bool:
+    def has_unresponsive(self) -> bool:
         """Whether control considers any worker unresponsive."""
         return bool(self._unresponsive)
 
--- a/pewterring/routing/worker_state.py
+++ b/pewterring/routing/worker_state.py
@@ -91,7 +91,7 @@
         if self._is_unresponsive:
             self.answered()
 
-    def fell_silent(self, now: float) -> None:
+    def mark_unresponsive(self, now: float) -> None:
         """Makes the worker suspect because it sent nothing for too long; its blocks still count as cached.
 
         Otherwise a worker that was busy with a long prefill would count as one that had lost its cache, and
--- a/tests/routing/test_worker_state.py
+++ b/tests/routing/test_worker_state.py
@@ -39,7 +39,7 @@
 def test_an_unresponsive_worker_keeps_its_cached_blocks_and_recovers_with_its_next_byte() -> None:
     state = WorkerState(WorkerRecord("w1", "s", "10.0.0.1:80", "z", 4, "ready"), 1000)
     state.announce(0.0, 0.1, BLOCKS)
-    state.fell_silent(1.0)
+    state.mark_unresponsive(1.0)
     assert state.suspect(1.1)
     assert state.keeps(1)
     state.heard(1.2)
