--- a/pewterring/batch/dispatch.py
+++ b/pewterring/batch/dispatch.py
@@ -145,7 +145,7 @@
             times.learn(assignment.tokens, seconds)
         ratio = seconds / max(MIN_EXPECTED_S, expected)
         assignment.worker.note_ratio(ratio)
-        assignment.worker.keep(assignment.prompt)
+        assignment.worker.record_cached(assignment.prompt)
         kind = RequestClass("/".join(item.route), aim=math.inf, deadline=math.inf)
         self._admissions.of(assignment.service).observe(now, kind, ratio)
 
--- a/pewterring/gateway/live_attempt.py
+++ b/pewterring/gateway/live_attempt.py
@@ -316,7 +316,7 @@
         self._pending_tokens = 0
         self._watched.idle_timeout_s = self._idle_timeout_s()
         self._watched.expected_s = math.inf
-        worker.keep(admitted.prompt)
+        worker.record_cached(admitted.prompt)
         seconds = now - self._sent_at
         times = self._context.chooser.times_of(admitted.service)
         expected_s = times.expected(self._tokens) + self._wait_s
--- a/pewterring/routing/chooser.py
+++ b/pewterring/routing/chooser.py
@@ -165,7 +165,7 @@
             return None
         shared = prompt.blocks[-2][0]
         healthy = [state for state in states if not state.suspect(now)]
-        if any(state.keeps(shared) for state in healthy):
+        if any(state.has_cached(shared) for state in healthy):
             return None
         return max(healthy or states, key=lambda state: zlib.crc32(f"{shared}/{state.record.id}".encode()))
 
--- a/pewterring/routing/worker_state.py
+++ b/pewterring/routing/worker_state.py
@@ -118,11 +118,11 @@
         self.failed(now)
         self.heard_at = -math.inf
 
-    def keeps(self, block: int) -> bool:
+    def has_cached(self, block: int) -> bool:
         """Whether a block is assumed to be cached."""
         return block in self._cached
 
-    def keep(self, prompt: Prompt) -> None:
+    def record_cached(self, prompt: Prompt) -> None:
         """Notes that the worker has done the prompt's prefill; least recently used blocks are evicted."""
         self._add_to_cache(prompt.blocks)
 
--- a/tests/gateway/test_stall_detector.py
+++ b/tests/gateway/test_stall_detector.py
@@ -60,7 +60,7 @@
     watched.worker.announce(0.0, 0.0, ((1, 100),))
     assert watched.interrupted_at() == pytest.approx(PATIENCE_S + CHECK_INTERVAL_S)
     assert watched.worker.suspect(watched.now)
-    assert watched.worker.keeps(1)
+    assert watched.worker.has_cached(1)
 
 
 def test_what_may_not_run_twice_stays_where_it_is() -> None:
--- a/tests/routing/test_worker_state.py
+++ b/tests/routing/test_worker_state.py
@@ -41,14 +41,14 @@
     state.announce(0.0, 0.1, BLOCKS)
     state.mark_unresponsive(1.0)
     assert state.suspect(1.1)
-    assert state.keeps(1)
+    assert state.has_cached(1)
     state.heard(1.2)
     assert not state.suspect(1.2)
-    assert state.keeps(1)
+    assert state.has_cached(1)
     state.failed(2.0)
     state.heard(2.1)  # a byte of another attempt: the worker may have lost its cache when it failed
     assert state.suspect(2.1)
-    assert not state.keeps(1)
+    assert not state.has_cached(1)
 
 
 def test_expected_prefills_add_up_and_are_done_with_time() -> None:
