--- a/pewterring/batch/dispatch.py
+++ b/pewterring/batch/dispatch.py
@@ -167,12 +167,12 @@
         self._admissions.of(assignment.service).in_flight -= 1
         now = self._clock()
         if outcome is ExchangeOutcome.ANSWERED:
-            worker.answered()
+            worker.record_success()
         elif outcome is ExchangeOutcome.REFUSED and worker.load(now) >= NEARLY_FULL_LOAD:
             worker.take_report(now, worker.record.capacity, 0)
         elif outcome in FAULT_OUTCOMES and (assignment.is_probe or not worker.suspect(now)):
             # For workers that crash or leave: all their items end at once, which counts as one failure.
-            worker.failed(now)
+            worker.record_failure(now)
 
     @staticmethod
     def _assignment(now: float, service: str, worker: WorkerState, prompt: Prompt) -> _Assignment:
--- a/pewterring/gateway/live_attempt.py
+++ b/pewterring/gateway/live_attempt.py
@@ -204,7 +204,7 @@
             self._admitted.trace.failure = type(error).__name__
         if not isinstance(error, WorkerUnresponsiveError):  # the detector has marked the worker
             certain = not isinstance(error, AnswerBrokenError | StaleConnectionError)
-            self._worker.failed(self._now(), certain=certain)
+            self._worker.record_failure(self._now(), certain=certain)
 
     async def _read(self) -> AttemptEnd:
         head = await self._stream.next_part()
@@ -222,7 +222,7 @@
         body = await self._read_body()
         if verdict is Verdict.NOT_RUN:
             if is_misdirected(self._admitted.request, head):
-                worker.misdirected(self._now())
+                worker.record_wrong_worker(self._now())
             return AttemptEnd.NOT_RUN
         if verdict is Verdict.FAILURE or self._progress.begun:
             return self._keep_failure(head, body)
@@ -243,7 +243,7 @@
 
     async def _pass_answer(self, head: AnswerHead, body: bytes) -> AttemptEnd:
         self._learn_from_first_byte()
-        self._worker.answered()
+        self._worker.record_success()
         if self._admitted.trace is not None:
             self._admitted.trace.event(self._worker.heard_at)
         await self._admitted.responder.respond(head.status, client_headers(head), body)
@@ -264,7 +264,7 @@
             self._begin_answer(head)
         responder.write(splitter.pending)  # empty lines at most
         responder.end()
-        worker.answered()
+        worker.record_success()
         return AttemptEnd.DONE
 
     def _pass_events(self, events: list[StreamEvent], head: AnswerHead) -> None:
--- a/pewterring/routing/worker_state.py
+++ b/pewterring/routing/worker_state.py
@@ -89,7 +89,7 @@
         """Notes that a byte of a response arrived from the worker."""
         self.heard_at = now
         if self._is_unresponsive:
-            self.answered()
+            self.record_success()
 
     def mark_unresponsive(self, now: float) -> None:
         """Makes the worker suspect because it sent nothing for too long; its blocks still count as cached.
@@ -113,9 +113,9 @@
         """Whether the worker responded to this process recently, whatever control knows of it."""
         return now - self.heard_at < VOUCHED_S
 
-    def misdirected(self, now: float) -> None:
+    def record_wrong_worker(self, now: float) -> None:
         """Notes that another worker responds at this worker's address."""
-        self.failed(now)
+        self.record_failure(now)
         self.heard_at = -math.inf
 
     def has_cached(self, block: int) -> bool:
@@ -141,7 +141,7 @@
         """Takes a sample of slowness: the observed over the expected time to a first byte."""
         self.slowness += (min(MAX_RATIO, ratio) - self.slowness) * SLOWNESS_WEIGHT
 
-    def failed(self, now: float, certain: bool = True) -> None:
+    def record_failure(self, now: float, certain: bool = True) -> None:
         """Notes a failed attempt, and makes the worker suspect for a time that doubles with each failure.
 
         Not `certain`: a response was truncated or corrupt, which may happen once at a healthy worker. Such a
@@ -160,7 +160,7 @@
         self._suspect_until = now + min(MAX_SUSPECT_S, SUSPECT_S * 2**doublings)
         self.failed_at = now
 
-    def answered(self) -> None:
+    def record_success(self) -> None:
         """Notes a successful attempt, after which the worker is no longer suspect."""
         self._failures = 0
         self._is_unresponsive = False
--- a/tests/batch/test_dispatch.py
+++ b/tests/batch/test_dispatch.py
@@ -263,8 +263,8 @@
     first = fixture.assign()
     assert first is not None
     fixture.dispatcher.finished(fixture.items[0], ExchangeOutcome.TRUNCATED)
-    fixture.chooser.workers[first.id].failed(fixture.clock.now)
-    fixture.chooser.workers[first.id].failed(fixture.clock.now)
+    fixture.chooser.workers[first.id].record_failure(fixture.clock.now)
+    fixture.chooser.workers[first.id].record_failure(fixture.clock.now)
     fixture.clock.now += PROBE_AFTER_S + 0.01
     assigned = {found.id for found in iter(fixture.assign, None)}
     assert assigned == {"w1", "w22"} - {first.id}
--- a/tests/routing/test_prompt_hints.py
+++ b/tests/routing/test_prompt_hints.py
@@ -83,7 +83,7 @@
     chooser = chooser_with(8)
     preferred = chooser.choose(0.0, "s", prompt)
     assert preferred is not None
-    preferred.failed(0.0)
+    preferred.record_failure(0.0)
     assert chooser.choose(0.1, "s", prompt) is not preferred
 
 
--- a/tests/routing/test_worker_state.py
+++ b/tests/routing/test_worker_state.py
@@ -19,7 +19,7 @@
     state = worker_state()
     times_s = []
     for _ in range(6):
-        state.failed(0.0)
+        state.record_failure(0.0)
         times_s.append(suspect_for_s(state))
     assert times_s == [SUSPECT_S, 2.0, 4.0, MAX_SUSPECT_S, MAX_SUSPECT_S, MAX_SUSPECT_S]
 
@@ -27,9 +27,9 @@
 def test_a_worker_may_fail_any_number_of_times() -> None:
     state = worker_state()
     for _ in range(3000):
-        state.failed(0.0)
+        state.record_failure(0.0)
     assert suspect_for_s(state) == MAX_SUSPECT_S
-    state.answered()
+    state.record_success()
     assert not state.suspect(0.0)
 
 
@@ -45,7 +45,7 @@
     state.heard(1.2)
     assert not state.suspect(1.2)
     assert state.has_cached(1)
-    state.failed(2.0)
+    state.record_failure(2.0)
     state.heard(2.1)  # a byte of another attempt: the worker may have lost its cache when it failed
     assert state.suspect(2.1)
     assert not state.has_cached(1)
