--- a/pewterring/gateway/live_attempt.py
+++ b/pewterring/gateway/live_attempt.py
@@ -210,10 +210,10 @@
         head = await self._stream.next_part()
         assert isinstance(head, AnswerHead)
         worker = self._worker
-        worker.heard(self._now())
+        worker.record_byte(self._now())
         load = read_load(head)
         if load is not None:
-            worker.take_report(worker.heard_at, load.running, load.waiting)
+            worker.take_report(worker.last_byte_at, load.running, load.waiting)
         verdict = judge(head)
         if verdict is Verdict.UNUSABLE:
             raise AnswerBrokenError(f"an answer of status {head.status} that may not reach the client")
@@ -245,7 +245,7 @@
         self._learn_from_first_byte()
         self._worker.record_success()
         if self._admitted.trace is not None:
-            self._admitted.trace.event(self._worker.heard_at)
+            self._admitted.trace.event(self._worker.last_byte_at)
         await self._admitted.responder.respond(head.status, client_headers(head), body)
         return AttemptEnd.DONE
 
@@ -254,7 +254,7 @@
         while (chunk := await self._stream.next_part()) is not None:
             if not isinstance(chunk, bytes):
                 continue
-            worker.heard(self._now())
+            worker.record_byte(self._now())
             self._pass_events(splitter.feed(chunk), head)
             if responder.paused:
                 await responder.drain()
@@ -284,7 +284,7 @@
         if not self._progress.begun:
             self._begin_answer(head)
         if self._admitted.trace is not None:
-            self._admitted.trace.event(self._worker.heard_at)
+            self._admitted.trace.event(self._worker.last_byte_at)
         self._admitted.responder.write(b"".join(event.raw for event in events))
         self._progress.last_event_id = events[-1].id
 
--- a/pewterring/gateway/stall_detector.py
+++ b/pewterring/gateway/stall_detector.py
@@ -53,7 +53,7 @@
         Symptom answered: streams were taken away from workers that were busy with a long prefill, and the
         prefill of their own prompts was done again elsewhere.
         """
-        heard_at = max(self.active_at, self.worker.heard_at)
+        heard_at = max(self.active_at, self.worker.last_byte_at)
         prefill_s = min(MAX_PREFILL_ALLOWANCE_S, self.worker.prefill_s_after(heard_at))
         return now - heard_at > self.idle_timeout_s + prefill_s
 
--- a/pewterring/routing/worker_state.py
+++ b/pewterring/routing/worker_state.py
@@ -32,7 +32,7 @@
         self._cached_tokens = 0
         self._announced_until = -math.inf  # when prefills that other gateways announced will be done
         self._congested_until = -math.inf  # until when a new request would probably wait, by hints of waits
-        self.heard_at = -math.inf  # when any byte of a response last arrived from it
+        self.last_byte_at = -math.inf  # when any byte of a response last arrived from it
         self._is_unresponsive = False  # it is suspect only because it sends nothing
         self._prefill_until = -math.inf  # when all prefills known to this process will be done
         self._reported = 0.0  # attempts of other processes by the last load report
@@ -85,9 +85,9 @@
         """Seconds of prefill that remain after `moment`, as far as this process knows."""
         return max(0.0, self._prefill_until - moment)
 
-    def heard(self, now: float) -> None:
+    def record_byte(self, now: float) -> None:
         """Notes that a byte of a response arrived from the worker."""
-        self.heard_at = now
+        self.last_byte_at = now
         if self._is_unresponsive:
             self.record_success()
 
@@ -111,12 +111,12 @@
 
     def vouched(self, now: float) -> bool:
         """Whether the worker responded to this process recently, whatever control knows of it."""
-        return now - self.heard_at < VOUCHED_S
+        return now - self.last_byte_at < VOUCHED_S
 
     def record_wrong_worker(self, now: float) -> None:
         """Notes that another worker responds at this worker's address."""
         self.record_failure(now)
-        self.heard_at = -math.inf
+        self.last_byte_at = -math.inf
 
     def has_cached(self, block: int) -> bool:
         """Whether a block is assumed to be cached."""
--- a/tests/gateway/test_stall_detector.py
+++ b/tests/gateway/test_stall_detector.py
@@ -83,7 +83,7 @@
 
 def test_a_byte_of_any_answer_restarts_the_idle_timeout() -> None:
     watched = Watched()
-    watched.worker.heard(0.2)
+    watched.worker.record_byte(0.2)
     assert watched.interrupted_at() == pytest.approx(0.2 + PATIENCE_S + CHECK_INTERVAL_S)
 
 
--- a/tests/gateway/test_unresponsive_workers.py
+++ b/tests/gateway/test_unresponsive_workers.py
@@ -105,7 +105,7 @@
 def test_the_slots_of_an_unresponsive_worker_go_when_it_answers_no_more() -> None:
     async def play() -> None:
         async with gateway(answered, answered) as tier:
-            tier.program.chooser.workers["w0"].heard_at = now()
+            tier.program.chooser.workers["w0"].last_byte_at = now()
             ticking = asyncio.create_task(tier.program.send_heartbeats())
             set_state(tier, "silent", "w0")
             limit = tier.program.admissions.of("s").ceiling
--- a/tests/routing/test_worker_state.py
+++ b/tests/routing/test_worker_state.py
@@ -42,11 +42,11 @@
     state.mark_unresponsive(1.0)
     assert state.suspect(1.1)
     assert state.has_cached(1)
-    state.heard(1.2)
+    state.record_byte(1.2)
     assert not state.suspect(1.2)
     assert state.has_cached(1)
     state.record_failure(2.0)
-    state.heard(2.1)  # a byte of another attempt: the worker may have lost its cache when it failed
+    state.record_byte(2.1)  # a byte of another attempt: the worker may have lost its cache when it failed
     assert state.suspect(2.1)
     assert not state.has_cached(1)
 
