--- a/pewterring/routing/chooser.py
+++ b/pewterring/routing/chooser.py
@@ -127,7 +127,7 @@
         unresponsive = self._unresponsive.get(service)
         if not unresponsive:
             return ready
-        return (*ready, *(state for state in unresponsive if state.vouched(now)))
+        return (*ready, *(state for state in unresponsive if state.is_reachable(now)))
 
     def slots(self, now: float, service: str) -> int:
         """Total slots of the workers of a service that may get requests."""
--- a/pewterring/routing/worker_state.py
+++ b/pewterring/routing/worker_state.py
@@ -14,7 +14,7 @@
 SLOWNESS_WEIGHT = 0.1  # weight of one sample in the moving average
 # How long after its last response a worker still gets requests from this process while control receives none
 # of its heartbeats. Shorter than the time after which control considers a crashed worker unresponsive.
-VOUCHED_S = 2.0
+REACHABLE_S = 2.0
 CACHE_FRACTION = 0.8  # fraction of the worker's memory that is assumed to hold cached blocks
 
 
@@ -109,9 +109,9 @@
         """Seconds that a request would probably wait, for other reasons than known prefills."""
         return max(0.0, self._congested_until - now)
 
-    def vouched(self, now: float) -> bool:
+    def is_reachable(self, now: float) -> bool:
         """Whether the worker responded to this process recently, whatever control knows of it."""
-        return now - self.last_byte_at < VOUCHED_S
+        return now - self.last_byte_at < REACHABLE_S
 
     def record_wrong_worker(self, now: float) -> None:
         """Notes that another worker responds at this worker's address."""
--- a/tests/gateway/test_unresponsive_workers.py
+++ b/tests/gateway/test_unresponsive_workers.py
@@ -6,7 +6,7 @@
 import pytest
 
 from pewterring.distribution.tables import Tables
-from pewterring.routing.worker_state import VOUCHED_S
+from pewterring.routing.worker_state import REACHABLE_S
 from pewterring.transport.http_request import ServerRequest
 from pewterring.transport.http_responder import Responder
 from tests.gateway.gateway import Behaviour, Gateway, answered, gateway
@@ -39,7 +39,7 @@
             set_state(tier, "silent", "w0")
             for _ in range(20):
                 assert (await tier.request()).head.status == 200
-                await asyncio.sleep(VOUCHED_S / 2)
+                await asyncio.sleep(REACHABLE_S / 2)
             assert slots(tier) == 4
 
     run(play())
@@ -49,7 +49,7 @@
     async def play() -> None:
         async with gateway(answered) as tier:
             await tier.request()
-            await asyncio.sleep(VOUCHED_S)
+            await asyncio.sleep(REACHABLE_S)
             set_state(tier, "silent", "w0")
             assert (await tier.request()).head.status == 503
             assert slots(tier) == 0
@@ -82,7 +82,7 @@
             behaviours.pop(0)
             assert (await tier.request()).head.status == 503
             sent = len(tier.seen)
-            await asyncio.sleep(VOUCHED_S / 4)  # its trust would not have run out by itself
+            await asyncio.sleep(REACHABLE_S / 4)  # its trust would not have run out by itself
             assert (await tier.request()).head.status == 503
             assert len(tier.seen) == sent
 
@@ -110,7 +110,7 @@
             set_state(tier, "silent", "w0")
             limit = tier.program.admissions.of("s").ceiling
             assert limit.rating == 8.0
-            await asyncio.sleep(2 * VOUCHED_S)
+            await asyncio.sleep(2 * REACHABLE_S)
             assert limit.rating == 4.0
             ticking.cancel()
 
