--- a/pewterring/batch/dispatch.py
+++ b/pewterring/batch/dispatch.py
@@ -170,7 +170,7 @@
             worker.record_success()
         elif outcome is ExchangeOutcome.REFUSED and worker.load(now) >= NEARLY_FULL_LOAD:
             worker.take_report(now, worker.record.capacity, 0)
-        elif outcome in FAULT_OUTCOMES and (assignment.is_probe or not worker.suspect(now)):
+        elif outcome in FAULT_OUTCOMES and (assignment.is_probe or not worker.is_suspect(now)):
             # For workers that crash or leave: all their items end at once, which counts as one failure.
             worker.record_failure(now)
 
@@ -178,7 +178,7 @@
     def _assignment(now: float, service: str, worker: WorkerState, prompt: Prompt) -> _Assignment:
         is_unqueued = not worker.pending_tokens and worker.load(now) < NEARLY_FULL_LOAD
         tokens = worker.uncached(prompt)
-        return _Assignment(service, worker, prompt, tokens, now, worker.suspect(now), is_unqueued)
+        return _Assignment(service, worker, prompt, tokens, now, worker.is_suspect(now), is_unqueued)
 
     def _begin(self, item: QueuedItem, assignment: _Assignment) -> None:
         self._assignments[item] = assignment
@@ -215,7 +215,7 @@
     Symptom answered: after a store was cut off from all workers, items waited for up to eight seconds though
     the workers were free. An item can wait for an attempt that fails; a live request could not.
     """
-    if not all(worker.suspect(now) for worker in workers):
+    if not all(worker.is_suspect(now) for worker in workers):
         return None
     due = [worker for worker in workers if worker.in_flight == 0 and now - worker.failed_at >= PROBE_AFTER_S]
     return min(due, key=lambda worker: worker.failed_at, default=None)
@@ -232,6 +232,6 @@
 
 
 def _has_capacity(now: float, worker: WorkerState, per_token_s: float) -> bool:
-    if worker.suspect(now) or worker.pending_tokens * per_token_s > MAX_PREFILL_S:
+    if worker.is_suspect(now) or worker.pending_tokens * per_token_s > MAX_PREFILL_S:
         return False
     return worker.load(now) < MAX_WORKER_LOAD or worker.in_flight == 0 == worker.others(now)
--- a/pewterring/gateway/stall_detector.py
+++ b/pewterring/gateway/stall_detector.py
@@ -95,7 +95,7 @@
                 self._announce_wait(attempt.worker, wait_s)
         if not attempt.is_overdue(now):
             return
-        if not attempt.worker.suspect(now):
+        if not attempt.worker.is_suspect(now):
             attempt.worker.mark_unresponsive(now)
         if attempt.may_retry:
             self._attempts.discard(attempt)
--- a/pewterring/routing/chooser.py
+++ b/pewterring/routing/chooser.py
@@ -164,7 +164,7 @@
         if len(prompt.blocks) < 2:
             return None
         shared = prompt.blocks[-2][0]
-        healthy = [state for state in states if not state.suspect(now)]
+        healthy = [state for state in states if not state.is_suspect(now)]
         if any(state.has_cached(shared) for state in healthy):
             return None
         return max(healthy or states, key=lambda state: zlib.crc32(f"{shared}/{state.record.id}".encode()))
@@ -195,7 +195,7 @@
             cost += NEW_CONNECTION_COST * times.base_s
         cost += PREFERENCE_COST * state.preference_offset * times.base_s
         cost *= max(1.0, state.slowness / SLOW_RATIO)
-        if state.suspect(now):
+        if state.is_suspect(now):
             cost += SUSPECT_COST * times.base_s
         return cost
 
--- a/pewterring/routing/worker_state.py
+++ b/pewterring/routing/worker_state.py
@@ -166,7 +166,7 @@
         self._is_unresponsive = False
         self._suspect_until = -math.inf
 
-    def suspect(self, now: float) -> bool:
+    def is_suspect(self, now: float) -> bool:
         """Whether a failure is recent, or an attempt in flight may still show that the worker recovered."""
         if self._suspect_until == -math.inf:
             return False
--- a/tests/batch/test_dispatch.py
+++ b/tests/batch/test_dispatch.py
@@ -222,7 +222,7 @@
     for _ in range(5):
         assert fixture.assign() is not None
         fixture.dispatcher.finished(fixture.items.pop(), ExchangeOutcome.STALE)
-    assert not fixture.chooser.workers["w1"].suspect(fixture.clock.now)
+    assert not fixture.chooser.workers["w1"].is_suspect(fixture.clock.now)
 
 
 def test_items_truncated_together_are_one_failure_of_the_worker() -> None:
--- a/tests/batch/test_service.py
+++ b/tests/batch/test_service.py
@@ -431,7 +431,7 @@
         await store.exchanges(1)
         store.runner.exchanges[0].fail(Failure.OTHER_VERSION)
         await until(lambda: store.execution.running == 0)
-        assert not any(state.suspect(store.clock.now) for state in store.chooser.workers.values())
+        assert not any(state.is_suspect(store.clock.now) for state in store.chooser.workers.values())
 
     scenario(test)
 
--- a/tests/gateway/test_live_request.py
+++ b/tests/gateway/test_live_request.py
@@ -325,7 +325,7 @@
     async def story() -> None:
         assert (await tier.request(*headers)).head.status == 200
         first = tier.context.chooser.workers["w0"]
-        assert first.suspect(time.monotonic()) is excluded
+        assert first.is_suspect(time.monotonic()) is excluded
         assert tier.seen[1][1].get(b"expect-version") == (None if excluded else b"4")
 
     play(tier, story)
@@ -491,7 +491,7 @@
         for step in range(200):  # the clock that looks is told, not waited for
             tier.stalls.check(now + step * 0.05)
         assert (await requesting).head.status == 200
-        assert tier.context.chooser.workers["w0"].suspect(time.monotonic())
+        assert tier.context.chooser.workers["w0"].is_suspect(time.monotonic())
 
     play(tier, story)
 
--- a/tests/gateway/test_stall_detector.py
+++ b/tests/gateway/test_stall_detector.py
@@ -59,14 +59,14 @@
     watched = Watched()
     watched.worker.announce(0.0, 0.0, ((1, 100),))
     assert watched.interrupted_at() == pytest.approx(PATIENCE_S + CHECK_INTERVAL_S)
-    assert watched.worker.suspect(watched.now)
+    assert watched.worker.is_suspect(watched.now)
     assert watched.worker.has_cached(1)
 
 
 def test_what_may_not_run_twice_stays_where_it_is() -> None:
     watched = Watched(repeatable=False)
     assert watched.interrupted_at(1.0) is None
-    assert watched.worker.suspect(watched.now)
+    assert watched.worker.is_suspect(watched.now)
 
 
 def test_prefills_explain_that_it_is_idle() -> None:
--- a/tests/routing/test_worker_state.py
+++ b/tests/routing/test_worker_state.py
@@ -12,7 +12,7 @@
 
 def suspect_for_s(state: WorkerState) -> float:
     """Seconds until the worker is no longer suspect, in steps of a quarter of a second."""
-    return next(step / 4 for step in range(1000) if not state.suspect(step / 4))
+    return next(step / 4 for step in range(1000) if not state.is_suspect(step / 4))
 
 
 def test_each_further_failure_doubles_the_suspect_time_up_to_its_maximum() -> None:
@@ -30,7 +30,7 @@
         state.record_failure(0.0)
     assert suspect_for_s(state) == MAX_SUSPECT_S
     state.record_success()
-    assert not state.suspect(0.0)
+    assert not state.is_suspect(0.0)
 
 
 BLOCKS = ((1, 100), (2, 10))
@@ -40,14 +40,14 @@
     state = WorkerState(WorkerRecord("w1", "s", "10.0.0.1:80", "z", 4, "ready"), 1000)
     state.announce(0.0, 0.1, BLOCKS)
     state.mark_unresponsive(1.0)
-    assert state.suspect(1.1)
+    assert state.is_suspect(1.1)
     assert state.has_cached(1)
     state.record_byte(1.2)
-    assert not state.suspect(1.2)
+    assert not state.is_suspect(1.2)
     assert state.has_cached(1)
     state.record_failure(2.0)
     state.record_byte(2.1)  # a byte of another attempt: the worker may have lost its cache when it failed
-    assert state.suspect(2.1)
+    assert state.is_suspect(2.1)
     assert not state.has_cached(1)
 
 
