--- a/pewterring/gateway/live_attempt.py
+++ b/pewterring/gateway/live_attempt.py
@@ -162,14 +162,16 @@
         worker.expect_prefill(now, prefill_s)
         expected_s = times.expected(tokens)
         self._watched = self._watch(now, expected_s + wait_s)
-        self._is_clean_sample = wait_s < MAX_SAMPLE_WAIT_FRACTION * expected_s and not worker.congested_s(now)
+        self._is_clean_sample = (
+            wait_s < MAX_SAMPLE_WAIT_FRACTION * expected_s and not worker.unexplained_wait_s(now)
+        )
         self._context.stalls.add(self._watched)
 
     def _watch(self, now: float, expected_s: float) -> WatchedAttempt:
         worker, route = self._worker, self._admitted.route
         prefill_s = worker.prefill_s_after(now)  # which the detector allows for
         first_byte_s = max(0.0, FIRST_BYTE_TIMEOUT_FACTOR * expected_s - prefill_s)
-        timeout_s = first_byte_s + self._idle_timeout_s() + worker.congested_s(now)
+        timeout_s = first_byte_s + self._idle_timeout_s() + worker.unexplained_wait_s(now)
         may_retry = route.is_idempotent and self._progress.runs + 1 < route.max_attempts
         return WatchedAttempt(worker, self._stream, timeout_s, now, may_retry, expected_s)
 
--- a/pewterring/gateway/prompt_exchange.py
+++ b/pewterring/gateway/prompt_exchange.py
@@ -109,4 +109,4 @@
         if hint is None or worker is None:
             return
         times = self._chooser.times_of(worker.record.service)
-        worker.announce(self._clock(), times.per_token_s * hint.tokens, hint.blocks)
+        worker.record_announced_prefill(self._clock(), times.per_token_s * hint.tokens, hint.blocks)
--- a/pewterring/routing/chooser.py
+++ b/pewterring/routing/chooser.py
@@ -172,7 +172,7 @@
     @staticmethod
     def wait_s(now: float, state: WorkerState, times: ServiceTimes) -> float:
         """Seconds that a request would wait at a worker for the prefills of prompts sent before it."""
-        return state.announced_s(now) + times.per_token_s * state.pending_tokens
+        return state.announced_prefill_s(now) + times.per_token_s * state.pending_tokens
 
     def by_number(self, number: int) -> WorkerState | None:
         """The worker with this number in hints, as by `worker_number`."""
@@ -185,7 +185,7 @@
         if has_affinity and prompt.blocks:
             tokens = min(tokens, prompt.blocks[-1][1])  # other processes send the shared blocks there
         load = state.load(now)
-        wait_s = max(state.congested_s(now), self.wait_s(now, state, times))
+        wait_s = max(state.unexplained_wait_s(now), self.wait_s(now, state, times))
         cost = times.base_s * (1 + load) + times.per_token_s * tokens + wait_s
         if load >= FULL_LOAD:
             cost += times.base_s * (FULL_COST + OVERLOAD_COST * (load - FULL_LOAD))
--- a/pewterring/routing/worker_state.py
+++ b/pewterring/routing/worker_state.py
@@ -64,11 +64,13 @@
             remaining -= tokens
         return max(0, remaining)
 
-    def announced_s(self, now: float) -> float:
+    def announced_prefill_s(self, now: float) -> float:
         """Seconds until the prefills that other gateways announced will be done."""
         return max(0.0, self._announced_until - now)
 
-    def announce(self, now: float, seconds: float, blocks: tuple[tuple[int, int], ...]) -> None:
+    def record_announced_prefill(
+        self, now: float, seconds: float, blocks: tuple[tuple[int, int], ...]
+    ) -> None:
         """Takes another gateway's announcement of a prompt whose prefill takes `seconds`.
 
         The prompt's shared blocks count as cached from now on.
@@ -105,7 +107,7 @@
         """Notes that a request sent now would probably wait for `seconds`, as others wait there."""
         self._congested_until = max(self._congested_until, now + seconds)
 
-    def congested_s(self, now: float) -> float:
+    def unexplained_wait_s(self, now: float) -> float:
         """Seconds that a request would probably wait, for other reasons than known prefills."""
         return max(0.0, self._congested_until - now)
 
--- a/tests/gateway/test_stall_detector.py
+++ b/tests/gateway/test_stall_detector.py
@@ -57,7 +57,7 @@
 
 def test_an_unresponsive_worker_loses_its_attempt_and_its_trust() -> None:
     watched = Watched()
-    watched.worker.announce(0.0, 0.0, ((1, 100),))
+    watched.worker.record_announced_prefill(0.0, 0.0, ((1, 100),))
     assert watched.interrupted_at() == pytest.approx(PATIENCE_S + CHECK_INTERVAL_S)
     assert watched.worker.is_suspect(watched.now)
     assert watched.worker.has_cached(1)
@@ -93,7 +93,7 @@
     moments = [moment for moment, _ in watched.announced]
     assert moments == pytest.approx([0.25, 0.5, 1.0])
     assert [seconds for _, seconds in watched.announced] == pytest.approx([0.15, 0.4, 0.9])
-    assert watched.worker.congested_s(1.3) == pytest.approx(0.6)
+    assert watched.worker.unexplained_wait_s(1.3) == pytest.approx(0.6)
 
 
 def test_nothing_is_announced_once_the_first_byte_came() -> None:
--- a/tests/routing/test_prompt_hints.py
+++ b/tests/routing/test_prompt_hints.py
@@ -56,7 +56,7 @@
 def test_a_worker_is_avoided_during_a_long_prefill_for_another_gateway() -> None:
     chooser = chooser_with(2)
     small = read_prompt("cc:500", "500,100")
-    chooser.workers["w0"].announce(10.0, 0.2, ())
+    chooser.workers["w0"].record_announced_prefill(10.0, 0.2, ())
     assert all(chooser.choose(10.0, "s", small) is chooser.workers["w1"] for _ in range(10))
     assert any(chooser.choose(10.3, "s", small) is chooser.workers["w0"] for _ in range(20))
 
@@ -64,7 +64,7 @@
 def test_a_prompt_goes_to_the_worker_that_cached_its_shared_blocks_for_another_gateway() -> None:
     chooser = chooser_with(8)
     prompt = read_prompt("aa:13000,bb:700", "13700,100")
-    chooser.workers["w5"].announce(0.0, 0.1, prompt.blocks[:-1])
+    chooser.workers["w5"].record_announced_prefill(0.0, 0.1, prompt.blocks[:-1])
     assert chooser.choose(1.0, "s", prompt) is chooser.workers["w5"]
 
 
@@ -110,7 +110,7 @@
     worker = chooser.workers["w0"]
     for _ in range(5):
         worker.expect_wait(10.0, 0.2)
-    assert worker.congested_s(10.0) == pytest.approx(0.2)
-    assert worker.announced_s(10.0) == 0.0  # the concurrency limit must treat such a wait as queueing
+    assert worker.unexplained_wait_s(10.0) == pytest.approx(0.2)
+    assert worker.announced_prefill_s(10.0) == 0.0  # the concurrency limit must treat such a wait as queueing
     small = read_prompt("cc:500", "500,100")
     assert all(chooser.choose(10.0, "s", small) is chooser.workers["w1"] for _ in range(10))
--- a/tests/routing/test_worker_state.py
+++ b/tests/routing/test_worker_state.py
@@ -38,7 +38,7 @@
 
 def test_an_unresponsive_worker_keeps_its_cached_blocks_and_recovers_with_its_next_byte() -> None:
     state = WorkerState(WorkerRecord("w1", "s", "10.0.0.1:80", "z", 4, "ready"), 1000)
-    state.announce(0.0, 0.1, BLOCKS)
+    state.record_announced_prefill(0.0, 0.1, BLOCKS)
     state.mark_unresponsive(1.0)
     assert state.is_suspect(1.1)
     assert state.has_cached(1)
@@ -54,7 +54,7 @@
 def test_expected_prefills_add_up_and_are_done_with_time() -> None:
     state = worker_state()
     state.expect_prefill(10.0, 0.2)
-    state.announce(10.1, 0.3, ())
+    state.record_announced_prefill(10.1, 0.3, ())
     assert state.prefill_s_after(10.1) == pytest.approx(0.4)
     assert state.prefill_s_after(11.0) == 0.0
     state.expect_prefill(12.0, 0.1)
