--- a/pewterring/batch/dispatch.py
+++ b/pewterring/batch/dispatch.py
@@ -144,7 +144,7 @@
             # waited for slots, and a cached prefix then outweighed any load.
             times.learn(assignment.tokens, seconds)
         ratio = seconds / max(MIN_EXPECTED_S, expected)
-        assignment.worker.note_ratio(ratio)
+        assignment.worker.record_ratio(ratio)
         assignment.worker.record_cached(assignment.prompt)
         kind = RequestClass("/".join(item.route), aim=math.inf, deadline=math.inf)
         self._admissions.of(assignment.service).observe(now, kind, ratio)
@@ -153,7 +153,7 @@
         """An answer's head reported a worker's load."""
         state = self._chooser.workers.get(worker.id)
         if state is not None:
-            state.take_report(self._clock(), load.running, load.waiting)
+            state.record_load(self._clock(), load.running, load.waiting)
 
     def finished(self, item: QueuedItem, outcome: ExchangeOutcome) -> None:
         """See `Dispatcher`."""
@@ -169,7 +169,7 @@
         if outcome is ExchangeOutcome.ANSWERED:
             worker.record_success()
         elif outcome is ExchangeOutcome.REFUSED and worker.load(now) >= NEARLY_FULL_LOAD:
-            worker.take_report(now, worker.record.capacity, 0)
+            worker.record_load(now, worker.record.capacity, 0)
         elif outcome in FAULT_OUTCOMES and (assignment.is_probe or not worker.is_suspect(now)):
             # For workers that crash or leave: all their items end at once, which counts as one failure.
             worker.record_failure(now)
@@ -177,7 +177,7 @@
     @staticmethod
     def _assignment(now: float, service: str, worker: WorkerState, prompt: Prompt) -> _Assignment:
         is_unqueued = not worker.pending_tokens and worker.load(now) < NEARLY_FULL_LOAD
-        tokens = worker.uncached(prompt)
+        tokens = worker.uncached_tokens(prompt)
         return _Assignment(service, worker, prompt, tokens, now, worker.is_suspect(now), is_unqueued)
 
     def _begin(self, item: QueuedItem, assignment: _Assignment) -> None:
@@ -234,4 +234,4 @@
 def _has_capacity(now: float, worker: WorkerState, per_token_s: float) -> bool:
     if worker.is_suspect(now) or worker.pending_tokens * per_token_s > MAX_PREFILL_S:
         return False
-    return worker.load(now) < MAX_WORKER_LOAD or worker.in_flight == 0 == worker.others(now)
+    return worker.load(now) < MAX_WORKER_LOAD or worker.in_flight == 0 == worker.others_in_flight(now)
--- a/pewterring/gateway/live_attempt.py
+++ b/pewterring/gateway/live_attempt.py
@@ -149,7 +149,7 @@
         """Counts the attempt at its worker, and has it watched."""
         worker, admitted = self._worker, self._admitted
         self._sent_at = now = self._now()
-        self._tokens = self._pending_tokens = tokens = worker.uncached(admitted.prompt)
+        self._tokens = self._pending_tokens = tokens = worker.uncached_tokens(admitted.prompt)
         times = self._context.chooser.times_of(admitted.service)
         self._wait_s = wait_s = self._context.chooser.wait_s(now, worker, times)  # for prompts sent before
         prefill_s = times.per_token_s * tokens
@@ -215,7 +215,7 @@
         worker.record_byte(self._now())
         load = read_load(head)
         if load is not None:
-            worker.take_report(worker.last_byte_at, load.running, load.waiting)
+            worker.record_load(worker.last_byte_at, load.running, load.waiting)
         verdict = judge(head)
         if verdict is Verdict.UNUSABLE:
             raise AnswerBrokenError(f"an answer of status {head.status} that may not reach the client")
@@ -325,6 +325,6 @@
         if self._is_clean_sample:
             times.learn(self._tokens, seconds - self._wait_s)
         ratio = seconds / max(MIN_EXPECTED_S, expected_s)
-        worker.note_ratio(ratio)
+        worker.record_ratio(ratio)
         target = admitted.route.target_latency_ms / 1000 / max(MIN_EXPECTED_S, expected_s)
         admitted.admission.observe(now, RequestClass(admitted.route.name, target, target), ratio)
--- a/pewterring/routing/chooser.py
+++ b/pewterring/routing/chooser.py
@@ -181,7 +181,7 @@
     def _cost(
         self, now: float, state: WorkerState, prompt: Prompt, times: ServiceTimes, has_affinity: bool
     ) -> float:
-        tokens = state.uncached(prompt)
+        tokens = state.uncached_tokens(prompt)
         if has_affinity and prompt.blocks:
             tokens = min(tokens, prompt.blocks[-1][1])  # other processes send the shared blocks there
         load = state.load(now)
--- a/pewterring/routing/worker_state.py
+++ b/pewterring/routing/worker_state.py
@@ -42,20 +42,20 @@
         self.failed_at = -math.inf  # when it last became suspect
         self.slowness = 1.0  # moving average of observed over expected time to the first byte
 
-    def others(self, now: float) -> float:
+    def others_in_flight(self, now: float) -> float:
         """Attempts of other processes at the worker by its last load report, which decays with age."""
         return self._reported * math.exp((self._reported_at - now) / REPORT_DECAY_S)
 
     def load(self, now: float) -> float:
         """Attempts in flight at the worker, from this and other processes, divided by its slots."""
-        return (self.in_flight + self.others(now)) / max(1, self.record.capacity)
+        return (self.in_flight + self.others_in_flight(now)) / max(1, self.record.capacity)
 
-    def take_report(self, now: float, running: int, waiting: int) -> None:
+    def record_load(self, now: float, running: int, waiting: int) -> None:
         """Takes the worker's load report: its numbers of running and of waiting requests."""
         self._reported = max(0.0, running + waiting - self.in_flight)
         self._reported_at = now
 
-    def uncached(self, prompt: Prompt) -> int:
+    def uncached_tokens(self, prompt: Prompt) -> int:
         """Prefill tokens of a prompt: all tokens from its first block on that is not cached."""
         remaining = prompt.prompt_tokens
         for block, tokens in prompt.blocks:
@@ -139,7 +139,7 @@
             _, tokens = self._cached.popitem(last=False)
             self._cached_tokens -= tokens
 
-    def note_ratio(self, ratio: float) -> None:
+    def record_ratio(self, ratio: float) -> None:
         """Takes a sample of slowness: the observed over the expected time to a first byte."""
         self.slowness += (min(MAX_RATIO, ratio) - self.slowness) * SLOWNESS_WEIGHT
 
--- a/tests/gateway/gateway.py
+++ b/tests/gateway/gateway.py
@@ -126,7 +126,7 @@
         """Returns for each worker how many tokens of a prompt it would read, and its load; sorted."""
         program = self.program
         states = program.chooser.workers.values()
-        return sorted((state.uncached(prompt), state.load(program.clock())) for state in states)
+        return sorted((state.uncached_tokens(prompt), state.load(program.clock())) for state in states)
 
     async def start(self, behaviours: tuple[Behaviour, ...]) -> None:
         for number, behaviour in enumerate(behaviours):
