--- a/pewterring/gateway/live_attempt.py
+++ b/pewterring/gateway/live_attempt.py
@@ -151,7 +151,9 @@
         self._sent_at = now = self._now()
         self._tokens = self._pending_tokens = tokens = worker.uncached_tokens(admitted.prompt)
         times = self._context.chooser.times_of(admitted.service)
-        self._wait_s = wait_s = self._context.chooser.wait_s(now, worker, times)  # for prompts sent before
+        self._wait_s = wait_s = self._context.chooser.prefill_wait_s(
+            now, worker, times
+        )  # for prompts sent before
         prefill_s = times.per_token_s * tokens
         if admitted.trace is not None:
             admitted.trace.sent(
--- a/pewterring/gateway/program.py
+++ b/pewterring/gateway/program.py
@@ -185,7 +185,7 @@
         if new.configuration is not old.configuration and new.configuration is not None:
             self.configuration.apply(new.configuration)
         if new.nodes is not old.nodes:
-            self.chooser.take_place(_position(self.settings, new))
+            self.chooser.set_position(_position(self.settings, new))
         if new.workers is not old.workers or new.configuration is not old.configuration:
             self.chooser.update(new.workers, new.configuration)
             self._close_stale_connections(old, new)
--- a/pewterring/routing/chooser.py
+++ b/pewterring/routing/chooser.py
@@ -87,7 +87,7 @@
         self._by_service = _by_service(states.values(), RegistrationState.READY)
         self._unresponsive = _by_service(states.values(), RegistrationState.UNRESPONSIVE)
 
-    def take_place(self, position: float) -> None:
+    def set_position(self, position: float) -> None:
         """Sets the position of this process among the processes of its zone, from 0 to 1."""
         if position != self._position:
             self._position = position
@@ -170,7 +170,7 @@
         return max(healthy or states, key=lambda state: zlib.crc32(f"{shared}/{state.record.id}".encode()))
 
     @staticmethod
-    def wait_s(now: float, state: WorkerState, times: ServiceTimes) -> float:
+    def prefill_wait_s(now: float, state: WorkerState, times: ServiceTimes) -> float:
         """Seconds that a request would wait at a worker for the prefills of prompts sent before it."""
         return state.announced_prefill_s(now) + times.per_token_s * state.pending_tokens
 
@@ -185,7 +185,7 @@
         if has_affinity and prompt.blocks:
             tokens = min(tokens, prompt.blocks[-1][1])  # other processes send the shared blocks there
         load = state.load(now)
-        wait_s = max(state.unexplained_wait_s(now), self.wait_s(now, state, times))
+        wait_s = max(state.unexplained_wait_s(now), self.prefill_wait_s(now, state, times))
         cost = times.base_s * (1 + load) + times.per_token_s * tokens + wait_s
         if load >= FULL_LOAD:
             cost += times.base_s * (FULL_COST + OVERLOAD_COST * (load - FULL_LOAD))
--- a/tests/routing/test_chooser.py
+++ b/tests/routing/test_chooser.py
@@ -17,7 +17,7 @@
         for index in range(WORKERS)
     }
     chooser.update(records, None)
-    chooser.take_place(position)
+    chooser.set_position(position)
     return chooser
 
 
