--- a/pewterring/batch/dispatch.py
+++ b/pewterring/batch/dispatch.py
@@ -17,7 +17,7 @@
 from pewterring.configuration.model import Route, RouteType
 from pewterring.distribution.messages import WorkerRecord
 from pewterring.distribution.tables import Tables
-from pewterring.routing.chooser import PER_TOKEN_S, WorkerChooser
+from pewterring.routing.chooser import DEFAULT_PER_TOKEN_S, WorkerChooser
 from pewterring.routing.load_report import Load
 from pewterring.routing.prompt import PREFIX_HEADER, USAGE_HEADER, Prompt, read_prompt
 from pewterring.routing.worker_state import WorkerState
@@ -199,7 +199,7 @@
 
     def _choose(self, now: float, service: str, prompt: Prompt, avoid: str) -> WorkerState | None:
         """The best worker with capacity: another than `avoid` where there is one."""
-        per_token_s = max(PER_TOKEN_S, self._chooser.times_of(service).per_token_s)
+        per_token_s = max(DEFAULT_PER_TOKEN_S, self._chooser.times_of(service).per_token_s)
         workers = self._chooser.ready(now, service)
         busy = {worker.record.id for worker in workers if not _has_capacity(now, worker, per_token_s)}
         if len(busy) == len(workers):
--- a/pewterring/batch/runner.py
+++ b/pewterring/batch/runner.py
@@ -13,7 +13,7 @@
 from pewterring.batch.execution import EventHandler
 from pewterring.batch.scheduler import Failure, QueuedItem
 from pewterring.distribution.messages import WorkerRecord
-from pewterring.routing.load_report import LOAD, Load, parse_load
+from pewterring.routing.load_report import LOAD_HEADER, Load, parse_load
 from pewterring.standalone.http.messages import HOP_BY_HOP
 from pewterring.transport.http_answer import AnswerHead
 from pewterring.transport.http_client import WorkerPool
@@ -66,7 +66,7 @@
             answer.stop()
 
     def _report_load(self, worker: WorkerRecord, head: AnswerHead) -> None:
-        load = parse_load(head.get(LOAD))
+        load = parse_load(head.get(LOAD_HEADER))
         if load is not None and self._on_load is not None:
             self._on_load(worker, load)
 
--- a/pewterring/gateway/prompt_exchange.py
+++ b/pewterring/gateway/prompt_exchange.py
@@ -12,7 +12,7 @@
 from pewterring.routing.prompt_hints import (
     HintBudget,
     WaitHint,
-    hint_of,
+    make_hint,
     read_hint,
     read_wait_hint,
     worker_number,
@@ -75,7 +75,7 @@
         times = self._chooser.times_of(worker.record.service)
         if prompt.prompt_tokens * times.per_token_s < times.base_s:
             return
-        self._send(write_hint(hint_of(worker.record.id, tokens, prompt)), self._budget)
+        self._send(write_hint(make_hint(worker.record.id, tokens, prompt)), self._budget)
 
     def announce_wait(self, worker: WorkerState, seconds: float) -> None:
         """Announces that a request waits at a worker for so many seconds longer than it should.
--- a/pewterring/gateway/worker_protocol.py
+++ b/pewterring/gateway/worker_protocol.py
@@ -2,7 +2,7 @@
 
 from enum import Enum, auto
 
-from pewterring.routing.load_report import LOAD, Load, parse_load
+from pewterring.routing.load_report import LOAD_HEADER, Load, parse_load
 from pewterring.transport.http_answer import AnswerHead
 from pewterring.transport.http_client import SendRequest
 from pewterring.transport.http_common import MISDIRECTED, Headers, end_to_end_headers
@@ -90,4 +90,4 @@
 
 def read_load(head: AnswerHead) -> Load | None:
     """Returns the load that the worker reports in a head, if any."""
-    return parse_load(head.get(LOAD))
+    return parse_load(head.get(LOAD_HEADER))
--- a/pewterring/routing/chooser.py
+++ b/pewterring/routing/chooser.py
@@ -11,8 +11,8 @@
 from pewterring.routing.worker_state import WorkerState
 
 LEARNING_WEIGHT = 0.05  # weight of one sample in the learnt times: about the last twenty samples count
-BASE_S = 0.02  # initial estimate of the time to the first byte without prefill
-PER_TOKEN_S = 1e-5  # initial estimate of the additional time per token of prefill
+DEFAULT_BASE_S = 0.02  # initial estimate of the time to the first byte without prefill
+DEFAULT_PER_TOKEN_S = 1e-5  # initial estimate of the additional time per token of prefill
 SLOW_RATIO = 1.5  # slowness up to which workers count as equally fast: single times vary by as much
 FULL_LOAD = 1.0  # requests per slot from which on requests wait at the worker
 
@@ -35,8 +35,8 @@
     """Learnt times of a service: seconds to the first byte without prefill, and more per token of prefill."""
 
     def __init__(self) -> None:
-        self.base_s = BASE_S
-        self.per_token_s = PER_TOKEN_S
+        self.base_s = DEFAULT_BASE_S
+        self.per_token_s = DEFAULT_PER_TOKEN_S
         self._samples = 0
 
     def expected(self, tokens: int) -> float:
--- a/pewterring/routing/load_report.py
+++ b/pewterring/routing/load_report.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-LOAD = b"instance-load"  # name of the header
+LOAD_HEADER = b"instance-load"  # name of the header
 
 
 @dataclass(frozen=True, slots=True)
--- a/pewterring/routing/prompt_hints.py
+++ b/pewterring/routing/prompt_hints.py
@@ -40,7 +40,7 @@
     blocks: tuple[tuple[int, int], ...]
 
 
-def hint_of(worker_id: str, tokens: int, prompt: Prompt) -> PromptHint:
+def make_hint(worker_id: str, tokens: int, prompt: Prompt) -> PromptHint:
     """Builds the hint for a prompt, without its last block, which belongs to the request alone."""
     return PromptHint(worker_number(worker_id), tokens, prompt.blocks[:-1][:MAX_BLOCKS])
 
--- a/tests/batch/test_dispatch.py
+++ b/tests/batch/test_dispatch.py
@@ -19,7 +19,7 @@
 from pewterring.configuration.model import Engine, Service, WeightedService
 from pewterring.distribution.messages import NodeRecord, WorkerRecord
 from pewterring.distribution.tables import Tables
-from pewterring.routing.chooser import PER_TOKEN_S, WorkerChooser
+from pewterring.routing.chooser import DEFAULT_PER_TOKEN_S, WorkerChooser
 from pewterring.routing.load_report import Load
 from pewterring.standalone.peer_messages import Beat, write_beat
 from tests.batch.stand_ins import ROUTE, ManualClock, item, route, tables, worker
@@ -181,7 +181,7 @@
 def test_a_worker_gets_no_item_while_it_has_much_to_read() -> None:
     fixture = Fixture(tables(worker("w1", capacity=100)), gateways=1)
     fixture.heartbeat(1, out=0, limit=100.0)
-    tokens = int(0.7 * MAX_PREFILL_S / PER_TOKEN_S)
+    tokens = int(0.7 * MAX_PREFILL_S / DEFAULT_PER_TOKEN_S)
     assert fixture.assign(prompt(tokens, "a")) is not None
     assert fixture.assign(prompt(tokens, "b")) is not None
     assert fixture.assign(prompt(tokens, "c")) is None
--- a/tests/routing/test_prompt.py
+++ b/tests/routing/test_prompt.py
@@ -3,7 +3,7 @@
 import pytest
 
 from pewterring.routing.prompt import MAX_TOKENS, NO_PROMPT, read_prompt
-from pewterring.routing.prompt_hints import hint_of, read_hint, write_hint
+from pewterring.routing.prompt_hints import make_hint, read_hint, write_hint
 
 
 def test_blocks_are_parsed_in_order_with_their_tokens() -> None:
@@ -32,5 +32,5 @@
 
 
 def test_the_largest_prompt_fits_in_a_hint() -> None:
-    hint = hint_of("w", MAX_TOKENS, read_prompt(f"aa:{MAX_TOKENS},bb:0", f"{MAX_TOKENS},1"))
+    hint = make_hint("w", MAX_TOKENS, read_prompt(f"aa:{MAX_TOKENS},bb:0", f"{MAX_TOKENS},1"))
     assert read_hint(write_hint(hint)) == hint
--- a/tests/routing/test_prompt_hints.py
+++ b/tests/routing/test_prompt_hints.py
@@ -12,7 +12,7 @@
     MAX_WAIT_S,
     HintBudget,
     WaitHint,
-    hint_of,
+    make_hint,
     read_hint,
     read_wait_hint,
     worker_number,
@@ -41,13 +41,13 @@
 
 def test_an_encoded_hint_can_be_decoded_and_omits_the_last_block() -> None:
     prompt = read_prompt("aa:13000,bb:3700", "16700,100")
-    hint = hint_of("w1", 16700, prompt)
+    hint = make_hint("w1", 16700, prompt)
     assert read_hint(write_hint(hint)) == hint
     assert hint.blocks == prompt.blocks[:1]
 
 
 def test_data_that_is_not_a_hint_is_rejected() -> None:
-    data = write_hint(hint_of("w1", 5, read_prompt("aa:1,bb:2", "3,1")))
+    data = write_hint(make_hint("w1", 5, read_prompt("aa:1,bb:2", "3,1")))
     assert read_hint(data[:-1]) is None
     assert read_hint(b"XX1" + data[3:]) is None
     assert read_hint(b"") is None
@@ -101,7 +101,7 @@
     assert read_wait_hint(write_wait_hint(hint)) == hint
     assert read_wait_hint(write_wait_hint(WaitHint(1, 1e9))) == WaitHint(1, MAX_WAIT_S)
     assert read_hint(write_wait_hint(hint)) is None
-    for data in (b"", write_wait_hint(hint)[:-1], write_hint(hint_of("w1", 5, read_prompt("a:1", "1,1")))):
+    for data in (b"", write_wait_hint(hint)[:-1], write_hint(make_hint("w1", 5, read_prompt("a:1", "1,1")))):
         assert read_wait_hint(data) is None
 
 
