--- a/benchmarks/admission_exchange.py
+++ b/benchmarks/admission_exchange.py
@@ -78,7 +78,7 @@
     def tick(self, now: float, everybody: "list[Gateway]") -> Iterator[tuple[str, bytes]]:
         self.now = now
         self.shares.settle(now, HEARTBEAT_PERIOD_S, self.limit)
-        data = write_heartbeat(GATEWAY, {SERVICE: self.shares.beat(self.limit, self.out)})
+        data = write_heartbeat(GATEWAY, {SERVICE: self.shares.heartbeat(self.limit, self.out)})
         if self.way == "relayed":
             yield from self.exchange.round(now, data, HEARTBEAT_PERIOD_S)
         elif self.way == "all":
@@ -164,7 +164,7 @@
     by_ip = {gateway.ip: gateway for gateway in gateways}
     spent = dict.fromkeys(by_ip, 0.0)
     gateways[0].shares.settle(1.0, HEARTBEAT_PERIOD_S, 4.0)
-    beat = gateways[0].shares.beat(4.0, 1)
+    beat = gateways[0].shares.heartbeat(4.0, 1)
     heartbeat = write_heartbeat(GATEWAY, dict.fromkeys(range(services), beat))
     for gateway in gateways:
         gateway.exchange.plan = plan
--- a/pewterring/admission/batch.py
+++ b/pewterring/admission/batch.py
@@ -72,9 +72,9 @@
             return max(1, math.floor(usable))
         return max(0, math.floor(usable) - in_flight)
 
-    def beat(self) -> bytes:
+    def heartbeat(self) -> bytes:
         """Encodes this store's heartbeat for the service: attempts in flight, without share and demand."""
-        return self._admission.shares.beat(self._admission.ceiling.limit, self.in_flight)
+        return self._admission.shares.heartbeat(self._admission.ceiling.limit, self.in_flight)
 
     def _max_fill(self, now: float) -> float:
         """The usable fraction of the limit; lower while no gateway is heard, as in a network partition.
--- a/pewterring/admission/relayed_shares.py
+++ b/pewterring/admission/relayed_shares.py
@@ -43,11 +43,11 @@
         """Whether totals are known and have not expired."""
         return self.totals is not None and now - self._totals_at < TOTALS_EXPIRY_S
 
-    def beat(self, limit: float, in_flight: int) -> bytes:
+    def heartbeat(self, limit: float, in_flight: int) -> bytes:
         """Encodes the heartbeat of this process."""
         if self._counted:
             self._announced = _Announced(in_flight, self.demand)
-        return super().beat(limit, in_flight)
+        return super().heartbeat(limit, in_flight)
 
     def divide(self, now: float, limit: float) -> None:
         """Recomputes the share."""
--- a/pewterring/admission/service.py
+++ b/pewterring/admission/service.py
@@ -109,9 +109,9 @@
         self._demand_updated_at = now
         self.shares.settle(now, elapsed, self.ceiling.limit)
 
-    def beat(self) -> bytes:
+    def heartbeat(self) -> bytes:
         """Encodes the heartbeat of this process for this service."""
-        return self.shares.beat(self.ceiling.limit, self.in_flight)
+        return self.shares.heartbeat(self.ceiling.limit, self.in_flight)
 
     def hear(self, now: float, peer: int, data: bytes) -> None:
         """Takes a heartbeat from a gateway."""
--- a/pewterring/admission/shares.py
+++ b/pewterring/admission/shares.py
@@ -67,7 +67,7 @@
         self.wanted = self.passed = 0.0
         self.divide(now, limit)
 
-    def beat(self, limit: float, in_flight: int) -> bytes:
+    def heartbeat(self, limit: float, in_flight: int) -> bytes:
         self.sequence += 1
         beat = messages.Beat(self.incarnation, self.sequence, limit, in_flight, self.share, self.demand)
         return messages.write_beat(beat)
--- a/pewterring/routing/admissions.py
+++ b/pewterring/routing/admissions.py
@@ -20,7 +20,7 @@
     def tick(self, now: float) -> None:
         """Updates demand and share. Called once per heartbeat period."""
 
-    def beat(self) -> bytes:
+    def heartbeat(self) -> bytes:
         """Encodes the heartbeat to send."""
 
     def hear(self, now: float, peer: int, data: bytes) -> None:
@@ -77,7 +77,7 @@
         heartbeats: dict[int, bytes] = {}
         for number, admission in self._by_number.items():
             admission.tick(now)
-            heartbeats[number] = admission.beat()
+            heartbeats[number] = admission.heartbeat()
         return heartbeats
 
     def hear(self, now: float, kind: int, peer: int, number: int, heartbeat: bytes) -> None:
--- a/pewterring/standalone/policy/decisions.py
+++ b/pewterring/standalone/policy/decisions.py
@@ -445,7 +445,7 @@
         self.quota.sweep(now)
         if not self.s.limits.peers or self.s.fleet_size < 2:
             return
-        beat = self.shares.beat(self.ceiling.limit, self.out)
+        beat = self.shares.heartbeat(self.ceiling.limit, self.out)
         if self.sparse:  # to a peer picked by chance, apart from news: who has those is busier than the rest
             other = (self.s.me + self.rng.randrange(1, self.s.fleet_size)) % self.s.fleet_size
             return self.actions.append(i.Tell(other, beat))
--- a/tests/admission/test_fleet_in_overload.py
+++ b/tests/admission/test_fleet_in_overload.py
@@ -44,7 +44,7 @@
     def _exchange_heartbeats(self) -> None:
         for gateway in self.gateways:
             gateway.tick(self.now)
-        heartbeats = [gateway.beat() for gateway in self.gateways]
+        heartbeats = [gateway.heartbeat() for gateway in self.gateways]
         for index, gateway in enumerate(self.gateways):
             for peer, heartbeat in enumerate(heartbeats):
                 if peer != index:
--- a/tests/admission/test_relayed_shares.py
+++ b/tests/admission/test_relayed_shares.py
@@ -27,7 +27,7 @@
 def test_the_share_is_proportional_to_demand() -> None:
     for demand in (1.0, 2.0, 8.0):
         shares = new_shares(demand)
-        shares.beat(LIMIT, 1)
+        shares.heartbeat(LIMIT, 1)
         shares.hear_totals(LATER, TOTALS, LIMIT)
         assert shares.share == pytest.approx(LIMIT * demand / 200.0)
         assert shares.whole == LIMIT
@@ -42,7 +42,7 @@
 
 def test_shares_shrink_in_proportion_when_too_many_slots_are_reserved() -> None:
     shares = new_shares(8.0)
-    shares.beat(LIMIT, 1)
+    shares.heartbeat(LIMIT, 1)
     for _ in range(5):
         shares.hear_totals(LATER, TOTALS._replace(reserved=1.25 * LIMIT), LIMIT)
     assert shares.share == pytest.approx(0.8 * LIMIT * 8.0 / 200.0)
@@ -51,7 +51,7 @@
 def test_demand_of_gateways_no_longer_heard_still_counts() -> None:
     """Otherwise the rest would take over a zone's shares as soon as a partition isolates its relays."""
     shares = new_shares(2.0)
-    shares.beat(LIMIT, 1)
+    shares.heartbeat(LIMIT, 1)
     shares.hear_totals(LATER, TOTALS, LIMIT)
     shares.hear_totals(LATER + HEARTBEAT_PERIOD_S, TOTALS._replace(gateways=50, demand=100.0), LIMIT)
     assert shares.share == pytest.approx(LIMIT / FLEET, rel=0.1)
--- a/tests/golden/datagram_cases.py
+++ b/tests/golden/datagram_cases.py
@@ -113,7 +113,7 @@
     admission = BatchAdmission(INCARNATION)
     admission.rescale(100.0, slots=8, gateways=2)
     admission.in_flight = 3
-    return datagram.write_heartbeat(datagram.BATCH, {datagram.service_number("chat"): admission.beat()})
+    return datagram.write_heartbeat(datagram.BATCH, {datagram.service_number("chat"): admission.heartbeat()})
 
 
 def _admission_heartbeats() -> list[Case]:
--- a/tests/standalone/test_shares.py
+++ b/tests/standalone/test_shares.py
@@ -104,7 +104,7 @@
         for shares, wanted in zip(fleet, next(demands), strict=True):
             shares.wanted = wanted
             shares.settle(now, 0.5, 30.0)
-            data = shares.beat(30.0, int(min(shares.share, 30.0)))
+            data = shares.heartbeat(30.0, int(min(shares.share, 30.0)))
             for other in fleet:
                 if other is not shares:
                     other.hear(now, shares.incarnation, data, 30.0)
