--- a/benchmarks/admission_exchange.py
+++ b/benchmarks/admission_exchange.py
@@ -73,7 +73,7 @@
         self.exchange = RelayExchange(self.ip, index + 1, self.hear_totals)
 
     def hear_totals(self, number: int, totals: Totals) -> None:
-        self.shares.hear_totals(self.now, totals, self.limit)
+        self.shares.receive_totals(self.now, totals, self.limit)
 
     def tick(self, now: float, everybody: "list[Gateway]") -> Iterator[tuple[str, bytes]]:
         self.now = now
--- a/pewterring/admission/batch.py
+++ b/pewterring/admission/batch.py
@@ -39,19 +39,19 @@
         self._gateways, self._slots = gateways, slots
         self._admission.rescale(now, slots, gateways)
 
-    def hear(self, now: float, peer: int, data: bytes) -> None:
+    def receive(self, now: float, peer: int, data: bytes) -> None:
         """Takes a heartbeat from a gateway."""
-        self._admission.hear(now, peer, data)
+        self._admission.receive(now, peer, data)
 
-    def hear_batch(self, now: float, peer: int, data: bytes) -> None:
+    def receive_batch(self, now: float, peer: int, data: bytes) -> None:
         """Takes a heartbeat from another store that runs batch items."""
         beat = read_beat(data)
         if beat is not None:
             self._stores[peer] = (now, beat.out)
 
-    def hear_totals(self, now: float, totals: Totals) -> None:
+    def receive_totals(self, now: float, totals: Totals) -> None:
         """Takes the totals of a fleet that is too large for all-to-all heartbeats."""
-        self._admission.hear_totals(now, totals)
+        self._admission.receive_totals(now, totals)
 
     def observe(self, now: float, route: RequestClass, ratio: float) -> None:
         """Takes a sample: the ratio of the observed to the expected time to the first byte."""
--- a/pewterring/admission/relayed_shares.py
+++ b/pewterring/admission/relayed_shares.py
@@ -29,12 +29,12 @@
         self._counted = counted
         self._announced = _Announced(0, 0.0)
 
-    def hear(self, now: float, peer: int, data: bytes, limit: float) -> bool:
+    def receive(self, now: float, peer: int, data: bytes, limit: float) -> bool:
         """Takes a heartbeat that a peer sent directly; False if it was not accepted."""
         self.totals = None
-        return super().hear(now, peer, data, limit)
+        return super().receive(now, peer, data, limit)
 
-    def hear_totals(self, now: float, totals: Totals, limit: float) -> None:
+    def receive_totals(self, now: float, totals: Totals, limit: float) -> None:
         """Takes the totals of the fleet."""
         self.totals, self._totals_at = totals, now
         self.divide(now, limit)
--- a/pewterring/admission/service.py
+++ b/pewterring/admission/service.py
@@ -113,15 +113,15 @@
         """Encodes the heartbeat of this process for this service."""
         return self.shares.heartbeat(self.ceiling.limit, self.in_flight)
 
-    def hear(self, now: float, peer: int, data: bytes) -> None:
+    def receive(self, now: float, peer: int, data: bytes) -> None:
         """Takes a heartbeat from a gateway."""
-        self.shares.hear(now, peer, data, self.ceiling.limit)
+        self.shares.receive(now, peer, data, self.ceiling.limit)
 
-    def hear_totals(self, now: float, totals: Totals) -> None:
+    def receive_totals(self, now: float, totals: Totals) -> None:
         """Takes the totals of a fleet that is too large for all-to-all heartbeats."""
-        self.shares.hear_totals(now, totals, self.ceiling.limit)
+        self.shares.receive_totals(now, totals, self.ceiling.limit)
 
-    def hear_batch(self, now: float, peer: int, data: bytes) -> None:
+    def receive_batch(self, now: float, peer: int, data: bytes) -> None:
         """Takes a heartbeat from a process that runs batch items.
 
         Batch items give way to live requests, so they reserve no share.
--- a/pewterring/admission/shares.py
+++ b/pewterring/admission/shares.py
@@ -72,7 +72,7 @@
         beat = messages.Beat(self.incarnation, self.sequence, limit, in_flight, self.share, self.demand)
         return messages.write_beat(beat)
 
-    def hear(self, now: float, peer: int, data: bytes, limit: float) -> bool:
+    def receive(self, now: float, peer: int, data: bytes, limit: float) -> bool:
         """Takes a heartbeat; False if it is malformed, out of order or of an earlier incarnation."""
         beat, old = messages.read_beat(data), self.peers.get(peer)
         same = bool(beat and old and beat.incarnation == old.beat.incarnation)
--- a/pewterring/batch/worker_access.py
+++ b/pewterring/batch/worker_access.py
@@ -83,7 +83,7 @@
             self._heartbeats.send(heartbeats, self._tables().nodes)
 
     def _on_heartbeat(self, kind: int, peer: int, number: int, heartbeat: bytes) -> None:
-        self._admissions.hear(self._clock(), kind, peer, number, heartbeat)
+        self._admissions.receive(self._clock(), kind, peer, number, heartbeat)
 
     def _on_totals(self, number: int, totals: Totals) -> None:
-        self._admissions.hear_totals(self._clock(), number, totals)
+        self._admissions.receive_totals(self._clock(), number, totals)
--- a/pewterring/gateway/program.py
+++ b/pewterring/gateway/program.py
@@ -213,10 +213,10 @@
             self._stalls.check(self.clock())
 
     def _receive_heartbeat(self, kind: int, peer: int, service: int, heartbeat: bytes) -> None:
-        self.admissions.hear(self.clock(), kind, peer, service, heartbeat)
+        self.admissions.receive(self.clock(), kind, peer, service, heartbeat)
 
     def _receive_totals(self, service: int, totals: Totals) -> None:
-        self.admissions.hear_totals(self.clock(), service, totals)
+        self.admissions.receive_totals(self.clock(), service, totals)
 
     def _record(self) -> NodeRecord:
         settings = self.settings
--- a/pewterring/routing/admissions.py
+++ b/pewterring/routing/admissions.py
@@ -23,13 +23,13 @@
     def heartbeat(self) -> bytes:
         """Encodes the heartbeat to send."""
 
-    def hear(self, now: float, peer: int, data: bytes) -> None:
+    def receive(self, now: float, peer: int, data: bytes) -> None:
         """Takes a heartbeat from a gateway."""
 
-    def hear_batch(self, now: float, peer: int, data: bytes) -> None:
+    def receive_batch(self, now: float, peer: int, data: bytes) -> None:
         """Takes a heartbeat from a process that runs batch items."""
 
-    def hear_totals(self, now: float, totals: Totals) -> None:
+    def receive_totals(self, now: float, totals: Totals) -> None:
         """Takes the totals of the fleet."""
 
 
@@ -80,18 +80,18 @@
             heartbeats[number] = admission.heartbeat()
         return heartbeats
 
-    def hear(self, now: float, kind: int, peer: int, number: int, heartbeat: bytes) -> None:
+    def receive(self, now: float, kind: int, peer: int, number: int, heartbeat: bytes) -> None:
         """Takes a peer's heartbeat for one service."""
         admission = self._by_number.get(number)
         if admission is None:
             return
         if kind == GATEWAY:
-            admission.hear(now, peer, heartbeat)
+            admission.receive(now, peer, heartbeat)
         elif kind == BATCH:
-            admission.hear_batch(now, peer, heartbeat)
+            admission.receive_batch(now, peer, heartbeat)
 
-    def hear_totals(self, now: float, number: int, totals: Totals) -> None:
+    def receive_totals(self, now: float, number: int, totals: Totals) -> None:
         """Takes the totals of the fleet for one service, as relays send them."""
         admission = self._by_number.get(number)
         if admission is not None:
-            admission.hear_totals(now, totals)
+            admission.receive_totals(now, totals)
--- a/pewterring/standalone/policy/decisions.py
+++ b/pewterring/standalone/policy/decisions.py
@@ -375,7 +375,7 @@
             case i.PeerMail(peer, data) if peer != self.s.me and 0 <= peer < self.s.fleet_size:
                 if said := mail.read_ask(data):
                     self.answer(now, peer, said)
-                elif self.shares.hear(now, peer, data, self.ceiling.limit):
+                elif self.shares.receive(now, peer, data, self.ceiling.limit):
                     self.quota.hear(now, peer, self.shares.peers[peer].beat.incarnation, data)
             case i.ProbeResult(server, i.Code.OK) if server in self.fleet.nodes:
                 self.fleet.answers(self.fleet.nodes[server], now)
--- a/tests/admission/test_fleet_in_overload.py
+++ b/tests/admission/test_fleet_in_overload.py
@@ -48,7 +48,7 @@
         for index, gateway in enumerate(self.gateways):
             for peer, heartbeat in enumerate(heartbeats):
                 if peer != index:
-                    gateway.hear(self.now, peer, heartbeat)
+                    gateway.receive(self.now, peer, heartbeat)
 
     def _step(self) -> None:
         while self._ends and self._ends[0][0] <= self.now:
@@ -86,7 +86,9 @@
     admission.shares.demand = 10.0
     for third_in_flight in (20, 80):
         for peer, in_flight in ((1, 20), (2, 20), (3, third_in_flight)):
-            admission.hear(10.0, peer, write_beat(Beat(peer, third_in_flight, 100.0, in_flight, 25.0, 10.0)))
+            admission.receive(
+                10.0, peer, write_beat(Beat(peer, third_in_flight, 100.0, in_flight, 25.0, 10.0))
+            )
         if third_in_flight == 20:
             assert admission.shares.share == 25.0
     assert admission.shares.share == 25.0 * 100 / 155
--- a/tests/admission/test_relayed_shares.py
+++ b/tests/admission/test_relayed_shares.py
@@ -28,7 +28,7 @@
     for demand in (1.0, 2.0, 8.0):
         shares = new_shares(demand)
         shares.heartbeat(LIMIT, 1)
-        shares.hear_totals(LATER, TOTALS, LIMIT)
+        shares.receive_totals(LATER, TOTALS, LIMIT)
         assert shares.share == pytest.approx(LIMIT * demand / 200.0)
         assert shares.whole == LIMIT
         assert shares.elsewhere == 199.0
@@ -36,7 +36,7 @@
 
 def test_the_share_is_at_least_one_slot() -> None:
     shares = new_shares(0.0)
-    shares.hear_totals(LATER, TOTALS, LIMIT)
+    shares.receive_totals(LATER, TOTALS, LIMIT)
     assert shares.share == 1.0
 
 
@@ -44,7 +44,7 @@
     shares = new_shares(8.0)
     shares.heartbeat(LIMIT, 1)
     for _ in range(5):
-        shares.hear_totals(LATER, TOTALS._replace(reserved=1.25 * LIMIT), LIMIT)
+        shares.receive_totals(LATER, TOTALS._replace(reserved=1.25 * LIMIT), LIMIT)
     assert shares.share == pytest.approx(0.8 * LIMIT * 8.0 / 200.0)
 
 
@@ -52,14 +52,14 @@
     """Otherwise the rest would take over a zone's shares as soon as a partition isolates its relays."""
     shares = new_shares(2.0)
     shares.heartbeat(LIMIT, 1)
-    shares.hear_totals(LATER, TOTALS, LIMIT)
-    shares.hear_totals(LATER + HEARTBEAT_PERIOD_S, TOTALS._replace(gateways=50, demand=100.0), LIMIT)
+    shares.receive_totals(LATER, TOTALS, LIMIT)
+    shares.receive_totals(LATER + HEARTBEAT_PERIOD_S, TOTALS._replace(gateways=50, demand=100.0), LIMIT)
     assert shares.share == pytest.approx(LIMIT / FLEET, rel=0.1)
 
 
 def test_without_any_relay_the_share_stays_and_idle_slots_are_lent_as_if_all_were_busy() -> None:
     shares = new_shares(2.0)
-    shares.hear_totals(LATER, TOTALS, LIMIT)
+    shares.receive_totals(LATER, TOTALS, LIMIT)
     share_before = shares.share
     shares.divide(LATER + TOTALS_EXPIRY_S, LIMIT)
     assert shares.share == pytest.approx(share_before * math.exp(TOTALS_EXPIRY_S / DEMAND_DECAY_S))
@@ -69,7 +69,7 @@
 
 def test_a_new_gateway_takes_an_even_share_before_it_has_demand() -> None:
     shares = new_shares(0.0)
-    shares.hear_totals(LEASE_S / 2, TOTALS, LIMIT)
+    shares.receive_totals(LEASE_S / 2, TOTALS, LIMIT)
     assert shares.share == LIMIT / FLEET
 
 
@@ -77,11 +77,11 @@
     """When the fleet shrinks below the size that needs relays, heartbeats go to all peers again."""
     shares, plain = new_shares(), Shares(FLEET, 1)
     plain.began, plain.lends, plain.demand = 0.0, True, 2.0
-    shares.hear_totals(LATER, TOTALS, LIMIT)
+    shares.receive_totals(LATER, TOTALS, LIMIT)
     heartbeat = write_beat(Beat(5, 1, LIMIT, 3, 4.0, 2.0))
     shares.total = plain.total
     for each in (shares, plain):
-        each.hear(LATER + HEARTBEAT_PERIOD_S, 9, heartbeat, LIMIT)
+        each.receive(LATER + HEARTBEAT_PERIOD_S, 9, heartbeat, LIMIT)
     assert shares.totals is None
     assert (shares.share, shares.elsewhere, shares.whole) == (plain.share, plain.elsewhere, plain.whole)
 
@@ -89,7 +89,7 @@
 def test_batch_items_in_the_totals_count_as_attempts_of_other_processes() -> None:
     admission = ServiceAdmission(1, FLEET)
     admission.rescale(0.0, 400, FLEET)
-    admission.hear_totals(LATER, TOTALS)
+    admission.receive_totals(LATER, TOTALS)
     assert admission.batch_in_flight(LATER) == 30
     assert admission.elsewhere(LATER) == 230.0
     assert admission.batch_in_flight(LATER + TOTALS_EXPIRY_S) == 0
--- a/tests/admission/test_service.py
+++ b/tests/admission/test_service.py
@@ -22,7 +22,7 @@
     beat = Beat(
         peer, int(now * 10) + 1, fields["limit"], int(fields["out"]), fields["share"], fields["demand"]
     )
-    to.hear(now, peer, write_beat(beat))
+    to.receive(now, peer, write_beat(beat))
 
 
 def acquire_all(admission: ServiceAdmission) -> int:
@@ -110,6 +110,6 @@
 def test_batch_items_do_not_reduce_the_share() -> None:
     admission, unaffected = new_admission(), new_admission()
     beat = write_beat(Beat(9, 1, 100.0, 60, 0.0, 0.0))
-    admission.hear_batch(1.0, 9, beat)
+    admission.receive_batch(1.0, 9, beat)
     assert admission.elsewhere(1.0) == 60
     assert acquire_all(admission) == acquire_all(unaffected)
--- a/tests/batch/test_dispatch.py
+++ b/tests/batch/test_dispatch.py
@@ -59,7 +59,7 @@
 
     def heartbeat(self, peer: int, out: int, limit: float = 2 * SLOTS, kind: int = GATEWAY) -> None:
         data = write_beat(Beat(peer, 1, limit, out, 1.0, 1.0))
-        self.admissions.hear(self.clock.now, kind, peer, SERVICE, data)
+        self.admissions.receive(self.clock.now, kind, peer, SERVICE, data)
 
 
 def two_workers(gateways: int = 1) -> Fixture:
@@ -164,7 +164,7 @@
     other.update(fixture.clock.now, fixture.tables, fixture.chooser)
     capacity = other.of("s").room(fixture.clock.now)
     for number, heartbeat in fixture.admissions.tick(fixture.clock.now).items():
-        other.hear(fixture.clock.now, BATCH, 5, number, heartbeat)
+        other.receive(fixture.clock.now, BATCH, 5, number, heartbeat)
     assert other.of("s").room(fixture.clock.now) == capacity - 1
 
 
--- a/tests/standalone/test_shares.py
+++ b/tests/standalone/test_shares.py
@@ -33,11 +33,11 @@
 
 def test_the_limit_is_the_lower_median_of_live_limits() -> None:
     shares = Shares(3, 1)
-    shares.hear(0.0, 1, heartbeat(11, 1, limit=10.0, share=0.0), 100.0)
+    shares.receive(0.0, 1, heartbeat(11, 1, limit=10.0, share=0.0), 100.0)
     shares.demand = 1e9
     shares.divide(0.0, 100.0)
     assert shares.share == pytest.approx(10.0, rel=0.01)
-    shares.hear(0.0, 2, heartbeat(12, 1, limit=50.0, share=0.0), 100.0)
+    shares.receive(0.0, 2, heartbeat(12, 1, limit=50.0, share=0.0), 100.0)
     shares.divide(0.0, 100.0)
     assert shares.share == pytest.approx(50.0, rel=0.01)
 
@@ -45,16 +45,16 @@
 def test_a_peer_reserves_its_share_or_its_attempts_in_flight_and_one_slot_remains() -> None:
     shares = Shares(3, 1)
     shares.demand = 1e9
-    shares.hear(0.0, 1, heartbeat(11, 1, in_flight=25, share=5.0), 30.0)
+    shares.receive(0.0, 1, heartbeat(11, 1, in_flight=25, share=5.0), 30.0)
     assert shares.share == pytest.approx(5.0)
-    shares.hear(0.0, 1, heartbeat(11, 2, in_flight=5, share=29.9), 30.0)
+    shares.receive(0.0, 1, heartbeat(11, 2, in_flight=5, share=29.9), 30.0)
     assert shares.share == 1.0
 
 
 def test_an_unresponsive_peer_is_evicted() -> None:
     shares = Shares(3, 1)
     shares.demand = 1e9
-    shares.hear(0.0, 1, heartbeat(11, 1, in_flight=25), 30.0)
+    shares.receive(0.0, 1, heartbeat(11, 1, in_flight=25), 30.0)
     shares.divide(LEASE_S - 0.01, 30.0)
     assert shares.share < 30.0
     shares.divide(LEASE_S, 30.0)
@@ -63,19 +63,19 @@
 
 def test_late_and_repeated_heartbeats_are_dropped() -> None:
     shares = Shares(3, 1)
-    shares.hear(0.0, 1, heartbeat(11, 5, in_flight=5), 30.0)
-    shares.hear(0.1, 1, heartbeat(11, 4, in_flight=25), 30.0)
-    shares.hear(0.2, 1, heartbeat(11, 5, in_flight=25), 30.0)
+    shares.receive(0.0, 1, heartbeat(11, 5, in_flight=5), 30.0)
+    shares.receive(0.1, 1, heartbeat(11, 4, in_flight=25), 30.0)
+    shares.receive(0.2, 1, heartbeat(11, 5, in_flight=25), 30.0)
     assert shares.peers[1].beat.out == 5
     assert shares.peers[1].heard == 0.0
 
 
 def test_heartbeats_of_a_restarted_peer_count_and_those_of_its_earlier_incarnation_do_not() -> None:
     shares = Shares(3, 1)
-    shares.hear(0.0, 1, heartbeat(11, 500, in_flight=5), 30.0)
-    shares.hear(0.1, 1, heartbeat(22, 1, in_flight=7), 30.0)
+    shares.receive(0.0, 1, heartbeat(11, 500, in_flight=5), 30.0)
+    shares.receive(0.1, 1, heartbeat(22, 1, in_flight=7), 30.0)
     assert shares.peers[1].beat.out == 7
-    shares.hear(0.2, 1, heartbeat(11, 501, in_flight=9), 30.0)
+    shares.receive(0.2, 1, heartbeat(11, 501, in_flight=9), 30.0)
     assert shares.peers[1].beat.out == 7
 
 
@@ -107,7 +107,7 @@
             data = shares.heartbeat(30.0, int(min(shares.share, 30.0)))
             for other in fleet:
                 if other is not shares:
-                    other.hear(now, shares.incarnation, data, 30.0)
+                    other.receive(now, shares.incarnation, data, 30.0)
         if step > 4:
             assert sum(shares.share for shares in fleet) <= 30.0 + 2.0
 
@@ -129,7 +129,7 @@
         shares.wanted = 10.0
         shares.settle(step * 0.5, 0.5, 30.0)
         for peer in (1, 2):
-            shares.hear(step * 0.5, peer, BEAT_FORM.pack(b"B", peer, step, 30.0, 5, 8.0, 20.0), 30.0)
+            shares.receive(step * 0.5, peer, BEAT_FORM.pack(b"B", peer, step, 30.0, 5, 8.0, 20.0), 30.0)
     before = shares.share
     shares.wanted = 10.0
     shares.settle(9.5 + 2 * LEASE_S, 0.5, 30.0)
