--- a/benchmarks/admission_exchange.py
+++ b/benchmarks/admission_exchange.py
@@ -77,7 +77,7 @@
 
     def tick(self, now: float, everybody: "list[Gateway]") -> Iterator[tuple[str, bytes]]:
         self.now = now
-        self.shares.settle(now, HEARTBEAT_PERIOD_S, self.limit)
+        self.shares.update_demand(now, HEARTBEAT_PERIOD_S, self.limit)
         data = write_heartbeat(GATEWAY, {SERVICE: self.shares.heartbeat(self.limit, self.out)})
         if self.way == "relayed":
             yield from self.exchange.round(now, data, HEARTBEAT_PERIOD_S)
@@ -163,7 +163,7 @@
     plan = make_plan(Speaker(gateway.ip, f"zone-{gateway.index % ZONES}", True) for gateway in gateways)
     by_ip = {gateway.ip: gateway for gateway in gateways}
     spent = dict.fromkeys(by_ip, 0.0)
-    gateways[0].shares.settle(1.0, HEARTBEAT_PERIOD_S, 4.0)
+    gateways[0].shares.update_demand(1.0, HEARTBEAT_PERIOD_S, 4.0)
     beat = gateways[0].shares.heartbeat(4.0, 1)
     heartbeat = write_heartbeat(GATEWAY, dict.fromkeys(range(services), beat))
     for gateway in gateways:
--- a/pewterring/admission/service.py
+++ b/pewterring/admission/service.py
@@ -107,7 +107,7 @@
         """Updates demand, and the share derived from it. Called once per heartbeat period."""
         elapsed = max(1e-3, now - self._demand_updated_at)
         self._demand_updated_at = now
-        self.shares.settle(now, elapsed, self.ceiling.limit)
+        self.shares.update_demand(now, elapsed, self.ceiling.limit)
 
     def heartbeat(self) -> bytes:
         """Encodes the heartbeat of this process for this service."""
--- a/pewterring/admission/shares.py
+++ b/pewterring/admission/shares.py
@@ -60,7 +60,7 @@
         """The part of a target share that the slots reserved by peers leave free."""
         return min(target, self.whole - reserved)
 
-    def settle(self, now: float, elapsed: float, limit: float) -> None:
+    def update_demand(self, now: float, elapsed: float, limit: float) -> None:
         weight = max(1 - math.exp(-elapsed / self.lease), elapsed / max(elapsed, now - self.began))
         self.demand += (self.wanted / elapsed - self.demand) * weight
         self.flow += (self.passed / elapsed - self.flow) * weight
--- a/pewterring/standalone/policy/decisions.py
+++ b/pewterring/standalone/policy/decisions.py
@@ -440,7 +440,7 @@
 
     def tick(self, now: float) -> None:
         past, self.ticked = max(1e-3, now - self.ticked), now
-        self.shares.settle(now, past, self.ceiling.limit)
+        self.shares.update_demand(now, past, self.ceiling.limit)
         self.fleet.take_pace(now, self.shares.flow)
         self.quota.sweep(now)
         if not self.s.limits.peers or self.s.fleet_size < 2:
