--- a/pewterring/admission/relayed_shares.py
+++ b/pewterring/admission/relayed_shares.py
@@ -37,7 +37,7 @@
     def receive_totals(self, now: float, totals: Totals, limit: float) -> None:
         """Takes the totals of the fleet."""
         self.totals, self._totals_at = totals, now
-        self.divide(now, limit)
+        self.update_share(now, limit)
 
     def has_totals(self, now: float) -> bool:
         """Whether totals are known and have not expired."""
@@ -49,10 +49,10 @@
             self._announced = _Announced(in_flight, self.demand)
         return super().heartbeat(limit, in_flight)
 
-    def divide(self, now: float, limit: float) -> None:
+    def update_share(self, now: float, limit: float) -> None:
         """Recomputes the share."""
         if self.totals is None:
-            super().divide(now, limit)
+            super().update_share(now, limit)
             return
         self.whole = self.totals.limit if self.totals.gateways else limit
         demands = self._demands(now, self.totals)
--- a/pewterring/admission/service.py
+++ b/pewterring/admission/service.py
@@ -58,7 +58,7 @@
             self.shares.began = self._demand_updated_at = now
         self.ceiling.rescale(float(slots), slots)
         self.shares.fleet = max(1, processes)
-        self.shares.divide(now, self.ceiling.limit)
+        self.shares.update_share(now, self.ceiling.limit)
 
     @property
     def room(self) -> float:
--- a/pewterring/admission/shares.py
+++ b/pewterring/admission/shares.py
@@ -31,7 +31,7 @@
         free = 1 - (self.elsewhere + in_flight) / max(self.whole, 1.0) if self.lends else -math.inf
         return self.share + self.LENT * math.sqrt(self.share) * min(1.0, max(0.0, 0.5 + free / self.IDLE))
 
-    def divide(self, now: float, limit: float) -> None:
+    def update_share(self, now: float, limit: float) -> None:
         live = [peer for peer in self.peers.values() if now - peer.heard < self.lease]
         whole = sorted([limit, *(peer.beat.limit for peer in live)])[len(live) // 2]
         demands = self.demand + sum(peer.beat.demand for peer in live)
@@ -65,7 +65,7 @@
         self.demand += (self.wanted / elapsed - self.demand) * weight
         self.flow += (self.passed / elapsed - self.flow) * weight
         self.wanted = self.passed = 0.0
-        self.divide(now, limit)
+        self.update_share(now, limit)
 
     def heartbeat(self, limit: float, in_flight: int) -> bytes:
         self.sequence += 1
@@ -82,5 +82,5 @@
             return False
         self.peers[peer] = Peer(beat, now, -1 if not old else old.before if same else old.beat.incarnation)
         if not self.sparse:
-            self.divide(now, limit)
+            self.update_share(now, limit)
         return True
--- a/pewterring/standalone/policy/decisions.py
+++ b/pewterring/standalone/policy/decisions.py
@@ -394,7 +394,7 @@
 
     def begin(self, now: float) -> None:
         self.shares.began = self.quota.began = self.ticked = now
-        self.shares.divide(now, self.ceiling.limit)
+        self.shares.update_share(now, self.ceiling.limit)
         self.actions += [i.SetTimer(self.tick_s * self.rng.random(), TICK), i.SetTimer(self.look_s, LOOK)]
         if self.s.ask_discovery:
             self.actions.append(i.Subscribe())
--- a/tests/admission/test_relayed_shares.py
+++ b/tests/admission/test_relayed_shares.py
@@ -61,7 +61,7 @@
     shares = new_shares(2.0)
     shares.receive_totals(LATER, TOTALS, LIMIT)
     share_before = shares.share
-    shares.divide(LATER + TOTALS_EXPIRY_S, LIMIT)
+    shares.update_share(LATER + TOTALS_EXPIRY_S, LIMIT)
     assert shares.share == pytest.approx(share_before * math.exp(TOTALS_EXPIRY_S / DEMAND_DECAY_S))
     assert shares.elsewhere == LIMIT
     assert shares.room(0) == pytest.approx(shares.share + shares.LENT * math.sqrt(shares.share) / 2)
--- a/tests/standalone/test_shares.py
+++ b/tests/standalone/test_shares.py
@@ -35,10 +35,10 @@
     shares = Shares(3, 1)
     shares.receive(0.0, 1, heartbeat(11, 1, limit=10.0, share=0.0), 100.0)
     shares.demand = 1e9
-    shares.divide(0.0, 100.0)
+    shares.update_share(0.0, 100.0)
     assert shares.share == pytest.approx(10.0, rel=0.01)
     shares.receive(0.0, 2, heartbeat(12, 1, limit=50.0, share=0.0), 100.0)
-    shares.divide(0.0, 100.0)
+    shares.update_share(0.0, 100.0)
     assert shares.share == pytest.approx(50.0, rel=0.01)
 
 
@@ -55,9 +55,9 @@
     shares = Shares(3, 1)
     shares.demand = 1e9
     shares.receive(0.0, 1, heartbeat(11, 1, in_flight=25), 30.0)
-    shares.divide(LEASE_S - 0.01, 30.0)
+    shares.update_share(LEASE_S - 0.01, 30.0)
     assert shares.share < 30.0
-    shares.divide(LEASE_S, 30.0)
+    shares.update_share(LEASE_S, 30.0)
     assert shares.share == 30.0
 
 
--- a/tests/standalone/test_switch.py
+++ b/tests/standalone/test_switch.py
@@ -144,7 +144,7 @@
             gatekeeper, total = service.module, 0
             await until(lambda: service.gateway.ready and not service.gateway.inbox)
             gatekeeper.ceiling.limit = 4000.0  # quotas alone are to decide here
-            gatekeeper.shares.divide(service.loop.time(), 4000.0)
+            gatekeeper.shares.update_share(service.loop.time(), 4000.0)
             # Of a burst of four three are sent on, a tenth is kept back; of six then two more.
             for tree, sent in ((NEW, 3), (OLD, 2), (NEW, 0), (OLD, 0)):
                 callers = [await Caller.to(service.listener.address) for _ in range(4)]
