--- a/benchmarks/admission_exchange.py
+++ b/benchmarks/admission_exchange.py
@@ -130,7 +130,7 @@
             plan_event(now + rng.expovariate(rate), "request", 0)
             index = rng.choices(range(fleet), weights)[0]
             gateway = gateways[index]
-            gateway.shares.wanted += 1
+            gateway.shares.requested += 1
             asked += measured
             if gateway.out < gateway.shares.room(gateway.out):
                 gateway.out += 1
--- a/pewterring/admission/service.py
+++ b/pewterring/admission/service.py
@@ -88,10 +88,10 @@
 
         `rank` is the number of the service's live priorities that are more urgent.
         """
-        self.shares.wanted += 1
+        self.shares.requested += 1
         if self.in_flight >= self.room * max(MIN_CAPACITY_FRACTION, 1 - URGENT_FRACTION * rank):
             return False
-        self.shares.passed += 1
+        self.shares.forwarded += 1
         self.in_flight += 1
         return True
 
--- a/pewterring/admission/shares.py
+++ b/pewterring/admission/shares.py
@@ -23,8 +23,8 @@
         self.began, self.total, self.summed_at, self.share = -math.inf, 0.0, 0.0, math.inf
         self.whole = self.elsewhere = 0.0  # the limit of the fleet, and its attempts in flight at peers
         self.peers: dict[int, Peer] = {}
-        self.wanted = self.passed = 0.0  # since the last tick: requests within quotas, and forwarded ones
-        self.demand = self.flow = 0.0  # moving averages of both, per second; plain means at first
+        self.requested = self.forwarded = 0.0  # requests within quotas, and forwarded, since the last tick
+        self.demand = self.forwarding_rate = 0.0  # moving averages of both, per second; plain means at first
 
     def room(self, in_flight: int) -> float:
         """The share and a loan of idle slots: a share of one or two rejects requests that arrive together."""
@@ -62,9 +62,9 @@
 
     def update_demand(self, now: float, elapsed: float, limit: float) -> None:
         weight = max(1 - math.exp(-elapsed / self.lease), elapsed / max(elapsed, now - self.began))
-        self.demand += (self.wanted / elapsed - self.demand) * weight
-        self.flow += (self.passed / elapsed - self.flow) * weight
-        self.wanted = self.passed = 0.0
+        self.demand += (self.requested / elapsed - self.demand) * weight
+        self.forwarding_rate += (self.forwarded / elapsed - self.forwarding_rate) * weight
+        self.requested = self.forwarded = 0.0
         self.update_share(now, limit)
 
     def heartbeat(self, limit: float, in_flight: int) -> bytes:
--- a/pewterring/standalone/policy/decisions.py
+++ b/pewterring/standalone/policy/decisions.py
@@ -441,7 +441,7 @@
     def tick(self, now: float) -> None:
         past, self.ticked = max(1e-3, now - self.ticked), now
         self.shares.update_demand(now, past, self.ceiling.limit)
-        self.fleet.take_pace(now, self.shares.flow)
+        self.fleet.take_pace(now, self.shares.forwarding_rate)
         self.quota.sweep(now)
         if not self.s.limits.peers or self.s.fleet_size < 2:
             return
@@ -527,12 +527,12 @@
         slot = said.granted if said else now >= c.busy and c.open < max(1, plan.parallel // c.size)
         if (plan.parallel and not slot) or (plan.cap_rate and not pooled and c.cap < r.units):
             return self.refuse(held, "limit")
-        self.shares.wanted += 1
+        self.shares.requested += 1
         if self.full():
             return self.refuse(held, "ceiling")
         if (node := self.fleet.choose(now, self.fleet.serving, held)) is None:
             return self.refuse(held, "workers")
-        self.shares.passed += 1
+        self.shares.forwarded += 1
         c.cap -= 0.0 if pooled or not plan.cap_rate else r.units
         if not (said and self.sparse):
             held.inside = c.take(r.units)
--- a/tests/standalone/test_shares.py
+++ b/tests/standalone/test_shares.py
@@ -101,8 +101,8 @@
     demands = itertools.cycle([(90, 5, 5), (90, 5, 5), (90, 5, 5), (5, 90, 5), (5, 90, 5), (5, 5, 90)])
     for step in range(60):
         now = step * 0.5
-        for shares, wanted in zip(fleet, next(demands), strict=True):
-            shares.wanted = wanted
+        for shares, requested in zip(fleet, next(demands), strict=True):
+            shares.requested = requested
             shares.update_demand(now, 0.5, 30.0)
             data = shares.heartbeat(30.0, int(min(shares.share, 30.0)))
             for other in fleet:
@@ -126,17 +126,17 @@
 def test_in_a_network_partition_each_side_keeps_about_its_share() -> None:
     shares = Shares(3, 1)
     for step in range(20):
-        shares.wanted = 10.0
+        shares.requested = 10.0
         shares.update_demand(step * 0.5, 0.5, 30.0)
         for peer in (1, 2):
             shares.receive(step * 0.5, peer, BEAT_FORM.pack(b"B", peer, step, 30.0, 5, 8.0, 20.0), 30.0)
     before = shares.share
-    shares.wanted = 10.0
+    shares.requested = 10.0
     shares.update_demand(9.5 + 2 * LEASE_S, 0.5, 30.0)
     assert shares.share <= 1.3 * before
-    shares.wanted = 60.0  # the peers are dead, and their clients come here
+    shares.requested = 60.0  # the peers are dead, and their clients come here
     for step in range(20):
-        shares.wanted = 30.0
+        shares.requested = 30.0
         shares.update_demand(9.5 + 2 * LEASE_S + step * 0.5, 0.5, 30.0)
     assert shares.share > 25.0
 
