--- a/benchmarks/admission_exchange.py
+++ b/benchmarks/admission_exchange.py
@@ -68,7 +68,7 @@
             self.shares.sparse = True
             self.shares.lease = 2 * LEASE_S
         self.shares.lends = True
-        self.shares.began = 0.0
+        self.shares.started_at = 0.0
         self.now = 0.0
         self.exchange = RelayExchange(self.ip, index + 1, self.hear_totals)
 
--- a/pewterring/admission/relayed_shares.py
+++ b/pewterring/admission/relayed_shares.py
@@ -57,7 +57,7 @@
         self.whole = self.totals.limit if self.totals.gateways else limit
         demands = self._demands(now, self.totals)
         self.total, self.summed_at = demands, now
-        is_new = now - self.began < LEASE_S
+        is_new = now - self.started_at < LEASE_S
         is_demand_known = demands > 0 and (self.demand > 0 or not is_new)
         target = self.whole * (self.demand / demands if is_demand_known else 1 / self.fleet)
         if self.has_totals(now):
@@ -84,7 +84,7 @@
             return max(self.demand, remembered)
         demands = max(0.0, totals.demand - self._announced.demand) + self.demand
         missing = max(0, self.fleet - totals.gateways)
-        if now - self.began < LEASE_S:
+        if now - self.started_at < LEASE_S:
             demands += missing * self.demand
         return max(demands, remembered) if missing > 0 else demands
 
--- a/pewterring/admission/service.py
+++ b/pewterring/admission/service.py
@@ -54,8 +54,8 @@
 
     def rescale(self, now: float, slots: int, processes: int) -> None:
         """Sets the number of slots of the ready workers, and the number of gateways that share them."""
-        if self.shares.began == -math.inf:
-            self.shares.began = self._demand_updated_at = now
+        if self.shares.started_at == -math.inf:
+            self.shares.started_at = self._demand_updated_at = now
         self.ceiling.rescale(float(slots), slots)
         self.shares.fleet = max(1, processes)
         self.shares.update_share(now, self.ceiling.limit)
--- a/pewterring/admission/shares.py
+++ b/pewterring/admission/shares.py
@@ -20,7 +20,7 @@
         self.fleet, self.incarnation, self.sequence, self.sparse = fleet, incarnation, 0, sparse
         self.lends = sparse  # whether idle slots of peers may be used beyond the own share
         self.lease = 2 * LEASE_S if sparse else LEASE_S  # in a sparse fleet some 16 peers are heard in this
-        self.began, self.total, self.summed_at, self.share = -math.inf, 0.0, 0.0, math.inf
+        self.started_at, self.total, self.summed_at, self.share = -math.inf, 0.0, 0.0, math.inf
         self.whole = self.elsewhere = 0.0  # the limit of the fleet, and its attempts in flight at peers
         self.peers: dict[int, Peer] = {}
         self.requested = self.forwarded = 0.0  # requests within quotas, and forwarded, since the last tick
@@ -41,18 +41,18 @@
             # Live peers are a random sample, too rough to subtract shares, so only attempts in flight count.
             demands *= self.fleet / (1 + len(live))
             self.elsewhere *= (self.fleet - 1) / max(1, len(live))
-            if not live and now - self.began >= self.lease:  # no peer heard: the rest counts as busy
+            if not live and now - self.started_at >= self.lease:  # no peer heard: the rest counts as busy
                 self.elsewhere = whole
             reserved = self.elsewhere
         # Demand of missing peers decays slowly, or each side of a network partition would claim all slots.
         missing = 0 if self.sparse else self.fleet - 1 - len(live)  # if dead, their clients raise own demand
-        if now - self.began < LEASE_S:
+        if now - self.started_at < LEASE_S:
             demands += missing * self.demand
         if missing > 0:
             demands = max(demands, self.total * math.exp((self.summed_at - now) / DEMAND_DECAY_S))
         self.total, self.summed_at, self.whole = demands, now, whole
         # A new gateway takes its target despite what peers still reserve: they give way once they hear it.
-        new = not self.sparse and now - self.began < LEASE_S
+        new = not self.sparse and now - self.started_at < LEASE_S
         fraction = self.demand / demands if demands > 0 and (self.demand > 0 or not new) else 1 / self.fleet
         self.share = max(1.0, whole * fraction if new else self._unreserved(whole * fraction, reserved))
 
@@ -61,7 +61,7 @@
         return min(target, self.whole - reserved)
 
     def update_demand(self, now: float, elapsed: float, limit: float) -> None:
-        weight = max(1 - math.exp(-elapsed / self.lease), elapsed / max(elapsed, now - self.began))
+        weight = max(1 - math.exp(-elapsed / self.lease), elapsed / max(elapsed, now - self.started_at))
         self.demand += (self.requested / elapsed - self.demand) * weight
         self.forwarding_rate += (self.forwarded / elapsed - self.forwarding_rate) * weight
         self.requested = self.forwarded = 0.0
--- a/pewterring/standalone/policy/decisions.py
+++ b/pewterring/standalone/policy/decisions.py
@@ -361,7 +361,7 @@
         if isinstance(event, i.ServerList):
             self.fleet.update(now, event)
             self.ceiling.rescale(self.fleet.rating, len(self.fleet.serving))
-        if self.shares.began == -math.inf:
+        if self.shares.started_at == -math.inf:
             self.begin(now)
         match event:
             case i.Request():
@@ -393,7 +393,7 @@
         return self.actions
 
     def begin(self, now: float) -> None:
-        self.shares.began = self.quota.began = self.ticked = now
+        self.shares.started_at = self.quota.began = self.ticked = now
         self.shares.update_share(now, self.ceiling.limit)
         self.actions += [i.SetTimer(self.tick_s * self.rng.random(), TICK), i.SetTimer(self.look_s, LOOK)]
         if self.s.ask_discovery:
--- a/tests/admission/test_relayed_shares.py
+++ b/tests/admission/test_relayed_shares.py
@@ -18,7 +18,7 @@
 
 def new_shares(demand: float = 2.0) -> RelayedShares:
     shares = RelayedShares(FLEET, 1)
-    shares.began = 0.0
+    shares.started_at = 0.0
     shares.lends = True
     shares.demand = demand
     return shares
@@ -76,7 +76,7 @@
 def test_a_heartbeat_received_directly_replaces_the_totals() -> None:
     """When the fleet shrinks below the size that needs relays, heartbeats go to all peers again."""
     shares, plain = new_shares(), Shares(FLEET, 1)
-    plain.began, plain.lends, plain.demand = 0.0, True, 2.0
+    plain.started_at, plain.lends, plain.demand = 0.0, True, 2.0
     shares.receive_totals(LATER, TOTALS, LIMIT)
     heartbeat = write_beat(Beat(5, 1, LIMIT, 3, 4.0, 2.0))
     shares.total = plain.total
--- a/tests/standalone/test_sparse.py
+++ b/tests/standalone/test_sparse.py
@@ -42,7 +42,7 @@
 
 def test_those_heard_speak_for_the_rest_and_unheard_it_counts_as_busy() -> None:
     s = Shares(FLEET, 1, sparse=True)
-    s.began = 0.0
+    s.started_at = 0.0
     for n in range(10, 20):
         s.receive(1.0, n, beat(1, n), 400.0)
     s.update_share(1.0, 400.0)
