--- a/pewterring/admission/relayed_shares.py
+++ b/pewterring/admission/relayed_shares.py
@@ -56,7 +56,7 @@
             return
         self.whole = self.totals.limit if self.totals.gateways else limit
         demands = self._demands(now, self.totals)
-        self.total, self.summed_at = demands, now
+        self.fleet_demand, self.summed_at = demands, now
         is_new = now - self.started_at < LEASE_S
         is_demand_known = demands > 0 and (self.demand > 0 or not is_new)
         target = self.whole * (self.demand / demands if is_demand_known else 1 / self.fleet)
@@ -79,7 +79,7 @@
 
     def _demands(self, now: float, totals: Totals) -> float:
         """The demand of the fleet. As in `Shares`, that of gateways no longer heard decays slowly."""
-        remembered = self.total * math.exp((self.summed_at - now) / DEMAND_DECAY_S)
+        remembered = self.fleet_demand * math.exp((self.summed_at - now) / DEMAND_DECAY_S)
         if not self.has_totals(now):
             return max(self.demand, remembered)
         demands = max(0.0, totals.demand - self._announced.demand) + self.demand
--- a/pewterring/admission/shares.py
+++ b/pewterring/admission/shares.py
@@ -20,7 +20,7 @@
         self.fleet, self.incarnation, self.sequence, self.sparse = fleet, incarnation, 0, sparse
         self.lends = sparse  # whether idle slots of peers may be used beyond the own share
         self.lease = 2 * LEASE_S if sparse else LEASE_S  # in a sparse fleet some 16 peers are heard in this
-        self.started_at, self.total, self.summed_at, self.share = -math.inf, 0.0, 0.0, math.inf
+        self.started_at, self.fleet_demand, self.summed_at, self.share = -math.inf, 0.0, 0.0, math.inf
         self.whole = self.elsewhere = 0.0  # the limit of the fleet, and its attempts in flight at peers
         self.peers: dict[int, Peer] = {}
         self.requested = self.forwarded = 0.0  # requests within quotas, and forwarded, since the last tick
@@ -49,8 +49,8 @@
         if now - self.started_at < LEASE_S:
             demands += missing * self.demand
         if missing > 0:
-            demands = max(demands, self.total * math.exp((self.summed_at - now) / DEMAND_DECAY_S))
-        self.total, self.summed_at, self.whole = demands, now, whole
+            demands = max(demands, self.fleet_demand * math.exp((self.summed_at - now) / DEMAND_DECAY_S))
+        self.fleet_demand, self.summed_at, self.whole = demands, now, whole
         # A new gateway takes its target despite what peers still reserve: they give way once they hear it.
         new = not self.sparse and now - self.started_at < LEASE_S
         fraction = self.demand / demands if demands > 0 and (self.demand > 0 or not new) else 1 / self.fleet
--- a/pewterring/standalone/proxy/tally.py
+++ b/pewterring/standalone/proxy/tally.py
@@ -81,7 +81,7 @@
                 "share": shares.share,
                 "elsewhere": shares.elsewhere,
                 "demand": shares.demand,
-                "demands": shares.total,
+                "demands": shares.fleet_demand,
                 "usual": module.usual(),
                 "out": module.out,
                 "peers": sum(now - p.heard < shares.lease for p in shares.peers.values()),
--- a/tests/admission/test_relayed_shares.py
+++ b/tests/admission/test_relayed_shares.py
@@ -79,7 +79,7 @@
     plain.started_at, plain.lends, plain.demand = 0.0, True, 2.0
     shares.receive_totals(LATER, TOTALS, LIMIT)
     heartbeat = write_beat(Beat(5, 1, LIMIT, 3, 4.0, 2.0))
-    shares.total = plain.total
+    shares.fleet_demand = plain.fleet_demand
     for each in (shares, plain):
         each.receive(LATER + HEARTBEAT_PERIOD_S, 9, heartbeat, LIMIT)
     assert shares.totals is None
