--- a/pewterring/admission/batch.py
+++ b/pewterring/admission/batch.py
@@ -55,7 +55,7 @@
 
     def observe(self, now: float, route: RequestClass, ratio: float) -> None:
         """Takes a sample: the ratio of the observed to the expected time to the first byte."""
-        self._admission.ceiling.observe(route, ratio, self._admission.shares.elsewhere + self.in_flight)
+        self._admission.ceiling.observe(route, ratio, self._admission.shares.peers_in_flight + self.in_flight)
 
     def tick(self, now: float) -> None:
         """Updates demand and share. Called once per heartbeat period."""
@@ -63,7 +63,7 @@
 
     def room(self, now: float) -> int:
         """Returns how many more items may start now."""
-        live = self._admission.shares.elsewhere
+        live = self._admission.shares.peers_in_flight
         limit = min(self._admission.whole, self._admission.ceiling.limit, self._slots)
         usable = self._max_fill(now) * limit - live - self.LIVE_MARGIN * math.sqrt(live)
         in_flight = self.in_flight + self._in_flight_at_other_stores(now)
--- a/pewterring/admission/relayed_shares.py
+++ b/pewterring/admission/relayed_shares.py
@@ -61,12 +61,12 @@
         is_demand_known = demands > 0 and (self.demand > 0 or not is_new)
         target = self.whole * (self.demand / demands if is_demand_known else 1 / self.fleet)
         if self.has_totals(now):
-            self.elsewhere = max(0.0, self.totals.in_flight - self._announced.in_flight)
+            self.peers_in_flight = max(0.0, self.totals.in_flight - self._announced.in_flight)
             self.share = max(1.0, target if is_new else target * self._unreserved_fraction(self.totals))
         else:
             # No relay is reachable. All peers count as busy, so no idle slots are lent, and the share follows
             # the last known demand of the fleet.
-            self.elsewhere = self.whole
+            self.peers_in_flight = self.whole
             self.share = max(1.0, target)
 
     def _unreserved(self, target: float, reserved: float) -> float:
--- a/pewterring/admission/service.py
+++ b/pewterring/admission/service.py
@@ -63,7 +63,7 @@
     @property
     def room(self) -> float:
         """How many attempts this process may have in flight: its share, and a fraction of the idle slots."""
-        idle = max(0.0, self.shares.whole - self.shares.elsewhere - self.in_flight)
+        idle = max(0.0, self.shares.whole - self.shares.peers_in_flight - self.in_flight)
         lent = min(MAX_IDLE_FRACTION, MAX_IDLE_EVEN_SHARES / self.shares.fleet) * idle
         return min(self.shares.room(self.in_flight) + lent, self.ceiling.limit)
 
@@ -72,9 +72,9 @@
         """The common limit of all processes: the lower median of the live gateways' limits."""
         return self.shares.whole
 
-    def elsewhere(self, now: float) -> float:
+    def peers_in_flight(self, now: float) -> float:
         """Attempts that other processes have in flight, including batch items."""
-        return self.shares.elsewhere + self.batch_in_flight(now)
+        return self.shares.peers_in_flight + self.batch_in_flight(now)
 
     def batch_in_flight(self, now: float) -> int:
         """Attempts of batch items that other processes have in flight."""
@@ -101,7 +101,7 @@
 
     def observe(self, now: float, route: RequestClass, ratio: float) -> None:
         """Takes a sample: the ratio of the observed to the expected time to the first byte."""
-        self.ceiling.observe(route, ratio, self.elsewhere(now) + self.in_flight)
+        self.ceiling.observe(route, ratio, self.peers_in_flight(now) + self.in_flight)
 
     def tick(self, now: float) -> None:
         """Updates demand, and the share derived from it. Called once per heartbeat period."""
--- a/pewterring/admission/shares.py
+++ b/pewterring/admission/shares.py
@@ -21,29 +21,29 @@
         self.lends = sparse  # whether idle slots of peers may be used beyond the own share
         self.lease = 2 * LEASE_S if sparse else LEASE_S  # in a sparse fleet some 16 peers are heard in this
         self.started_at, self.fleet_demand, self.summed_at, self.share = -math.inf, 0.0, 0.0, math.inf
-        self.whole = self.elsewhere = 0.0  # the limit of the fleet, and its attempts in flight at peers
+        self.whole = self.peers_in_flight = 0.0  # the limit of the fleet, and its attempts in flight at peers
         self.peers: dict[int, Peer] = {}
         self.requested = self.forwarded = 0.0  # requests within quotas, and forwarded, since the last tick
         self.demand = self.forwarding_rate = 0.0  # moving averages of both, per second; plain means at first
 
     def room(self, in_flight: int) -> float:
         """The share and a loan of idle slots: a share of one or two rejects requests that arrive together."""
-        free = 1 - (self.elsewhere + in_flight) / max(self.whole, 1.0) if self.lends else -math.inf
+        free = 1 - (self.peers_in_flight + in_flight) / max(self.whole, 1.0) if self.lends else -math.inf
         return self.share + self.LENT * math.sqrt(self.share) * min(1.0, max(0.0, 0.5 + free / self.IDLE))
 
     def update_share(self, now: float, limit: float) -> None:
         live = [peer for peer in self.peers.values() if now - peer.heard < self.lease]
         whole = sorted([limit, *(peer.beat.limit for peer in live)])[len(live) // 2]
         demands = self.demand + sum(peer.beat.demand for peer in live)
-        self.elsewhere = sum(peer.beat.out for peer in live)
+        self.peers_in_flight = sum(peer.beat.out for peer in live)
         reserved = sum(max(peer.beat.share, peer.beat.out) for peer in live)
         if self.sparse:
             # Live peers are a random sample, too rough to subtract shares, so only attempts in flight count.
             demands *= self.fleet / (1 + len(live))
-            self.elsewhere *= (self.fleet - 1) / max(1, len(live))
+            self.peers_in_flight *= (self.fleet - 1) / max(1, len(live))
             if not live and now - self.started_at >= self.lease:  # no peer heard: the rest counts as busy
-                self.elsewhere = whole
-            reserved = self.elsewhere
+                self.peers_in_flight = whole
+            reserved = self.peers_in_flight
         # Demand of missing peers decays slowly, or each side of a network partition would claim all slots.
         missing = 0 if self.sparse else self.fleet - 1 - len(live)  # if dead, their clients raise own demand
         if now - self.started_at < LEASE_S:
--- a/pewterring/standalone/policy/decisions.py
+++ b/pewterring/standalone/policy/decisions.py
@@ -382,7 +382,7 @@
             case i.StreamStarted() if event.id in self.held:
                 held = self.held[event.id]
                 held.streaming = True
-                self.ceiling.observe(held.cls, event.took, self.shares.elsewhere + self.out)
+                self.ceiling.observe(held.cls, event.took, self.shares.peers_in_flight + self.out)
                 if node := self.fleet.nodes.get(event.server):
                     # However long the stream lasts, it is no evidence of silence.
                     self.fleet.answers(node, now, node.of(held.cls.name))
@@ -562,7 +562,7 @@
         # falls, more look silent and get copies, whose cancels make it fall: a fleet stayed so.
         late = o.code == i.Code.CANCELLED and o.took > self.ceiling.mean.get(held.cls.name, math.inf)
         if (o.code == i.Code.OK or late) and not held.streaming:
-            self.ceiling.observe(held.cls, o.took, self.shares.elsewhere + self.out + 1)
+            self.ceiling.observe(held.cls, o.took, self.shares.peers_in_flight + self.out + 1)
         if customer := self.quota.customers.get(held.r.customer):
             customer.open = max(0, customer.open - 1)
         if o.actual > 0 and held.inside:
--- a/pewterring/standalone/proxy/tally.py
+++ b/pewterring/standalone/proxy/tally.py
@@ -79,7 +79,7 @@
                 "limit": module.ceiling.limit,
                 "whole": shares.whole,
                 "share": shares.share,
-                "elsewhere": shares.elsewhere,
+                "elsewhere": shares.peers_in_flight,
                 "demand": shares.demand,
                 "demands": shares.fleet_demand,
                 "usual": module.usual(),
--- a/tests/admission/test_relayed_shares.py
+++ b/tests/admission/test_relayed_shares.py
@@ -31,7 +31,7 @@
         shares.receive_totals(LATER, TOTALS, LIMIT)
         assert shares.share == pytest.approx(LIMIT * demand / 200.0)
         assert shares.whole == LIMIT
-        assert shares.elsewhere == 199.0
+        assert shares.peers_in_flight == 199.0
 
 
 def test_the_share_is_at_least_one_slot() -> None:
@@ -63,7 +63,7 @@
     share_before = shares.share
     shares.update_share(LATER + TOTALS_EXPIRY_S, LIMIT)
     assert shares.share == pytest.approx(share_before * math.exp(TOTALS_EXPIRY_S / DEMAND_DECAY_S))
-    assert shares.elsewhere == LIMIT
+    assert shares.peers_in_flight == LIMIT
     assert shares.room(0) == pytest.approx(shares.share + shares.LENT * math.sqrt(shares.share) / 2)
 
 
@@ -83,7 +83,11 @@
     for each in (shares, plain):
         each.receive(LATER + HEARTBEAT_PERIOD_S, 9, heartbeat, LIMIT)
     assert shares.totals is None
-    assert (shares.share, shares.elsewhere, shares.whole) == (plain.share, plain.elsewhere, plain.whole)
+    assert (shares.share, shares.peers_in_flight, shares.whole) == (
+        plain.share,
+        plain.peers_in_flight,
+        plain.whole,
+    )
 
 
 def test_batch_items_in_the_totals_count_as_attempts_of_other_processes() -> None:
@@ -91,5 +95,5 @@
     admission.rescale(0.0, 400, FLEET)
     admission.receive_totals(LATER, TOTALS)
     assert admission.batch_in_flight(LATER) == 30
-    assert admission.elsewhere(LATER) == 230.0
+    assert admission.peers_in_flight(LATER) == 230.0
     assert admission.batch_in_flight(LATER + TOTALS_EXPIRY_S) == 0
--- a/tests/admission/test_service.py
+++ b/tests/admission/test_service.py
@@ -111,5 +111,5 @@
     admission, unaffected = new_admission(), new_admission()
     beat = write_beat(Beat(9, 1, 100.0, 60, 0.0, 0.0))
     admission.receive_batch(1.0, 9, beat)
-    assert admission.elsewhere(1.0) == 60
+    assert admission.peers_in_flight(1.0) == 60
     assert acquire_all(admission) == acquire_all(unaffected)
--- a/tests/standalone/test_sparse.py
+++ b/tests/standalone/test_sparse.py
@@ -46,9 +46,9 @@
     for n in range(10, 20):
         s.receive(1.0, n, beat(1, n), 400.0)
     s.update_share(1.0, 400.0)
-    assert s.elsewhere == FLEET - 1
+    assert s.peers_in_flight == FLEET - 1
     s.update_share(100.0, 400.0)
-    assert s.elsewhere == 400.0
+    assert s.peers_in_flight == 400.0
     assert s.room(0) < 3.0
 
 
