--- a/pewterring/admission/batch.py
+++ b/pewterring/admission/batch.py
@@ -64,7 +64,7 @@
     def room(self, now: float) -> int:
         """Returns how many more items may start now."""
         live = self._admission.shares.peers_in_flight
-        limit = min(self._admission.whole, self._admission.ceiling.limit, self._slots)
+        limit = min(self._admission.fleet_limit, self._admission.ceiling.limit, self._slots)
         usable = self._max_fill(now) * limit - live - self.LIVE_MARGIN * math.sqrt(live)
         in_flight = self.in_flight + self._in_flight_at_other_stores(now)
         if not in_flight and live < self.SINGLE_ITEM_LIVE_FILL * self._slots:
--- a/pewterring/admission/relayed_shares.py
+++ b/pewterring/admission/relayed_shares.py
@@ -54,19 +54,19 @@
         if self.totals is None:
             super().update_share(now, limit)
             return
-        self.whole = self.totals.limit if self.totals.gateways else limit
+        self.fleet_limit = self.totals.limit if self.totals.gateways else limit
         demands = self._demands(now, self.totals)
         self.fleet_demand, self.summed_at = demands, now
         is_new = now - self.started_at < LEASE_S
         is_demand_known = demands > 0 and (self.demand > 0 or not is_new)
-        target = self.whole * (self.demand / demands if is_demand_known else 1 / self.fleet)
+        target = self.fleet_limit * (self.demand / demands if is_demand_known else 1 / self.fleet)
         if self.has_totals(now):
             self.peers_in_flight = max(0.0, self.totals.in_flight - self._announced.in_flight)
             self.share = max(1.0, target if is_new else target * self._unreserved_fraction(self.totals))
         else:
             # No relay is reachable. All peers count as busy, so no idle slots are lent, and the share follows
             # the last known demand of the fleet.
-            self.peers_in_flight = self.whole
+            self.peers_in_flight = self.fleet_limit
             self.share = max(1.0, target)
 
     def _unreserved(self, target: float, reserved: float) -> float:
@@ -75,7 +75,7 @@
         Otherwise gateways that send their heartbeats at the same moment would all take the same free slots,
         and then all reject requests: attempts in flight would swing between half of the limit and twice it.
         """
-        return target * min(1.0, self.whole / max(target + reserved, 1.0))
+        return target * min(1.0, self.fleet_limit / max(target + reserved, 1.0))
 
     def _demands(self, now: float, totals: Totals) -> float:
         """The demand of the fleet. As in `Shares`, that of gateways no longer heard decays slowly."""
@@ -95,4 +95,4 @@
         excess gives it up. Totals reach all gateways at the same moment: if each gave up the whole excess,
         shares would swing between the minimum and the target. So each gives up its fraction of it.
         """
-        return min(1.0, self.whole / max(totals.reserved, 1.0))
+        return min(1.0, self.fleet_limit / max(totals.reserved, 1.0))
--- a/pewterring/admission/service.py
+++ b/pewterring/admission/service.py
@@ -63,14 +63,14 @@
     @property
     def room(self) -> float:
         """How many attempts this process may have in flight: its share, and a fraction of the idle slots."""
-        idle = max(0.0, self.shares.whole - self.shares.peers_in_flight - self.in_flight)
+        idle = max(0.0, self.shares.fleet_limit - self.shares.peers_in_flight - self.in_flight)
         lent = min(MAX_IDLE_FRACTION, MAX_IDLE_EVEN_SHARES / self.shares.fleet) * idle
         return min(self.shares.room(self.in_flight) + lent, self.ceiling.limit)
 
     @property
-    def whole(self) -> float:
+    def fleet_limit(self) -> float:
         """The common limit of all processes: the lower median of the live gateways' limits."""
-        return self.shares.whole
+        return self.shares.fleet_limit
 
     def peers_in_flight(self, now: float) -> float:
         """Attempts that other processes have in flight, including batch items."""
--- a/pewterring/admission/shares.py
+++ b/pewterring/admission/shares.py
@@ -21,19 +21,19 @@
         self.lends = sparse  # whether idle slots of peers may be used beyond the own share
         self.lease = 2 * LEASE_S if sparse else LEASE_S  # in a sparse fleet some 16 peers are heard in this
         self.started_at, self.fleet_demand, self.summed_at, self.share = -math.inf, 0.0, 0.0, math.inf
-        self.whole = self.peers_in_flight = 0.0  # the limit of the fleet, and its attempts in flight at peers
+        self.fleet_limit = self.peers_in_flight = 0.0  # median limit, and attempts in flight from peers
         self.peers: dict[int, Peer] = {}
         self.requested = self.forwarded = 0.0  # requests within quotas, and forwarded, since the last tick
         self.demand = self.forwarding_rate = 0.0  # moving averages of both, per second; plain means at first
 
-    def room(self, in_flight: int) -> float:
+    def room(self, own: int) -> float:
         """The share and a loan of idle slots: a share of one or two rejects requests that arrive together."""
-        free = 1 - (self.peers_in_flight + in_flight) / max(self.whole, 1.0) if self.lends else -math.inf
+        free = 1 - (self.peers_in_flight + own) / max(self.fleet_limit, 1.0) if self.lends else -math.inf
         return self.share + self.LENT * math.sqrt(self.share) * min(1.0, max(0.0, 0.5 + free / self.IDLE))
 
     def update_share(self, now: float, limit: float) -> None:
         live = [peer for peer in self.peers.values() if now - peer.heard < self.lease]
-        whole = sorted([limit, *(peer.beat.limit for peer in live)])[len(live) // 2]
+        median = sorted([limit, *(peer.beat.limit for peer in live)])[len(live) // 2]
         demands = self.demand + sum(peer.beat.demand for peer in live)
         self.peers_in_flight = sum(peer.beat.out for peer in live)
         reserved = sum(max(peer.beat.share, peer.beat.out) for peer in live)
@@ -42,7 +42,7 @@
             demands *= self.fleet / (1 + len(live))
             self.peers_in_flight *= (self.fleet - 1) / max(1, len(live))
             if not live and now - self.started_at >= self.lease:  # no peer heard: the rest counts as busy
-                self.peers_in_flight = whole
+                self.peers_in_flight = median
             reserved = self.peers_in_flight
         # Demand of missing peers decays slowly, or each side of a network partition would claim all slots.
         missing = 0 if self.sparse else self.fleet - 1 - len(live)  # if dead, their clients raise own demand
@@ -50,15 +50,15 @@
             demands += missing * self.demand
         if missing > 0:
             demands = max(demands, self.fleet_demand * math.exp((self.summed_at - now) / DEMAND_DECAY_S))
-        self.fleet_demand, self.summed_at, self.whole = demands, now, whole
+        self.fleet_demand, self.summed_at, self.fleet_limit = demands, now, median
         # A new gateway takes its target despite what peers still reserve: they give way once they hear it.
         new = not self.sparse and now - self.started_at < LEASE_S
         fraction = self.demand / demands if demands > 0 and (self.demand > 0 or not new) else 1 / self.fleet
-        self.share = max(1.0, whole * fraction if new else self._unreserved(whole * fraction, reserved))
+        self.share = max(1.0, median * fraction if new else self._unreserved(median * fraction, reserved))
 
     def _unreserved(self, target: float, reserved: float) -> float:
         """The part of a target share that the slots reserved by peers leave free."""
-        return min(target, self.whole - reserved)
+        return min(target, self.fleet_limit - reserved)
 
     def update_demand(self, now: float, elapsed: float, limit: float) -> None:
         weight = max(1 - math.exp(-elapsed / self.lease), elapsed / max(elapsed, now - self.started_at))
--- a/pewterring/lab/policies.py
+++ b/pewterring/lab/policies.py
@@ -57,7 +57,7 @@
         return actions
 
     def ceiling(self) -> float:
-        return self.module.shares.whole
+        return self.module.shares.fleet_limit
 
     def share(self) -> float:
         return min(self.module.shares.share, self.module.ceiling.limit)
--- a/pewterring/standalone/proxy/tally.py
+++ b/pewterring/standalone/proxy/tally.py
@@ -77,7 +77,7 @@
             shares = module.shares
             figures = {
                 "limit": module.ceiling.limit,
-                "whole": shares.whole,
+                "whole": shares.fleet_limit,
                 "share": shares.share,
                 "elsewhere": shares.peers_in_flight,
                 "demand": shares.demand,
--- a/tests/admission/test_relayed_shares.py
+++ b/tests/admission/test_relayed_shares.py
@@ -30,7 +30,7 @@
         shares.heartbeat(LIMIT, 1)
         shares.receive_totals(LATER, TOTALS, LIMIT)
         assert shares.share == pytest.approx(LIMIT * demand / 200.0)
-        assert shares.whole == LIMIT
+        assert shares.fleet_limit == LIMIT
         assert shares.peers_in_flight == 199.0
 
 
@@ -83,10 +83,10 @@
     for each in (shares, plain):
         each.receive(LATER + HEARTBEAT_PERIOD_S, 9, heartbeat, LIMIT)
     assert shares.totals is None
-    assert (shares.share, shares.peers_in_flight, shares.whole) == (
+    assert (shares.share, shares.peers_in_flight, shares.fleet_limit) == (
         plain.share,
         plain.peers_in_flight,
-        plain.whole,
+        plain.fleet_limit,
     )
 
 
--- a/tests/admission/test_service.py
+++ b/tests/admission/test_service.py
@@ -80,7 +80,7 @@
     admission = new_admission()
     for peer, limit in ((1, 10.0), (2, 12.0), (3, 90.0)):
         send_heartbeat(admission, 1.0, peer, limit=limit, share=0.0)
-    assert admission.whole == 12.0
+    assert admission.fleet_limit == 12.0
 
 
 def test_rising_latency_ratios_lower_the_limit_and_the_number_of_admitted_requests() -> None:
