--- a/pewterring/admission/batch.py
+++ b/pewterring/admission/batch.py
@@ -61,7 +61,7 @@
         """Updates demand and share. Called once per heartbeat period."""
         self._admission.tick(now)
 
-    def room(self, now: float) -> int:
+    def free_slots(self, now: float) -> int:
         """Returns how many more items may start now."""
         live = self._admission.shares.peers_in_flight
         limit = min(self._admission.fleet_limit, self._admission.ceiling.limit, self._slots)
--- a/pewterring/batch/dispatch.py
+++ b/pewterring/batch/dispatch.py
@@ -121,7 +121,7 @@
         now = self._clock()
         prompt = item_prompt(item)
         for service in self._services_by_weight(route):
-            if self._admissions.of(service).room(now) <= 0:
+            if self._admissions.of(service).free_slots(now) <= 0:
                 continue
             worker = self._choose(now, service, prompt, avoid)
             if worker is not None:
--- a/tests/batch/test_dispatch.py
+++ b/tests/batch/test_dispatch.py
@@ -125,7 +125,7 @@
     fixture = two_workers()
     fixture.heartbeat(1, out=0)
     admission = fixture.admissions.of("s")
-    before = admission.room(fixture.clock.now)
+    before = admission.free_slots(fixture.clock.now)
     for seconds in [0.02] * 200 + [0.5] * 200:
         fixture.assign()
         fixture.clock.now += seconds
@@ -134,7 +134,7 @@
         fixture.admissions.tick(fixture.clock.now)
         fixture.heartbeat(1, out=0, limit=0.0)
     assert admission.in_flight == 0
-    assert admission.room(fixture.clock.now) < before
+    assert admission.free_slots(fixture.clock.now) < before
 
 
 def test_items_keep_to_half_of_the_concurrency_limit_without_heartbeats_of_gateways() -> None:
@@ -162,10 +162,10 @@
     fixture.assign()
     other = BatchAdmissions(random.Random(3))
     other.update(fixture.clock.now, fixture.tables, fixture.chooser)
-    capacity = other.of("s").room(fixture.clock.now)
+    capacity = other.of("s").free_slots(fixture.clock.now)
     for number, heartbeat in fixture.admissions.tick(fixture.clock.now).items():
         other.receive(fixture.clock.now, BATCH, 5, number, heartbeat)
-    assert other.of("s").room(fixture.clock.now) == capacity - 1
+    assert other.of("s").free_slots(fixture.clock.now) == capacity - 1
 
 
 def test_a_worker_nearly_full_by_its_own_report_gets_no_item() -> None:
