--- a/benchmarks/admission_exchange.py
+++ b/benchmarks/admission_exchange.py
@@ -132,7 +132,7 @@
             gateway = gateways[index]
             gateway.shares.requested += 1
             asked += measured
-            if gateway.out < gateway.shares.room(gateway.out):
+            if gateway.out < gateway.shares.capacity(gateway.out):
                 gateway.out += 1
                 plan_event(now + rng.expovariate(1 / HOLD_S), "end", index)
                 over = max(over, sum(each.out for each in gateways) / ceiling - 1) if measured else 0.0
--- a/pewterring/admission/service.py
+++ b/pewterring/admission/service.py
@@ -61,11 +61,11 @@
         self.shares.update_share(now, self.ceiling.limit)
 
     @property
-    def room(self) -> float:
+    def capacity(self) -> float:
         """How many attempts this process may have in flight: its share, and a fraction of the idle slots."""
         idle = max(0.0, self.shares.fleet_limit - self.shares.peers_in_flight - self.in_flight)
         lent = min(MAX_IDLE_FRACTION, MAX_IDLE_EVEN_SHARES / self.shares.fleet) * idle
-        return min(self.shares.room(self.in_flight) + lent, self.ceiling.limit)
+        return min(self.shares.capacity(self.in_flight) + lent, self.ceiling.limit)
 
     @property
     def fleet_limit(self) -> float:
@@ -89,7 +89,7 @@
         `rank` is the number of the service's live priorities that are more urgent.
         """
         self.shares.requested += 1
-        if self.in_flight >= self.room * max(MIN_CAPACITY_FRACTION, 1 - URGENT_FRACTION * rank):
+        if self.in_flight >= self.capacity * max(MIN_CAPACITY_FRACTION, 1 - URGENT_FRACTION * rank):
             return False
         self.shares.forwarded += 1
         self.in_flight += 1
--- a/pewterring/admission/shares.py
+++ b/pewterring/admission/shares.py
@@ -26,7 +26,7 @@
         self.requested = self.forwarded = 0.0  # requests within quotas, and forwarded, since the last tick
         self.demand = self.forwarding_rate = 0.0  # moving averages of both, per second; plain means at first
 
-    def room(self, own: int) -> float:
+    def capacity(self, own: int) -> float:
         """The share and a loan of idle slots: a share of one or two rejects requests that arrive together."""
         free = 1 - (self.peers_in_flight + own) / max(self.fleet_limit, 1.0) if self.lends else -math.inf
         return self.share + self.LENT * math.sqrt(self.share) * min(1.0, max(0.0, 0.5 + free / self.IDLE))
--- a/pewterring/gateway/metrics.py
+++ b/pewterring/gateway/metrics.py
@@ -46,7 +46,7 @@
 
     def refused(self, admission: ServiceAdmission) -> Limit:
         """Counts a request that admission refused, and returns by which limit."""
-        by_share = admission.shares.room(admission.in_flight) <= admission.ceiling.limit
+        by_share = admission.shares.capacity(admission.in_flight) <= admission.ceiling.limit
         limit = Limit.SHARE if by_share else Limit.CONCURRENCY
         self.limited(limit)
         return limit
@@ -117,7 +117,7 @@
         family(
             "room",
             "Requests that may be out at once.",
-            {name: each.room for name, each in admissions.items()},
+            {name: each.capacity for name, each in admissions.items()},
         ),
         family(
             "ceiling",
--- a/pewterring/standalone/policy/decisions.py
+++ b/pewterring/standalone/policy/decisions.py
@@ -351,7 +351,7 @@
         return max(0, len(self.flying) - self.lost)
 
     def full(self) -> bool:
-        return self.out >= min(self.shares.room(self.out), self.ceiling.limit)
+        return self.out >= min(self.shares.capacity(self.out), self.ceiling.limit)
 
     def usual(self) -> float:  # the latency of the slowest class; the shortest aim while none is known
         return max(self.ceiling.mean.values(), default=self.look_s * LOOKS)
--- a/tests/admission/test_relayed_shares.py
+++ b/tests/admission/test_relayed_shares.py
@@ -64,7 +64,7 @@
     shares.update_share(LATER + TOTALS_EXPIRY_S, LIMIT)
     assert shares.share == pytest.approx(share_before * math.exp(TOTALS_EXPIRY_S / DEMAND_DECAY_S))
     assert shares.peers_in_flight == LIMIT
-    assert shares.room(0) == pytest.approx(shares.share + shares.LENT * math.sqrt(shares.share) / 2)
+    assert shares.capacity(0) == pytest.approx(shares.share + shares.LENT * math.sqrt(shares.share) / 2)
 
 
 def test_a_new_gateway_takes_an_even_share_before_it_has_demand() -> None:
--- a/tests/admission/test_service.py
+++ b/tests/admission/test_service.py
@@ -41,7 +41,7 @@
 
 def test_less_urgent_requests_leave_free_capacity_to_more_urgent_ones() -> None:
     admission = new_admission(gateways=1)
-    capacity = admission.room
+    capacity = admission.capacity
     while admission.acquire(rank=1):
         pass
     assert admission.in_flight == pytest.approx((1 - URGENT_FRACTION) * capacity, abs=1)
--- a/tests/standalone/test_sparse.py
+++ b/tests/standalone/test_sparse.py
@@ -49,7 +49,7 @@
     assert s.peers_in_flight == FLEET - 1
     s.update_share(100.0, 400.0)
     assert s.peers_in_flight == 400.0
-    assert s.room(0) < 3.0
+    assert s.capacity(0) < 3.0
 
 
 def test_servers_are_chosen_in_proportion_to_rating() -> None:
