--- a/benchmarks/admission_exchange.py
+++ b/benchmarks/admission_exchange.py
@@ -21,7 +21,7 @@
 from pewterring.admission.datagram import GATEWAY, service_number, write_heartbeat
 from pewterring.admission.digests import Totals
 from pewterring.admission.relay_exchange import RelayExchange
-from pewterring.admission.relay_plan import Speaker, make_plan
+from pewterring.admission.relay_plan import HeartbeatSender, make_plan
 from pewterring.admission.relayed_shares import RelayedShares
 from pewterring.admission.shares import HEARTBEAT_PERIOD_S, LEASE_S
 from pewterring.standalone.peer_messages import read_beat
@@ -104,7 +104,9 @@
     rng = random.Random(seed)
     gateways = [Gateway(index, fleet, way, rng) for index in range(fleet)]
     by_ip = {gateway.ip: gateway for gateway in gateways}
-    plan = make_plan(Speaker(gateway.ip, f"zone-{gateway.index % ZONES}", True) for gateway in gateways)
+    plan = make_plan(
+        HeartbeatSender(gateway.ip, f"zone-{gateway.index % ZONES}", True) for gateway in gateways
+    )
     for gateway in gateways:
         gateway.exchange.plan = plan
     weights = [BUSIER if index % 4 == 0 else 1.0 for index in range(fleet)]
@@ -160,7 +162,9 @@
     """Processor seconds of a round at the relay that takes most, and of a member on average."""
     rng = random.Random(1)
     gateways = [Gateway(index, fleet, "relayed", rng) for index in range(fleet)]
-    plan = make_plan(Speaker(gateway.ip, f"zone-{gateway.index % ZONES}", True) for gateway in gateways)
+    plan = make_plan(
+        HeartbeatSender(gateway.ip, f"zone-{gateway.index % ZONES}", True) for gateway in gateways
+    )
     by_ip = {gateway.ip: gateway for gateway in gateways}
     spent = dict.fromkeys(by_ip, 0.0)
     gateways[0].shares.update_demand(1.0, HEARTBEAT_PERIOD_S, 4.0)
--- a/pewterring/admission/relay_plan.py
+++ b/pewterring/admission/relay_plan.py
@@ -14,7 +14,7 @@
 RELAYS = 2  # per group, addressed alternately: if one is lost, half of the datagrams still arrive
 
 
-class Speaker(NamedTuple):
+class HeartbeatSender(NamedTuple):
     """A process that sends attempts to workers and therefore takes part in the exchange."""
 
     ip: str
@@ -38,16 +38,16 @@
     group_of: Mapping[str, int]
 
 
-def make_plan(speakers: Iterable[Speaker]) -> RelayPlan:
+def make_plan(speakers: Iterable[HeartbeatSender]) -> RelayPlan:
     """Divides each zone into the fewest groups that have about `MAX_MEMBERS` members at most."""
-    zones: defaultdict[str, list[Speaker]] = defaultdict(list)
+    zones: defaultdict[str, list[HeartbeatSender]] = defaultdict(list)
     for speaker in speakers:
         zones[speaker.zone].append(speaker)
     groups: dict[int, Group] = {}
     group_of: dict[str, int] = {}
     for zone, zone_speakers in zones.items():
         group_count = math.ceil(len(zone_speakers) / MAX_MEMBERS)
-        by_index: defaultdict[int, list[Speaker]] = defaultdict(list)
+        by_index: defaultdict[int, list[HeartbeatSender]] = defaultdict(list)
         for speaker in zone_speakers:
             by_index[_weight("part", speaker.ip) % group_count].append(speaker)
         for index, members in by_index.items():
@@ -57,7 +57,7 @@
     return RelayPlan(groups, group_of)
 
 
-def _relays(number: int, members: list[Speaker]) -> tuple[str, ...]:
+def _relays(number: int, members: list[HeartbeatSender]) -> tuple[str, ...]:
     """Selects relays by rendezvous hashing, so that a node that joins or leaves seldom changes them.
 
     If no member may relay, all members are candidates.
--- a/pewterring/routing/heartbeats.py
+++ b/pewterring/routing/heartbeats.py
@@ -10,7 +10,7 @@
 from pewterring.admission.datagram import read_heartbeat, write_heartbeat
 from pewterring.admission.digests import FLEET_ENTRY, HEAD, Totals
 from pewterring.admission.relay_exchange import RelayExchange
-from pewterring.admission.relay_plan import Speaker, make_plan
+from pewterring.admission.relay_plan import HeartbeatSender, make_plan
 from pewterring.admission.shares import HEARTBEAT_PERIOD_S
 from pewterring.distribution.messages import GATEWAY_PROGRAM, STORE, NodeRecord
 from pewterring.transport.datagrams import IP_UDP_BYTES, DatagramPort
@@ -136,7 +136,7 @@
         senders = [node for node in nodes if node.program in SENDER_PROGRAMS]
         self._peers = tuple(node.ip for node in senders if node.ip != self._ip)
         self._exchange.plan = make_plan(
-            Speaker(node.ip, node.zone, node.program == RELAY_PROGRAM) for node in senders
+            HeartbeatSender(node.ip, node.zone, node.program == RELAY_PROGRAM) for node in senders
         )
 
     def _receive(self, data: bytes, ip: str) -> None:
--- a/tests/admission/relayed_fleet.py
+++ b/tests/admission/relayed_fleet.py
@@ -5,7 +5,7 @@
 from pewterring.admission.datagram import BATCH, GATEWAY, write_heartbeat
 from pewterring.admission.digests import Totals
 from pewterring.admission.relay_exchange import RelayExchange
-from pewterring.admission.relay_plan import RelayPlan, Speaker, make_plan
+from pewterring.admission.relay_plan import HeartbeatSender, RelayPlan, make_plan
 from pewterring.admission.shares import HEARTBEAT_PERIOD_S
 from pewterring.standalone.peer_messages import Beat, write_beat
 
@@ -56,7 +56,7 @@
     def plan_without(self, removed: Collection[str]) -> RelayPlan:
         """Gives all processes the plan of a table of nodes that lacks the given IPs."""
         plan = make_plan(
-            Speaker(process.ip, f"zone-{index % self.zones}", process.kind == GATEWAY)
+            HeartbeatSender(process.ip, f"zone-{index % self.zones}", process.kind == GATEWAY)
             for index, process in enumerate(self.processes.values())
             if process.ip not in removed
         )
--- a/tests/admission/test_relays.py
+++ b/tests/admission/test_relays.py
@@ -18,7 +18,7 @@
     write_group_digest,
 )
 from pewterring.admission.relay_exchange import EXPIRY_ROUNDS
-from pewterring.admission.relay_plan import MAX_MEMBERS, RELAYS, Speaker, make_plan
+from pewterring.admission.relay_plan import MAX_MEMBERS, RELAYS, HeartbeatSender, make_plan
 from pewterring.standalone.peer_messages import Beat
 from tests.admission.relayed_fleet import SERVICE, Fleet
 
@@ -84,9 +84,9 @@
 # Plans
 
 
-def speakers(count: int, zones: int = 4) -> list[Speaker]:
+def speakers(count: int, zones: int = 4) -> list[HeartbeatSender]:
     return [
-        Speaker(f"10.0.{index // 256}.{index % 256}", f"zone-{index % zones}", index % 10 > 0)
+        HeartbeatSender(f"10.0.{index // 256}.{index % 256}", f"zone-{index % zones}", index % 10 > 0)
         for index in range(count)
     ]
 
--- a/tests/golden/datagram_cases.py
+++ b/tests/golden/datagram_cases.py
@@ -12,7 +12,7 @@
 from pewterring.admission import datagram, digests
 from pewterring.admission.batch import BatchAdmission
 from pewterring.admission.relay_exchange import RelayExchange
-from pewterring.admission.relay_plan import Speaker, make_plan
+from pewterring.admission.relay_plan import HeartbeatSender, make_plan
 from pewterring.membership import messages as membership
 from pewterring.routing import prompt_hints
 from pewterring.standalone import peer_messages as peers
@@ -159,7 +159,9 @@
 
 def relayed_datagrams() -> dict[str, bytes]:
     """What a relay sends in two rounds, by round and receiver; it has heard a member and another group."""
-    speakers = [Speaker(f"10.{zone}.0.{n}", f"zone-{zone}", True) for zone in (1, 2) for n in range(1, 5)]
+    speakers = [
+        HeartbeatSender(f"10.{zone}.0.{n}", f"zone-{zone}", True) for zone in (1, 2) for n in range(1, 5)
+    ]
     plan = make_plan(speakers)
     own, other = (plan.groups[plan.group_of[ip]] for ip in ("10.1.0.1", "10.2.0.1"))
     relay = own.relays[0]
