--- a/pewterring/admission/relay_plan.py
+++ b/pewterring/admission/relay_plan.py
@@ -38,18 +38,18 @@
     group_of: Mapping[str, int]
 
 
-def make_plan(speakers: Iterable[HeartbeatSender]) -> RelayPlan:
+def make_plan(senders: Iterable[HeartbeatSender]) -> RelayPlan:
     """Divides each zone into the fewest groups that have about `MAX_MEMBERS` members at most."""
     zones: defaultdict[str, list[HeartbeatSender]] = defaultdict(list)
-    for speaker in speakers:
-        zones[speaker.zone].append(speaker)
+    for sender in senders:
+        zones[sender.zone].append(sender)
     groups: dict[int, Group] = {}
     group_of: dict[str, int] = {}
-    for zone, zone_speakers in zones.items():
-        group_count = math.ceil(len(zone_speakers) / MAX_MEMBERS)
+    for zone, zone_senders in zones.items():
+        group_count = math.ceil(len(zone_senders) / MAX_MEMBERS)
         by_index: defaultdict[int, list[HeartbeatSender]] = defaultdict(list)
-        for speaker in zone_speakers:
-            by_index[_weight("part", speaker.ip) % group_count].append(speaker)
+        for sender in zone_senders:
+            by_index[_weight("part", sender.ip) % group_count].append(sender)
         for index, members in by_index.items():
             number = _weight(zone, f"{index}/{group_count}")
             groups[number] = Group(tuple(member.ip for member in members), _relays(number, members))
--- a/tests/admission/test_relays.py
+++ b/tests/admission/test_relays.py
@@ -84,7 +84,7 @@
 # Plans
 
 
-def speakers(count: int, zones: int = 4) -> list[HeartbeatSender]:
+def senders(count: int, zones: int = 4) -> list[HeartbeatSender]:
     return [
         HeartbeatSender(f"10.0.{index // 256}.{index % 256}", f"zone-{index % zones}", index % 10 > 0)
         for index in range(count)
@@ -93,8 +93,8 @@
 
 def test_groups_do_not_span_zones_and_are_bounded() -> None:
     for count, zones in ((1, 1), (24, 4), (410, 4), (1000, 2)):
-        plan = make_plan(speakers(count, zones))
-        zone_of = {speaker.ip: speaker.zone for speaker in speakers(count, zones)}
+        plan = make_plan(senders(count, zones))
+        zone_of = {sender.ip: sender.zone for sender in senders(count, zones)}
         assert set(plan.group_of) == set(zone_of)
         for group in plan.groups.values():
             assert len({zone_of[ip] for ip in group.members}) == 1
@@ -104,7 +104,7 @@
 
 
 def test_the_plan_does_not_depend_on_the_order_of_the_table() -> None:
-    table = speakers(100)
+    table = senders(100)
     plan = make_plan(table)
     random.Random(1).shuffle(table)
     shuffled = make_plan(table)
@@ -115,11 +115,11 @@
 
 
 def test_a_node_that_leaves_changes_the_relays_only_if_it_was_one() -> None:
-    table = speakers(100)
+    table = senders(100)
     plan = make_plan(table)
     relays = {ip for group in plan.groups.values() for ip in group.relays}
     for leaving in table:
-        remaining = make_plan(speaker for speaker in table if speaker is not leaving)
+        remaining = make_plan(sender for sender in table if sender is not leaving)
         changed = {ip for group in remaining.groups.values() for ip in group.relays} - relays
         assert len(changed) == (leaving.ip in relays)
 
