--- a/pewterring/batch/dispatch.py
+++ b/pewterring/batch/dispatch.py
@@ -17,7 +17,7 @@
 from pewterring.configuration.model import Route, RouteType
 from pewterring.distribution.messages import WorkerRecord
 from pewterring.distribution.tables import Tables
-from pewterring.routing.chooser import PER_TOKEN_S, WorkerChooser
+from pewterring.routing.chooser import DEFAULT_PER_TOKEN_S, WorkerChooser
 from pewterring.routing.load_report import Load
 from pewterring.routing.prompt import PREFIX_HEADER, USAGE_HEADER, Prompt, read_prompt
 from pewterring.routing.worker_state import WorkerState
@@ -122,7 +122,7 @@
         now = self._clock()
         prompt = item_prompt(item)
         for service in self._services_by_weight(route):
-            if self._admissions.of(service).room(now) <= 0:
+            if self._admissions.of(service).free_slots(now) <= 0:
                 continue
             worker = self._choose(now, service, prompt, avoid)
             if worker is not None:
@@ -145,8 +145,8 @@
             # times too long, and a cached prefix then outweighed any load.
             times.learn(assignment.prefill_tokens, elapsed_s)
         ratio = elapsed_s / max(MIN_EXPECTED_S, expected_s)
-        assignment.worker.note_ratio(ratio)
-        assignment.worker.keep(assignment.prompt)
+        assignment.worker.record_ratio(ratio)
+        assignment.worker.record_cached(assignment.prompt)
         request_class = RequestClass("/".join(item.route), aim=math.inf, deadline=math.inf)
         self._admissions.of(assignment.service).observe(now, request_class, ratio)
 
@@ -154,7 +154,7 @@
         """Notes the load that a worker reported in the head of an answer."""
         state = self._chooser.workers.get(worker.id)
         if state is not None:
-            state.take_report(self._clock(), load.running, load.waiting)
+            state.record_load(self._clock(), load.running, load.waiting)
 
     def finished(self, item: QueuedItem, outcome: ExchangeOutcome) -> None:
         """See `Dispatcher`."""
@@ -164,28 +164,28 @@
         if assignment.in_prefill:
             self._end_prefill(assignment)
         worker = assignment.worker
-        worker.out -= 1
-        self._admissions.of(assignment.service).out -= 1
+        worker.in_flight -= 1
+        self._admissions.of(assignment.service).in_flight -= 1
         now = self._clock()
         if outcome is ExchangeOutcome.ANSWERED:
-            worker.answered()
+            worker.record_success()
         elif outcome is ExchangeOutcome.REFUSED and worker.load(now) >= NEARLY_FULL_LOAD:
-            worker.take_report(now, worker.record.capacity, 0)
-        elif outcome in FAULT_OUTCOMES and (assignment.is_probe or not worker.suspect(now)):
+            worker.record_load(now, worker.record.capacity, 0)
+        elif outcome in FAULT_OUTCOMES and (assignment.is_probe or not worker.is_suspect(now)):
             # A worker that crashes or leaves ends all its items at once, which counts as one failure.
-            worker.failed(now)
+            worker.record_failure(now)
 
     @staticmethod
     def _new_assignment(now: float, service: str, worker: WorkerState, prompt: Prompt) -> _Assignment:
         is_unqueued = not worker.pending_tokens and worker.load(now) < NEARLY_FULL_LOAD
-        prefill_tokens = worker.uncached(prompt)
-        return _Assignment(service, worker, prompt, prefill_tokens, now, worker.suspect(now), is_unqueued)
+        prefill_tokens = worker.uncached_tokens(prompt)
+        return _Assignment(service, worker, prompt, prefill_tokens, now, worker.is_suspect(now), is_unqueued)
 
     def _begin(self, item: QueuedItem, assignment: _Assignment) -> None:
         self._assignments[item] = assignment
-        assignment.worker.out += 1
+        assignment.worker.in_flight += 1
         assignment.worker.pending_tokens += assignment.prefill_tokens
-        self._admissions.of(assignment.service).out += 1
+        self._admissions.of(assignment.service).in_flight += 1
 
     @staticmethod
     def _end_prefill(assignment: _Assignment) -> None:
@@ -195,12 +195,12 @@
     def _services_by_weight(self, route: Route) -> list[str]:
         """The route's services, the one with the fewest items in flight for its weight first."""
         weighted = [entry for entry in route.services if entry.weight > 0]
-        weighted.sort(key=lambda entry: self._admissions.of(entry.service).out / entry.weight)
+        weighted.sort(key=lambda entry: self._admissions.of(entry.service).in_flight / entry.weight)
         return [entry.service for entry in weighted]
 
     def _choose(self, now: float, service: str, prompt: Prompt, avoid: str) -> WorkerState | None:
         """The best worker with free capacity; `avoid` only if no other worker has any."""
-        per_token_s = max(PER_TOKEN_S, self._chooser.times_of(service).per_token_s)
+        per_token_s = max(DEFAULT_PER_TOKEN_S, self._chooser.times_of(service).per_token_s)
         workers = self._chooser.ready(now, service)
         excluded = {worker.record.id for worker in workers if not _has_capacity(now, worker, per_token_s)}
         if len(excluded) == len(workers):
@@ -216,9 +216,9 @@
     Without probes, items waited up to eight seconds for free workers after a network partition between a
     store and all workers. An item has time for an attempt that fails; a live request has not.
     """
-    if not all(worker.suspect(now) for worker in workers):
+    if not all(worker.is_suspect(now) for worker in workers):
         return None
-    due = [worker for worker in workers if worker.out == 0 and now - worker.failed_at >= PROBE_AFTER_S]
+    due = [worker for worker in workers if worker.in_flight == 0 and now - worker.failed_at >= PROBE_AFTER_S]
     return min(due, key=lambda worker: worker.failed_at, default=None)
 
 
@@ -234,6 +234,6 @@
 
 def _has_capacity(now: float, worker: WorkerState, per_token_s: float) -> bool:
     """Whether the worker can take another item without delaying live requests. An idle worker always can."""
-    if worker.suspect(now) or worker.pending_tokens * per_token_s > MAX_PREFILL_S:
+    if worker.is_suspect(now) or worker.pending_tokens * per_token_s > MAX_PREFILL_S:
         return False
-    return worker.load(now) < MAX_WORKER_LOAD or worker.out == 0 == worker.others(now)
+    return worker.load(now) < MAX_WORKER_LOAD or worker.in_flight == 0 == worker.others_in_flight(now)
--- a/pewterring/gateway/live_attempt.py
+++ b/pewterring/gateway/live_attempt.py
@@ -150,27 +150,31 @@
         """Counts the attempt at its worker and registers it with the stall detector."""
         worker, admitted = self._worker, self._admitted
         self._sent_at = now = self._now()
-        self._tokens = self._pending_tokens = tokens = worker.uncached(admitted.prompt)
+        self._tokens = self._pending_tokens = tokens = worker.uncached_tokens(admitted.prompt)
         times = self._context.chooser.times_of(admitted.service)
-        self._wait_s = wait_s = self._context.chooser.wait_s(now, worker, times)  # for prompts sent earlier
+        self._wait_s = wait_s = self._context.chooser.prefill_wait_s(
+            now, worker, times
+        )  # for prompts sent earlier
         prefill_s = times.per_token_s * tokens
         if admitted.trace is not None:
             admitted.trace.add_attempt(
-                AttemptStart(now, worker.record.id, tokens, prefill_s, wait_s, worker.out)
+                AttemptStart(now, worker.record.id, tokens, prefill_s, wait_s, worker.in_flight)
             )
-        worker.out += 1
+        worker.in_flight += 1
         worker.pending_tokens += tokens
-        worker.expect_reading(now, prefill_s)
+        worker.expect_prefill(now, prefill_s)
         expected_s = times.expected(tokens)
         self._watched = self._create_watched_attempt(now, expected_s + wait_s)
-        self._is_clean_sample = wait_s < MAX_SAMPLE_WAIT_FRACTION * expected_s and not worker.congested_s(now)
+        self._is_clean_sample = (
+            wait_s < MAX_SAMPLE_WAIT_FRACTION * expected_s and not worker.unexplained_wait_s(now)
+        )
         self._context.stalls.add(self._watched)
 
     def _create_watched_attempt(self, now: float, expected_s: float) -> WatchedAttempt:
         worker, route = self._worker, self._admitted.route
-        prefill_s = worker.reading_after(now)  # subtracted because the detector adds it again
+        prefill_s = worker.prefill_s_after(now)  # subtracted because the detector adds it again
         first_byte_s = max(0.0, FIRST_BYTE_TIMEOUT_FACTOR * expected_s - prefill_s)
-        timeout_s = first_byte_s + self._idle_timeout_s() + worker.congested_s(now)
+        timeout_s = first_byte_s + self._idle_timeout_s() + worker.unexplained_wait_s(now)
         may_retry = route.is_idempotent and self._progress.possible_runs + 1 < route.max_attempts
         return WatchedAttempt(worker, self._stream, timeout_s, now, may_retry, expected_s)
 
@@ -195,7 +199,7 @@
         except TimeoutError:
             return AttemptOutcome.MAY_HAVE_RUN if self._stream.exchange.sent else AttemptOutcome.NOT_RUN
         finally:
-            self._worker.out -= 1
+            self._worker.in_flight -= 1
             self._worker.pending_tokens -= self._pending_tokens
             context.stalls.remove(self._watched)
             self._stream.cancel()
@@ -205,16 +209,16 @@
             self._admitted.trace.failure = type(error).__name__
         if not isinstance(error, WorkerUnresponsiveError):  # the detector has already marked the worker
             certain = not isinstance(error, AnswerBrokenError | StaleConnectionError)
-            self._worker.failed(self._now(), certain=certain)
+            self._worker.record_failure(self._now(), certain=certain)
 
     async def _read(self) -> AttemptOutcome:
         head = await self._stream.next_part()
         assert isinstance(head, AnswerHead)
         worker = self._worker
-        worker.heard(self._now())
+        worker.record_byte(self._now())
         load = read_load(head)
         if load is not None:
-            worker.take_report(worker.heard_at, load.running, load.waiting)
+            worker.record_load(worker.last_byte_at, load.running, load.waiting)
         answer_class = classify_answer(head)
         if answer_class is AnswerClass.UNUSABLE:
             raise AnswerBrokenError(f"an answer with status {head.status} that must not be forwarded")
@@ -223,7 +227,7 @@
         body = await self._read_body()
         if answer_class is AnswerClass.NOT_RUN:
             if is_misdirected(self._admitted.request, head):
-                worker.misdirected(self._now())
+                worker.record_wrong_worker(self._now())
             return AttemptOutcome.NOT_RUN
         if answer_class is AnswerClass.FAILURE or self._progress.answer_begun:
             return self._keep_failure(head, body)
@@ -244,9 +248,9 @@
 
     async def _forward_answer(self, head: AnswerHead, body: bytes) -> AttemptOutcome:
         self._record_first_byte()
-        self._worker.answered()
+        self._worker.record_success()
         if self._admitted.trace is not None:
-            self._admitted.trace.add_event(self._worker.heard_at)
+            self._admitted.trace.add_event(self._worker.last_byte_at)
         await self._admitted.responder.respond(head.status, client_headers(head), body)
         return AttemptOutcome.DONE
 
@@ -255,7 +259,7 @@
         while (chunk := await self._stream.next_part()) is not None:
             if not isinstance(chunk, bytes):
                 continue
-            worker.heard(self._now())
+            worker.record_byte(self._now())
             self._forward_events(splitter.feed(chunk), head)
             if responder.paused:
                 await responder.drain()
@@ -265,7 +269,7 @@
             self._begin_answer(head)
         responder.write(splitter.pending)  # at most blank lines
         responder.end()
-        worker.answered()
+        worker.record_success()
         return AttemptOutcome.DONE
 
     def _forward_events(self, events: list[StreamEvent], head: AnswerHead) -> None:
@@ -285,7 +289,7 @@
         if not self._progress.answer_begun:
             self._begin_answer(head)
         if self._admitted.trace is not None:
-            self._admitted.trace.add_event(self._worker.heard_at)
+            self._admitted.trace.add_event(self._worker.last_byte_at)
         self._admitted.responder.write(b"".join(event.raw for event in events))
         self._progress.last_event_id = events[-1].id
 
@@ -316,13 +320,13 @@
         self._pending_tokens = 0
         self._watched.idle_timeout_s = self._idle_timeout_s()
         self._watched.expected_s = math.inf
-        worker.keep(admitted.prompt)
+        worker.record_cached(admitted.prompt)
         seconds = now - self._sent_at
         times = self._context.chooser.times_of(admitted.service)
         expected_s = times.expected(self._tokens) + self._wait_s
         if self._is_clean_sample:
             times.learn(self._tokens, seconds - self._wait_s)
         ratio = seconds / max(MIN_EXPECTED_S, expected_s)
-        worker.note_ratio(ratio)
+        worker.record_ratio(ratio)
         target = admitted.route.target_latency_ms / 1000 / max(MIN_EXPECTED_S, expected_s)
         admitted.admission.observe(now, RequestClass(admitted.route.name, target, target), ratio)
--- a/pewterring/gateway/program.py
+++ b/pewterring/gateway/program.py
@@ -16,7 +16,7 @@
 
 from pewterring.admission.datagram import GATEWAY
 from pewterring.admission.digests import Totals
-from pewterring.admission.shares import BEAT_S
+from pewterring.admission.shares import HEARTBEAT_PERIOD_S
 from pewterring.batch.messages import BATCH_MESSAGES
 from pewterring.distribution.messages import FEED_MESSAGES, GATEWAY_PROGRAM, NodeRecord
 from pewterring.distribution.subscriber import FeedEnvironment, FeedSubscriber, NodeReport
@@ -185,7 +185,7 @@
         if new.configuration is not previous.configuration and new.configuration is not None:
             self.configuration.apply(new.configuration)
         if new.nodes is not previous.nodes:
-            self.chooser.take_place(_position_in_zone(self.settings, new))
+            self.chooser.set_position(_position_in_zone(self.settings, new))
         if new.workers is not previous.workers or new.configuration is not previous.configuration:
             self.chooser.update(new.workers, new.configuration)
             self._close_stale_connections(previous, new)
@@ -201,8 +201,8 @@
     async def send_heartbeats(self) -> None:
         """Sends admission heartbeats to the other gateways and the stores until cancelled."""
         while True:
-            await asyncio.sleep(BEAT_S)
-            if self.chooser.has_silent:  # slots of workers that no longer answer no longer count
+            await asyncio.sleep(HEARTBEAT_PERIOD_S)
+            if self.chooser.has_unresponsive:  # slots of workers that no longer answer no longer count
                 self.admissions.update(self.clock(), self.feed.tables, self.chooser)
             heartbeats = self.admissions.tick(self.clock())
             self._heartbeats.send(heartbeats, self.feed.tables.nodes)
@@ -213,10 +213,10 @@
             self._stalls.check(self.clock())
 
     def _receive_heartbeat(self, kind: int, peer: int, service: int, heartbeat: bytes) -> None:
-        self.admissions.hear(self.clock(), kind, peer, service, heartbeat)
+        self.admissions.receive(self.clock(), kind, peer, service, heartbeat)
 
     def _receive_totals(self, service: int, totals: Totals) -> None:
-        self.admissions.hear_totals(self.clock(), service, totals)
+        self.admissions.receive_totals(self.clock(), service, totals)
 
     def _node_record(self) -> NodeRecord:
         settings = self.settings
--- a/pewterring/gateway/stall_detector.py
+++ b/pewterring/gateway/stall_detector.py
@@ -54,8 +54,8 @@
         Without the allowance for prefills, streams were interrupted at workers that were busy with a long
         prefill, and other workers had to repeat the prefill of the interrupted requests.
         """
-        heard_at = max(self.active_at, self.worker.heard_at)
-        prefill_s = min(MAX_PREFILL_ALLOWANCE_S, self.worker.reading_after(heard_at))
+        heard_at = max(self.active_at, self.worker.last_byte_at)
+        prefill_s = min(MAX_PREFILL_ALLOWANCE_S, self.worker.prefill_s_after(heard_at))
         return now - heard_at > self.idle_timeout_s + prefill_s
 
 
@@ -96,8 +96,8 @@
                 self._announce_wait(attempt.worker, wait_s)
         if not attempt.is_overdue(now):
             return
-        if not attempt.worker.suspect(now):
-            attempt.worker.fell_silent(now)
+        if not attempt.worker.is_suspect(now):
+            attempt.worker.mark_unresponsive(now)
         if attempt.may_retry:
             self._attempts.discard(attempt)
             attempt.stream.interrupt(WorkerUnresponsiveError("the worker is unresponsive"))
--- a/pewterring/standalone/policy/decisions.py
+++ b/pewterring/standalone/policy/decisions.py
@@ -9,7 +9,7 @@
 import random
 
 from pewterring.admission.ceiling import Ceiling
-from pewterring.admission.shares import BEAT_S, Shares
+from pewterring.admission.shares import HEARTBEAT_PERIOD_S, Shares
 from pewterring.standalone import peer_messages as mail
 from pewterring.standalone.peer_messages import Ask, Back, Grant
 from pewterring.standalone.policy import interface as i
@@ -332,7 +332,7 @@
         self.ceiling = Ceiling(settings.fleet_size)
         # Sparse: so many that beats to all would cost more than they are worth, long before they overrun it.
         self.mail, others = 0.8 * settings.mail_per_s, settings.fleet_size - 1
-        self.sparse = settings.limits.peers and 0.0 < SPARSE * self.mail * BEAT_S < others
+        self.sparse = settings.limits.peers and 0.0 < SPARSE * self.mail * HEARTBEAT_PERIOD_S < others
         self.shares = Shares(settings.fleet_size, self.rng.getrandbits(32), self.sparse)
         self.fleet = Fleet(settings, self.rng, self.sparse)
         self.quota = Quota(settings, self.rng, self.sparse)
@@ -341,7 +341,7 @@
         self.actions: list[i.Action] = []
         self.lost, self.spare, self.tokens, self.echo = 0, 1.0, 0, 1.0  # echo: of questions answered
         self.asking: dict[int, Held] = {}  # by token: requests that wait for the keeper of their account
-        self.tick_s = BEAT_S / 2 if self.sparse else max(NEWS_S, others / max(self.mail, 1.0))
+        self.tick_s = HEARTBEAT_PERIOD_S / 2 if self.sparse else max(NEWS_S, others / max(self.mail, 1.0))
         self.ticked, self.beaten = 0.0, dict[int, float]()
         self.look_s = min((c.aim for c in settings.classes.values()), default=1.0) / LOOKS
         self.wait_s = self.look_s * LOOKS * self.WAIT
@@ -351,7 +351,7 @@
         return max(0, len(self.flying) - self.lost)
 
     def full(self) -> bool:
-        return self.out >= min(self.shares.room(self.out), self.ceiling.limit)
+        return self.out >= min(self.shares.capacity(self.out), self.ceiling.limit)
 
     def usual(self) -> float:  # the latency of the slowest class; the shortest aim while none is known
         return max(self.ceiling.mean.values(), default=self.look_s * LOOKS)
@@ -361,7 +361,7 @@
         if isinstance(event, i.ServerList):
             self.fleet.update(now, event)
             self.ceiling.rescale(self.fleet.rating, len(self.fleet.serving))
-        if self.shares.began == -math.inf:
+        if self.shares.started_at == -math.inf:
             self.begin(now)
         match event:
             case i.Request():
@@ -375,14 +375,14 @@
             case i.PeerMail(peer, data) if peer != self.s.me and 0 <= peer < self.s.fleet_size:
                 if said := mail.read_ask(data):
                     self.answer(now, peer, said)
-                elif self.shares.hear(now, peer, data, self.ceiling.limit):
+                elif self.shares.receive(now, peer, data, self.ceiling.limit):
                     self.quota.hear(now, peer, self.shares.peers[peer].beat.incarnation, data)
             case i.ProbeResult(server, i.Code.OK) if server in self.fleet.nodes:
                 self.fleet.answers(self.fleet.nodes[server], now)
             case i.StreamStarted() if event.id in self.held:
                 held = self.held[event.id]
                 held.streaming = True
-                self.ceiling.observe(held.cls, event.took, self.shares.elsewhere + self.out)
+                self.ceiling.observe(held.cls, event.took, self.shares.peers_in_flight + self.out)
                 if node := self.fleet.nodes.get(event.server):
                     # However long the stream lasts, it is no evidence of silence.
                     self.fleet.answers(node, now, node.of(held.cls.name))
@@ -393,8 +393,8 @@
         return self.actions
 
     def begin(self, now: float) -> None:
-        self.shares.began = self.quota.began = self.ticked = now
-        self.shares.divide(now, self.ceiling.limit)
+        self.shares.started_at = self.quota.began = self.ticked = now
+        self.shares.update_share(now, self.ceiling.limit)
         self.actions += [i.SetTimer(self.tick_s * self.rng.random(), TICK), i.SetTimer(self.look_s, LOOK)]
         if self.s.ask_discovery:
             self.actions.append(i.Subscribe())
@@ -440,18 +440,18 @@
 
     def tick(self, now: float) -> None:
         past, self.ticked = max(1e-3, now - self.ticked), now
-        self.shares.settle(now, past, self.ceiling.limit)
-        self.fleet.take_pace(now, self.shares.flow)
+        self.shares.update_demand(now, past, self.ceiling.limit)
+        self.fleet.take_pace(now, self.shares.forwarding_rate)
         self.quota.sweep(now)
         if not self.s.limits.peers or self.s.fleet_size < 2:
             return
-        beat = self.shares.beat(self.ceiling.limit, self.out)
+        beat = self.shares.heartbeat(self.ceiling.limit, self.out)
         if self.sparse:  # to a peer picked by chance, apart from news: who has those is busier than the rest
             other = (self.s.me + self.rng.randrange(1, self.s.fleet_size)) % self.s.fleet_size
             return self.actions.append(i.Tell(other, beat))
         news = self.quota.news(now)
         for peer in [n for n in range(self.s.fleet_size) if n != self.s.me]:
-            if peer in news or now + self.tick_s / 2 - self.beaten.get(peer, -math.inf) > BEAT_S:
+            if peer in news or now + self.tick_s / 2 - self.beaten.get(peer, -math.inf) > HEARTBEAT_PERIOD_S:
                 self.beaten[peer] = now
                 self.actions.append(i.Tell(peer, beat + news.get(peer, b"")))
 
@@ -527,12 +527,12 @@
         slot = said.granted if said else now >= c.busy and c.open < max(1, plan.parallel // c.size)
         if (plan.parallel and not slot) or (plan.cap_rate and not pooled and c.cap < r.units):
             return self.refuse(held, "limit")
-        self.shares.wanted += 1
+        self.shares.requested += 1
         if self.full():
             return self.refuse(held, "ceiling")
         if (node := self.fleet.choose(now, self.fleet.serving, held)) is None:
             return self.refuse(held, "workers")
-        self.shares.passed += 1
+        self.shares.forwarded += 1
         c.cap -= 0.0 if pooled or not plan.cap_rate else r.units
         if not (said and self.sparse):
             held.inside = c.take(r.units)
@@ -562,7 +562,7 @@
         # falls, more look silent and get copies, whose cancels make it fall: a fleet stayed so.
         late = o.code == i.Code.CANCELLED and o.took > self.ceiling.mean.get(held.cls.name, math.inf)
         if (o.code == i.Code.OK or late) and not held.streaming:
-            self.ceiling.observe(held.cls, o.took, self.shares.elsewhere + self.out + 1)
+            self.ceiling.observe(held.cls, o.took, self.shares.peers_in_flight + self.out + 1)
         if customer := self.quota.customers.get(held.r.customer):
             customer.open = max(0, customer.open - 1)
         if o.actual > 0 and held.inside:
@@ -611,7 +611,7 @@
         self.end(held)
 
     def refuse(self, held: Held, why: str) -> None:
-        refill, slot = held.plan.refill, BEAT_S if why == "tries" else self.usual()
+        refill, slot = held.plan.refill, HEARTBEAT_PERIOD_S if why == "tries" else self.usual()
         after = held.r.units / refill if why == "quota" and refill else slot
         advice = min(after, self.s.limits.max_retry_after) if self.s.limits.retry_after else 0.0
         self.actions.append(i.Refuse(held.r.id, advice, why))
--- a/tests/gateway/gateway.py
+++ b/tests/gateway/gateway.py
@@ -126,7 +126,7 @@
         """Returns the sorted pairs of uncached prompt tokens and load of all workers."""
         program = self.program
         states = program.chooser.workers.values()
-        return sorted((state.uncached(prompt), state.load(program.clock())) for state in states)
+        return sorted((state.uncached_tokens(prompt), state.load(program.clock())) for state in states)
 
     async def start(self, behaviours: tuple[Behaviour, ...]) -> None:
         for number, behaviour in enumerate(behaviours):
--- a/tests/gateway/test_live_request.py
+++ b/tests/gateway/test_live_request.py
@@ -327,7 +327,7 @@
     async def scenario() -> None:
         assert (await tier.request(*headers)).head.status == 200
         first = tier.context.chooser.workers["w0"]
-        assert first.suspect(time.monotonic()) is excluded
+        assert first.is_suspect(time.monotonic()) is excluded
         assert tier.received_requests[1][1].get(b"expect-version") == (None if excluded else b"4")
 
     run_scenario(tier, scenario)
@@ -353,7 +353,7 @@
         with contextlib.suppress(ExchangeError):
             await tier.request()
         worker = tier.context.chooser.workers["w0"]
-        assert (worker.out, worker.pending_tokens) == (0, 0)
+        assert (worker.in_flight, worker.pending_tokens) == (0, 0)
 
     run_scenario(tier, scenario)
 
@@ -495,7 +495,7 @@
         for step in range(200):  # time is passed to the checks instead of waiting for it
             tier.stalls.check(now + step * 0.05)
         assert (await request_task).head.status == 200
-        assert tier.context.chooser.workers["w0"].suspect(time.monotonic())
+        assert tier.context.chooser.workers["w0"].is_suspect(time.monotonic())
 
     run_scenario(tier, scenario)
 
--- a/tests/gateway/test_request_log.py
+++ b/tests/gateway/test_request_log.py
@@ -59,9 +59,9 @@
         async with run_gateway(answer_result) as gateway:
             enable_request_log(gateway)
             admission = gateway.program.admissions.of("s")
-            admission.out = 10**6
+            admission.in_flight = 10**6
             assert (await gateway.request()).head.status == 503
-            admission.out = 0
+            admission.in_flight = 0
 
     run(scenario())
     assert [record["reason"] for record in request_records(records)] == ["refused"]
--- a/tests/gateway/test_stall_detector.py
+++ b/tests/gateway/test_stall_detector.py
@@ -57,27 +57,27 @@
 
 def test_an_attempt_at_an_unresponsive_worker_is_interrupted_and_the_worker_is_suspect() -> None:
     fixture = DetectorFixture()
-    fixture.worker.announce(0.0, 0.0, ((1, 100),))
+    fixture.worker.record_announced_prefill(0.0, 0.0, ((1, 100),))
     assert fixture.interrupted_at() == pytest.approx(IDLE_TIMEOUT_S + CHECK_INTERVAL_S)
-    assert fixture.worker.suspect(fixture.now)
-    assert fixture.worker.keeps(1)
+    assert fixture.worker.is_suspect(fixture.now)
+    assert fixture.worker.has_cached(1)
 
 
 def test_an_attempt_that_may_not_be_retried_is_not_interrupted() -> None:
     fixture = DetectorFixture(may_retry=False)
     assert fixture.interrupted_at(1.0) is None
-    assert fixture.worker.suspect(fixture.now)
+    assert fixture.worker.is_suspect(fixture.now)
 
 
 def test_pending_prefills_extend_the_idle_timeout() -> None:
     fixture = DetectorFixture()
-    fixture.worker.expect_reading(0.0, 0.3)
+    fixture.worker.expect_prefill(0.0, 0.3)
     assert fixture.interrupted_at() == pytest.approx(IDLE_TIMEOUT_S + 0.3 + CHECK_INTERVAL_S)
 
 
 def test_the_allowance_for_prefills_is_bounded() -> None:
     fixture = DetectorFixture()
-    fixture.worker.expect_reading(0.0, 60.0)
+    fixture.worker.expect_prefill(0.0, 60.0)
     assert fixture.interrupted_at() == pytest.approx(
         IDLE_TIMEOUT_S + MAX_PREFILL_ALLOWANCE_S + CHECK_INTERVAL_S
     )
@@ -85,7 +85,7 @@
 
 def test_a_byte_of_any_answer_restarts_the_idle_timeout() -> None:
     fixture = DetectorFixture()
-    fixture.worker.heard(0.2)
+    fixture.worker.record_byte(0.2)
     assert fixture.interrupted_at() == pytest.approx(0.2 + IDLE_TIMEOUT_S + CHECK_INTERVAL_S)
 
 
@@ -95,7 +95,7 @@
     announced_at = [at for at, _ in fixture.announced]
     assert announced_at == pytest.approx([0.25, 0.5, 1.0])
     assert [seconds for _, seconds in fixture.announced] == pytest.approx([0.15, 0.4, 0.9])
-    assert fixture.worker.congested_s(1.3) == pytest.approx(0.6)
+    assert fixture.worker.unexplained_wait_s(1.3) == pytest.approx(0.6)
 
 
 def test_no_wait_is_announced_after_the_first_byte() -> None:
--- a/tests/gateway/test_unresponsive_workers.py
+++ b/tests/gateway/test_unresponsive_workers.py
@@ -6,7 +6,7 @@
 import pytest
 
 from pewterring.distribution.tables import Tables
-from pewterring.routing.worker_state import VOUCHED_S
+from pewterring.routing.worker_state import REACHABLE_S
 from pewterring.transport.http_request import ServerRequest
 from pewterring.transport.http_responder import Responder
 from tests.gateway.gateway import Behaviour, Gateway, answer_result, run_gateway
@@ -39,7 +39,7 @@
             set_state(gateway, "silent", "w0")
             for _ in range(20):
                 assert (await gateway.request()).head.status == 200
-                await asyncio.sleep(VOUCHED_S / 2)
+                await asyncio.sleep(REACHABLE_S / 2)
             assert slots(gateway) == 4
 
     run(scenario())
@@ -49,7 +49,7 @@
     async def scenario() -> None:
         async with run_gateway(answer_result) as gateway:
             await gateway.request()
-            await asyncio.sleep(VOUCHED_S)
+            await asyncio.sleep(REACHABLE_S)
             set_state(gateway, "silent", "w0")
             assert (await gateway.request()).head.status == 503
             assert slots(gateway) == 0
@@ -82,7 +82,7 @@
             behaviours.pop(0)
             assert (await gateway.request()).head.status == 503
             request_count = len(gateway.received_requests)
-            await asyncio.sleep(VOUCHED_S / 4)  # less than the time that its last answer counts for
+            await asyncio.sleep(REACHABLE_S / 4)  # less than the time that its last answer counts for
             assert (await gateway.request()).head.status == 503
             assert len(gateway.received_requests) == request_count
 
@@ -105,12 +105,12 @@
 def test_the_slots_of_an_unresponsive_worker_expire_after_its_last_answer() -> None:
     async def scenario() -> None:
         async with run_gateway(answer_result, answer_result) as gateway:
-            gateway.program.chooser.workers["w0"].heard_at = now()
+            gateway.program.chooser.workers["w0"].last_byte_at = now()
             heartbeat_task = asyncio.create_task(gateway.program.send_heartbeats())
             set_state(gateway, "silent", "w0")
             limit = gateway.program.admissions.of("s").ceiling
             assert limit.rating == 8.0
-            await asyncio.sleep(2 * VOUCHED_S)
+            await asyncio.sleep(2 * REACHABLE_S)
             assert limit.rating == 4.0
             heartbeat_task.cancel()
 
--- a/tests/standalone/test_sparse.py
+++ b/tests/standalone/test_sparse.py
@@ -4,7 +4,7 @@
 import random
 
 from pewterring.admission.ceiling import Ceiling
-from pewterring.admission.shares import BEAT_S, Shares
+from pewterring.admission.shares import HEARTBEAT_PERIOD_S, Shares
 from pewterring.standalone.peer_messages import BEAT, Beat, write_beat
 from pewterring.standalone.policy import interface as i
 from pewterring.standalone.policy.decisions import Fleet
@@ -23,7 +23,7 @@
 
 def test_beats_go_to_a_few_whatever_the_size() -> None:
     d = member(3)
-    told = [t for _ in range(40) for t in d.tick(BEAT_S / 2)]
+    told = [t for _ in range(40) for t in d.tick(HEARTBEAT_PERIOD_S / 2)]
     assert len(told) == 40
     assert len({t.peer for t in told}) > 20
     assert all(t.peer != 3 and t.data[:1] == BEAT for t in told)
@@ -34,7 +34,7 @@
         d = member(3)
         for n in range(10, 30):
             d.do(i.PeerMail(n, beat(out, n)))
-        d.tick(BEAT_S)
+        d.tick(HEARTBEAT_PERIOD_S)
         d.gatekeeper.shares.share = 1.0
         count = sum(len(sends(d.ask())) for _ in range(10))
         assert count >= 3 if out == 0 else count == served
@@ -42,14 +42,14 @@
 
 def test_those_heard_speak_for_the_rest_and_unheard_it_counts_as_busy() -> None:
     s = Shares(FLEET, 1, sparse=True)
-    s.began = 0.0
+    s.started_at = 0.0
     for n in range(10, 20):
-        s.hear(1.0, n, beat(1, n), 400.0)
-    s.divide(1.0, 400.0)
-    assert s.elsewhere == FLEET - 1
-    s.divide(100.0, 400.0)
-    assert s.elsewhere == 400.0
-    assert s.room(0) < 3.0
+        s.receive(1.0, n, beat(1, n), 400.0)
+    s.update_share(1.0, 400.0)
+    assert s.peers_in_flight == FLEET - 1
+    s.update_share(100.0, 400.0)
+    assert s.peers_in_flight == 400.0
+    assert s.capacity(0) < 3.0
 
 
 def test_servers_are_chosen_in_proportion_to_rating() -> None:
