--- a/pewterring/transport/http_server.py
+++ b/pewterring/transport/http_server.py
@@ -1,6 +1,7 @@
-"""HTTP/1.1 server: h11 on asyncio transports, one task a request, one write a piece of an answer.
+"""HTTP/1.1 server on asyncio transports and h11, with one task per request.
 
-A request is handed over once it was read whole: none that was only read in part has been run.
+Each piece of an answer is sent with one write. A request goes to the handler only after it was read
+completely, so a request that was read in part has not been executed.
 """
 
 import asyncio
@@ -23,24 +24,24 @@
 
 __all__ = ["HttpServer", "Responder", "ServerLimits", "ServerRequest"]
 
-BACKLOG = 1024  # connections that wait to be accepted
-LINGER_S = 1.0  # for the client to read the last answer of a connection
-MAX_PIPELINED_BYTES = 64 * 1024  # of later requests, kept while one is handled
-STOP_FLUSH_S = 0.5  # for last answers to leave when the server stops
-UNREAD_RETRY_S = 0.05  # a connection is looked at again when its time-out found unread bytes
+BACKLOG = 1024  # connections waiting to be accepted
+LINGER_S = 1.0  # time for the client to read the last answer before the connection is closed
+MAX_PIPELINED_BYTES = 64 * 1024  # pipelined requests buffered while an earlier request is handled
+STOP_FLUSH_S = 0.5  # time to send the last answers when the server stops
+UNREAD_RETRY_S = 0.05  # delay before a timeout is rechecked when the socket has unread bytes
 
 
 class Phase(Enum):
-    """What a connection does."""
+    """State of a connection."""
 
-    READING = auto()  # rests, or reads a request
+    READING = auto()  # idle, or reading a request
     HANDLING = auto()
-    LINGERING = auto()  # the last answer was written; the client is to read it
+    LINGERING = auto()  # the last answer was written; waiting for the client to read it
     CLOSED = auto()
 
 
 class ServerConnection(HttpConnection):
-    """One client's connection: requests in order, one at a time."""
+    """One client connection, which handles its requests in order, one at a time."""
 
     def __init__(self, server: "HttpServer") -> None:
         super().__init__()
@@ -50,11 +51,11 @@
         self._reader: RequestReader | None = None
         self._responder: Responder | None = None
         self._keep_alive = True
-        self._ahead = bytearray()  # read while a request is handled
-        self._rested_since = 0.0
+        self._pipelined = bytearray()  # bytes received while a request is handled
+        self._idle_since = 0.0
         self._deadline = 0.0
-        self._whole_by = math.inf  # the request that is read must have come by then
-        self._unsent_bytes = 0  # when a time-out was last looked at
+        self._request_deadline = math.inf  # deadline for receiving the complete request
+        self._last_unsent_bytes = 0  # size of the write buffer at the last timeout
         self._timer: asyncio.TimerHandle | None = None
         self._writable: asyncio.Future[None] | None = None
 
@@ -63,28 +64,28 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
         self._server.connections.add(self)
-        self._rest()
+        self._become_idle()
 
     def data_received(self, data: bytes) -> None:
         if self._phase is Phase.READING:
             self._feed(data)
         elif self._phase is Phase.HANDLING:
-            self._read_ahead(data)
+            self._buffer_pipelined(data)
 
-    def _read_ahead(self, data: bytes) -> None:
-        """Keeps the beginning of later requests. With too much of them the connection ends after this answer.
+    def _buffer_pipelined(self, data: bytes) -> None:
+        """Buffers pipelined requests; if they exceed the limit, the connection closes after this answer.
 
-        Reading never pauses: the client's end would stay unseen behind what is not read.
+        Reading is never paused: a close by the client would go unnoticed behind unread bytes.
         """
-        self._ahead += data
-        if len(self._ahead) > MAX_PIPELINED_BYTES:
-            self._ahead.clear()
+        self._pipelined += data
+        if len(self._pipelined) > MAX_PIPELINED_BYTES:
+            self._pipelined.clear()
             self._keep_alive = False
 
     def eof_received(self) -> bool:
-        """The client has closed, or has at least nothing more to say: it is taken to have gone."""
+        """Handles the end of the client's input, which counts as a disconnect."""
         if self._phase is Phase.LINGERING:
-            return False  # what is written still leaves; the timer bounds it
+            return False  # bytes already written are still sent; the timer limits how long
         self._phase = Phase.CLOSED
         if self.unsent:
             self.transport.abort()
@@ -117,7 +118,7 @@
         await asyncio.shield(self._writable)
 
     def closes_after_answer(self) -> bool:
-        """Whether the connection closes after the answer, which is decided as the answer's head is made."""
+        """Whether the connection closes after the answer; decided when the answer's head is encoded."""
         self._keep_alive = self._keep_alive and not self._server.draining
         return not self._keep_alive
 
@@ -128,24 +129,24 @@
             self._linger()
             return
         self._phase = Phase.READING
-        ahead = bytes(self._ahead)
-        self._ahead.clear()
-        self._rest()
-        if ahead:
-            self._feed(ahead)
+        pipelined = bytes(self._pipelined)
+        self._pipelined.clear()
+        self._become_idle()
+        if pipelined:
+            self._feed(pipelined)
 
     def abort_answer(self, reset: bool) -> None:
         self._detach_responder()
         if reset or self.transport.get_write_buffer_size():
-            self.reset()  # behind bytes that the client does not read, our end would not reach it
+            self.reset()  # the client would not see our EOF behind bytes that it does not read
         else:
             self._linger()
 
     # Reading.
 
-    def _rest(self) -> None:
-        self._rested_since = self._server.now()
-        self._arm(self._rested_since + self._server.limits().idle_timeout_s)
+    def _become_idle(self) -> None:
+        self._idle_since = self._server.now()
+        self._arm(self._idle_since + self._server.limits().idle_timeout_s)
 
     def _feed(self, data: bytes) -> None:
         if self._reader is None:
@@ -159,21 +160,21 @@
             self._reject(rejection.status)
             return
         if request is not None:
-            self._hand_over(request, reader.surplus)
+            self._start_handling(request, reader.surplus)
         elif reader.has_head:
             if not had_head:
                 self._take_head(reader)
-            self._await_body()
+            self._arm_body_timeout()
 
     def _take_head(self, reader: RequestReader) -> None:
-        self._whole_by = reader.received_at + self._server.time_to_come(reader.head())
+        self._request_deadline = reader.received_at + self._server.arrival_timeout_s(reader.head())
         if reader.expects_continue:
             self.write(CONTINUE)
 
-    def _await_body(self) -> None:
+    def _arm_body_timeout(self) -> None:
         now = self._server.now()
-        if now < self._whole_by:
-            self._arm(min(self._whole_by, now + self._server.limits().idle_timeout_s))
+        if now < self._request_deadline:
+            self._arm(min(self._request_deadline, now + self._server.limits().idle_timeout_s))
         else:
             self._reject(408)
 
@@ -182,11 +183,11 @@
         self._reader = RequestReader(limits, now)
         self._arm(now + limits.header_timeout_s)
 
-    def _hand_over(self, request: ServerRequest, surplus: bytes) -> None:
+    def _start_handling(self, request: ServerRequest, surplus: bytes) -> None:
         self._reader = None
         self._phase = Phase.HANDLING
         self._keep_alive = request.keep_alive
-        self._ahead += surplus
+        self._pipelined += surplus
         self._responder = Responder(self, request)
         self._server.handle(request, self._responder)
 
@@ -195,7 +196,7 @@
         self.write(encode_answer_head(status, [(b"Content-Length", b"0"), CLOSE_HEADER]))
         self._linger()
 
-    # Timers: one a connection. It is not moved when its deadline moves later; it is set anew as it goes off.
+    # Timeouts: each connection has one timer. If the deadline has moved later, it is rearmed when it fires.
 
     def _arm(self, deadline: float) -> None:
         self._deadline = deadline
@@ -208,20 +209,20 @@
     def _timer_fired(self) -> None:
         self._timer = None
         if self._phase in (Phase.HANDLING, Phase.CLOSED):
-            return  # set again when the answer has ended
+            return  # armed again when the answer has ended
         now = self._server.now()
         if self._phase is Phase.READING and self._reader is None:
-            self._deadline = self._rested_since + self._server.limits().idle_timeout_s
+            self._deadline = self._idle_since + self._server.limits().idle_timeout_s
         if now < self._deadline:
             self._arm(self._deadline)
         else:
             self._time_out(now)
 
     def _time_out(self, now: float) -> None:
-        unsent, unsent_before = self.transport.get_write_buffer_size(), self._unsent_bytes
-        self._unsent_bytes = unsent
-        if unsent and unsent != unsent_before:
-            self._arm(now + LINGER_S)  # the client still reads
+        unsent, last_unsent = self.transport.get_write_buffer_size(), self._last_unsent_bytes
+        self._last_unsent_bytes = unsent
+        if unsent and unsent != last_unsent:
+            self._arm(now + LINGER_S)  # the client is still reading
         elif unsent or self._phase is Phase.LINGERING:
             self.transport.abort()
         elif self.unread():
@@ -235,11 +236,11 @@
     # Closing.
 
     def _linger(self) -> None:
-        """Ends our direction and waits for the client's: closing with unread bytes would reset the answer."""
+        """Sends EOF and waits for the client's: closing with unread bytes would reset the connection."""
         if self.transport.is_closing():
             return
         self._phase = Phase.LINGERING
-        self._ahead.clear()
+        self._pipelined.clear()
         self.transport.write_eof()
         self._arm(self._server.now() + LINGER_S)
 
@@ -250,7 +251,7 @@
             responder.detach()
 
     def close(self) -> None:
-        """Closes after what was written has left; an answer that has not ended stays incomplete."""
+        """Closes after the written bytes are sent; an answer that has not ended stays incomplete."""
         self._detach_responder()
         self._phase = Phase.CLOSED
         self.transport.close()
@@ -260,11 +261,11 @@
 
 
 class HttpServer:
-    """Accepts connections at one address and hands each request to `handler` in a task of its own.
+    """Accepts connections on one address and runs `handler` for each request in its own task.
 
-    `limits` is asked anew for each request. Where a handler raises or returns without an answer, the answer
-    is 500; one that it leaves unfinished is aborted. `time_to_come` says by its head how long a request may
-    take to come whole, in seconds from its first byte; past it the answer is 408.
+    `limits` is called for each request. If a handler raises or returns without an answer, the answer is 500;
+    an answer that it leaves unfinished is aborted. `arrival_timeout_s` returns, given the request's head, how
+    many seconds from its first byte the request may take to arrive completely; after that the answer is 408.
     """
 
     def __init__(
@@ -272,13 +273,13 @@
         handler: Handler,
         limits: Callable[[], ServerLimits],
         now: Callable[[], float] = time.monotonic,
-        time_to_come: Callable[[RequestHead], float] = lambda _head: math.inf,
+        arrival_timeout_s: Callable[[RequestHead], float] = lambda _head: math.inf,
     ) -> None:
         self.limits = limits
-        self.now = now  # the clock of the event loop
-        self.time_to_come = time_to_come
+        self.now = now  # clock of the event loop, in seconds
+        self.arrival_timeout_s = arrival_timeout_s
         self.draining = False
-        self.requests_held = 0  # read whole and not answered
+        self.requests_held = 0  # requests read completely and not answered
         self.connections: set[ServerConnection] = set()
         self.loop: asyncio.AbstractEventLoop
         self._handler = handler
@@ -289,34 +290,34 @@
 
     @property
     def open_connections(self) -> int:
-        """Connections that are open."""
+        """Number of open connections."""
         return len(self.connections)
 
     @property
     def port(self) -> int:
-        """The port that is listened at."""
+        """Port on which the server listens."""
         assert self._server is not None
         return int(self._server.sockets[0].getsockname()[1])
 
     async def start(self, ip: str, port: int) -> None:
-        """Listens. Raises OSError."""
+        """Starts listening. Raises OSError if the address cannot be bound."""
         self.loop = asyncio.get_running_loop()
         self._server = await self.loop.create_server(
             lambda: ServerConnection(self), ip, port, backlog=BACKLOG, reuse_address=True
         )
 
     def begin_drain(self) -> None:
-        """From now on each answer closes its connection. Connections at rest stay for what is on its way."""
+        """Makes each answer close its connection. Idle ones stay open for requests already on their way."""
         self.draining = True
 
     async def wait_until_idle(self) -> None:
-        """Returns once no request is held that was read whole and not answered."""
+        """Waits until every request that was read completely has been answered."""
         while self.requests_held:
             self._all_answered.clear()
             await self._all_answered.wait()
 
     async def stop(self) -> None:
-        """Closes the listener and all connections, also those whose request is not answered."""
+        """Closes the listener and all connections, including those with an unanswered request."""
         if self._server is not None:
             self._server.close()
         for connection in list(self.connections):
@@ -334,19 +335,19 @@
                 connection.transport.abort()
 
     def connection_closed(self, connection: ServerConnection) -> None:
-        """Called by a connection that has closed."""
+        """Called by a connection after it has closed."""
         self.connections.discard(connection)
         if not self.connections:
             self._all_closed.set()
 
     def request_ended(self) -> None:
-        """Called by a connection whose request was answered, or is given up."""
+        """Called by a connection when its request was answered or abandoned."""
         self.requests_held -= 1
         if not self.requests_held:
             self._all_answered.set()
 
     def handle(self, request: ServerRequest, responder: Responder) -> None:
-        """Called by a connection that has read a request."""
+        """Starts the handler; called by a connection that has read a complete request."""
         self.requests_held += 1
         task = self.loop.create_task(self._run_handler(request, responder))
         self._tasks.add(task)
@@ -358,9 +359,9 @@
         except asyncio.CancelledError:
             responder.abort()
             raise
-        except Exception as error:  # noqa: BLE001 - a handler's fault ends its request, not the connection
+        except Exception as error:  # noqa: BLE001 - an error in a handler fails its request only
             logger.opt(exception=error).error("the handler of {} {} failed", request.method, request.target)
         if not responder.started:
             await responder.respond(500, [])
         else:
-            responder.abort()  # does nothing after the answer's end
+            responder.abort()  # no effect if the answer has ended
