--- a/pewterring/transport/http_client.py
+++ b/pewterring/transport/http_client.py
@@ -1,6 +1,6 @@
-"""HTTP/1.1 client for workers: connections that are pooled by address.
+"""HTTP/1.1 client for workers, with a connection pool per address.
 
-What matters to its callers is whether a failed request may have reached the worker: see the errors' `sent`.
+The attribute `sent` of an error tells the caller whether the failed request may have reached the worker.
 """
 
 import asyncio
@@ -34,32 +34,32 @@
 ]
 
 CONNECT_TIMEOUT_S = 1.0
-DEFAULT_IDLE_S = 4.0  # a resting connection is used again within this where the worker names no time
-KEEP_ALIVE_MARGIN_S = 1.0  # it is used again so much before the time that the worker names
-SWEEP_INTERVAL_S = 1.0  # between looks for connections that have rested too long
+DEFAULT_IDLE_S = 4.0  # idle connections are reused for this long if the worker announces no timeout
+KEEP_ALIVE_MARGIN_S = 1.0  # reuse stops this long before the keep-alive timeout announced by the worker
+SWEEP_INTERVAL_S = 1.0  # interval between checks for expired idle connections
 
 
 class AddressConnections:
-    """The connections to one address."""
+    """The pooled connections to one address."""
 
     def __init__(self, pool: "WorkerPool", address: str) -> None:
         self.address = address
-        self.retired = False  # connections are closed when they come to rest
-        self.idle: list[WorkerConnection] = []  # the most recently used one last
-        self.busy: set[WorkerConnection] = set()  # those that are coming up among them
+        self.retired = False  # if set, connections are closed instead of becoming idle
+        self.idle: list[WorkerConnection] = []  # the most recently used connection is last
+        self.busy: set[WorkerConnection] = set()  # includes connections being opened
         self._pool = pool
 
     @property
     def open(self) -> int:
-        """All connections, those that are coming up among them."""
+        """Number of connections, including those being opened."""
         return len(self.idle) + len(self.busy)
 
     def now(self) -> float:
-        """The steady clock."""
+        """Monotonic time in seconds."""
         return self._pool.now()
 
     def send(self, exchange: Exchange, limit: int, timeout_s: float) -> None:
-        """Sends on a connection at rest or on a new one. Raises NoFreeConnectionError."""
+        """Sends on an idle connection or on a new one. Raises NoFreeConnectionError."""
         if self._send_on_idle(exchange):
             return
         if self.open >= limit:
@@ -80,17 +80,17 @@
         return False
 
     def release(self, connection: WorkerConnection, keep_alive_s: int | None) -> None:
-        """A connection comes to rest."""
+        """Takes back a connection whose exchange has ended, for reuse."""
         self.busy.discard(connection)
         if self.retired:
             connection.close()
             return
-        connection.reuse_until = self._pool.now() + self._pool.rest_s(keep_alive_s)
+        connection.reuse_until = self._pool.now() + self._pool.reusable_s(keep_alive_s)
         self.idle.append(connection)
         self._pool.arm_sweep()
 
     def forget(self, connection: WorkerConnection) -> None:
-        """A connection is closed or about to be."""
+        """Removes a connection that is closed or about to be closed."""
         self.busy.discard(connection)
         if connection in self.idle:
             self.idle.remove(connection)
@@ -98,7 +98,7 @@
             self._pool.forget(self)
 
     def close_idle(self, now: float | None = None) -> None:
-        """Closes the connections at rest: all, or those that may not be used again at `now`."""
+        """Closes idle connections: all, or only those that have expired at `now`."""
         for connection in list(self.idle):
             if now is None or now >= connection.reuse_until:
                 connection.close()
@@ -106,16 +106,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectionCounts:
-    """The connections to one address."""
+    """Number of connections to one address."""
 
-    open: int  # those that are coming up among them
+    open: int  # includes connections being opened
     idle: int
 
 
 class WorkerPool:
     """Connections to all workers, by address (`IP:port`).
 
-    `now` is the steady clock. `idle_s` bounds the rest of connections whose worker names no time.
+    `now` returns monotonic time in seconds. `idle_s` is how long an idle connection may be reused if its
+    worker announces no keep-alive timeout.
     """
 
     def __init__(
@@ -125,7 +126,7 @@
         now: Callable[[], float] = time.monotonic,
     ) -> None:
         self.now = now
-        self.connections_made = 0  # connections begun so far
+        self.connections_made = 0  # number of connections opened so far, including failed attempts
         self._connect_timeout_s = connect_timeout_s
         self._idle_s = idle_s
         self._addresses: dict[str, AddressConnections] = {}
@@ -139,7 +140,7 @@
         limit: int,
         connect_timeout_s: float | None = None,
     ) -> Exchange:
-        """Sends a request; `limit` bounds the connections to the address. Raises NoFreeConnectionError.
+        """Sends a request; `limit` is the most connections to the address. Raises NoFreeConnectionError.
 
         The listener is never called before this returns.
         """
@@ -151,34 +152,34 @@
         try:
             connections.send(exchange, limit, timeout_s)
         finally:
-            if connections.open:  # forgotten meanwhile if its last connection at rest could not be used
+            if connections.open:  # removed meanwhile if its last idle connection could not be reused
                 self._addresses[address] = connections
         return exchange
 
     def counts(self, address: str) -> ConnectionCounts:
-        """The connections to an address."""
+        """Number of open and idle connections to an address."""
         connections = self._addresses.get(address)
         if connections is None:
             return ConnectionCounts(0, 0)
         return ConnectionCounts(connections.open, len(connections.idle))
 
     def is_connected(self, address: str) -> bool:
-        """Whether a connection to the address rests."""
+        """Whether there is an idle connection to the address."""
         connections = self._addresses.get(address)
         return connections is not None and bool(connections.idle)
 
     def total_open(self) -> int:
-        """The connections to all addresses."""
+        """Number of connections to all addresses."""
         return sum(connections.open for connections in self._addresses.values())
 
     def close_idle(self, address: str) -> None:
-        """Closes the connections at rest."""
+        """Closes the idle connections to an address."""
         connections = self._addresses.get(address)
         if connections is not None:
             connections.close_idle()
 
     def close_address(self, address: str) -> None:
-        """Closes the connections at rest now and the others at the end of their exchange."""
+        """Closes idle connections to an address now, and the others at the end of their exchange."""
         connections = self._addresses.pop(address, None)
         if connections is not None:
             connections.retired = True
@@ -193,19 +194,19 @@
             for connection in list(connections.busy):
                 connection.cancel()
 
-    def rest_s(self, keep_alive_s: int | None) -> float:
-        """How long a connection may rest, given what its worker says."""
+    def reusable_s(self, keep_alive_s: int | None) -> float:
+        """How long an idle connection may be reused, given the keep-alive timeout of its worker, if any."""
         if keep_alive_s is None:
             return self._idle_s
         return max(keep_alive_s - KEEP_ALIVE_MARGIN_S, keep_alive_s / 2)
 
     def forget(self, connections: AddressConnections) -> None:
-        """Called when an address has no connection left."""
+        """Removes an address that has no connection left."""
         if self._addresses.get(connections.address) is connections:
             del self._addresses[connections.address]
 
     def arm_sweep(self) -> None:
-        """Sees to it that connections that have rested too long are closed."""
+        """Schedules closing of expired idle connections."""
         if self._sweep_timer is None:
             self._sweep_timer = asyncio.get_running_loop().call_later(SWEEP_INTERVAL_S, self._sweep)
 
--- a/pewterring/transport/http_connection.py
+++ b/pewterring/transport/http_connection.py
@@ -1,8 +1,7 @@
-"""One connection to a worker, over HTTP/1.1: one request at a time, callbacks instead of tasks.
+"""One HTTP/1.1 connection to a worker: one request at a time, with callbacks instead of tasks.
 
-It belongs to the connections of one address, which it tells when it comes to rest and when it is gone. What
-may go wrong ends its exchange with an `ExchangeError`: that says whether the request may have reached the
-worker.
+The connection notifies its owner, the pool of one address, when it becomes idle and when it closes. A failure
+ends the exchange with an `ExchangeError`, which tells whether the request may have reached the worker.
 """
 
 import asyncio
@@ -22,24 +21,24 @@
     names_request,
 )
 
-USER_TIMEOUT_MS = 5000  # sent bytes that stay unacknowledged so long end the connection
+USER_TIMEOUT_MS = 5000  # the kernel closes the connection if sent bytes stay unacknowledged this long
 
 
 class ConnectionOwner(Protocol):
-    """The connections to one address."""
+    """The pool of connections to one address."""
 
     address: str  # `IP:port`
 
     def now(self) -> float:
-        """The steady clock, in seconds."""
+        """Monotonic time in seconds."""
         ...
 
     def release(self, connection: "WorkerConnection", keep_alive_s: int | None) -> None:
-        """Takes a connection that comes to rest; `keep_alive_s` is for how long its worker keeps it."""
+        """Takes back an idle connection; `keep_alive_s` is the keep-alive timeout announced by the worker."""
         ...
 
     def forget(self, connection: "WorkerConnection") -> None:
-        """Takes note of a connection that is closed, or about to be."""
+        """Removes a connection that is closed or about to be closed."""
         ...
 
 
@@ -52,14 +51,14 @@
         self._owner = owner
         self._exchange: Exchange | None = exchange
         self._reader = AnswerReader(exchange.request.method)
-        self._answer_begun = False
+        self._answer_started = False
         self._connecting: asyncio.Task[None] | None = None
         exchange.attach(self)
 
     # Connecting.
 
     def connect(self, timeout_s: float) -> None:
-        """Begins to connect; the request is written when the connection is up."""
+        """Starts connecting; the request is written once the connection is established."""
         self._connecting = asyncio.get_running_loop().create_task(self._connect(timeout_s))
 
     async def _connect(self, timeout_s: float) -> None:
@@ -75,7 +74,7 @@
         """Part of `HttpConnection`."""
         super().connection_made(transport)
         exchange = self._exchange
-        if exchange is None:  # cancelled meanwhile
+        if exchange is None:  # cancelled while connecting
             self.transport.abort()
             return
         _set_user_timeout(self.transport)
@@ -84,7 +83,7 @@
     # Sending.
 
     def reuse(self, exchange: Exchange) -> bool:
-        """Sends another request. False if the connection turned out closed with no byte of it sent."""
+        """Sends another request. Returns False if the connection is closed and no byte of it was sent."""
         if self.transport.is_closing() or self.unread():
             return False
         self._write(exchange.request)
@@ -92,7 +91,7 @@
             return False
         self._exchange = exchange
         self._reader = AnswerReader(exchange.request.method)
-        self._answer_begun = False
+        self._answer_started = False
         exchange.reused = True
         exchange.attach(self)
         return True
@@ -107,9 +106,9 @@
         """Part of `HttpConnection`."""
         exchange, reader = self._exchange, self._reader
         if exchange is None:
-            self.close()  # bytes that belong to no request
+            self.close()  # unsolicited bytes
             return
-        self._answer_begun = True
+        self._answer_started = True
         had_head = reader.head is not None
         body = reader.feed(data)
         if reader.head is not None and not had_head and not self._take_head(exchange, reader.head):
@@ -121,7 +120,7 @@
 
     def _take_head(self, exchange: Exchange, head: AnswerHead) -> bool:
         if not may_belong(head, exchange.request, exchange.reused):
-            self._break(AnswerBrokenError("the answer is that to another request"))
+            self._abort_with_error(AnswerBrokenError("the answer is that to another request"))
             return False
         exchange.listener.on_head(head)
         return True
@@ -129,7 +128,7 @@
     def _check_end(self) -> None:
         reader = self._reader
         if reader.error is not None:
-            self._break(AnswerBrokenError(reader.error))
+            self._abort_with_error(AnswerBrokenError(reader.error))
         elif reader.complete:
             self._complete()
 
@@ -137,7 +136,7 @@
         exchange, head = self._exchange, self._reader.head
         assert exchange is not None
         assert head is not None
-        if not self._may_carry_another(exchange, head):
+        if not self._can_be_reused(exchange, head):
             self._finish(None)
             return
         self.transport.resume_reading()
@@ -145,11 +144,12 @@
         self._owner.release(self, head.keep_alive_s)
         exchange.finish(None)
 
-    def _may_carry_another(self, exchange: Exchange, head: AnswerHead) -> bool:
-        """Whether nothing of this exchange can be taken for a part of the next one.
+    def _can_be_reused(self, exchange: Exchange, head: AnswerHead) -> bool:
+        """Whether the connection can be reused without mixing this exchange with the next one.
 
-        A worker may answer before it has read a long body. What the socket has taken of the body stays in
-        front of the next request; where some of it still waits here, the rest leaves and the connection ends.
+        A worker may answer before it has read a long body. Body bytes already in the socket buffer precede
+        the next request. If some are still in the transport's write buffer, they are sent and the connection
+        closes.
         """
         if not self._reader.reusable or self._reader.surplus or not names_request(head, exchange.request):
             return False
@@ -159,7 +159,7 @@
         """Part of `HttpConnection`."""
         if self._exchange is not None:
             if self._is_stale():
-                self._break(StaleConnectionError("the reused connection was closed"))
+                self._abort_with_error(StaleConnectionError("the reused connection was closed"))
             else:
                 self._reader.end_of_input()
                 self._check_end()
@@ -174,15 +174,15 @@
             self._finish(AnswerBrokenError(f"the connection was lost: {exc!r}"))
 
     def _is_stale(self) -> bool:
-        return self._exchange is not None and self._exchange.reused and not self._answer_begun
+        return self._exchange is not None and self._exchange.reused and not self._answer_started
 
     # Ending.
 
     def cancel(self) -> None:
-        """Drops the exchange and the connection, with what is not delivered yet of the request.
+        """Drops the exchange and resets the connection, which discards undelivered bytes of the request.
 
-        Symptom answered: a request that a slow link or a worker that reads slowly held up reaches the worker
-        long after its client has left.
+        Without the reset, a request delayed by a slow link or a slow worker would reach the worker long after
+        its client has disconnected.
         """
         self._exchange = None
         if self._connecting is not None and not self.made:
@@ -192,26 +192,26 @@
         self._owner.forget(self)
 
     def pause_reading(self) -> None:
-        """Leaves what comes in the socket."""
+        """Stops reading; received bytes stay in the socket buffer."""
         if self.up:
             self.transport.pause_reading()
 
     def resume_reading(self) -> None:
-        """Reads again."""
+        """Resumes reading."""
         if self.up:
             self.transport.resume_reading()
 
     def close(self) -> None:
-        """Closes a connection at rest."""
+        """Closes an idle connection."""
         self._owner.forget(self)
         self.transport.close()
 
-    def _break(self, error: ExchangeError) -> None:
+    def _abort_with_error(self, error: ExchangeError) -> None:
         self.transport.abort()
         self._finish(error)
 
     def _finish(self, error: ExchangeError | None) -> None:
-        """Ends the exchange, if there is one, and the connection."""
+        """Ends the exchange, if there is one, and closes the connection."""
         self._owner.forget(self)
         exchange, self._exchange = self._exchange, None
         if self.made:
--- a/tests/transport/test_answer_breakages.py
+++ b/tests/transport/test_answer_breakages.py
@@ -58,12 +58,12 @@
 
     kept = AddressConnections.release
     patch.setattr(AddressConnections, "release", release)
-    patch.setattr(WorkerConnection, "_may_carry_another", lambda _connection, _exchange, _head: True)
+    patch.setattr(WorkerConnection, "_can_be_reused", lambda _connection, _exchange, _head: True)
 
 
 def surplus_ignored(patch: pytest.MonkeyPatch) -> None:
     """A connection with bytes after a whole answer is used again."""
-    patch.setattr(WorkerConnection, "_may_carry_another", lambda _connection, _exchange, _head: True)
+    patch.setattr(WorkerConnection, "_can_be_reused", lambda _connection, _exchange, _head: True)
 
 
 def answers_taken_as_they_come(patch: pytest.MonkeyPatch) -> None:
