--- a/pewterring/transport/http_answer.py
+++ b/pewterring/transport/http_answer.py
@@ -1,4 +1,4 @@
-"""Reading of one HTTP/1.1 answer, without I/O: the head with h11, the body in pieces as it comes."""
+"""Parser for one HTTP/1.1 answer, without I/O: h11 parses the head, the body is returned as it arrives."""
 
 import re
 from dataclasses import dataclass
@@ -15,8 +15,8 @@
 _PLAIN_CHUNK_LINE = re.compile(rb"([0-9A-Fa-f]{1,8})\r\n")
 _KEEP_ALIVE_TIMEOUT = re.compile(rb"timeout\s*=\s*(\d{1,6})", re.IGNORECASE)
 
-# h11 reads an answer only after a request was sent. The request's bytes are made elsewhere, so it is told of
-# a request that has the same effect on the answer's framing.
+# h11 parses an answer only after a request was sent. The real request is encoded elsewhere, so the parser
+# gets a request that has the same effect on the answer's framing.
 _HEAD_REQUEST = h11.Request(method="HEAD", target="/", headers=[("Host", "worker")])
 _OTHER_REQUEST = h11.Request(method="GET", target="/", headers=[("Host", "worker")])
 _END_OF_REQUEST = h11.EndOfMessage()
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerHead:
-    """Status and headers of an answer."""
+    """Status and headers of an answer, without interim (1xx) answers."""
 
     status: int
     headers: Headers  # names and values as sent
@@ -36,25 +36,25 @@
 
     @property
     def framed(self) -> bool:
-        """Whether the head tells where the body ends; else it ends with the connection."""
+        """Whether the headers determine where the body ends; otherwise it ends when the connection closes."""
         return b"transfer-encoding" in self.fields or b"content-length" in self.fields
 
     @property
     def keep_alive_s(self) -> int | None:
-        """How long the other side keeps the connection when idle, where it says so."""
-        found = _KEEP_ALIVE_TIMEOUT.search(self.fields.get(b"keep-alive", b""))
-        return int(found[1]) if found else None
+        """Keep-alive timeout announced by the server, in seconds, or None."""
+        match = _KEEP_ALIVE_TIMEOUT.search(self.fields.get(b"keep-alive", b""))
+        return int(match[1]) if match else None
 
 
 class Framing(Enum):
-    """How a body ends."""
+    """How the end of a body is recognised."""
 
     LENGTH = auto()
     CHUNKED = auto()
     CLOSE = auto()
 
 
-class _ChunkPart(Enum):
+class _ChunkState(Enum):
     LINE = auto()
     DATA = auto()
     DATA_END = auto()
@@ -62,7 +62,7 @@
 
 
 def _only_chunk(data: bytes) -> bytes:
-    """The content of the one whole chunk that `data` is, as most reads of event streams are; else nothing."""
+    """Data of the chunk if `data` is exactly one chunk, as in most reads of event streams; else empty."""
     line = _PLAIN_CHUNK_LINE.match(data)
     if line is None or not data.endswith(CRLF):
         return b""
@@ -71,57 +71,57 @@
 
 
 class _ChunkedBody:
-    """Takes chunks apart. Malformed input leaves the text of the problem in `error`."""
+    """Decodes the chunked encoding. On malformed input `error` describes the problem."""
 
-    __slots__ = ("_left", "_part", "_pending", "_trailer_bytes", "complete", "error")
+    __slots__ = ("_pending", "_remaining_bytes", "_state", "_trailer_bytes", "complete", "error")
 
     def __init__(self) -> None:
         self.complete = False
         self.error: str | None = None
-        self._part = _ChunkPart.LINE
-        self._left = 0  # bytes of the current chunk still to come
+        self._state = _ChunkState.LINE
+        self._remaining_bytes = 0  # bytes of the current chunk still to come
         self._pending = b""  # an incomplete line
         self._trailer_bytes = 0
 
     def feed(self, data: bytes) -> tuple[bytes, bytes]:
-        """The body's bytes in `data`, and what follows the body's end."""
+        """Returns the body's bytes in `data` and the bytes after the end of the body."""
         if self._pending:
             data, self._pending = self._pending + data, b""
-        if self._part is _ChunkPart.LINE:
-            whole = _only_chunk(data)
-            if whole:
-                return whole, b""
+        if self._state is _ChunkState.LINE:
+            chunk_data = _only_chunk(data)
+            if chunk_data:
+                return chunk_data, b""
         pieces: list[bytes] = []
         position, size = 0, len(data)
         while position < size and self.error is None and not self.complete:
-            if self._part is _ChunkPart.DATA:
-                piece = data[position : position + self._left]
+            if self._state is _ChunkState.DATA:
+                piece = data[position : position + self._remaining_bytes]
                 pieces.append(piece)
                 position += len(piece)
-                self._left -= len(piece)
-                if not self._left:
-                    self._part = _ChunkPart.DATA_END
+                self._remaining_bytes -= len(piece)
+                if not self._remaining_bytes:
+                    self._state = _ChunkState.DATA_END
                 continue
             end = data.find(CRLF, position)
             if end < 0:
-                self._keep(data[position:])
+                self._keep_partial_line(data[position:])
                 break
             self._take_line(data[position:end])
             position = end + len(CRLF)
         return b"".join(pieces), data[position:] if self.complete else b""
 
-    def _keep(self, line: bytes) -> None:
+    def _keep_partial_line(self, line: bytes) -> None:
         if len(line) > MAX_CHUNK_LINE_BYTES:
             self.error = "a line between chunks is too long"
-        elif self._part is _ChunkPart.DATA_END and line != b"\r":
+        elif self._state is _ChunkState.DATA_END and line != b"\r":
             self.error = "a chunk is longer than its size"
         self._pending = line
 
     def _take_line(self, line: bytes) -> None:
-        if self._part is _ChunkPart.LINE:
+        if self._state is _ChunkState.LINE:
             self._take_size(line)
-        elif self._part is _ChunkPart.DATA_END:
-            self._part = _ChunkPart.LINE
+        elif self._state is _ChunkState.DATA_END:
+            self._state = _ChunkState.LINE
             if line:
                 self.error = "a chunk is longer than its size"
         elif not line:
@@ -132,16 +132,16 @@
                 self.error = "the trailers are too long"
 
     def _take_size(self, line: bytes) -> None:
-        found = _CHUNK_LINE.fullmatch(line)
-        if found is None:
+        match = _CHUNK_LINE.fullmatch(line)
+        if match is None:
             self.error = "a chunk's size is not a number"
             return
-        self._left = int(found[1], 16)
-        self._part = _ChunkPart.DATA if self._left else _ChunkPart.TRAILER
+        self._remaining_bytes = int(match[1], 16)
+        self._state = _ChunkState.DATA if self._remaining_bytes else _ChunkState.TRAILER
 
 
 class AnswerReader:
-    """Reads one answer. What could be read stays valid when `error` is set."""
+    """Parses one answer. What was parsed before `error` was set stays valid."""
 
     def __init__(self, method: str) -> None:
         self.head: AnswerHead | None = None
@@ -152,11 +152,11 @@
         self._method = method
         self._parser: h11.Connection | None = _parser_after_request(method)
         self._framing = Framing.CLOSE
-        self._left = 0
+        self._remaining_bytes = 0
         self._chunks = _ChunkedBody()
 
     def feed(self, data: bytes) -> bytes:
-        """Takes bytes; returns those of the body."""
+        """Parses received bytes and returns those of the body."""
         if not data:
             return b""
         if self.head is None:
@@ -166,7 +166,7 @@
         return self._feed_body(data)
 
     def end_of_input(self) -> None:
-        """The other side has closed its direction in good order."""
+        """Handles an orderly end of the input, which completes an answer without framing headers."""
         if self.head is not None and self._framing is Framing.CLOSE and self.error is None:
             self.complete = True
         elif not self.complete and self.error is None:
@@ -185,10 +185,10 @@
             return b""
         if not isinstance(event, h11.Response):
             return b""
-        rest = parser.trailing_data[0]
+        surplus_bytes = parser.trailing_data[0]
         self._parser = None
         self._take_head(event)
-        return rest
+        return surplus_bytes
 
     def _take_head(self, event: h11.Response) -> None:
         headers = event.headers
@@ -202,7 +202,7 @@
             self._framing = Framing.CHUNKED
             self.reusable = self.reusable and b"content-length" not in fields  # two lengths: one is wrong
         elif b"content-length" in fields:
-            self._framing, self._left = Framing.LENGTH, int(fields[b"content-length"])
+            self._framing, self._remaining_bytes = Framing.LENGTH, int(fields[b"content-length"])
         else:
             self.reusable = False
 
@@ -210,13 +210,13 @@
         if self._framing is Framing.CLOSE:
             return data
         if self._framing is Framing.CHUNKED:
-            body, rest = self._chunks.feed(data)
+            body, surplus_bytes = self._chunks.feed(data)
             self.complete, self.error = self._chunks.complete, self._chunks.error
         else:
-            body, rest = data[: self._left], data[self._left :]
-            self._left -= len(body)
-            self.complete = not self._left
-        self.surplus = bool(rest)
+            body, surplus_bytes = data[: self._remaining_bytes], data[self._remaining_bytes :]
+            self._remaining_bytes -= len(body)
+            self.complete = not self._remaining_bytes
+        self.surplus = bool(surplus_bytes)
         return body
 
 
--- a/pewterring/transport/http_exchange.py
+++ b/pewterring/transport/http_exchange.py
@@ -1,4 +1,4 @@
-"""One request to a worker and its answer, as the client's callers see them, and what can go wrong."""
+"""One request to a worker and its answer, as seen by callers of the client, and the possible errors."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -9,105 +9,106 @@
 from pewterring.transport.line_errors import TransportError
 
 TIMEOUT_HEADER = b"Request-Timeout-Ms"
-LEAST_TIMEOUT_MS = 1  # none at all could be read as no limit
+MIN_TIMEOUT_MS = 1  # a timeout of 0 could be interpreted as no limit
 
 
 class ExchangeError(TransportError):
-    """No whole answer. `sent` says whether the worker may have got the request."""
+    """There is no complete answer. `sent` tells whether the worker may have received the request."""
 
     sent = True
 
 
 class ConnectFailedError(ExchangeError):
-    """No connection came up: the request was certainly not sent."""
+    """No connection was established: the request was certainly not sent."""
 
     sent = False
 
 
 class NoFreeConnectionError(ConnectFailedError):
-    """All connections that the caller allows are in use: the request was certainly not sent."""
+    """The caller's connection limit is reached: the request was certainly not sent."""
 
 
 class StaleConnectionError(ExchangeError):
-    """A reused connection closed before a byte of the answer: the request may or may not have been run."""
+    """A reused connection closed before any byte of the answer: the request may have been executed."""
 
 
 class AnswerBrokenError(ExchangeError):
-    """The answer ended early, was not HTTP, or was that to another request."""
+    """The answer was truncated, was not valid HTTP, or belongs to another request."""
 
 
 @dataclass(frozen=True, slots=True)
 class SendRequest:
-    """A request to a worker. `headers` holds no framing."""
+    """A request to a worker. `headers` has no framing headers."""
 
     method: str
     target: str
     headers: Headers
     body: bytes = b""
-    request_id: bytes | None = None  # an answer with another `Request-Id` belongs to another request
-    deadline: float | None = None  # steady clock; what is left then goes out as `Request-Timeout-Ms`
+    request_id: bytes | None = None  # an answer with a different `Request-Id` is rejected
+    deadline: float | None = None  # monotonic time; the time left is sent as `Request-Timeout-Ms`
 
     def headers_at(self, now: float) -> Headers:
-        """The headers of a request that is written at `now`.
+        """Returns the headers of a request that is sent at `now`.
 
-        Symptom answered: a connection that took long to come up handed its worker time that had passed.
+        The time left is computed only now: otherwise, after a slow connect, the worker would be given time
+        that has already passed.
         """
         if self.deadline is None:
             return self.headers
-        left_ms = max(LEAST_TIMEOUT_MS, int((self.deadline - now) * MILLISECONDS_PER_SECOND))
-        return [*self.headers, (TIMEOUT_HEADER, b"%d" % left_ms)]
+        remaining_ms = max(MIN_TIMEOUT_MS, int((self.deadline - now) * MILLISECONDS_PER_SECOND))
+        return [*self.headers, (TIMEOUT_HEADER, b"%d" % remaining_ms)]
 
 
 REQUEST_ID = b"request-id"
 
 
 def names_request(head: AnswerHead, request: SendRequest) -> bool:
-    """Whether an answer repeats the id of the request that it is taken for."""
+    """Whether an answer repeats the id of the request."""
     return request.request_id is not None and head.get(REQUEST_ID) == request.request_id
 
 
 def may_belong(head: AnswerHead, request: SendRequest, reused: bool) -> bool:
-    """Whether an answer may be that to the request.
+    """Whether an answer may belong to the request.
 
-    Symptom answered: a worker sends more than one answer, and the surplus one comes when the next request of
-    the connection is out. It shows its id; only workers that decline leave the id out at times, and no
-    connection is used again after an answer without it. So a success without the id on a connection that
-    carried another request is not taken.
+    Guards against a worker that sends more than one answer, when the surplus answer arrives after the next
+    request was sent on the connection. Such an answer carries its id. Only workers that decline a request
+    sometimes omit the id, and no connection is reused after an answer without it. Therefore a success without
+    the id is rejected on a connection that has carried another request.
     """
     if names_request(head, request):
         return True
-    answered = head.get(REQUEST_ID)
-    if answered is not None:
+    answer_id = head.get(REQUEST_ID)
+    if answer_id is not None:
         return request.request_id is None and not reused
     return not reused or not 200 <= head.status < 300
 
 
 class AnswerListener(Protocol):
-    """Who takes the answer. After `on_end`, and after the exchange was cancelled, nothing more is called."""
+    """Receives the answer. No method is called after `on_end` or after the exchange was cancelled."""
 
     def on_head(self, head: AnswerHead) -> None:
-        """The head has come; interim answers are left out."""
+        """Called with the head of the final answer; interim answers are skipped."""
 
     def on_data(self, data: bytes) -> None:
-        """A part of the body, as much as was read at once."""
+        """Called with the body bytes of one read."""
 
     def on_end(self, error: ExchangeError | None) -> None:
-        """The answer is complete, or what went wrong."""
+        """Called at the end: None if the answer is complete, otherwise the error."""
 
 
 class ExchangeConnection(Protocol):
     """The connection that carries an exchange."""
 
-    made: bool  # whether it has come up, and the request was written
+    made: bool  # whether it was established, and the request written
 
     def cancel(self) -> None:
-        """Drops the exchange and the connection."""
+        """Cancels the exchange and closes the connection."""
 
     def pause_reading(self) -> None:
-        """Leaves what comes in the socket."""
+        """Stops reading; received bytes stay in the socket buffer."""
 
     def resume_reading(self) -> None:
-        """Reads again."""
+        """Resumes reading."""
 
 
 class Exchange:
@@ -119,26 +120,26 @@
         self.address = address
         self.request = request
         self.listener = listener
-        self.reused = False  # whether the connection carried a request before
+        self.reused = False  # whether the connection has carried a request before
         self._connection: ExchangeConnection | None = None
 
     @property
     def sent(self) -> bool:
-        """Whether the worker may have got the request."""
+        """Whether the worker may have received the request."""
         return self._connection is None or self._connection.made
 
     def cancel(self) -> None:
-        """Closes the connection at once, if the exchange has not ended."""
+        """Closes the connection at once if the exchange has not ended."""
         if self._connection is not None:
             self._connection.cancel()
 
     def pause(self) -> None:
-        """Reads no more of the answer until `resume`."""
+        """Stops reading the answer until `resume`."""
         if self._connection is not None:
             self._connection.pause_reading()
 
     def resume(self) -> None:
-        """Goes on reading."""
+        """Resumes reading the answer."""
         if self._connection is not None:
             self._connection.resume_reading()
 
@@ -147,6 +148,6 @@
         self._connection = connection
 
     def finish(self, error: ExchangeError | None) -> None:
-        """Called by the connection at the exchange's end."""
+        """Called by the connection when the exchange ends."""
         self._connection = None
         self.listener.on_end(error)
--- a/pewterring/transport/http_fetch.py
+++ b/pewterring/transport/http_fetch.py
@@ -1,4 +1,4 @@
-"""Whole answers and answers read step by step, on top of the callbacks of the client."""
+"""Coroutine interface to the callback-based client: read an answer completely or as a stream."""
 
 import asyncio
 from collections import deque
@@ -8,12 +8,12 @@
 from pewterring.transport.http_client import WorkerPool
 from pewterring.transport.http_exchange import AnswerBrokenError, Exchange, ExchangeError, SendRequest
 
-MAX_UNREAD_BYTES = 256 * 1024  # read from the connection and not taken yet; above this reading pauses
+MAX_UNREAD_BYTES = 256 * 1024  # received but not consumed; above this, reading pauses
 MAX_ANSWER_BYTES = 8 * 1024 * 1024
 
 
 class AnswerTimeoutError(ExchangeError):
-    """The answer did not come whole in time."""
+    """The answer was not complete within the timeout."""
 
     def __init__(self, sent: bool) -> None:
         super().__init__("no whole answer in time")
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WholeAnswer:
-    """An answer that was read whole."""
+    """A complete answer."""
 
     head: AnswerHead
     body: bytes
@@ -32,7 +32,7 @@
 
 
 class AnswerStream:
-    """An answer as a series of parts: the head, pieces of the body, None at its end."""
+    """An answer as a sequence of parts: the head, pieces of the body, then None."""
 
     def __init__(self, pool: WorkerPool, address: str, request: SendRequest, limit: int) -> None:
         """Sends the request. Raises NoFreeConnectionError."""
@@ -42,7 +42,7 @@
         self.exchange: Exchange = pool.send(address, request, self, limit)
 
     async def next_part(self) -> AnswerPart:
-        """The next part. Raises ExchangeError; waits for ever on a worker that says nothing."""
+        """Returns the next part. Raises ExchangeError; there is no timeout if the worker sends nothing."""
         while not self._parts:
             self._arrival = asyncio.get_running_loop().create_future()
             await self._arrival
@@ -50,15 +50,15 @@
         if isinstance(part, ExchangeError):
             raise part
         if isinstance(part, bytes):
-            self._taken(len(part))
+            self._count_consumed(len(part))
         return part
 
     def cancel(self) -> None:
-        """Closes the connection at once, if the answer has not ended."""
+        """Closes the connection at once if the answer has not ended."""
         self.exchange.cancel()
 
     def interrupt(self, error: ExchangeError) -> None:
-        """Closes the connection at once; `next_part` raises the error behind what has come."""
+        """Closes the connection at once; `next_part` raises `error` after the parts already received."""
         self.exchange.cancel()
         self._put(error)
 
@@ -77,7 +77,7 @@
         """Called by the exchange."""
         self._put(error)
 
-    def _taken(self, size: int) -> None:
+    def _count_consumed(self, size: int) -> None:
         if self._unread_bytes > MAX_UNREAD_BYTES >= self._unread_bytes - size:
             self.exchange.resume()
         self._unread_bytes -= size
@@ -91,18 +91,18 @@
 async def fetch(
     pool: WorkerPool, address: str, request: SendRequest, limit: int, timeout_s: float
 ) -> WholeAnswer:
-    """Sends a request and reads its answer whole. Raises ExchangeError."""
+    """Sends a request and reads the complete answer. Raises ExchangeError."""
     stream = AnswerStream(pool, address, request, limit)
     try:
         async with asyncio.timeout(timeout_s):
-            return await _read_whole(stream)
+            return await _read_complete(stream)
     except TimeoutError:
         raise AnswerTimeoutError(stream.exchange.sent) from None
     finally:
         stream.cancel()
 
 
-async def _read_whole(stream: AnswerStream) -> WholeAnswer:
+async def _read_complete(stream: AnswerStream) -> WholeAnswer:
     head: AnswerHead | None = None
     pieces: list[bytes] = []
     size = 0
--- a/pewterring/transport/http_request.py
+++ b/pewterring/transport/http_request.py
@@ -1,4 +1,4 @@
-"""Reading of one HTTP/1.1 request with h11, without I/O."""
+"""Parser for one HTTP/1.1 request on top of h11, without I/O."""
 
 from dataclasses import dataclass
 
@@ -9,12 +9,12 @@
 
 HEADER_OVERHEAD_BYTES = 4  # colon, space and line end of one header
 REQUEST_LINE_OVERHEAD_BYTES = 14  # two spaces, the version, line end and the empty line
-PARSER_LIMIT_BYTES = 1024 * 1024  # more than any limit of heads: those are checked here
-MAX_EMPTY_LINE_BYTES = 64  # before a request
+PARSER_LIMIT_BYTES = 1024 * 1024  # above any configured head limit, which is checked in this module
+MAX_EMPTY_LINE_BYTES = 64  # empty lines accepted before a request line
 
 
 class RequestRejectedError(TransportError):
-    """A request that is not handled; `status` is the answer to it."""
+    """A request that is rejected with the answer `status`."""
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(reason)
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerLimits:
-    """What a client may send and how long it may take."""
+    """Size limits and timeouts for requests of a client."""
 
     max_header_bytes: int
     max_body_bytes: int
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestHead:
-    """The head of a request whose body is still to come."""
+    """The head of a request whose body may not have arrived yet."""
 
     target: str  # path and query as sent
     fields: dict[bytes, bytes]  # first value by name in lower case
@@ -46,7 +46,7 @@
 
 @dataclass(slots=True)
 class ServerRequest:
-    """A request that was read whole."""
+    """A request that was read completely."""
 
     method: str
     target: str  # path and query as sent
@@ -54,7 +54,7 @@
     fields: dict[bytes, bytes]  # first value by name in lower case
     host: str  # lower case, without port
     body: bytes
-    received_at: float  # when its first byte was read, seconds of the steady clock
+    received_at: float  # monotonic time in seconds at which its first byte was read
     keep_alive: bool
     http_version: bytes
 
@@ -64,7 +64,7 @@
 
 
 def host_name(value: bytes) -> str:
-    """The host of a `Host` header: lower case, without port."""
+    """Returns the host of a `Host` header in lower case, without port."""
     text = value.decode("latin-1").strip().lower()
     if text.startswith("["):
         return text.partition("]")[0] + "]"
@@ -72,14 +72,14 @@
 
 
 class RequestReader:
-    """Reads one request. A new reader is used for each, with the limits of that moment."""
+    """Parses one request. Each request gets a new reader with the limits in force at that time."""
 
     def __init__(self, limits: ServerLimits, received_at: float) -> None:
         self._limits = limits
         self.received_at = received_at
         self._parser = h11.Connection(h11.SERVER, max_incomplete_event_size=PARSER_LIMIT_BYTES)
         self._head: h11.Request | None = None
-        self._head_bytes = 0  # read while the head is incomplete
+        self._head_bytes = 0  # bytes read while the head is incomplete
         self._empty_line_bytes = 0
         self._body: list[bytes] = []
         self._body_bytes = 0
@@ -90,7 +90,7 @@
         return self._head is not None
 
     def head(self) -> RequestHead:
-        """The head, once it has been read."""
+        """Returns the head; call only once it has been read."""
         assert self._head is not None
         fields = first_values(self._head.headers)
         return RequestHead(self._head.target.decode("ascii"), fields, host_name(fields.get(b"host", b"")))
@@ -102,11 +102,11 @@
 
     @property
     def surplus(self) -> bytes:
-        """Bytes after the request: those of the next one."""
+        """Bytes after the request, which belong to the next one."""
         return self._parser.trailing_data[0]
 
     def feed(self, data: bytes) -> ServerRequest | None:
-        """Takes bytes; returns the request once it is whole. Raises RequestRejectedError."""
+        """Parses received bytes; returns the request once complete. Raises RequestRejectedError."""
         if self._head is None:
             data = self._without_empty_lines(data)
             if not data:
@@ -149,7 +149,7 @@
     def _take_head(self, head: h11.Request) -> None:
         if head.http_version not in (b"1.1", b"1.0"):
             raise RequestRejectedError(400, "not HTTP/1.1")
-        if self._head_bytes > self._limits.max_header_bytes:  # may count bytes of the body
+        if self._head_bytes > self._limits.max_header_bytes:  # the count may include bytes of the body
             self._check_head(head)
         self._head = head
         for name, value in head.headers:
--- a/pewterring/transport/http_responder.py
+++ b/pewterring/transport/http_responder.py
@@ -1,4 +1,4 @@
-"""The answer to one request, as its handler gives it."""
+"""Interface through which a handler answers one request."""
 
 import asyncio
 from collections.abc import Callable
@@ -20,26 +20,26 @@
 class AnswerConnection(Protocol):
     """The connection that carries the answer."""
 
-    unsent: bool  # whether writers should wait
+    unsent: bool  # whether unsent bytes exceed the limit, so that writers should wait
 
     def write(self, data: bytes) -> None:
-        """Sends bytes, or keeps them until they can be sent."""
+        """Sends bytes, or buffers them until they can be sent."""
 
     async def writable(self) -> None:
-        """Waits while `unsent`."""
+        """Waits while `unsent` is true."""
 
     def closes_after_answer(self) -> bool:
-        """Whether the connection closes after this answer; decided as the answer's head is made."""
+        """Whether the connection closes after this answer; decided when its head is encoded."""
 
     def answer_ended(self) -> None:
-        """The answer is whole."""
+        """Called when the answer is complete."""
 
     def abort_answer(self, reset: bool) -> None:
-        """The answer stays incomplete. `reset`: its end would look like that of a whole one."""
+        """Closes with an incomplete answer; `reset` if a normal close would make it look complete."""
 
 
 class AnswerState(Enum):
-    """How far an answer is."""
+    """Progress of an answer."""
 
     NOT_STARTED = auto()
     STREAMING = auto()
@@ -47,7 +47,7 @@
 
 
 class Responder:
-    """Takes the answer to one request. After the client has gone, calls do nothing."""
+    """Sends the answer to one request. After the client has disconnected, calls have no effect."""
 
     __slots__ = ("_callbacks", "_chunked", "_connection", "_finished", "_head", "_request", "_state")
 
@@ -56,9 +56,7 @@
         self._request = request
         self._state = AnswerState.NOT_STARTED
         self._chunked = False
-        self._head: bytes | None = (
-            None  # written with the first piece of the body, or in the loop's next turn
-        )
+        self._head: bytes | None = None  # sent with the first body piece or in the next loop iteration
         self._callbacks: list[Callable[[], None]] = []
         self._finished: asyncio.Future[None] | None = None
 
@@ -69,23 +67,23 @@
 
     @property
     def disconnected(self) -> bool:
-        """Whether the client went away, or the answer was aborted, before the answer's end."""
+        """Whether the client disconnected, or the answer was aborted, before the end of the answer."""
         return self._connection is None and self._state is not AnswerState.ENDED
 
     @property
     def paused(self) -> bool:
-        """Whether the client reads too slowly: `drain` would wait."""
+        """Whether `drain` would wait because the client reads too slowly."""
         return self._connection is not None and self._connection.unsent
 
     def on_disconnect(self, callback: Callable[[], None]) -> None:
-        """Calls back when the client goes away before the answer's end; at once when it is gone."""
+        """Calls `callback` if the client disconnects before the answer ends; at once if it already has."""
         if self.disconnected:
             callback()
         else:
             self._callbacks.append(callback)
 
     async def respond(self, status: int, headers: Headers, body: bytes = b"") -> None:
-        """Sends a whole answer."""
+        """Sends a complete answer."""
         if self.started:
             raise RuntimeError("the answer has begun already")
         connection = self._connection
@@ -93,18 +91,18 @@
             return
         length = [] if status in BODILESS_STATUSES else [(b"Content-Length", b"%d" % len(body))]
         head = self._encode_head(status, headers + length)
-        connection.write(head if self._bodiless(status) else head + body)
+        connection.write(head if self._has_no_body(status) else head + body)
         self._end_answer()
 
     def begin(self, status: int, headers: Headers) -> None:
-        """Begins an answer whose body comes in pieces. `headers` holds no framing."""
+        """Starts an answer whose body is sent in pieces. `headers` has no framing headers."""
         if self.started:
             raise RuntimeError("the answer has begun already")
         self._state = AnswerState.STREAMING
         connection = self._connection
         if connection is None:
             return
-        self._chunked = self._request.http_version != b"1.0" and not self._bodiless(status)
+        self._chunked = self._request.http_version != b"1.0" and not self._has_no_body(status)
         self._head = self._encode_head(status, [*headers, CHUNKED_HEADER] if self._chunked else headers)
         asyncio.get_running_loop().call_soon(self._flush_head)
 
@@ -117,7 +115,7 @@
         self._connection.write(self._take_head() + (encode_chunk(data) if self._chunked else data))
 
     def end(self) -> None:
-        """Ends an answer that was begun."""
+        """Ends an answer started with `begin`."""
         if self._state is not AnswerState.STREAMING:
             raise RuntimeError("the answer has not begun or is over")
         if self._connection is None:
@@ -128,7 +126,7 @@
         self._end_answer()
 
     def abort(self) -> None:
-        """Closes the connection, so that an answer that has begun does not look whole."""
+        """Closes the connection so that an unfinished answer does not look complete."""
         connection = self._connection
         if connection is None:
             return
@@ -141,7 +139,7 @@
             await self._connection.writable()
 
     async def finished(self) -> None:
-        """Waits until the answer has ended, was aborted, or the client has gone."""
+        """Waits until the answer ends or is aborted, or the client disconnects."""
         if self._connection is None:
             return
         if self._finished is None:
@@ -149,14 +147,14 @@
         await self._finished
 
     def detach(self) -> None:
-        """Called by the connection when it closes before the answer's end."""
+        """Called by the connection when it closes before the answer ends."""
         self._connection = None
-        self._settle()
+        self._resolve_finished()
         callbacks, self._callbacks = self._callbacks, []
         for callback in callbacks:
             callback()
 
-    def _bodiless(self, status: int) -> bool:
+    def _has_no_body(self, status: int) -> bool:
         return self._request.method == "HEAD" or status in BODILESS_STATUSES
 
     def _encode_head(self, status: int, headers: Headers) -> bytes:
@@ -177,10 +175,10 @@
         connection, self._connection = self._connection, None
         self._state = AnswerState.ENDED
         self._callbacks.clear()
-        self._settle()
+        self._resolve_finished()
         assert connection is not None
         connection.answer_ended()
 
-    def _settle(self) -> None:
+    def _resolve_finished(self) -> None:
         if self._finished is not None and not self._finished.done():
             self._finished.set_result(None)
