--- a/pewterring/transport/channel.py
+++ b/pewterring/transport/channel.py
@@ -1,4 +1,4 @@
-"""One connection between two processes that carries JSON lines both ways."""
+"""A connection between two processes that carries JSON lines in both directions."""
 
 import asyncio
 import contextlib
@@ -20,11 +20,12 @@
 )
 
 MAX_LINE_BYTES = 32 * 1024 * 1024
-MAX_BACKLOG_BYTES = 4 * 1024 * 1024  # written but not yet taken by the kernel
-# A greeting is sent at once: only a process that stands still, a cut or a stranger has its peer wait so long.
-# Symptom answered: whoever connects and says nothing holds a connection, and its descriptor, for ever.
+MAX_BACKLOG_BYTES = 4 * 1024 * 1024  # bytes written but not yet accepted by the kernel
+# Time within which the peer's greeting must arrive. Greetings are sent on connect, so only a stalled process,
+# a network partition or a foreign program takes longer. Without the limit, a client that connects and sends
+# nothing would occupy a connection and its file descriptor forever.
 GREETING_S = 10.0
-USER_TIMEOUT_MS = 2000  # sent bytes that stay unacknowledged so long end the connection
+USER_TIMEOUT_MS = 2000  # the kernel closes the connection if sent bytes stay unacknowledged this long
 KEEPALIVE_IDLE_S = 5
 KEEPALIVE_INTERVAL_S = 2
 KEEPALIVE_PROBES = 3
@@ -35,13 +36,13 @@
 
 
 class PeerWarnings:
-    """Logs at most one warning a peer."""
+    """Logs at most one warning per peer."""
 
     def __init__(self) -> None:
         self._warned: set[str] = set()
 
     def warn(self, ip: str, problem: str) -> None:
-        """Logs the problem unless this peer was warned about before."""
+        """Logs the problem unless there was a warning about this peer before."""
         if ip in self._warned:
             return
         self._warned.add(ip)
@@ -49,7 +50,7 @@
 
 
 def set_liveness_options(sock: Any) -> None:
-    """Lets the kernel end connections whose peer is silent, where the platform can."""
+    """Makes the kernel close connections to unresponsive peers, where the platform supports it."""
     options = (
         (socket.SOL_SOCKET, "SO_KEEPALIVE", 1),
         (socket.IPPROTO_TCP, "TCP_KEEPIDLE", KEEPALIVE_IDLE_S),
@@ -65,17 +66,17 @@
 
 
 class Channel(asyncio.Protocol):
-    """One connection, at either side. asyncio itself sets TCP_NODELAY.
+    """One side of a connection. asyncio itself sets TCP_NODELAY.
 
-    `on_message` gets each message that is not a reply. What it returns is sent as the reply where the
-    sender asked for one; awaitables run as tasks, other values are answered at once.
+    `on_message` is called with each message that is not a reply. Its result is sent as the reply if the
+    sender requested one; awaitables run as tasks, other results are sent at once.
 
-    Each side first sends the greeting of its cluster, without waiting for the other's. Until the peer's has
-    come nothing else of it is taken; where it does not come within `GREETING_S` the connection closes.
+    Each side first sends the greeting of its cluster, without waiting for that of the peer. No other line is
+    accepted before the peer's greeting; if it does not arrive within `GREETING_S`, the connection closes.
 
-    What ties an answer to its request is the request's id together with the connection: ids rise and are
-    never given out again on one connection, and an answer that comes when its request was given up, a second
-    time, or after the connection's end meets no request.
+    A reply is matched to its request by the connection and the request id. Ids increase and are never reused
+    on a connection. A reply is ignored if its request was abandoned or already answered, or if the connection
+    has ended.
     """
 
     def __init__(
@@ -91,8 +92,8 @@
         self._on_message = on_message
         self._warnings = warnings or PeerWarnings()
         self._transport: asyncio.Transport | None = None
-        self._partial = bytearray()  # a line whose end has not come yet
-        self._greeted = False  # whether the peer's greeting has come
+        self._partial = bytearray()  # an incomplete line
+        self._greeted = False  # whether the peer's greeting was received
         self._greeting_timer: asyncio.TimerHandle | None = None
         self._request_ids = itertools.count(1)
         self._pending: dict[int, asyncio.Future[Message]] = {}
@@ -101,11 +102,11 @@
     # Sending
 
     def send(self, message: Message) -> bool:
-        """Sends a message without a reply; False where it was dropped."""
+        """Sends a one-way message; False if it was dropped."""
         return self.send_line(self._codec.line(message)) if self._can_write() else False
 
     def send_line(self, line: bytes) -> bool:
-        """Sends what `MessageCodec.line` encoded, e.g. once for many channels; False where it was dropped."""
+        """Sends a line from `MessageCodec.line`, which many channels may share; False if it was dropped."""
         if not self._can_write():
             return False
         self._write(line)
@@ -123,7 +124,7 @@
         loop = asyncio.get_running_loop()
         reply: asyncio.Future[Message] = loop.create_future()
         self._pending[request_id] = reply
-        timer = loop.call_later(timeout_s, self._expire, request_id)
+        timer = loop.call_later(timeout_s, self._time_out_request, request_id)
         try:
             self._write(line)
             return await reply
@@ -132,19 +133,19 @@
             self._pending.pop(request_id, None)
 
     def close(self) -> None:
-        """Closes the connection once what was written has left; open requests fail at once."""
+        """Closes the connection after written bytes are sent; pending requests fail at once."""
         if self._transport is not None:
             self._transport.close()
         self._end("closed here")
 
     def abort(self) -> None:
-        """Closes the connection at once and drops what was not sent."""
+        """Closes the connection at once and drops unsent bytes."""
         if self._transport is not None:
             self._transport.abort()
         self._end("closed here")
 
     def cancel_handlers(self) -> None:
-        """Cancels handlers that still work on messages of this channel."""
+        """Cancels running handlers of this channel."""
         for task in tuple(self._tasks):
             task.cancel()
 
@@ -157,7 +158,7 @@
         assert self._transport is not None
         self._transport.write(line)
 
-    def _expire(self, request_id: int) -> None:
+    def _time_out_request(self, request_id: int) -> None:
         reply = self._pending.pop(request_id, None)
         if reply is not None and not reply.done():
             reply.set_exception(RequestTimeoutError(f"{self.remote_ip} did not answer in time"))
@@ -171,7 +172,7 @@
         self.remote_ip = transport.get_extra_info("peername", ("",))[0]
         set_liveness_options(transport.get_extra_info("socket"))
         transport.write(self._codec.greeting)
-        self._greeting_timer = asyncio.get_running_loop().call_later(GREETING_S, self._miss_greeting)
+        self._greeting_timer = asyncio.get_running_loop().call_later(GREETING_S, self._on_greeting_timeout)
 
     def connection_lost(self, error: Exception | None) -> None:
         """Part of `asyncio.Protocol`."""
@@ -190,27 +191,27 @@
             line = bytes(self._partial)
             self._partial.clear()
             self._receive(line)
-        *lines, rest = data.split(b"\n")
+        *lines, incomplete_line = data.split(b"\n")
         for line in lines:
             if self.closed:
                 return
             self._receive(line)
-        self._partial += rest
+        self._partial += incomplete_line
         self._check_length()
 
     def _check_length(self) -> None:
-        if len(self._partial) > self._longest:
-            self._reject(f"a line is longer than {self._longest} bytes")
+        if len(self._partial) > self._max_line_bytes:
+            self._reject(f"a line is longer than {self._max_line_bytes} bytes")
 
     @property
-    def _longest(self) -> int:
+    def _max_line_bytes(self) -> int:
         return MAX_LINE_BYTES if self._greeted else MAX_GREETING_BYTES
 
     # Receiving
 
     def _check_line(self, line: bytes) -> None:
-        if len(line) > self._longest:
-            raise UndecodableLineError(f"a line is longer than {self._longest} bytes")
+        if len(line) > self._max_line_bytes:
+            raise UndecodableLineError(f"a line is longer than {self._max_line_bytes} bytes")
 
     def _receive(self, line: bytes) -> None:
         try:
@@ -222,7 +223,7 @@
                 return
             envelope = self._codec.decode_line(line)
             if envelope.reply_to:
-                self._settle(envelope)
+                self._complete_request(envelope)
                 return
             message = self._codec.decode(envelope.body)
         except UndecodableLineError as error:
@@ -231,7 +232,7 @@
         if self._on_message is not None:
             self._handle(self._on_message, envelope.id, message)
 
-    def _settle(self, envelope: Envelope) -> None:
+    def _complete_request(self, envelope: Envelope) -> None:
         reply = self._pending.pop(envelope.reply_to, None)
         if reply is None or reply.done():
             return
@@ -247,7 +248,7 @@
     def _handle(self, handler: MessageHandler, request_id: int, message: Message) -> None:
         try:
             result = handler(self, message)
-        except Exception:  # noqa: BLE001 - a handler's fault ends its call, not the channel
+        except Exception:  # noqa: BLE001 - an error in a handler fails its request only
             logger.exception("handling {} from {} failed", type(message).__name__, self.remote_ip)
             self._answer_failure(request_id)
             return
@@ -271,7 +272,7 @@
         self._answer_failure(request_id)
 
     def _answer(self, request_id: int, answer: Answer) -> None:
-        """Replies. A reply is written even past the backlog limit: the peer waits for it."""
+        """Sends a reply, even past the backlog limit, because the peer waits for it."""
         if request_id and answer is not None and not self.closed:
             self._write(self._codec.line(answer, reply_to=request_id))
 
@@ -281,7 +282,7 @@
 
     # Ending
 
-    def _miss_greeting(self) -> None:
+    def _on_greeting_timeout(self) -> None:
         self._reject(f"no greeting within {GREETING_S:g} s")
 
     def _stop_greeting_timer(self) -> None:
--- a/pewterring/transport/datagrams.py
+++ b/pewterring/transport/datagrams.py
@@ -1,16 +1,16 @@
-"""UDP datagrams between processes."""
+"""UDP socket for datagrams between processes."""
 
 import asyncio
 import contextlib
 from collections.abc import Callable
 from typing import cast
 
-IP_UDP_BYTES = 28  # headers of a datagram
-MAX_DATAGRAM_BYTES = 1400  # fits one Ethernet packet with its headers
+IP_UDP_BYTES = 28  # IPv4 and UDP headers of a datagram
+MAX_DATAGRAM_BYTES = 1400  # payload that fits one Ethernet frame together with the headers
 
 
 class DatagramPort(asyncio.DatagramProtocol):
-    """One UDP socket. Datagrams may be lost, repeated or reordered; errors count as loss."""
+    """A UDP socket. Datagrams may be lost, duplicated or reordered; send errors are ignored as loss."""
 
     def __init__(self, on_datagram: Callable[[bytes, str], None]) -> None:
         self._on_datagram = on_datagram
@@ -19,19 +19,19 @@
 
     @property
     def port(self) -> int:
-        """The port that it is bound to."""
+        """Port to which the socket is bound."""
         assert self._transport is not None
         port: int = self._transport.get_extra_info("sockname")[1]
         return port
 
     async def start(self, ip: str, port: int) -> None:
-        """Binds; peers are sent to at the same port. Raises `OSError` where the address cannot be had."""
+        """Binds the socket; peers are expected on the same port. Raises `OSError` if binding fails."""
         loop = asyncio.get_running_loop()
         await loop.create_datagram_endpoint(lambda: self, local_addr=(ip, port))
         self._peer_port = port or self.port
 
     def send(self, ip: str, data: bytes, port: int = 0) -> None:
-        """Sends one datagram, to the common port unless another is given."""
+        """Sends one datagram, to the common port unless `port` is given."""
         if self._transport is not None and not self._transport.is_closing():
             with contextlib.suppress(OSError):
                 self._transport.sendto(data, (ip, port or self._peer_port))
@@ -50,4 +50,4 @@
         self._on_datagram(data, address[0])
 
     def error_received(self, error: Exception) -> None:
-        """Part of `asyncio.DatagramProtocol`; such a datagram counts as lost."""
+        """Part of `asyncio.DatagramProtocol`; the datagram counts as lost."""
--- a/pewterring/transport/line_errors.py
+++ b/pewterring/transport/line_errors.py
@@ -2,28 +2,28 @@
 
 
 class TransportError(Exception):
-    """Something failed between two processes."""
+    """Base class of errors in the communication between two processes."""
 
 
 class UndecodableLineError(TransportError):
-    """A line is not an envelope, or its body is none of the codec's messages."""
+    """A line is not an envelope, or its body is not a message type of the codec."""
 
 
 class ForeignPeerError(UndecodableLineError):
-    """The peer's first line is not the greeting of this cluster and this protocol."""
+    """The peer's first line is not a greeting of this cluster and protocol version."""
 
 
 class ChannelClosedError(TransportError):
-    """The connection closed before the answer came; the peer may or may not have handled the request."""
+    """The connection closed before the reply; the peer may or may not have handled the request."""
 
 
 class RequestNotSentError(ChannelClosedError):
-    """No byte of the request was written: not connected, closed before, or the write backlog is full."""
+    """No byte of the request was written: no connection, or the write backlog is full."""
 
 
 class RequestTimeoutError(TransportError):
-    """No answer came in time; the peer may or may not have handled the request."""
+    """No reply arrived within the timeout; the peer may or may not have handled the request."""
 
 
 class RequestFailedError(TransportError):
-    """The peer's handler ended with an error instead of an answer."""
+    """The peer's handler failed instead of returning a reply."""
--- a/pewterring/transport/line_server.py
+++ b/pewterring/transport/line_server.py
@@ -1,4 +1,4 @@
-"""Accepting and opening connections that carry JSON lines."""
+"""Server and client side of connections that carry JSON lines."""
 
 import asyncio
 import socket
@@ -8,11 +8,11 @@
 from pewterring.transport.line_codec import MessageCodec
 from pewterring.transport.line_errors import RequestNotSentError
 
-ACCEPT_QUEUE = 1024  # connections that the kernel keeps until they are accepted
+ACCEPT_QUEUE = 1024  # listen backlog: connections waiting to be accepted
 
 
 class LineServer:
-    """Listens on one address; all its channels have the same handler."""
+    """Listens on one address; all accepted channels share one message handler."""
 
     def __init__(self, codec: MessageCodec, on_message: MessageHandler) -> None:
         self.channels: set[Channel] = set()
@@ -23,13 +23,13 @@
 
     @property
     def port(self) -> int:
-        """The port that it listens on."""
+        """Port on which the server listens."""
         assert self._server is not None
         port: int = self._server.sockets[0].getsockname()[1]
         return port
 
     async def start(self, ip: str, port: int) -> None:
-        """Listens; raises `OSError` where the address cannot be had."""
+        """Starts listening. Raises `OSError` if the address cannot be bound."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(self._new_channel, ip, port, backlog=ACCEPT_QUEUE)
 
@@ -52,19 +52,19 @@
 
 @dataclass(frozen=True, slots=True)
 class ChannelSettings:
-    """What the side that connects brings with it."""
+    """Settings of the connecting side of a channel."""
 
     codec: MessageCodec
-    on_message: MessageHandler | None = None  # takes messages that are no replies
-    source_ip: str | None = None  # own address to connect from
-    warnings: PeerWarnings | None = None  # shared by channels, so that a peer is named once
+    on_message: MessageHandler | None = None  # handles messages that are not replies
+    source_ip: str | None = None  # local address to bind
+    warnings: PeerWarnings | None = None  # shared by channels, so that each peer is warned about once
 
 
 async def connect(settings: ChannelSettings, ip: str, port: int, timeout_s: float) -> Channel:
     """Opens a channel.
 
     Raises:
-        RequestNotSentError: There is no connection after `timeout_s`.
+        RequestNotSentError: No connection was established within `timeout_s`.
     """
     loop = asyncio.get_running_loop()
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -76,7 +76,7 @@
         async with asyncio.timeout(timeout_s):
             await loop.sock_connect(sock, (ip, port))
             _, channel = await loop.create_connection(lambda: _new_channel(settings), sock=sock)
-    except OSError as error:  # TimeoutError is one of them
+    except OSError as error:  # TimeoutError is a subclass of OSError
         sock.close()
         raise RequestNotSentError(f"cannot connect to {ip}:{port}: {error or 'no answer'}") from error
     except BaseException:
--- a/pewterring/transport/lines.py
+++ b/pewterring/transport/lines.py
@@ -1,4 +1,4 @@
-"""JSON lines between processes over TCP: the public names of its modules."""
+"""Public interface of the JSON-lines transport between processes over TCP."""
 
 from pewterring.transport.channel import (
     MAX_BACKLOG_BYTES,
--- a/pewterring/transport/sse.py
+++ b/pewterring/transport/sse.py
@@ -1,34 +1,34 @@
-"""Incremental splitting of `text/event-stream` bytes into whole events (HTML standard, 9.2)."""
+"""Incremental splitting of `text/event-stream` bytes into complete events (HTML standard, 9.2)."""
 
 import re
 from dataclasses import dataclass
 
-# Two line ends in a row. A carriage return ends a line only if no line feed follows it.
+# Two consecutive line ends. A carriage return ends a line by itself only if no line feed follows it.
 _EVENT_END = re.compile(rb"(?:\r\n|\n|\r(?!\n)){2}")
 _LINE_FEEDS = b"\n\n"
 _CARRIAGE_RETURNS = b"\r\r"
-_MAX_END_BYTES = 4  # of an event's end
+_MAX_END_BYTES = 4  # longest end of an event: two CRLF pairs
 _MAX_ID_DIGITS = 18
 
 
 @dataclass(frozen=True, slots=True)
 class StreamEvent:
-    """One event with the bytes that it came as, its end included."""
+    """One event with its original bytes, including the empty line that ends it."""
 
     raw: bytes
-    id: int | None  # None: no id, or not a number
+    id: int | None  # None if the event has no id or the id is not a number
 
     @property
     def data(self) -> str:
-        """The data lines, joined by line feeds."""
+        """The values of the data fields, joined by line feeds."""
         return b"\n".join(_values(self.raw, b"data")).decode("utf-8", "replace")
 
 
 class EventSplitter:
-    """Takes the bytes of a stream as they come and gives its whole events.
+    """Splits the bytes of a stream into complete events as they arrive.
 
-    A carriage return at the end of the bytes so far may be half of a line end, so an event that ends with one
-    waits for the next byte.
+    A carriage return at the end of the received bytes may be half of a CRLF, so an event that ends with one
+    is returned only after the next byte.
     """
 
     def __init__(self) -> None:
@@ -36,19 +36,19 @@
 
     @property
     def pending(self) -> bytes:
-        """The beginning of an event that has not come whole."""
+        """The bytes of an incomplete event."""
         return self._pending
 
     @property
     def amid_event(self) -> bool:
-        """Whether a stream that ended here would have ended in the middle of an event."""
+        """Whether the stream would be truncated within an event if it ended here."""
         return bool(self._pending.strip())
 
     def feed(self, data: bytes) -> list[StreamEvent]:
-        """The events that are whole with these bytes."""
-        searched = max(0, len(self._pending) - _MAX_END_BYTES)
+        """Returns the events completed by these bytes."""
+        search_start = max(0, len(self._pending) - _MAX_END_BYTES)
         data = self._pending + data if self._pending else data
-        ends = _line_feed_ends(data, searched) if b"\r" not in data else _any_ends(data)
+        ends = _line_feed_ends(data, search_start) if b"\r" not in data else _event_ends(data)
         events = []
         start = 0
         for end in ends:
@@ -58,9 +58,9 @@
         return events
 
     def finish(self) -> list[StreamEvent]:
-        """The event that is whole now that no byte follows: its last line end is a carriage return alone.
+        """Returns the last event at the end of the stream, if its last line end is a single carriage return.
 
-        Where line feeds were used too, a last carriage return is half of a line end: the stream was cut.
+        If line feeds were used too, a final carriage return is half of a CRLF: the stream was truncated.
         """
         pending = self._pending
         if b"\n" in pending or not pending.endswith(_CARRIAGE_RETURNS):
@@ -69,16 +69,16 @@
         return [_event(pending)]
 
 
-def _line_feed_ends(data: bytes, searched: int) -> list[int]:
+def _line_feed_ends(data: bytes, search_start: int) -> list[int]:
     ends = []
-    found = data.find(_LINE_FEEDS, searched)
+    found = data.find(_LINE_FEEDS, search_start)
     while found >= 0:
         ends.append(found + len(_LINE_FEEDS))
         found = data.find(_LINE_FEEDS, ends[-1])
     return ends
 
 
-def _any_ends(data: bytes) -> list[int]:
+def _event_ends(data: bytes) -> list[int]:
     ends = [match.end() for match in _EVENT_END.finditer(data)]
     if ends and ends[-1] == len(data) and data.endswith(b"\r"):
         ends.pop()
--- a/tests/transport/test_lines.py
+++ b/tests/transport/test_lines.py
@@ -287,7 +287,7 @@
 
 def test_pauses_grow_to_their_limit() -> None:
     pool = LinkPool(CODEC, 1, rng=random.Random(1))
-    pauses = [pool.pause_s(failures) for failures in range(20)]
+    pauses = [pool.backoff_s(failures) for failures in range(20)]
     assert all(0.1 <= pause <= 1.0 for pause in pauses)
     assert min(pauses[5:]) >= 0.5
 
