--- a/tests/golden/line_cases.py
+++ b/tests/golden/line_cases.py
@@ -1,6 +1,6 @@
-"""Lines between processes of the tier, apart from the messages in them: the greeting and the envelopes.
+"""Greetings and envelopes of lines between processes of the tier, independent of the messages in them.
 
-This is the one place where lines are built.
+All test cases of such lines are built here.
 """
 
 import msgspec
@@ -11,7 +11,7 @@
 
 
 class Note(msgspec.Struct, frozen=True, tag=True):
-    """A message of no program, to show where a message stands in a line."""
+    """A message type of the tests only, which marks the position of a message in a line."""
 
     text: str
 
@@ -43,5 +43,5 @@
 
 
 def written() -> str:
-    """All of them, a line each."""
+    """All greetings and lines, as they are written to a connection."""
     return b"".join([*greetings(), *lines()]).decode()
--- a/tests/golden/line_forms.py
+++ b/tests/golden/line_forms.py
@@ -1,4 +1,4 @@
-"""Lines of the transport that carry no message: the greeting and the answer that the handler failed."""
+"""Golden cases of lines without a message: the greeting and the reply that reports a failed handler."""
 
 from pewterring.control.program import MESSAGES
 from pewterring.transport.line_codec import Envelope
--- a/tests/golden/test_channel_lines.py
+++ b/tests/golden/test_channel_lines.py
@@ -1,4 +1,4 @@
-"""Greetings and envelopes of lines between processes of the tier: written and read as the golden lines."""
+"""Greetings and envelopes of lines between processes: encoded to and decoded from the golden lines."""
 
 import pytest
 
@@ -10,19 +10,19 @@
 GREETINGS, LINES = GOLDEN[:2], GOLDEN[2:]
 
 
-def test_lines_are_written_as_the_golden_ones() -> None:
+def test_lines_are_encoded_as_the_golden_lines() -> None:
     assert cases.written().encode() == b"".join(GOLDEN)
 
 
 @pytest.mark.parametrize(("cluster", "greeting"), list(zip(("", "blue"), GREETINGS, strict=True)))
-def test_the_golden_greeting_is_taken_from_the_same_cluster_alone(cluster: str, greeting: bytes) -> None:
+def test_the_golden_greeting_is_accepted_only_from_the_same_cluster(cluster: str, greeting: bytes) -> None:
     cases.codec(cluster).check_greeting(greeting)
     with pytest.raises(ForeignPeerError):
         cases.codec("other").check_greeting(greeting)
 
 
 @pytest.mark.parametrize("number", range(len(cases.ENVELOPES)))
-def test_the_golden_lines_are_read_to_the_envelopes(number: int) -> None:
+def test_the_golden_lines_are_decoded_to_the_envelopes(number: int) -> None:
     codec, expected = cases.codec(""), cases.ENVELOPES[number]
     envelope = codec.decode_line(LINES[number])
     assert (envelope.id, envelope.reply_to, envelope.is_failure) == (
--- a/tests/golden/test_line_forms.py
+++ b/tests/golden/test_line_forms.py
@@ -1,4 +1,4 @@
-"""Lines of the transport that carry no message have the bytes that running clusters know."""
+"""Lines without a message keep the bytes that running clusters use."""
 
 import pytest
 
@@ -7,14 +7,14 @@
 
 
 @pytest.mark.parametrize("row", FAMILY.rows, ids=ids(FAMILY.rows))
-def test_the_bytes_written(row: Row) -> None:
+def test_encoding_gives_the_golden_bytes(row: Row) -> None:
     check_encoding(FAMILY, row)
 
 
 @pytest.mark.parametrize("row", FAMILY.rows, ids=ids(FAMILY.rows))
-def test_the_bytes_read(row: Row) -> None:
+def test_the_golden_bytes_are_decoded(row: Row) -> None:
     check_decoding(FAMILY, row)
 
 
-def test_the_file_has_these_rows() -> None:
+def test_the_golden_file_has_exactly_these_rows() -> None:
     check_complete(FAMILY)
--- a/tests/transport/http_stand_ins.py
+++ b/tests/transport/http_stand_ins.py
@@ -1,4 +1,4 @@
-"""A server with a raw client at its socket, and a raw worker for the client, on loopback."""
+"""Test doubles on loopback sockets: raw clients for the server and a scripted worker for the client."""
 
 import asyncio
 import contextlib
@@ -12,7 +12,7 @@
 from pewterring.transport.http_server import HttpServer, Responder, ServerLimits, ServerRequest
 
 IP = "127.0.0.1"
-PATIENCE_S = 10.0  # a wait that takes so long has failed
+PATIENCE_S = 10.0  # a wait that exceeds this has failed
 LIMITS = ServerLimits(max_header_bytes=1000, max_body_bytes=100, header_timeout_s=30.0, idle_timeout_s=30.0)
 
 Handler = Callable[[ServerRequest, Responder], Awaitable[None]]
@@ -21,7 +21,7 @@
 
 @dataclass
 class Wire:
-    """One side of a connection, as bytes."""
+    """Byte access to one side of a connection."""
 
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
@@ -38,7 +38,7 @@
             return await self.reader.readuntil(end)
 
     async def rest(self) -> bytes:
-        """All bytes until the other side closes."""
+        """Reads all bytes until the peer closes."""
         async with asyncio.timeout(PATIENCE_S):
             return await self.reader.read()
 
@@ -46,7 +46,7 @@
         self.writer.close()
 
     async def closed(self) -> None:
-        """Closes, and waits until it has."""
+        """Closes the connection and waits until it is closed."""
         self.close()
         with contextlib.suppress(OSError):
             await self.writer.wait_closed()
@@ -57,8 +57,8 @@
         self.writer.transport.abort()
 
 
-class Served(HttpServer):
-    """A server whose raw clients are closed at its end."""
+class ServerWithClients(HttpServer):
+    """A server that keeps its raw clients, so that they can be closed with it."""
 
     def __init__(self, handler: Handler, limits: ServerLimits) -> None:
         super().__init__(handler, lambda: limits)
@@ -70,8 +70,8 @@
 
 
 @contextlib.asynccontextmanager
-async def serving(handler: Handler, limits: ServerLimits = LIMITS) -> AsyncIterator[Served]:
-    server = Served(handler, limits)
+async def serving(handler: Handler, limits: ServerLimits = LIMITS) -> AsyncIterator[ServerWithClients]:
+    server = ServerWithClients(handler, limits)
     await server.start(IP, 0)
     try:
         yield server
@@ -82,7 +82,7 @@
 
 
 class RawWorker:
-    """Plays one script for each connection, in the order of the connections."""
+    """A worker that runs one script per connection, in the order of the connections."""
 
     def __init__(self, *scripts: Script) -> None:
         self.scripts = list(scripts)
@@ -90,7 +90,7 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     async def __aenter__(self) -> "RawWorker":
-        self._server = await asyncio.start_server(self._play, IP, 0)
+        self._server = await asyncio.start_server(self._accept, IP, 0)
         port = self._server.sockets[0].getsockname()[1]
         self.address = f"{IP}:{port}"
         return self
@@ -101,7 +101,7 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
         self._server.close()
 
-    async def _play(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         script = self.scripts[self.accepted]
         self.accepted += 1
         self._tasks.append(asyncio.create_task(self._run(script, Wire(reader, writer))))
@@ -114,7 +114,7 @@
 
 
 class Recorder:
-    """Keeps what an exchange tells."""
+    """Records the callbacks of an exchange."""
 
     def __init__(self) -> None:
         self.head: AnswerHead | None = None
@@ -148,7 +148,7 @@
 
 
 class AnswerTaker:
-    """The connection of the client: takes what it is sent."""
+    """The connection of a client, which records the bytes sent to it."""
 
     unsent = False
 
--- a/tests/transport/scripted.py
+++ b/tests/transport/scripted.py
@@ -1,6 +1,6 @@
-"""Connections in memory: the test says which bytes the other side gets and sends, and how they end.
+"""In-memory connections: the test controls which bytes the peer receives and sends, and how it disconnects.
 
-They run on the loop of virtual time, so that nothing waits for the clock.
+They run on the virtual-time event loop, so that no test waits for real time.
 """
 
 import asyncio
@@ -17,20 +17,20 @@
 from pewterring.transport.http_exchange import Exchange, SendRequest
 from tests.transport.http_stand_ins import Recorder
 
-LOOP_TURNS = 8  # enough for the callbacks of one event to run
+LOOP_TURNS = 8  # loop iterations, enough for the callbacks of one event to run
 PEER = ("192.0.2.1", 1)
-LIMIT = 4  # connections to one address
+LIMIT = 4  # most connections to one address
 
 
 class Ending(Enum):
-    """How the other side ends a connection."""
+    """How the peer ends a connection."""
 
     CLOSE = auto()
     RESET = auto()
 
 
 class _Socket:
-    """What the code asks of a socket. `fileno` is that of a socket at which nothing ever arrives."""
+    """The part of the socket interface in use. `fileno` belongs to a socket that never receives data."""
 
     def __init__(self) -> None:
         self._pair = socket.socketpair()
@@ -42,19 +42,19 @@
         pass
 
     def close(self) -> None:
-        for each in self._pair:
-            each.close()
+        for end_of_pair in self._pair:
+            end_of_pair.close()
 
 
 class ScriptedTransport(asyncio.Transport):
-    """Takes written bytes as far as there is room for them; the rest waits, as behind a full socket."""
+    """Accepts written bytes up to a limit; the rest stays in the write buffer, as with a full socket."""
 
     def __init__(self, protocol: asyncio.BaseProtocol, room: int | None = None) -> None:
         super().__init__()
-        self.taken = b""  # by the socket: the other side reads all of this, in this order
+        self.taken = b""  # bytes accepted by the socket, all of which the peer reads in this order
         self.ended = False
         self._protocol = protocol
-        self._room = room  # None: no bound
+        self._room = room  # None for no limit
         self._waiting = b""
         self._closing = False
         self._socket = _Socket()
@@ -64,7 +64,7 @@
     def write(self, data: Any) -> None:
         if not self._closing:
             self._waiting += bytes(data)
-            self._move()
+            self._flush()
 
     def get_write_buffer_size(self) -> int:
         return len(self._waiting)
@@ -97,14 +97,14 @@
     # Called by the test.
 
     def make_room(self) -> None:
-        """The socket takes all that waits, and all that will be written."""
+        """Makes the socket accept all buffered and future bytes."""
         self._room = None
-        self._move()
+        self._flush()
         if self._closing and not self._waiting:
             self._end(None)
 
     def deliver(self, data: bytes) -> None:
-        """Bytes of the other side arrive."""
+        """Delivers bytes sent by the peer."""
         if not data or self._closing:
             return
         if isinstance(self._protocol, asyncio.BufferedProtocol):
@@ -114,7 +114,7 @@
             cast(asyncio.Protocol, self._protocol).data_received(data)
 
     def end(self, ending: Ending) -> None:
-        """The other side ends the connection."""
+        """Ends the connection as the peer."""
         if self._closing:
             return
         if ending is Ending.RESET:
@@ -123,7 +123,7 @@
         elif not cast(asyncio.Protocol, self._protocol).eof_received():
             self.close()
 
-    def _move(self) -> None:
+    def _flush(self) -> None:
         room = len(self._waiting) if self._room is None else self._room - len(self.taken)
         self.taken += self._waiting[:room]
         self._waiting = self._waiting[room:]
@@ -136,23 +136,23 @@
 
 
 class ScriptedNetwork:
-    """Gives each connection that is opened a scripted transport."""
+    """Creates a scripted transport for each opened connection."""
 
     def __init__(self) -> None:
         self.transports: list[ScriptedTransport] = []
-        self.refusing: set[str] = set()  # IPs
+        self.refusing: set[str] = set()  # IPs that refuse connections
         self.refusals = 0
-        self.room: int | None = None  # of the next connections
+        self.room: int | None = None  # socket limit of connections opened from now on, in bytes
 
     @property
     def last(self) -> ScriptedTransport:
-        """The connection that was opened last."""
+        """The most recently opened connection."""
         return self.transports[-1]
 
     async def connect(
         self, make_protocol: Callable[[], asyncio.BaseProtocol], ip: str, _port: int
     ) -> tuple[ScriptedTransport, asyncio.BaseProtocol]:
-        """Stands in for the loop's `create_connection`."""
+        """Replaces the loop's `create_connection`."""
         if ip in self.refusing:
             self.refusals += 1
             raise ConnectionRefusedError
@@ -165,7 +165,7 @@
 
 @contextlib.contextmanager
 def scripted_network() -> Iterator[ScriptedNetwork]:
-    """All connections of the running loop are scripted."""
+    """Makes all connections of the running loop scripted."""
     network = ScriptedNetwork()
     try:
         with mock.patch.object(asyncio.get_running_loop(), "create_connection", network.connect):
@@ -177,7 +177,7 @@
 
 @contextlib.contextmanager
 def warnings_logged() -> Iterator[list[str]]:
-    """The warnings that are logged meanwhile."""
+    """Collects the warnings logged within the context."""
     lines: list[str] = []
     number = logger.add(lambda line: lines.append(str(line)), level="WARNING", format="{message}")
     try:
@@ -187,13 +187,13 @@
 
 
 async def settle() -> None:
-    """Lets all callbacks run that are due."""
+    """Runs all callbacks that are due."""
     for _ in range(LOOP_TURNS):
         await asyncio.sleep(0)
 
 
 class ScriptedWorker:
-    """A pool whose only worker is the test."""
+    """A connection pool whose only worker is the test."""
 
     address = "192.0.2.1:80"
 
@@ -202,14 +202,14 @@
         self.pool = WorkerPool(now=asyncio.get_running_loop().time)
 
     async def send(self, request: SendRequest) -> tuple[Recorder, Exchange]:
-        """Sends a request as far as the connection takes it."""
+        """Sends a request, as far as the connection accepts it."""
         recorder = Recorder()
         exchange = self.pool.send(self.address, request, recorder, LIMIT)
         await settle()
         return recorder, exchange
 
     async def serve(self, request: SendRequest, answer: bytes) -> ScriptedTransport:
-        """One exchange that ends well. Returns its connection."""
+        """Runs one successful exchange and returns its connection."""
         recorder, _ = await self.send(request)
         transport = self.network.last
         transport.deliver(answer)
--- a/tests/transport/test_answer_breakages.py
+++ b/tests/transport/test_answer_breakages.py
@@ -1,4 +1,4 @@
-"""Guards that tie answers to their requests, each taken out: the tests of resets and surplus notice it."""
+"""Disables each guard that matches answers to requests and checks that a test of resets then fails."""
 
 import itertools
 from collections.abc import Callable
@@ -18,22 +18,22 @@
 from tests.transport import test_line_resets as lines
 from tests.transport.scripted import Ending, ScriptedTransport
 
-Break = Callable[[pytest.MonkeyPatch], None]
+DisableGuard = Callable[[pytest.MonkeyPatch], None]
 
 
-def request_ids_come_back(patch: pytest.MonkeyPatch) -> None:
-    """A channel numbers its requests from a counter that wraps at once."""
+def request_ids_reused(patch: pytest.MonkeyPatch) -> None:
+    """Every request of a channel gets the same id."""
 
     def init(channel: Channel, *arguments: Any) -> None:
-        made(channel, *arguments)
+        original_init(channel, *arguments)
         channel._request_ids = itertools.cycle([1])  # type: ignore[assignment]
 
-    made = Channel.__init__
+    original_init = Channel.__init__
     patch.setattr(Channel, "__init__", init)
 
 
-def wait_given_up_but_connection_kept(patch: pytest.MonkeyPatch) -> None:
-    """An exchange that is given up returns its connection to the pool."""
+def cancelled_connection_kept(patch: pytest.MonkeyPatch) -> None:
+    """A cancelled exchange returns its connection to the pool."""
 
     def cancel(connection: WorkerConnection) -> None:
         connection._exchange = None
@@ -42,42 +42,42 @@
     patch.setattr(WorkerConnection, "cancel", cancel)
 
 
-def unsafe_call_sent_again(patch: pytest.MonkeyPatch) -> None:
-    """A used connection that is lost is taken as proof that the request never arrived."""
+def unsafe_request_retried(patch: pytest.MonkeyPatch) -> None:
+    """A lost reused connection is treated as proof that the request never arrived."""
     patch.setattr(StaleConnectionError, "sent", False)
 
 
-def early_answer_cuts_the_body(patch: pytest.MonkeyPatch) -> None:
-    """At the end of an answer the rest of the body is dropped and the connection is used again."""
+def early_answer_truncates_the_body(patch: pytest.MonkeyPatch) -> None:
+    """At the end of an answer, unsent body bytes are dropped and the connection is reused."""
 
     def release(self: AddressConnections, connection: WorkerConnection, keep_alive_s: int | None) -> None:
         assert isinstance(connection.transport, ScriptedTransport)
         connection.transport._waiting = b""
         connection.transport._room = None
-        kept(self, connection, keep_alive_s)
+        original_release(self, connection, keep_alive_s)
 
-    kept = AddressConnections.release
+    original_release = AddressConnections.release
     patch.setattr(AddressConnections, "release", release)
     patch.setattr(WorkerConnection, "_can_be_reused", lambda _connection, _exchange, _head: True)
 
 
 def surplus_ignored(patch: pytest.MonkeyPatch) -> None:
-    """A connection with bytes after a whole answer is used again."""
+    """A connection with bytes after a complete answer is reused."""
     patch.setattr(WorkerConnection, "_can_be_reused", lambda _connection, _exchange, _head: True)
 
 
-def answers_taken_as_they_come(patch: pytest.MonkeyPatch) -> None:
-    """An answer is taken whatever id it shows."""
+def answers_accepted_with_any_id(patch: pytest.MonkeyPatch) -> None:
+    """An answer is accepted with any request id."""
     patch.setattr(http_connection, "may_belong", lambda _head, _request, _reused: True)
 
 
-def unnamed_answers_taken(patch: pytest.MonkeyPatch) -> None:
-    """An answer without an id counts as one that shows the right one."""
+def answers_accepted_without_id(patch: pytest.MonkeyPatch) -> None:
+    """An answer without an id is treated as if it had the right one."""
     patch.setattr(http_connection, "names_request", lambda _head, _request: True)
 
 
 def reset_ends_an_answer(patch: pytest.MonkeyPatch) -> None:
-    """A reset is taken for an end in good order."""
+    """A reset is treated as an orderly close."""
 
     def connection_lost(connection: WorkerConnection, _exc: Exception | None) -> None:
         if connection._exchange is not None:
@@ -87,68 +87,73 @@
     patch.setattr(WorkerConnection, "connection_lost", connection_lost)
 
 
-def strangers_heard(patch: pytest.MonkeyPatch) -> None:
-    """The first line of a peer is not looked at."""
+def foreign_peers_accepted(patch: pytest.MonkeyPatch) -> None:
+    """The greeting of a peer is not checked."""
     patch.setattr(MessageCodec, "check_greeting", lambda _codec, _line: None)
 
 
-def half_a_line_handled(patch: pytest.MonkeyPatch) -> None:
-    """What came of a line when the connection ends is handled."""
-    ended = Channel._end
+def partial_line_handled(patch: pytest.MonkeyPatch) -> None:
+    """A partial line is handled when the connection ends."""
+    original_end = Channel._end
 
     def end(channel: Channel, reason: str) -> None:
         partial, channel._partial = bytes(channel._partial), bytearray()
         if partial and channel._greeted:
             channel._receive(partial)
-        ended(channel, reason)
+        original_end(channel, reason)
 
     patch.setattr(Channel, "_end", end)
 
 
 @dataclass(frozen=True)
 class Case:
-    """A breakage and the test that must notice it."""
+    """A disabled guard and the test that must fail without it."""
 
-    breakage: Break
+    disable_guard: DisableGuard
     test: Callable[[], None]
 
 
-def reused_cut() -> None:
+def truncated_on_reused_connection() -> None:
     live.test_an_answer_truncated_at_any_byte_is_no_reason_to_send_again(
         "non-idempotent", live.OK, Ending.RESET, True
     )
 
 
 CASES = [
-    Case(request_ids_come_back, lines.test_a_late_answer_meets_no_other_request),
-    Case(wait_given_up_but_connection_kept, http.test_a_wait_that_is_given_up_takes_the_connection_along),
-    Case(unsafe_call_sent_again, reused_cut),
-    Case(early_answer_cuts_the_body, lambda: http.test_an_early_answer_leaves_the_body_its_place("success")),
-    Case(surplus_ignored, lambda: http.test_bytes_after_a_whole_answer_end_the_connection("doubled")),
+    Case(request_ids_reused, lines.test_a_late_reply_is_not_matched_to_another_request),
+    Case(cancelled_connection_kept, http.test_a_cancelled_exchange_closes_its_connection),
+    Case(unsafe_request_retried, truncated_on_reused_connection),
     Case(
-        answers_taken_as_they_come,
-        lambda: http.test_a_late_surplus_answer_is_not_taken_for_the_next_one("of another request"),
+        early_answer_truncates_the_body,
+        lambda: http.test_after_an_early_answer_the_body_is_still_sent_completely("success"),
     ),
-    Case(unnamed_answers_taken, http.test_a_connection_whose_answer_names_no_request_is_not_used_again),
+    Case(surplus_ignored, lambda: http.test_bytes_after_a_complete_answer_close_the_connection("doubled")),
+    Case(
+        answers_accepted_with_any_id,
+        lambda: http.test_a_late_surplus_answer_is_not_matched_to_the_next_request("of another request"),
+    ),
+    Case(answers_accepted_without_id, http.test_a_connection_is_not_reused_after_an_answer_without_an_id),
     Case(
         reset_ends_an_answer,
-        lambda: http.test_an_answer_cut_at_any_byte_is_not_whole("until the close", Ending.RESET, False),
+        lambda: http.test_an_answer_truncated_at_any_byte_is_not_complete(
+            "until the close", Ending.RESET, False
+        ),
     ),
     Case(
-        strangers_heard,
-        lambda: lines.test_a_stranger_is_cut_off_with_one_line_and_nothing_taken("another cluster"),
+        foreign_peers_accepted,
+        lambda: lines.test_a_foreign_peer_is_disconnected_with_one_warning("another cluster"),
     ),
     Case(
-        half_a_line_handled,
-        lambda: lines.test_a_request_cut_at_any_byte_is_handled_whole_or_not_at_all(Ending.CLOSE),
+        partial_line_handled,
+        lambda: lines.test_a_request_truncated_at_any_byte_is_not_handled(Ending.CLOSE),
     ),
 ]
 
 
-@pytest.mark.parametrize("case", CASES, ids=lambda case: case.breakage.__name__)
-def test_a_guard_taken_out_is_noticed(case: Case) -> None:
+@pytest.mark.parametrize("case", CASES, ids=lambda case: case.disable_guard.__name__)
+def test_a_disabled_guard_fails_its_test(case: Case) -> None:
     case.test()
     with pytest.MonkeyPatch.context() as patch:
-        case.breakage(patch)
+        case.disable_guard(patch)
         with pytest.raises(AssertionError):
             case.test()
--- a/tests/transport/test_http_client.py
+++ b/tests/transport/test_http_client.py
@@ -1,4 +1,4 @@
-"""The client of workers against raw sockets."""
+"""The HTTP client for workers, tested against scripted workers on raw loopback sockets."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -43,7 +43,7 @@
 
 
 def answering(*answers: bytes, close: bool = False) -> Script:
-    """Answers one request after the other on one connection."""
+    """A worker script that answers consecutive requests on one connection."""
 
     async def script(wire: Wire) -> None:
         for raw in answers:
@@ -75,29 +75,29 @@
     return recorder
 
 
-def play(*scripts: Script, then: Callable[[WorkerPool, RawWorker], Awaitable[None]]) -> None:
+def run_with_worker(*scripts: Script, scenario: Callable[[WorkerPool, RawWorker], Awaitable[None]]) -> None:
     async def run() -> None:
         pool = WorkerPool()
         async with RawWorker(*scripts) as worker:
             try:
-                await then(pool, worker)
+                await scenario(pool, worker)
             finally:
                 pool.close()
 
     asyncio.run(run())
 
 
-def one_exchange(script: Script) -> Recorder:
+def exchange_with(script: Script) -> Recorder:
     recorders: list[Recorder] = []
 
-    async def then(pool: WorkerPool, worker: RawWorker) -> None:
+    async def scenario(pool: WorkerPool, worker: RawWorker) -> None:
         recorders.append(await exchange(pool, worker.address))
 
-    play(script, then=then)
+    run_with_worker(script, scenario=scenario)
     return recorders[0]
 
 
-def test_a_request_goes_out_as_given() -> None:
+def test_a_request_is_sent_as_given() -> None:
     seen: list[bytes] = []
 
     async def script(wire: Wire) -> None:
@@ -105,7 +105,7 @@
         wire.send(OK)
         await wire.rest()
 
-    recorder = one_exchange(script)
+    recorder = exchange_with(script)
     assert recorder.error is None
     assert recorder.head is not None
     assert (recorder.head.status, recorder.body) == (200, b"ok")
@@ -114,12 +114,12 @@
     assert seen[0] == (b"POST /x? HTTP/1.1\r\nHost: h\r\nRequest-Id: a1\r\nContent-Length: 4\r\n\r\nbody")
 
 
-def told_ms(request: bytes) -> int:
+def sent_timeout_ms(request: bytes) -> int:
     return int(request.split(b"Request-Timeout-Ms: ")[1].split(b"\r\n")[0])
 
 
 @pytest.mark.parametrize(("passed_s", "expected_ms"), [(0.0, 2000), (0.75, 1250), (9.0, 1)])
-def test_the_time_left_is_reckoned_when_the_request_is_written(passed_s: float, expected_ms: int) -> None:
+def test_the_remaining_time_is_computed_at_sending(passed_s: float, expected_ms: int) -> None:
     clock = SteppedClock()
     seen: list[bytes] = []
 
@@ -133,16 +133,16 @@
         async with RawWorker(script) as worker:
             recorder = Recorder()
             pool.send(worker.address, replace(REQUEST, deadline=clock.now + 2), recorder, LIMIT)
-            clock.now += passed_s  # until the connection is up
+            clock.now += passed_s  # while the connection is being established
             await recorder.end()
             pool.close()
 
     asyncio.run(run())
-    assert told_ms(seen[0]) == expected_ms
+    assert sent_timeout_ms(seen[0]) == expected_ms
 
 
-def test_connections_are_used_again_the_latest_first() -> None:
-    async def then(pool: WorkerPool, worker: RawWorker) -> None:
+def test_the_most_recently_used_connection_is_reused_first() -> None:
+    async def scenario(pool: WorkerPool, worker: RawWorker) -> None:
         first, second = Recorder(), Recorder()
         pool.send(worker.address, REQUEST, first, LIMIT)
         pool.send(worker.address, REQUEST, second, LIMIT)
@@ -155,8 +155,8 @@
         pool.close_idle(worker.address)
         assert pool.counts(worker.address) == ConnectionCounts(0, 0)
 
-    both = answering(OK, OK, OK)
-    play(both, both, then=then)
+    two_answers = answering(OK, OK, OK)
+    run_with_worker(two_answers, two_answers, scenario=scenario)
 
 
 @pytest.mark.parametrize(
@@ -167,25 +167,25 @@
         OK.replace(b"HTTP/1.1", b"HTTP/1.0"),
     ],
 )
-def test_a_connection_that_is_not_used_again(raw: bytes) -> None:
-    async def then(pool: WorkerPool, worker: RawWorker) -> None:
+def test_a_connection_is_not_reused_after_a_close_header_surplus_bytes_or_http_1_0(raw: bytes) -> None:
+    async def scenario(pool: WorkerPool, worker: RawWorker) -> None:
         for _ in range(2):
             recorder = await exchange(pool, worker.address)
             assert (recorder.error, recorder.body) == (None, b"ok")
             assert pool.counts(worker.address).open == 0
         assert worker.accepted == 2
 
-    play(answering(raw), answering(raw), then=then)
+    run_with_worker(answering(raw), answering(raw), scenario=scenario)
 
 
-def test_keep_alive_bounds_the_rest() -> None:
-    async def run(header: bytes, rest_s: float) -> int:
+def test_keep_alive_timeout_limits_reuse_of_an_idle_connection() -> None:
+    async def run(header: bytes, idle_s: float) -> int:
         clock = SteppedClock()
         pool = WorkerPool(now=clock)
         raw = OK.replace(b"\r\n\r\n", header + b"\r\n\r\n")
         async with RawWorker(answering(raw, raw), answering(raw)) as worker:
             await exchange(pool, worker.address)
-            clock.now += rest_s
+            clock.now += idle_s
             await exchange(pool, worker.address)
             pool.close()
             return worker.accepted
@@ -198,7 +198,7 @@
     assert asyncio.run(run(b"", 4.1)) == 2
 
 
-def test_connections_that_rested_too_long_are_closed() -> None:
+def test_expired_idle_connections_are_closed() -> None:
     async def run() -> None:
         clock = SteppedClock()
         pool = WorkerPool(now=clock)
@@ -214,7 +214,7 @@
     asyncio.run(run())
 
 
-def test_a_refused_connection_was_not_sent() -> None:
+def test_a_request_is_not_sent_when_the_connection_is_refused() -> None:
     async def run() -> None:
         async with RawWorker() as worker:
             address = worker.address
@@ -227,7 +227,7 @@
     asyncio.run(run())
 
 
-def test_a_connection_that_does_not_come_up_was_not_sent() -> None:
+def test_a_request_is_not_sent_when_connecting_times_out() -> None:
     async def run() -> None:
         pool = WorkerPool()
         recorder = Recorder()
@@ -240,8 +240,8 @@
     asyncio.run(run())
 
 
-def test_the_limit_counts_connections_that_come_up() -> None:
-    async def then(pool: WorkerPool, worker: RawWorker) -> None:
+def test_the_limit_counts_connections_being_opened() -> None:
+    async def scenario(pool: WorkerPool, worker: RawWorker) -> None:
         first = Recorder()
         pool.send(worker.address, REQUEST, first, limit=1)
         with pytest.raises(NoFreeConnectionError):
@@ -251,7 +251,7 @@
         pool.send(worker.address, REQUEST, second, limit=1)
         assert await second.end() is None
 
-    play(answering(OK, OK), then=then)
+    run_with_worker(answering(OK, OK), scenario=scenario)
 
 
 @pytest.mark.parametrize("reset", [False, True])
@@ -265,17 +265,17 @@
         else:
             wire.close()
 
-    async def then(pool: WorkerPool, worker: RawWorker) -> None:
+    async def scenario(pool: WorkerPool, worker: RawWorker) -> None:
         assert (await exchange(pool, worker.address)).error is None
         recorder = await exchange(pool, worker.address)
         assert isinstance(recorder.error, StaleConnectionError)
         assert recorder.error.sent
 
-    play(script, then=then)
+    run_with_worker(script, scenario=scenario)
 
 
-def test_a_resting_connection_that_closes_or_speaks_is_not_used() -> None:
-    async def then(pool: WorkerPool, worker: RawWorker) -> None:
+def test_a_closed_or_unexpectedly_readable_idle_connection_is_not_reused() -> None:
+    async def scenario(pool: WorkerPool, worker: RawWorker) -> None:
         for _ in range(3):
             assert (await exchange(pool, worker.address)).error is None
             async with asyncio.timeout(PATIENCE_S):
@@ -283,7 +283,7 @@
                     await asyncio.sleep(0)
         assert worker.accepted == 3
 
-    async def speaking(wire: Wire) -> None:
+    async def surplus_answer(wire: Wire) -> None:
         await read_request(wire)
         wire.send(OK)
         await wire.writer.drain()
@@ -291,11 +291,11 @@
         wire.send(OK)
         await wire.rest()
 
-    play(answering(OK, close=True), speaking, answering(OK, close=True), then=then)
+    run_with_worker(answering(OK, close=True), surplus_answer, answering(OK, close=True), scenario=scenario)
 
 
-def test_a_close_that_was_not_read_yet_is_seen_before_sending() -> None:
-    async def then(pool: WorkerPool, worker: RawWorker) -> None:
+def test_an_unread_close_is_detected_before_sending() -> None:
+    async def scenario(pool: WorkerPool, worker: RawWorker) -> None:
         assert (await exchange(pool, worker.address)).error is None
         connection = pool._addresses[worker.address].idle[0]
         connection.transport.pause_reading()
@@ -314,20 +314,20 @@
         await closing.wait()
         wire.close()
 
-    play(closes_on_demand, answering(OK), then=then)
+    run_with_worker(closes_on_demand, answering(OK), scenario=scenario)
 
 
-def test_an_answer_to_another_request_is_not_taken() -> None:
-    recorder = one_exchange(answering(OK.replace(b"a1", b"b2")))
+def test_an_answer_to_another_request_is_rejected() -> None:
+    recorder = exchange_with(answering(OK.replace(b"a1", b"b2")))
     assert isinstance(recorder.error, AnswerBrokenError)
     assert recorder.error.sent
     assert recorder.head is None
     assert recorder.body == b""
 
 
-def test_interim_answers_are_left_out() -> None:
+def test_interim_answers_are_skipped() -> None:
     interim = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nRequest-Id: b2\r\n\r\n"
-    recorder = one_exchange(answering(interim + OK))
+    recorder = exchange_with(answering(interim + OK))
     assert (recorder.error, recorder.body) == (None, b"ok")
 
 
@@ -345,56 +345,56 @@
         (b"HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n", b""),
     ],
 )
-def test_an_answer_that_is_cut_or_garbage_is_broken(raw: bytes, body: bytes) -> None:
-    recorder = one_exchange(answering(raw, close=True))
+def test_a_truncated_or_malformed_answer_is_broken(raw: bytes, body: bytes) -> None:
+    recorder = exchange_with(answering(raw, close=True))
     assert isinstance(recorder.error, AnswerBrokenError)
     assert recorder.error.sent
     assert recorder.body == body
 
 
-def test_an_answer_until_close() -> None:
+def test_an_answer_without_a_length_ends_at_the_close() -> None:
     raw = b"HTTP/1.1 200 OK\r\n\r\nall of it"
-    recorder = one_exchange(answering(raw, close=True))
+    recorder = exchange_with(answering(raw, close=True))
     assert (recorder.error, recorder.body) == (None, b"all of it")
-    assert isinstance(one_exchange(resetting(raw)).error, AnswerBrokenError)
+    assert isinstance(exchange_with(resetting(raw)).error, AnswerBrokenError)
 
 
-def test_pieces_come_as_they_are_read() -> None:
-    async def then(pool: WorkerPool, worker: RawWorker) -> None:
+def test_body_pieces_are_delivered_as_they_are_read() -> None:
+    async def scenario(pool: WorkerPool, worker: RawWorker) -> None:
         recorder = Recorder()
         pool.send(worker.address, REQUEST, recorder, LIMIT)
         async with asyncio.timeout(PATIENCE_S):
             await recorder.arrived.wait()
         assert (recorder.body, recorder.ended.is_set()) == (b"one", False)
-        go_on.set()
+        send_rest.set()
         assert await recorder.end() is None
         assert recorder.body == b"onetwo!"
 
-    go_on = asyncio.Event()
+    send_rest = asyncio.Event()
 
     async def script(wire: Wire) -> None:
         await read_request(wire)
         wire.send(CHUNKED[:FIRST_CHUNK_END])
-        await go_on.wait()
+        await send_rest.wait()
         wire.send(CHUNKED[FIRST_CHUNK_END:])
         await wire.rest()
 
-    play(script, then=then)
+    run_with_worker(script, scenario=scenario)
 
 
-def test_cancel_resets_at_once() -> None:
-    async def then(pool: WorkerPool, worker: RawWorker) -> None:
+def test_cancel_resets_the_connection_at_once() -> None:
+    async def scenario(pool: WorkerPool, worker: RawWorker) -> None:
         recorder = Recorder()
-        running = pool.send(worker.address, REQUEST, recorder, LIMIT)
-        assert not running.sent
+        pending_exchange = pool.send(worker.address, REQUEST, recorder, LIMIT)
+        assert not pending_exchange.sent
         async with asyncio.timeout(PATIENCE_S):
             await recorder.arrived.wait()
-            assert running.sent
-            running.cancel()
+            assert pending_exchange.sent
+            pending_exchange.cancel()
             assert pool.counts(worker.address).open == 0
             await closed.wait()
         assert not recorder.ended.is_set()
-        running.cancel()
+        pending_exchange.cancel()
 
     closed = asyncio.Event()
 
@@ -405,22 +405,22 @@
             await wire.rest()
         closed.set()
 
-    play(script, then=then)
+    run_with_worker(script, scenario=scenario)
 
 
-def test_cancel_while_connecting() -> None:
-    async def then(pool: WorkerPool, worker: RawWorker) -> None:
+def test_cancel_while_connecting_sends_no_callback() -> None:
+    async def scenario(pool: WorkerPool, worker: RawWorker) -> None:
         recorder = Recorder()
         pool.send(worker.address, REQUEST, recorder, LIMIT).cancel()
         assert pool.counts(worker.address).open == 0
         assert (await exchange(pool, worker.address)).error is None
         assert not recorder.ended.is_set()
 
-    play(answering(OK), answering(OK), then=then)
+    run_with_worker(answering(OK), answering(OK), scenario=scenario)
 
 
 def test_a_retired_address_keeps_no_connection() -> None:
-    async def then(pool: WorkerPool, worker: RawWorker) -> None:
+    async def scenario(pool: WorkerPool, worker: RawWorker) -> None:
         recorder = Recorder()
         pool.send(worker.address, REQUEST, recorder, LIMIT)
         pool.close_address(worker.address)
@@ -428,10 +428,10 @@
         assert (await exchange(pool, worker.address)).error is None
         assert worker.accepted == 2
 
-    play(answering(OK), answering(OK), then=then)
+    run_with_worker(answering(OK), answering(OK), scenario=scenario)
 
 
-def test_expired_connections_make_room_for_a_new_one_that_is_counted() -> None:
+def test_an_expired_connection_is_replaced_by_a_new_one_that_is_counted() -> None:
     async def run() -> None:
         clock = SteppedClock()
         pool = WorkerPool(now=clock)
@@ -445,8 +445,8 @@
     asyncio.run(run())
 
 
-def test_fetch_reads_whole_answers_and_raises() -> None:
-    async def then(pool: WorkerPool, worker: RawWorker) -> None:
+def test_fetch_returns_complete_answers_and_raises_on_failures() -> None:
+    async def scenario(pool: WorkerPool, worker: RawWorker) -> None:
         answer = await fetch(pool, worker.address, REQUEST, LIMIT, PATIENCE_S)
         assert (answer.head.status, answer.body) == (200, b"onetwo!")
         with pytest.raises(AnswerBrokenError):
@@ -455,11 +455,11 @@
             await fetch(pool, worker.address, REQUEST, LIMIT, 0.05)
         assert pool.counts(worker.address).open == 0
 
-    silent = answering(b"")
-    play(answering(CHUNKED, b"garbage\r\n\r\n"), silent, then=then)
+    unresponsive = answering(b"")
+    run_with_worker(answering(CHUNKED, b"garbage\r\n\r\n"), unresponsive, scenario=scenario)
 
 
-def test_an_answer_reads_the_same_at_every_split() -> None:
+def test_an_answer_is_parsed_the_same_at_every_split() -> None:
     for raw, body in ((OK, b"ok"), (CHUNKED, b"onetwo!")):
         for split in range(len(raw) + 1):
             reader = AnswerReader("GET")
@@ -468,7 +468,7 @@
             assert reader.reusable
 
 
-def test_chunks_whose_content_looks_like_chunks_at_every_split() -> None:
+def test_chunks_whose_content_looks_like_chunks_are_parsed_at_every_split() -> None:
     content = b"2\r\nab\r\n"
     head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
     stream = encode_chunk(b"one") + encode_chunk(content) + b"0\r\n\r\n"
@@ -479,7 +479,7 @@
         assert (reader.complete, reader.error, reader.surplus) == (True, None, False)
 
 
-def test_answers_without_a_body() -> None:
+def test_answers_without_a_body_are_complete_after_the_head() -> None:
     for method, raw in (("HEAD", OK[:-2]), ("GET", b"HTTP/1.1 204 No Content\r\n\r\n")):
         reader = AnswerReader(method)
         assert reader.feed(raw) == b""
--- a/tests/transport/test_http_server.py
+++ b/tests/transport/test_http_server.py
@@ -1,4 +1,4 @@
-"""The HTTP server at its socket."""
+"""The HTTP server, tested through raw loopback connections."""
 
 import asyncio
 from dataclasses import replace
@@ -15,15 +15,15 @@
     await responder.respond(200, [], request.target.encode() + b"|" + request.body)
 
 
-async def answer(wire: Wire) -> tuple[bytes, bytes]:
-    """Head and body of an answer with a length."""
+async def read_answer(wire: Wire) -> tuple[bytes, bytes]:
+    """Reads the head and body of an answer with a Content-Length."""
     head = await wire.until(b"\r\n\r\n")
     length = int(head.lower().split(b"content-length: ")[1].split(b"\r\n")[0])
     return head, await wire.read(length)
 
 
-async def exchanged(sent: bytes, handler: Handler = echo, limits: object = LIMITS) -> bytes:
-    """All that the server answers on one connection until it closes."""
+async def received_after(sent: bytes, handler: Handler = echo, limits: object = LIMITS) -> bytes:
+    """Sends bytes on one connection and returns everything received until it closes."""
     assert limits is LIMITS or isinstance(limits, type(LIMITS))
     async with serving(handler, limits) as server:
         wire = await server.connect()
@@ -35,11 +35,11 @@
     return int(raw.split(b" ", 2)[1])
 
 
-def closing(target: bytes = b"/a", more: bytes = b"") -> bytes:
-    return b"GET " + target + b" HTTP/1.1\r\nHost: h\r\nConnection: close\r\n" + more + b"\r\n"
+def closing_request(target: bytes = b"/a", extra_headers: bytes = b"") -> bytes:
+    return b"GET " + target + b" HTTP/1.1\r\nHost: h\r\nConnection: close\r\n" + extra_headers + b"\r\n"
 
 
-def test_a_request_comes_as_sent() -> None:
+def test_the_handler_receives_the_request_as_sent() -> None:
     seen: list[ServerRequest] = []
 
     async def handler(request: ServerRequest, responder: Responder) -> None:
@@ -47,7 +47,7 @@
         await responder.respond(204, [])
 
     head = b"POST /x? HTTP/1.1\r\nHost: Ab.Example:80\r\nX-Odd: 1\r\nx-odd: 2\r\nConnection: close\r\n"
-    raw = asyncio.run(exchanged(head + b"Content-Length: 3\r\n\r\nabc", handler))
+    raw = asyncio.run(received_after(head + b"Content-Length: 3\r\n\r\nabc", handler))
     assert raw == b"HTTP/1.1 204 No Content\r\nConnection: close\r\n\r\n"
     request = seen[0]
     assert (request.method, request.target, request.host, request.body) == (
@@ -68,26 +68,26 @@
             await asyncio.sleep(0)
         await echo(request, responder)
 
-    async def play() -> None:
+    async def run_scenario() -> None:
         async with serving(handler) as server:
             wire = await server.connect()
             requests = [b"GET /%d HTTP/1.1\r\nHost: h\r\n\r\n" % number for number in (1, 2, 3)]
             wire.send(b"".join(requests))
-            assert [(await answer(wire))[1] for _ in requests] == [b"/1|", b"/2|", b"/3|"]
+            assert [(await read_answer(wire))[1] for _ in requests] == [b"/1|", b"/2|", b"/3|"]
             assert server.requests_held == 0
             assert server.open_connections == 1
 
-    asyncio.run(play())
+    asyncio.run(run_scenario())
 
 
-def test_a_connection_with_too_much_sent_ahead_ends_with_its_answer() -> None:
-    """What is not read can be sent again elsewhere; the answer that is due comes whole."""
+def test_a_connection_with_too_many_pipelined_bytes_closes_after_its_answer() -> None:
+    """Requests that were dropped unread can be retried elsewhere; the pending answer is complete."""
 
-    async def play() -> None:
-        go_on = asyncio.Event()
+    async def run_scenario() -> None:
+        proceed = asyncio.Event()
 
         async def handler(request: ServerRequest, responder: Responder) -> None:
-            await go_on.wait()
+            await proceed.wait()
             await echo(request, responder)
 
         async with serving(handler) as server:
@@ -97,20 +97,20 @@
             connection = next(iter(server.connections))
             while connection._keep_alive:
                 await asyncio.sleep(0)
-            go_on.set()
+            proceed.set()
             head, _, body = (await wire.rest()).partition(b"\r\n\r\n")
             assert (status(head), body) == (200, b"/a|")
             assert b"Connection: close" in head
 
-    asyncio.run(play())
+    asyncio.run(run_scenario())
 
 
-def test_a_request_split_at_every_byte() -> None:
+def test_a_request_may_be_split_at_every_byte() -> None:
     chunked = (
         b"POST /c HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"
     )
 
-    async def play() -> None:
+    async def run_scenario() -> None:
         async with serving(echo) as server:
             wire = await server.connect()
             for split in range(1, len(chunked)):
@@ -118,9 +118,9 @@
                 await wire.writer.drain()
                 await asyncio.sleep(0)
                 wire.send(chunked[split:])
-                assert (await answer(wire))[1] == b"/c|abcde"
+                assert (await read_answer(wire))[1] == b"/c|abcde"
 
-    asyncio.run(play())
+    asyncio.run(run_scenario())
 
 
 def test_an_answer_in_pieces_is_chunked() -> None:
@@ -131,53 +131,53 @@
         responder.write(b"two")
         responder.end()
 
-    raw = asyncio.run(exchanged(closing(), handler))
+    raw = asyncio.run(received_after(closing_request(), handler))
     head, _, body = raw.partition(b"\r\n\r\n")
     assert head == b"HTTP/1.1 200 OK\r\nX-A: 1\r\nTransfer-Encoding: chunked\r\nConnection: close"
     assert body == b"3\r\none\r\n3\r\ntwo\r\n0\r\n\r\n"
 
 
-def test_a_head_goes_out_before_the_first_piece() -> None:
-    async def play() -> None:
-        go_on = asyncio.Event()
+def test_the_head_is_sent_before_the_first_piece() -> None:
+    async def run_scenario() -> None:
+        proceed = asyncio.Event()
 
         async def handler(_request: ServerRequest, responder: Responder) -> None:
             responder.begin(200, [])
-            await go_on.wait()
+            await proceed.wait()
             responder.end()
 
         async with serving(handler) as server:
             wire = await server.connect()
             wire.send(GET)
             assert status(await wire.until(b"\r\n\r\n")) == 200
-            go_on.set()
+            proceed.set()
             assert await wire.read(5) == b"0\r\n\r\n"
 
-    asyncio.run(play())
+    asyncio.run(run_scenario())
 
 
-@pytest.mark.parametrize("how", ["abort", "return", "raise"])
-def test_an_unfinished_answer_has_no_last_chunk(how: str) -> None:
+@pytest.mark.parametrize("failure_mode", ["abort", "return", "raise"])
+def test_an_unfinished_answer_has_no_last_chunk(failure_mode: str) -> None:
     async def handler(_request: ServerRequest, responder: Responder) -> None:
         responder.begin(200, [])
         responder.write(b"one")
-        if how == "abort":
+        if failure_mode == "abort":
             responder.abort()
             assert responder.disconnected
-        elif how == "raise":
-            raise ValueError(how)
+        elif failure_mode == "raise":
+            raise ValueError(failure_mode)
 
-    raw = asyncio.run(exchanged(GET, handler))
+    raw = asyncio.run(received_after(GET, handler))
     assert raw.endswith(b"\r\n\r\n3\r\none\r\n")
 
 
-def test_an_unfinished_answer_to_an_old_client_is_reset() -> None:
+def test_an_unfinished_answer_to_an_http_1_0_client_is_reset() -> None:
     async def handler(_request: ServerRequest, responder: Responder) -> None:
         responder.begin(200, [])
         responder.write(b"one")
 
     with pytest.raises(ConnectionResetError):
-        asyncio.run(exchanged(b"GET /a HTTP/1.0\r\n\r\n", handler))
+        asyncio.run(received_after(b"GET /a HTTP/1.0\r\n\r\n", handler))
 
 
 @pytest.mark.parametrize("raises", [False, True])
@@ -186,7 +186,7 @@
         if raises:
             raise ValueError("failed")
 
-    assert status(asyncio.run(exchanged(closing(), handler))) == 500
+    assert status(asyncio.run(received_after(closing_request(), handler))) == 500
 
 
 @pytest.mark.parametrize(
@@ -205,77 +205,77 @@
         (b"\r\n" * 40, 400),
     ],
 )
-def test_what_is_not_handled(sent: bytes, expected: int) -> None:
-    raw = asyncio.run(exchanged(sent))
+def test_invalid_requests_are_rejected(sent: bytes, expected: int) -> None:
+    raw = asyncio.run(received_after(sent))
     assert status(raw) == expected
     assert b"Connection: close" in raw
 
 
-def test_limits_are_exact_and_read_anew() -> None:
+def test_limits_are_exact_and_read_for_each_request() -> None:
     body_head = b"POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n"
 
-    async def play() -> None:
+    async def run_scenario() -> None:
         async with serving(echo) as server:
             wire = await server.connect()
             wire.send(body_head % 100 + b"b" * 100)
-            assert len((await answer(wire))[1]) == 103
+            assert len((await read_answer(wire))[1]) == 103
             server.limits = lambda: replace(LIMITS, max_body_bytes=99)
             wire.send(body_head % 100 + b"b" * 100)
             assert status(await wire.rest()) == 413
 
-    asyncio.run(play())
+    asyncio.run(run_scenario())
 
 
 def test_a_large_body_does_not_count_as_head() -> None:
-    async def play() -> None:
+    async def run_scenario() -> None:
         async with serving(echo, replace(LIMITS, max_body_bytes=5000)) as server:
             wire = await server.connect()
             wire.send(b"POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 5000\r\n\r\n" + b"b" * 5000)
-            assert len((await answer(wire))[1]) == 5003
+            assert len((await read_answer(wire))[1]) == 5003
 
-    asyncio.run(play())
+    asyncio.run(run_scenario())
 
 
-def test_expect_gets_100_before_the_body() -> None:
-    async def play() -> None:
+def test_expect_continue_is_answered_before_the_body() -> None:
+    async def run_scenario() -> None:
         async with serving(echo) as server:
             wire = await server.connect()
             wire.send(b"POST /a HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n")
             assert status(await wire.until(b"\r\n\r\n")) == 100
             wire.send(b"ok")
-            assert (await answer(wire))[1] == b"/a|ok"
+            assert (await read_answer(wire))[1] == b"/a|ok"
 
-    asyncio.run(play())
+    asyncio.run(run_scenario())
 
 
-def test_head_has_a_length_and_no_body() -> None:
+def test_the_answer_to_head_has_a_length_and_no_body() -> None:
     async def handler(_request: ServerRequest, responder: Responder) -> None:
         await responder.respond(200, [], b"four")
 
-    raw = asyncio.run(exchanged(b"HEAD /a HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n", handler))
+    raw = asyncio.run(received_after(b"HEAD /a HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n", handler))
     assert raw == b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\nConnection: close\r\n\r\n"
 
 
 def test_an_upgrade_is_ignored() -> None:
     upgrade = b"GET /a HTTP/1.1\r\nHost: h\r\nConnection: Upgrade, HTTP2-Settings\r\nUpgrade: h2c\r\n\r\n"
 
-    async def play() -> None:
+    async def run_scenario() -> None:
         async with serving(echo) as server:
             wire = await server.connect()
             for sent in (upgrade, GET):
                 wire.send(sent)
-                assert (await answer(wire))[1] == b"/a|"
+                assert (await read_answer(wire))[1] == b"/a|"
 
-    asyncio.run(play())
+    asyncio.run(run_scenario())
 
 
 @pytest.mark.parametrize("reset", [False, True])
-def test_a_client_that_leaves_is_told_of(reset: bool) -> None:
-    async def play() -> None:
-        gone, handled = asyncio.Event(), asyncio.Event()
+def test_the_handler_is_notified_of_a_client_disconnect(reset: bool) -> None:
+    async def run_scenario() -> None:
+        disconnected_event, handled = asyncio.Event(), asyncio.Event()
 
         async def handler(_request: ServerRequest, responder: Responder) -> None:
-            responder.on_disconnect(gone.set)
+            responder.on_disconnect(disconnected_event.set)
             handled.set()
             await responder.finished()
             assert responder.disconnected
@@ -292,13 +292,13 @@
                 wire.reset()
             else:
                 wire.close()
-            await gone.wait()
+            await disconnected_event.wait()
             assert server.requests_held == 0
 
-    asyncio.run(play())
+    asyncio.run(run_scenario())
 
 
-def test_no_disconnect_after_the_end_of_the_answer() -> None:
+def test_no_disconnect_is_reported_after_the_end_of_the_answer() -> None:
     calls: list[int] = []
 
     async def handler(_request: ServerRequest, responder: Responder) -> None:
@@ -306,28 +306,28 @@
         await responder.respond(200, [])
         assert not responder.disconnected
 
-    asyncio.run(exchanged(closing(), handler))
+    asyncio.run(received_after(closing_request(), handler))
     assert calls == []
 
 
-def test_a_drain_closes_with_the_next_answer() -> None:
-    async def play() -> None:
+def test_a_drain_closes_connections_after_their_next_answer() -> None:
+    async def run_scenario() -> None:
         async with serving(echo) as server:
-            resting, busy = await server.connect(), await server.connect()
+            idle, busy = await server.connect(), await server.connect()
             busy.send(GET)
-            assert b"close" not in (await answer(busy))[0]
+            assert b"close" not in (await read_answer(busy))[0]
             server.begin_drain()
             busy.send(GET)
             raw = await busy.rest()
             assert b"Connection: close" in raw
-            resting.send(GET)
-            assert b"Connection: close" in await resting.rest()
+            idle.send(GET)
+            assert b"Connection: close" in await idle.rest()
 
-    asyncio.run(play())
+    asyncio.run(run_scenario())
 
 
-def test_stop_closes_what_was_read_in_part_and_what_is_handled() -> None:
-    async def play() -> None:
+def test_stop_closes_connections_with_partial_or_unanswered_requests() -> None:
+    async def run_scenario() -> None:
         handled = asyncio.Event()
 
         async def handler(_request: ServerRequest, responder: Responder) -> None:
@@ -346,25 +346,25 @@
             assert (await partial.rest(), await streaming.rest()) == (b"", b"")
             assert (server.open_connections, server.requests_held) == (0, 0)
 
-    asyncio.run(play())
+    asyncio.run(run_scenario())
 
 
-def test_a_head_that_does_not_come_whole_gets_408() -> None:
+def test_an_incomplete_head_is_answered_408_after_the_timeout() -> None:
     limits = replace(LIMITS, header_timeout_s=0.02)
-    assert status(asyncio.run(exchanged(GET[:-2], limits=limits))) == 408
+    assert status(asyncio.run(received_after(GET[:-2], limits=limits))) == 408
 
 
-def test_a_resting_connection_is_closed() -> None:
+def test_an_idle_connection_is_closed() -> None:
     limits = replace(LIMITS, idle_timeout_s=0.02)
-    assert asyncio.run(exchanged(b"", limits=limits)) == b""
+    assert asyncio.run(received_after(b"", limits=limits)) == b""
 
 
-def test_a_resting_connection_with_unread_bytes_is_read_first() -> None:
-    async def play() -> None:
+def test_an_expired_idle_connection_with_unread_bytes_is_read_first() -> None:
+    async def run_scenario() -> None:
         async with serving(echo) as server:
             wire = await server.connect()
             wire.send(GET)
-            await answer(wire)
+            await read_answer(wire)
             connection = next(iter(server.connections))
             connection.transport.pause_reading()
             wire.send(GET)
@@ -375,27 +375,27 @@
             connection._timer_fired()
             connection.transport.resume_reading()
             server.limits = lambda: LIMITS
-            assert status((await answer(wire))[0]) == 200
+            assert status((await read_answer(wire))[0]) == 200
 
-    asyncio.run(play())
+    asyncio.run(run_scenario())
 
 
 def test_the_last_answer_is_not_reset_by_unread_bytes() -> None:
-    """A client that goes on sending after a refusal still reads it."""
+    """A client that keeps sending after its request was rejected can still read the answer."""
 
-    async def play() -> None:
+    async def run_scenario() -> None:
         async with serving(echo) as server:
             wire = await server.connect()
             wire.send(b"POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 1000000\r\n\r\n" + b"b" * 1000000)
             assert status(await wire.rest()) == 413
 
-    asyncio.run(play())
+    asyncio.run(run_scenario())
 
 
 def test_drain_waits_for_a_slow_client() -> None:
     size = 8 * 1024 * 1024
 
-    async def play() -> None:
+    async def run_scenario() -> None:
         paused = asyncio.Event()
 
         async def handler(_request: ServerRequest, responder: Responder) -> None:
@@ -409,11 +409,11 @@
 
         async with serving(handler) as server:
             wire = await server.connect()
-            wire.send(closing())
+            wire.send(closing_request())
             async with asyncio.timeout(PATIENCE_S):
                 await paused.wait()
             raw = await wire.rest()
             assert raw.endswith(b"\r\n0\r\n\r\n")
             assert len(raw) > size
 
-    asyncio.run(play())
+    asyncio.run(run_scenario())
--- a/tests/transport/test_sse.py
+++ b/tests/transport/test_sse.py
@@ -1,4 +1,4 @@
-"""Splitting of event streams."""
+"""Splitting of event streams into events."""
 
 import pytest
 
@@ -11,14 +11,14 @@
 }
 
 
-def whole(data: bytes) -> list[StreamEvent]:
+def split_events(data: bytes) -> list[StreamEvent]:
     return EventSplitter().feed(data)
 
 
 @pytest.mark.parametrize("name", STREAMS)
 def test_every_split_gives_the_same_events(name: str) -> None:
     stream = STREAMS[name]
-    expected = whole(stream)
+    expected = split_events(stream)
     assert len(expected) >= 2
     for first in range(len(stream) + 1):
         for second in range(first, len(stream) + 1):
@@ -30,7 +30,7 @@
             assert splitter.pending == b""
 
 
-def test_byte_by_byte_keeps_every_byte() -> None:
+def test_splitting_byte_by_byte_keeps_every_byte() -> None:
     stream = STREAMS["line feeds"]
     splitter = EventSplitter()
     events = [event for byte in stream for event in splitter.feed(bytes([byte]))]
@@ -46,7 +46,7 @@
     assert splitter.feed(b"ta: x\n\n") == [StreamEvent(b"id: 8\ndata: x\n\n", 8)]
 
 
-def test_at_the_end_a_last_carriage_return_is_a_line_end_unless_line_feeds_are_used_too() -> None:
+def test_a_final_carriage_return_is_a_line_end_unless_line_feeds_are_used_too() -> None:
     splitter = EventSplitter()
     assert splitter.feed(b"id: 1\rdata: a\r\r") == []
     assert [event.id for event in splitter.finish()] == [1]
@@ -57,7 +57,7 @@
     assert splitter.amid_event
 
 
-def test_empty_lines_behind_the_last_event_are_no_event() -> None:
+def test_empty_lines_after_the_last_event_are_no_event() -> None:
     splitter = EventSplitter()
     splitter.feed(b"id: 1\ndata: a\n\n\r\n")
     assert splitter.finish() == []
@@ -82,9 +82,9 @@
         (b"id: " + b"9" * 5000 + b"\n\n", None),
     ],
 )
-def test_ids(raw: bytes, number: int | None) -> None:
-    assert [event.id for event in whole(raw)] == [number]
+def test_the_event_id_is_the_last_numeric_id_field(raw: bytes, number: int | None) -> None:
+    assert [event.id for event in split_events(raw)] == [number]
 
 
-def test_data_of_odd_bytes_is_replaced() -> None:
-    assert whole(b"data: \xff\xc3\xa9\n\n")[0].data == "\ufffd\xe9"
+def test_invalid_utf_8_in_data_is_replaced() -> None:
+    assert split_events(b"data: \xff\xc3\xa9\n\n")[0].data == "\ufffd\xe9"
--- a/tests/transport/virtual_time.py
+++ b/tests/transport/virtual_time.py
@@ -1,4 +1,4 @@
-"""An event loop for loopback sockets whose time passes at once: what can be read is read before it passes."""
+"""Virtual-time event loop for loopback sockets: time advances only when no socket is readable."""
 
 import asyncio
 import selectors
@@ -6,7 +6,7 @@
 from typing import Any, TypeVar
 
 _Result = TypeVar("_Result")
-DELIVERY_S = 0.002  # real time that the kernel gets to deliver what was written, before the clock jumps
+DELIVERY_S = 0.002  # real time for the kernel to deliver written bytes before the clock advances
 
 
 class _DeliveringSelector(selectors.DefaultSelector):
@@ -21,13 +21,13 @@
         if ready:
             return ready
         if timeout is None:
-            raise AssertionError("all wait for something that never comes")
+            raise AssertionError("deadlock: no timer is pending and no socket is ready")
         self.now += timeout
         return ready
 
 
 class SocketTimeLoop(asyncio.SelectorEventLoop):
-    """Jumps to the next timer when no socket has anything to say."""
+    """Advances the time to the next timer when no socket is ready."""
 
     def __init__(self) -> None:
         self._delivering = _DeliveringSelector()
@@ -44,5 +44,5 @@
 
 
 def now() -> float:
-    """The clock of the running loop."""
+    """Returns the time of the running loop, in seconds."""
     return asyncio.get_running_loop().time()
