--- a/tests/transport/test_lines.py
+++ b/tests/transport/test_lines.py
@@ -29,14 +29,14 @@
 TIMEOUT_S = 10.0  # for waits that should end much earlier
 
 
-class Question(msgspec.Struct, frozen=True, tag=True):
+class Say(msgspec.Struct, frozen=True, tag=True):
     """A request whose text selects how it is handled."""
 
     text: str
 
 
 class Reply(msgspec.Struct, frozen=True, tag=True):
-    """The reply to `Question`."""
+    """The reply to `Say`."""
 
     text: str
 
@@ -45,18 +45,18 @@
     """A message type that is not part of the codec."""
 
 
-CODEC = MessageCodec((Question, Reply))
+CODEC = MessageCodec((Say, Reply))
 
 
 class Peer:
     """The server side, which handles each request according to its text."""
 
     def __init__(self) -> None:
-        self.received: asyncio.Queue[tuple[Channel, Question]] = asyncio.Queue()
+        self.received: asyncio.Queue[tuple[Channel, Say]] = asyncio.Queue()
         self.release = asyncio.Event()
         self.server = LineServer(CODEC, self.on_message)
 
-    def on_message(self, channel: Channel, message: Question) -> Reply | Awaitable[Reply | None] | None:
+    def on_message(self, channel: Channel, message: Say) -> Reply | Awaitable[Reply | None] | None:
         self.received.put_nowait((channel, message))
         if message.text == "error":
             raise ValueError("handler's error")
@@ -66,7 +66,7 @@
             return self._later(message)
         return Reply(message.text)
 
-    async def _later(self, message: Question) -> Reply:
+    async def _later(self, message: Say) -> Reply:
         if message.text == "later error":
             raise ValueError("handler's error")
         await self.release.wait()
@@ -94,16 +94,16 @@
 
 
 def test_a_codec_decodes_its_own_encoding() -> None:
-    line = CODEC.line(Question("ü\n"), request_id=3)
+    line = CODEC.line(Say("ü\n"), request_id=3)
     assert line.endswith(b"\n")
     assert line.count(b"\n") == 1
     envelope = CODEC.decode_line(line)
     assert (envelope.id, envelope.reply_to) == (3, 0)
-    assert CODEC.decode(envelope.body) == Question("ü\n")
+    assert CODEC.decode(envelope.body) == Say("ü\n")
 
 
 @pytest.mark.parametrize(
-    "body", [b"", b"{}", b"[", b'{"type":"Unlisted"}', b'{"type":"Question","text":7}', b"\xff"]
+    "body", [b"", b"{}", b"[", b'{"type":"Unlisted"}', b'{"type":"Say","text":7}', b"\xff"]
 )
 def test_a_codec_rejects_invalid_messages(body: bytes) -> None:
     with pytest.raises(UndecodableLineError):
@@ -113,7 +113,7 @@
 def test_one_way_messages_arrive_in_order() -> None:
     async def scenario(peer: Peer, channel: Channel) -> None:
         for number in range(1000):
-            assert channel.send(Question(str(number)))
+            assert channel.send(Say(str(number)))
         assert [await peer.text() for _ in range(1000)] == [str(number) for number in range(1000)]
 
     run(scenario)
@@ -121,8 +121,8 @@
 
 def test_each_request_gets_its_own_reply() -> None:
     async def scenario(peer: Peer, channel: Channel) -> None:
-        late = asyncio.ensure_future(channel.request(Question("later"), TIMEOUT_S))
-        answers = await asyncio.gather(*(channel.request(Question(str(n)), TIMEOUT_S) for n in range(50)))
+        late = asyncio.ensure_future(channel.request(Say("later"), TIMEOUT_S))
+        answers = await asyncio.gather(*(channel.request(Say(str(n)), TIMEOUT_S) for n in range(50)))
         assert answers == [Reply(str(n)) for n in range(50)]
         assert not late.done()
         peer.release.set()
@@ -135,7 +135,7 @@
     text = "x" * 6_000_000
 
     async def scenario(_peer: Peer, channel: Channel) -> None:
-        assert await channel.request(Question(text), TIMEOUT_S) == Reply(text)
+        assert await channel.request(Say(text), TIMEOUT_S) == Reply(text)
 
     run(scenario)
 
@@ -144,8 +144,8 @@
 def test_an_error_in_the_handler_fails_only_its_request(text: str) -> None:
     async def scenario(_peer: Peer, channel: Channel) -> None:
         with pytest.raises(RequestFailedError):
-            await channel.request(Question(text), TIMEOUT_S)
-        assert await channel.request(Question("next"), TIMEOUT_S) == Reply("next")
+            await channel.request(Say(text), TIMEOUT_S)
+        assert await channel.request(Say("next"), TIMEOUT_S) == Reply("next")
 
     run(scenario)
 
@@ -153,9 +153,9 @@
 def test_a_request_times_out_and_its_late_reply_is_dropped() -> None:
     async def scenario(peer: Peer, channel: Channel) -> None:
         with pytest.raises(RequestTimeoutError):
-            await channel.request(Question("later"), 0.0)
+            await channel.request(Say("later"), 0.0)
         peer.release.set()
-        assert await channel.request(Question("next"), TIMEOUT_S) == Reply("next")
+        assert await channel.request(Say("next"), TIMEOUT_S) == Reply("next")
 
     run(scenario)
 
@@ -164,7 +164,7 @@
     async def scenario(peer: Peer, channel: Channel) -> None:
         closed = asyncio.Event()
         channel.on_close.append(lambda _: closed.set())
-        request = asyncio.ensure_future(channel.request(Question("later"), TIMEOUT_S))
+        request = asyncio.ensure_future(channel.request(Say("later"), TIMEOUT_S))
         server_side, _ = await peer.received.get()
         server_side.close()
         with pytest.raises(ChannelClosedError) as caught:
@@ -172,9 +172,9 @@
         assert not isinstance(caught.value, RequestNotSentError)
         await closed.wait()
         assert channel.closed
-        assert not channel.send(Question("more"))
+        assert not channel.send(Say("more"))
         with pytest.raises(RequestNotSentError):
-            await channel.request(Question("more"), TIMEOUT_S)
+            await channel.request(Say("more"), TIMEOUT_S)
 
     run(scenario)
 
@@ -185,13 +185,13 @@
     async def scenario(peer: Peer, channel: Channel) -> None:
         text = "x" * 100_000
         sent = 0
-        while channel.send(Question(text)):  # nothing is read meanwhile: this task does not yield
+        while channel.send(Say(text)):  # nothing is read meanwhile: this task does not yield
             sent += 1
         with pytest.raises(RequestNotSentError):
-            await channel.request(Question("backlog full"), TIMEOUT_S)
+            await channel.request(Say("backlog full"), TIMEOUT_S)
         for _ in range(sent):
             assert await peer.text() == text
-        assert await channel.request(Question("again"), TIMEOUT_S) == Reply("again")
+        assert await channel.request(Say("again"), TIMEOUT_S) == Reply("again")
 
     run(scenario)
 
@@ -214,7 +214,7 @@
 def test_lines_are_split_correctly_for_any_read_sizes(seed: int) -> None:
     rng = random.Random(seed)
     texts = ["x" * rng.randrange(60) for _ in range(40)]
-    stream = CODEC.greeting + b"".join(CODEC.line(Question(text)) for text in texts)
+    stream = CODEC.greeting + b"".join(CODEC.line(Say(text)) for text in texts)
     received: list[str] = []
     channel = Channel(CODEC, lambda _, message: received.append(message.text))
     while stream:
@@ -237,10 +237,10 @@
 def test_a_pool_connects_on_demand_and_queues_the_first_messages() -> None:
     async def scenario(peer: Peer, _: Channel) -> None:
         pool = LinkPool(CODEC, peer.server.port, rng=random.Random(1))
-        assert pool.send(LOOPBACK, Question("first"))
-        assert pool.send(LOOPBACK, Question("second"))
+        assert pool.send(LOOPBACK, Say("first"))
+        assert pool.send(LOOPBACK, Say("second"))
         assert [await peer.text(), await peer.text()] == ["first", "second"]
-        assert await pool.request(LOOPBACK, Question("third"), TIMEOUT_S) == Reply("third")
+        assert await pool.request(LOOPBACK, Say("third"), TIMEOUT_S) == Reply("third")
         assert len(peer.server.channels) == 2
         pool.close()
 
@@ -249,12 +249,10 @@
 
 def test_a_pool_answers_messages_from_the_peer() -> None:
     async def scenario(peer: Peer, _: Channel) -> None:
-        pool = LinkPool(
-            CODEC, peer.server.port, lambda _, question: Reply(question.text), rng=random.Random(1)
-        )
-        pool.send(LOOPBACK, Question("hello"))
+        pool = LinkPool(CODEC, peer.server.port, lambda _, message: Reply(message.text), rng=random.Random(1))
+        pool.send(LOOPBACK, Say("hello"))
         server_side, _say = await peer.received.get()
-        assert await server_side.request(Question("and you"), TIMEOUT_S) == Reply("and you")
+        assert await server_side.request(Say("and you"), TIMEOUT_S) == Reply("and you")
         pool.close()
 
     run(scenario)
@@ -263,12 +261,12 @@
 def test_a_pool_reconnects_after_a_lost_connection() -> None:
     async def scenario(peer: Peer, _: Channel) -> None:
         pool = LinkPool(CODEC, peer.server.port, rng=random.Random(1))
-        request = asyncio.ensure_future(pool.request(LOOPBACK, Question("later"), TIMEOUT_S))
+        request = asyncio.ensure_future(pool.request(LOOPBACK, Say("later"), TIMEOUT_S))
         server_side, _say = await peer.received.get()
         server_side.close()
         with pytest.raises(ChannelClosedError):
             await request
-        assert await pool.request(LOOPBACK, Question("again"), TIMEOUT_S) == Reply("again")
+        assert await pool.request(LOOPBACK, Say("again"), TIMEOUT_S) == Reply("again")
         pool.close()
 
     run(scenario)
@@ -280,8 +278,8 @@
             unused.bind((LOOPBACK, 0))
             pool = LinkPool(CODEC, unused.getsockname()[1], rng=random.Random(1))
             with pytest.raises(RequestNotSentError):
-                await pool.request(LOOPBACK, Question("nobody"), TIMEOUT_S)
-            assert not pool.send(LOOPBACK, Question("during the backoff after a failure"))
+                await pool.request(LOOPBACK, Say("nobody"), TIMEOUT_S)
+            assert not pool.send(LOOPBACK, Say("during the backoff after a failure"))
             pool.close()
 
     asyncio.run(run_scenario())
