--- a/pewterring/configuration/__init__.py
+++ b/pewterring/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""Operators' configurations: typed values, validation, patches, the immutable route table."""
+"""The operator's configuration: typed model, validation, patches and the immutable route table."""
--- a/pewterring/configuration/errors.py
+++ b/pewterring/configuration/errors.py
@@ -1,12 +1,15 @@
-"""The one error of this package: a document that cannot be used, with the field that makes it so."""
+"""The error that this package raises for an invalid configuration or patch."""
 
 
 class ConfigurationError(Exception):
-    """A document is not a valid configuration or patch; it changes nothing, and the operator has to mend it.
+    """A document is not a valid configuration or patch.
+
+    The document is rejected without any effect; the operator has to correct it.
 
     Attributes:
-        path: The field at fault, such as `routes.1.timeout_ms`; empty where the document as a whole is.
-        reason: What is wrong with it.
+        path: The invalid field, for example `routes.1.timeout_ms`; empty if the error concerns the entire
+            document.
+        reason: Why the field or document is invalid.
     """
 
     def __init__(self, path: str, reason: str) -> None:
--- a/pewterring/configuration/model.py
+++ b/pewterring/configuration/model.py
@@ -1,6 +1,6 @@
-"""The operator's configuration as immutable typed values. `reader` makes them from JSON and checks them.
+"""The operator's configuration as immutable typed values. `reader` validates the JSON and builds them.
 
-A field whose document key is another one says so; `reader` maps them.
+Where a field's key in the document differs from its name, a comment names the key. `reader` maps the two.
 """
 
 from collections.abc import Mapping
@@ -9,7 +9,7 @@
 
 
 class RouteType(StrEnum):
-    """What may be done with requests of a route (PROTOCOL, "Requests")."""
+    """How the requests of a route may be retried, streamed or queued (PROTOCOL, "Requests")."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WeightedService:
-    """One service of a route, and its share of the requests relative to the sum of weights."""
+    """One service of a route. Its share of the requests is its weight divided by the sum of all weights."""
 
     service: str
     weight: float
@@ -27,53 +27,53 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """One route. Times in milliseconds as the operator sends them."""
+    """One route: which requests it matches, and how they are treated. Times are in the operator's units."""
 
     name: str
-    host: str  # lower case
+    host: str  # in lower case
     path_prefix: str  # starts and ends with a slash
     route_type: RouteType
     services: tuple[WeightedService, ...]
     timeout_ms: float
     target_latency_ms: float
-    priority: int  # 0 is highest
+    priority: int  # 0 is the highest priority
     max_attempts: int
     session_affinity: bool = False
     resumable: bool = False
-    token_gap_target_ms: float = 0.0  # `gap_aim_ms`: longest time between a stream's events; 0: not given
-    max_queued_tokens: int = 0  # 0: no limit
-    completion_target_ms: float = 0.0  # `run_aim_ms`: from a batch job's acceptance to its last item
-    job_ttl_s: float = 0.0  # `keep_s`: items of a job that is older are given up
+    token_gap_target_ms: float = 0.0  # key `gap_aim_ms`: longest time between events of a stream; 0: not set
+    max_queued_tokens: int = 0  # 0: unlimited
+    completion_target_ms: float = 0.0  # key `run_aim_ms`: from accepting a batch job to its last item
+    job_ttl_s: float = 0.0  # key `keep_s`: unfinished items of older jobs are abandoned
 
     @property
     def is_idempotent(self) -> bool:
-        """Whether a request may run more than once."""
+        """Whether it is safe to execute a request more than once."""
         return self.route_type in (RouteType.IDEMPOTENT, RouteType.BATCH_JOB) or self.resumable
 
 
 @dataclass(frozen=True, slots=True)
 class Engine:
-    """What the operator states about the model engines of a service."""
+    """The operator's description of the model engines of a service."""
 
-    capacity: int  # requests that one engine runs at once
-    kv_tokens: int
-    stride: int = 1  # tokens an event
+    capacity: int  # concurrent requests per engine
+    kv_tokens: int  # size of an engine's KV cache
+    stride: int = 1  # tokens per stream event
     models: tuple[str, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """One service: workers register under its name."""
+    """One service. Workers register under its name."""
 
     name: str
     health_check: str = "/healthz"
-    max_connections: int = 0  # of one worker from all clients together; 0: not given
+    max_connections: int = 0  # per worker, from all clients together; 0: not configured
     engine: Engine | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class ClientLimits:
-    """What a client may send, and how long it may take or stay idle."""
+    """Limits on the size of client requests, on the time to send headers and on idle time."""
 
     max_header_bytes: int = 16384
     max_body_bytes: int = 4194304
@@ -83,7 +83,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Configuration:
-    """One complete version. `document` is the operator's JSON, byte for byte as it was accepted."""
+    """One complete version of the configuration. `document` is the accepted JSON, byte for byte."""
 
     version: int
     routes: tuple[Route, ...]
--- a/pewterring/configuration/patch.py
+++ b/pewterring/configuration/patch.py
@@ -1,10 +1,10 @@
-"""A patch of the operator's configuration: named items of its lists that are added, replaced or removed.
+"""Patches of the operator's configuration, which add, replace or remove named items of its lists.
 
-Patching is done on the JSON text of each item, so that fields which nothing here reads stay as they came.
-What can be checked without the configuration that is patched is checked by `read_patch`; `apply_patch` checks
-the result. Items that the patch does not touch were valid before and are not checked anew.
+A patch is applied to the raw JSON of each item, so that fields unknown to this version are preserved byte
+for byte. `read_patch` checks everything that does not depend on the patched configuration; `apply_patch`
+checks the result. Items that the patch does not touch are already valid and are not checked again.
 
-`apply_patch` runs on each replica when the log entry is applied: its result is the same bytes everywhere.
+`apply_patch` runs on every replica when the log entry is applied and has to yield the same bytes on each.
 """
 
 from collections.abc import Iterable, Iterator, Mapping
@@ -18,21 +18,21 @@
 from pewterring.configuration.reader import read_item_errors
 from pewterring.configuration.references import RouteReferences, reference_errors
 
-ROUTES, SERVICES, VERSION = "routes", "backends", "version"  # the documents' keys
-MAX_DOCUMENT_BYTES = 8 * 1024 * 1024  # as many as the body of a complete configuration may have
-MAX_VERSION = 2**63 - 1  # larger numbers are not read alike by all decoders
+ROUTES, SERVICES, VERSION = "routes", "backends", "version"  # keys in the document
+MAX_DOCUMENT_BYTES = 8 * 1024 * 1024  # same limit as for the body of a complete configuration
+MAX_VERSION = 2**63 - 1  # JSON decoders disagree on larger integers
 
 ItemLists = dict[str, list[msgspec.Raw]]
 
 
 class _Named(msgspec.Struct):
-    """What all items of a list have in common."""
+    """The field that items of all lists have in common."""
 
     name: str | None = None
 
 
 class _PatchDocument(msgspec.Struct):
-    """A patch as an operator sends it; unknown fields are ignored."""
+    """A patch as the operator sends it. Unknown fields are ignored."""
 
     version: Annotated[int, msgspec.Meta(ge=0, le=MAX_VERSION)]
     upsert: ItemLists | None = None
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Patch:
-    """Changes of lists by the name of the list. No name is both replaced and removed."""
+    """Changes by the name of the list. No item is in both `upserts` and `deletes`."""
 
     version: int
     upserts: Mapping[str, Mapping[str, msgspec.Raw]]  # items by name
@@ -52,10 +52,10 @@
 
 
 def read_patch(body: bytes) -> Patch:
-    """Reads an operator's patch and checks its items.
+    """Parses an operator's patch and validates its items.
 
     Raises:
-        ConfigurationError: The first error of the patch.
+        ConfigurationError: The patch is invalid; only its first error is raised.
     """
     patch = parse_patch(body)
     for error in _item_errors(patch.upserts):
@@ -64,10 +64,11 @@
 
 
 def parse_patch(body: bytes) -> Patch:
-    """Reads a patch and checks its names alone, which is what a patch that was checked before needs.
+    """Parses a patch and checks only the names of its items; enough for a patch that was validated before.
 
     Raises:
-        ConfigurationError: It is no patch, or an item's name is missing, twice there or also to be removed.
+        ConfigurationError: The body is not a patch, or the name of an item is missing, duplicated or also in
+            `delete`.
     """
     try:
         document = msgspec.json.decode(body, type=_PatchDocument)
@@ -82,17 +83,17 @@
 
 
 def is_patch(tree: Any) -> bool:
-    """Whether a JSON document is meant as a patch rather than as a whole configuration."""
+    """Whether a JSON document is a patch rather than a complete configuration."""
     return isinstance(tree, dict) and ROUTES not in tree and ("upsert" in tree or "delete" in tree)
 
 
 def apply_patch(document: bytes, patch: Patch) -> bytes:
-    """The configuration after the patch, on one line.
+    """Returns the patched configuration on a single line.
 
-    `document` is the configuration before it, `null` where there is none yet.
+    `document` is the configuration to patch, `null` if there is none yet.
 
     Raises:
-        ConfigurationError: The result is no valid configuration, or is larger than one may be.
+        ConfigurationError: The result is not a valid configuration or exceeds `MAX_DOCUMENT_BYTES`.
     """
     content = msgspec.json.decode(document, type=dict[str, msgspec.Raw] | None) or {}
     for name in [*patch.upserts, *patch.deletes]:
@@ -110,17 +111,17 @@
 
 
 def _by_name(list_name: str, items: Iterable[msgspec.Raw], deleted: frozenset[str]) -> dict[str, msgspec.Raw]:
-    """The items of one list of a patch by their names, each of which stands once."""
+    """Returns the items of one list of a patch by name; raises `ConfigurationError` for an invalid name."""
     named: dict[str, msgspec.Raw] = {}
     for index, item in enumerate(items):
-        at = f"upsert.{list_name}.{index}"
-        name = _name_of(at, item)
+        item_path = f"upsert.{list_name}.{index}"
+        name = _name_of(item_path, item)
         if not name:
-            raise ConfigurationError(f"{at}.name", "an item of a patch needs a name")
+            raise ConfigurationError(f"{item_path}.name", "an item of a patch needs a name")
         if name in named:
-            raise ConfigurationError(f"{at}.name", f"{name!r} is there twice")
+            raise ConfigurationError(f"{item_path}.name", f"{name!r} is there twice")
         if name in deleted:
-            raise ConfigurationError(f"{at}.name", f"{name!r} is to be removed as well")
+            raise ConfigurationError(f"{item_path}.name", f"{name!r} is to be removed as well")
         named[name] = item.copy()
     return named
 
@@ -133,7 +134,7 @@
 
 
 def _item_errors(upserts: Mapping[str, Mapping[str, msgspec.Raw]]) -> Iterator[ConfigurationError]:
-    """Errors of items by themselves, in the lists that are read."""
+    """Yields errors of individual items, in the lists that have a schema."""
     read = {name: items for name, items in upserts.items() if name in (ROUTES, SERVICES)}
     items = {name: [orjson.loads(bytes(item)) for item in each.values()] for name, each in read.items()}
     yield from read_item_errors(items, "upsert")
@@ -151,7 +152,7 @@
 def _patched(
     items: Iterable[msgspec.Raw], upserts: Mapping[str, msgspec.Raw], deletes: frozenset[str]
 ) -> list[msgspec.Raw]:
-    """The items of a list after the patch: replaced ones where they were, new ones at the end."""
+    """Returns the patched list: replaced items keep their position, new items are appended."""
     remaining = dict(upserts)
     patched = []
     for item in items:
@@ -160,13 +161,13 @@
             continue
         if name not in upserts:
             patched.append(item)
-        elif name in remaining:  # else a second item of that name, which the first one's replacement covers
+        elif name in remaining:  # else a duplicate name, whose first item was replaced already
             patched.append(remaining.pop(name))
     return patched + list(remaining.values())
 
 
 def _result_errors(content: Mapping[str, msgspec.Raw]) -> Iterator[ConfigurationError]:
-    """Errors that items of the patched configuration have together."""
+    """Yields errors of the patched configuration: missing lists, and errors between items."""
     for name in (ROUTES, SERVICES):
         if name not in content:
             yield ConfigurationError(name, "the patched configuration has none")
--- a/pewterring/configuration/priority_ranks.py
+++ b/pewterring/configuration/priority_ranks.py
@@ -1,4 +1,4 @@
-"""Ranks the priorities of the live routes of each service, for admission under overload."""
+"""Ranks the priorities of the live (not batch) routes of each service, for admission under overload."""
 
 from collections.abc import Mapping
 
@@ -6,7 +6,7 @@
 
 
 class PriorityRanks:
-    """The rank of each live priority within its service. Immutable once made."""
+    """The rank of each priority among those of its service's live routes. Immutable."""
 
     __slots__ = ("_ranks",)
 
@@ -14,7 +14,7 @@
         priorities: dict[str, set[int]] = {}
         for route in configuration.routes:
             if route.route_type is RouteType.BATCH_JOB:
-                continue  # items yield to all live requests
+                continue  # batch items always yield to live requests
             for weighted in route.services:
                 priorities.setdefault(weighted.service, set()).add(route.priority)
         self._ranks: Mapping[tuple[str, int], int] = {
@@ -24,5 +24,5 @@
         }
 
     def rank(self, service: str, priority: int) -> int:
-        """How many live priorities of the service come before this one; 0 where it is not known."""
+        """Returns how many of the service's live priorities are higher; 0 if the pair is unknown."""
         return self._ranks.get((service, priority), 0)
--- a/pewterring/configuration/reader.py
+++ b/pewterring/configuration/reader.py
@@ -1,7 +1,7 @@
-"""Reads the operator's configuration and checks it: what `read_configuration` returns is valid.
+"""Reads and validates the operator's configuration.
 
-All checks start here, but for one: whether the version is above the current one is for whoever keeps the
-current one. Fields are in `schema`, references between items in `references`.
+Checks of single fields are in `schema`, checks of references between items in `references`. Whether the
+version is above the current one is not checked here but by the owner of the current configuration.
 """
 
 import itertools
@@ -30,14 +30,14 @@
     items_schema,
 )
 
-Loaded = Mapping[str, Any]  # what a schema loaded of an object, by the document's keys
+Loaded = Mapping[str, Any]  # an object as loaded by its schema, by the document's keys
 
 
 def read_configuration(document: bytes) -> Configuration:
-    """Makes a configuration from the operator's JSON.
+    """Parses and validates the operator's JSON.
 
     Raises:
-        ConfigurationError: The first error of the document.
+        ConfigurationError: The document is invalid; only its first error is raised.
     """
     loaded, errors = _load(document)
     for error in errors:
@@ -46,14 +46,14 @@
 
 
 def configuration_errors(document: bytes) -> list[ConfigurationError]:
-    """All errors of the operator's JSON; none where it is valid."""
+    """Returns all errors of the operator's JSON; empty if it is valid."""
     return list(_load(document)[1])
 
 
 def read_item_errors(items: Mapping[str, Any], path: str) -> Iterator[ConfigurationError]:
-    """Errors of routes and services by themselves, in lists that are apart from a configuration.
+    """Yields the errors of routes and services that are validated individually, without a configuration.
 
-    `path` is where the lists stand in the document, without a dot at its end.
+    `path` is the field of the document that contains the lists, without a trailing dot.
     """
     try:
         loaded = items_schema().load(items)
@@ -64,7 +64,7 @@
 
 
 def _load(document: bytes) -> tuple[Loaded, Iterator[ConfigurationError]]:
-    """What the schema reads, and the errors: of the JSON, else of fields, else of what they say together."""
+    """Returns the loaded document and its errors: of the JSON, else of single fields, else between fields."""
     try:
         raw = orjson.loads(document)
     except orjson.JSONDecodeError as error:
@@ -81,7 +81,7 @@
 
 
 def _field_errors(path: tuple[str, ...], messages: Any) -> Iterator[ConfigurationError]:
-    """The errors in marshmallow's nested messages."""
+    """Flattens marshmallow's nested error messages."""
     if isinstance(messages, dict):
         for key, inner in messages.items():
             yield from _field_errors((*path, str(key)), inner)
@@ -91,20 +91,20 @@
 
 
 def _item_errors(loaded: Loaded, path: str = "") -> Iterator[ConfigurationError]:
-    """Errors of one item's fields that are each valid by themselves. `path` ends with a dot."""
+    """Yields errors between fields of one item. A `path` that is not empty ends with a dot."""
     for index, route in enumerate(loaded["routes"]):
-        at = f"{path}routes.{index}"
+        route_path = f"{path}routes.{index}"
         if "weighted_backends" in route:
-            yield from _weight_errors(at, route["weighted_backends"])
+            yield from _weight_errors(route_path, route["weighted_backends"])
         elif "backend" not in route:
-            yield ConfigurationError(f"{at}.backend", "the route names no service")
+            yield ConfigurationError(f"{route_path}.backend", "the route names no service")
 
 
 def _weight_errors(path: str, weighted: Sequence[Loaded]) -> Iterator[ConfigurationError]:
     total = sum(each["weight"] for each in weighted)
     if total <= 0:
         yield ConfigurationError(f"{path}.weighted_backends", "the weights sum to 0")
-    if math.isinf(total):  # no share of it can be drawn
+    if math.isinf(total):  # weighted selection needs a finite sum
         yield ConfigurationError(f"{path}.weighted_backends", "the weights have no finite sum")
 
 
@@ -166,7 +166,7 @@
 
 
 def _weighted_services(loaded: Loaded) -> tuple[WeightedService, ...]:
-    """The services of a route: `weighted_backends` where it is given, else `backend` alone."""
+    """Returns the services of a route: `weighted_backends` if present, else `backend` alone."""
     if "weighted_backends" not in loaded:
         return (WeightedService(loaded["backend"], DEFAULT_WEIGHT),)
     return tuple(WeightedService(each["backend"], each["weight"]) for each in loaded["weighted_backends"])
--- a/pewterring/configuration/references.py
+++ b/pewterring/configuration/references.py
@@ -1,4 +1,4 @@
-"""Checks what items of a configuration refer to or have to share with no other: services, names, routes."""
+"""Checks references and uniqueness: services that routes refer to, service names, and hosts with paths."""
 
 from collections.abc import Iterable, Iterator, Sequence
 
@@ -8,15 +8,15 @@
 
 
 class WeightedReference(msgspec.Struct, frozen=True):
-    """The name of one service of a route that has several."""
+    """A reference to one of several weighted services of a route."""
 
-    service: str = msgspec.field(name="backend")  # the document's key
+    service: str = msgspec.field(name="backend")  # key in the document
 
 
 class RouteReferences(msgspec.Struct, frozen=True):
-    """What a route shares with others or refers to."""
+    """The fields of a route that have to be unique or that refer to services."""
 
-    host: str = msgspec.field(name="hostname")  # the document's keys
+    host: str = msgspec.field(name="hostname")  # key in the document
     path_prefix: str
     service: str | None = msgspec.field(name="backend", default=None)
     weighted_services: Sequence[WeightedReference] | None = msgspec.field(
@@ -27,7 +27,7 @@
 def reference_errors(
     service_names: Iterable[str], routes: Iterable[RouteReferences]
 ) -> Iterator[ConfigurationError]:
-    """Errors of items that are each valid by themselves: names or routes twice, unknown services."""
+    """Yields errors for duplicate service names, duplicate routes and unknown services."""
     services: set[str] = set()
     for index, name in enumerate(service_names):
         if name in services:
@@ -47,5 +47,5 @@
         yield ConfigurationError(f"{path}.backend", f"unknown service {route.service!r}")
     for index, weighted in enumerate(route.weighted_services or ()):
         if weighted.service not in services:
-            at = f"{path}.weighted_backends.{index}"
-            yield ConfigurationError(at, f"unknown service {weighted.service!r}")
+            weighted_path = f"{path}.weighted_backends.{index}"
+            yield ConfigurationError(weighted_path, f"unknown service {weighted.service!r}")
--- a/pewterring/configuration/route_table.py
+++ b/pewterring/configuration/route_table.py
@@ -1,10 +1,10 @@
-"""Finds the route of a request by its host and path."""
+"""Finds the route that matches a request's host and path."""
 
 from pewterring.configuration.model import Configuration, Route
 
 
 class RouteTable:
-    """The routes of one configuration, by host, longest prefix first. Immutable once made."""
+    """The routes of one configuration by host, longest path prefix first. Immutable."""
 
     __slots__ = ("_by_host",)
 
@@ -17,7 +17,7 @@
         self._by_host = {host: tuple(routes) for host, routes in by_host.items()}
 
     def find(self, host: str, path: str) -> Route | None:
-        """The host's route with the longest prefix that begins the path. A port in `host` is ignored."""
+        """Returns the host's route with the longest prefix of the path. A port in `host` is ignored."""
         routes = self._by_host.get(host)
         if routes is None:
             routes = self._by_host.get(host.partition(":")[0].strip().lower(), ())
--- a/pewterring/configuration/schema.py
+++ b/pewterring/configuration/schema.py
@@ -1,7 +1,7 @@
-"""The documents' fields for marshmallow: names, types, ranges, defaults.
+"""Marshmallow schemas of the configuration document: keys, types, ranges and defaults.
 
-Attributes are the documents' own keys; `reader` gives them the names that the code uses. Unknown fields are
-ignored, and so are fields that are null.
+Attributes of the schemas are named like the keys of the document; `reader` maps them to the names of `model`.
+Unknown fields and null fields are ignored.
 """
 
 import functools
@@ -23,7 +23,7 @@
 
 
 class _LenientSchema(Schema):
-    """Ignores fields that are unknown or null."""
+    """Base class whose schemas ignore unknown fields and null fields."""
 
     class Meta:
         unknown = EXCLUDE
@@ -98,11 +98,11 @@
 
 @functools.cache
 def configuration_schema() -> Schema:
-    """The schema of a complete configuration, made once: making it costs far more than using it."""
+    """Returns the schema of a complete configuration. Cached: building it costs far more than using it."""
     return _ConfigurationSchema()
 
 
 @functools.cache
 def items_schema() -> Schema:
-    """The schema of lists of routes and services apart from a configuration, made once."""
+    """Returns the schema of the lists of routes and services in a patch. Cached for the same reason."""
     return _ItemsSchema()
--- a/pewterring/configuration/validation.py
+++ b/pewterring/configuration/validation.py
@@ -1,8 +1,8 @@
-"""Validates an operator's document before control proposes it to the log.
+"""Validates an operator's document before a control process proposes it to the replicated log.
 
-Beyond the checks of `reader`, every reader has to understand the document alike: a key that stands twice in
-one object, or nesting that another decoder gives up on, would be read differently by each, or not at all once
-it is in the log.
+Beyond the checks of `reader`, the document has to mean the same to every JSON decoder in use. Decoders
+disagree on duplicate keys in an object, and some fail on deep nesting; such a document in the log could be
+read differently by different processes, or not at all.
 """
 
 import json
@@ -16,12 +16,12 @@
 from pewterring.configuration.patch import is_patch, read_patch
 from pewterring.configuration.reader import configuration_errors, read_configuration
 
-PATCH_DIGEST_PREFIX = "patch-"  # keeps a patch from being taken for a repeated configuration, and the reverse
+PATCH_DIGEST_PREFIX = "patch-"  # so that a patch and a configuration never have the same digest
 
 
 @dataclass(frozen=True, slots=True)
 class ValidatedDocument:
-    """A valid configuration or patch. `document` is its JSON on one line."""
+    """A valid configuration or patch. `document` is its JSON on a single line."""
 
     version: int
     digest: str
@@ -29,10 +29,10 @@
 
 
 def validate_configuration(body: bytes) -> ValidatedDocument:
-    """Checks the body of a request that replaces the configuration.
+    """Validates the body of a request that replaces the configuration.
 
     Raises:
-        ConfigurationError: The first error of the document.
+        ConfigurationError: The document is invalid; only its first error is raised.
     """
     configuration = read_configuration(body)
     digest = _digest(body)
@@ -41,10 +41,10 @@
 
 
 def validate_patch(body: bytes) -> ValidatedDocument:
-    """Checks the body of a request that patches the configuration, apart from what it is applied to.
+    """Validates the body of a request that patches the configuration, without the configuration itself.
 
     Raises:
-        ConfigurationError: The first error of the patch.
+        ConfigurationError: The patch is invalid; only its first error is raised.
     """
     digest = PATCH_DIGEST_PREFIX + _digest(body)
     _check_keys(body)
@@ -53,7 +53,7 @@
 
 
 def document_errors(body: bytes) -> list[ConfigurationError]:
-    """All errors for which control would refuse the body, as far as they can be found at once."""
+    """Returns the errors for which control would reject the body, as many as one pass can find."""
     if not _is_patch(body) and (errors := configuration_errors(body)):
         return errors
     try:
@@ -71,7 +71,7 @@
 
 
 def _check_keys(document: bytes) -> None:
-    """Raises `ConfigurationError` where an object of a JSON document has a key twice."""
+    """Raises `ConfigurationError` if any object in the JSON document has a duplicate key."""
     json.loads(document.decode(), object_pairs_hook=_check_pairs)
 
 
@@ -88,5 +88,5 @@
         return document_digest(document)
     except orjson.JSONDecodeError as error:
         raise ConfigurationError("", f"not JSON: {error}") from error
-    except orjson.JSONEncodeError as error:  # the encoder's limit is lower than that of any decoder used
+    except orjson.JSONEncodeError as error:  # the encoder's limit is lower than that of every decoder in use
         raise ConfigurationError("", "nested too deeply") from error
