--- a/pewterring/node/__init__.py
+++ b/pewterring/node/__init__.py
@@ -1,1 +1,1 @@
-"""Settings of one process of the tier."""
+"""Settings of one process of the serving tier, read from its settings file."""
--- a/pewterring/node/address.py
+++ b/pewterring/node/address.py
@@ -1,4 +1,4 @@
-"""Addresses as settings state them: an IPv4 address and a port."""
+"""Parses network addresses in settings: an IPv4 address and a port."""
 
 from dataclasses import dataclass
 
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Address:
-    """An IPv4 address and a port."""
+    """An IPv4 address and a TCP or UDP port."""
 
     ip: str
     port: int
@@ -18,10 +18,10 @@
 
 
 def parse_address(key: str, value: str) -> Address:
-    """Reads `IP:port`.
+    """Parses the value `IP:port` of the settings key `key`.
 
     Raises:
-        SettingsError: It is no address; the text names `key`.
+        SettingsError: The value is not an address.
     """
     ip, _, port = value.rpartition(":")
     if not ip or not is_port(port):
@@ -30,5 +30,5 @@
 
 
 def is_port(text: str) -> bool:
-    """Whether the text is a port that something can listen on."""
+    """Whether the text is a port number from 1 to `LAST_PORT`."""
     return text.isascii() and text.isdecimal() and 0 < int(text) <= LAST_PORT
--- a/pewterring/node/errors.py
+++ b/pewterring/node/errors.py
@@ -1,11 +1,11 @@
-"""The one error of this package: settings that cannot be used."""
+"""The error that this package raises for an unusable settings file."""
 
 
 class SettingsError(Exception):
-    """Settings cannot be used: the text names all keys at fault and why. The operator has to mend the file.
+    """The settings cannot be used. The message lists every problem; the operator has to correct the file.
 
     Attributes:
-        problems: One text for each problem.
+        problems: One message per problem, most of which name a key.
     """
 
     def __init__(self, *problems: str) -> None:
--- a/pewterring/node/keys.py
+++ b/pewterring/node/keys.py
@@ -1,6 +1,6 @@
-"""Where the settings file is, and names of its keys. Needs no library."""
+"""Location of the settings file and names of its keys. Imports no third-party library."""
 
-SETTINGS_VARIABLE = "PEWTERRING_CONFIG"  # environment variable that names the file
+SETTINGS_VARIABLE = "PEWTERRING_CONFIG"  # environment variable with the path of the file
 DEFAULT_PATH = "/etc/pewterring/node.conf"
 LAST_PORT = 65535
 FRONT = "listen_addrs.front"
@@ -11,7 +11,7 @@
     "control": (CONTROL, "data_dir"),
     "store": ("data_dir",),
 }
-# Keys that the operators' pages name and no program here has a use for.
+# Keys that are documented for operators but that no program in this repository reads.
 UNUSED_PREFIXES = ("zones.", "bounds.")
 UNUSED_KEYS = frozenset(
     {
--- a/pewterring/node/settings.py
+++ b/pewterring/node/settings.py
@@ -1,6 +1,6 @@
-"""Settings of one process: lines of `a.b=value`, typed once.
+"""Parses the settings file of a process, lines of `a.b=value`, into typed settings.
 
-Unknown keys are ignored. Missing or unreadable ones raise `SettingsError`, whose text names all of them.
+Unknown keys are ignored. Missing and invalid values raise one `SettingsError` that lists all of them.
 """
 
 from collections.abc import Mapping
@@ -16,11 +16,11 @@
 from pewterring.node.keys import CONTROL, FRONT, READY, REQUIRED_BY, UNUSED_KEYS, UNUSED_PREFIXES
 from pewterring.node.value_reader import SettingRead, ValueReader
 
-DEFAULT_HEARTBEAT_MS = 1000  # of workers, where the file does not say
+DEFAULT_HEARTBEAT_MS = 1000  # heartbeat interval of workers
 
 
 class RequestLogMode(StrEnum):
-    """Which late, refused and failed requests are logged: none, the first ones of each period, or all."""
+    """Which late, rejected and failed requests are logged: none, the first of each period, or all."""
 
     OFF = "off"
     THINNED = "thinned"
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """Bounds of the service's guarantees, as the deployment states them (`bounds.*`)."""
+    """Bounds that the service guarantees, as configured by the deployment (keys `bounds.*`)."""
 
     contact_s: float = 3.0
     config_s: float = 2.0
@@ -44,34 +44,34 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeSettings:
-    """What a process knows at its start."""
+    """The typed settings of one process."""
 
     node_id: str
     ip: str
     zone: str
     region: str
-    front: Address | None  # clients
-    ready: Address | None  # readiness
-    control: Address | None  # operator and workers
-    internal_port: int  # JSON lines over TCP, heartbeats over UDP
-    seeds: tuple[Address, ...]  # `control` addresses of some control machines
+    front: Address | None  # listens for clients
+    ready: Address | None  # listens for readiness checks and metrics scrapes
+    control: Address | None  # listens for the operator and workers
+    internal_port: int  # between processes: JSON lines over TCP, heartbeats over UDP
+    seeds: tuple[Address, ...]  # `control` addresses of some of the control processes
     bootstrap: bool
     data_dir: Path | None
-    heartbeat_s: float  # workers' period
-    tolerated_machines: int
+    heartbeat_s: float  # heartbeat interval of workers
+    tolerated_machines: int  # f: how many machines may fail at once
     memory_mb: int
     max_descriptors: int
     cpu_share: float
     disk_mb: int
     bounds: Bounds
-    cluster: str = ""  # processes talk only with those of the same name
-    copy_mb_per_s: float = 0.0  # of a store's state, to each of f new members at once; 0: not given
-    warm_learners: int = 1  # stores beside the voters that keep a copy of a partition's state
-    request_log: RequestLogMode = RequestLogMode.OFF  # of late, refused and failed requests at gateways
+    cluster: str = ""  # name; processes communicate only within the same cluster
+    copy_mb_per_s: float = 0.0  # of a store's state, to each of f new members at once; 0: not set
+    warm_learners: int = 1  # non-voting stores that replicate the state of a partition
+    request_log: RequestLogMode = RequestLogMode.OFF  # gateways only
 
 
 def _seconds(reader: ValueReader, key: str, default_s: float) -> float:
-    """A time that the file states in milliseconds."""
+    """Returns in seconds a value that the file has in milliseconds."""
     return reader.number(key, default_s * MILLISECONDS_PER_SECOND) / MILLISECONDS_PER_SECOND
 
 
@@ -120,19 +120,21 @@
 
 @dataclass(frozen=True, slots=True)
 class SettingsReport:
-    """Settings, and what else was found while they were read."""
+    """Settings, with the values that were read, unknown keys and problems."""
 
     settings: NodeSettings
     reads: Mapping[str, SettingRead]  # by key
-    unknown: tuple[str, ...]  # keys that nothing here reads and no page names
-    problems: tuple[str, ...]  # empty where the settings can be used
+    unknown: tuple[str, ...]  # keys that are neither read nor in `UNUSED_KEYS` and `UNUSED_PREFIXES`
+    problems: tuple[str, ...]  # empty if the settings are usable
 
 
 def examine_settings(text: str, program: str = "") -> SettingsReport:
-    """Reads the file's text as far as it goes. `program` adds the keys that it cannot do without.
+    """Parses the text of a settings file and collects problems in the report.
+
+    `program` is a key of `REQUIRED_BY`; the keys that this program requires are reported if missing.
 
     Raises:
-        SettingsError: The text as a whole is no settings file.
+        SettingsError: The text is not a settings file at all.
     """
     try:
         raw = javaproperties.loads(text)
@@ -151,10 +153,10 @@
 
 
 def read_report(text: str, program: str = "") -> SettingsReport:
-    """Reads the file's text.
+    """Parses the text of a settings file, like `examine_settings`, and raises if it has problems.
 
     Raises:
-        SettingsError: It cannot be used; the text has all problems.
+        SettingsError: The settings cannot be used; the error has all problems.
     """
     report = examine_settings(text, program)
     if report.problems:
--- a/pewterring/node/settings_file.py
+++ b/pewterring/node/settings_file.py
@@ -1,4 +1,4 @@
-"""The settings file of a process on its disk: found, read as one state of it, checked for changes."""
+"""Locates the settings file of a process, reads it consistently and detects changes."""
 
 import os
 from pathlib import Path
@@ -8,19 +8,19 @@
 from pewterring.node.keys import DEFAULT_PATH, SETTINGS_VARIABLE
 from pewterring.node.settings import SettingsReport, read_report
 
-READ_ATTEMPTS = 3  # while the file changes as it is read
+READ_ATTEMPTS = 3  # if the file changes during a read
 
 
 def settings_path(given: str | None = None) -> Path:
-    """The file: the one given, else the one that `PEWTERRING_CONFIG` names, else the usual one."""
+    """Returns the given path, else that in `PEWTERRING_CONFIG`, else the default path."""
     return Path(given or os.environ.get(SETTINGS_VARIABLE) or DEFAULT_PATH)
 
 
 def read_text(path: Path) -> str:
-    """The file's text.
+    """Returns the text of the file.
 
     Raises:
-        SettingsError: It cannot be read, or is not UTF-8.
+        SettingsError: The file cannot be read or is not UTF-8.
     """
     try:
         return path.read_text(encoding="utf-8")
@@ -29,7 +29,7 @@
 
 
 class FileSignature(NamedTuple):
-    """What tells one state of a file from another."""
+    """Metadata that changes whenever the file is replaced or written."""
 
     inode: int
     size_bytes: int
@@ -37,7 +37,7 @@
 
 
 def file_signature(path: Path) -> FileSignature | None:
-    """The file's present state; None where it cannot be read."""
+    """Returns the current signature of the file; None if its status cannot be read."""
     try:
         status = path.stat()
     except OSError:
@@ -46,19 +46,19 @@
 
 
 class SettingsFile:
-    """One program's settings file. Another program may replace it, or write it in place, at any time."""
+    """The settings file of one program. Other programs may replace it or write it in place at any time."""
 
     def __init__(self, path: Path, program: str) -> None:
         self.path = path
         self._program = program
-        self._read: FileSignature | None = None  # of the content read last
-        self._checked: FileSignature | None = None  # at the last check
+        self._read: FileSignature | None = None  # signature of the content that was read last
+        self._checked: FileSignature | None = None  # signature at the last check for changes
 
     def read(self) -> SettingsReport:
-        """Reads the file as one state of it.
+        """Reads and parses the file; reads it again if it changed during the read.
 
         Raises:
-            SettingsError: It cannot be read or used, or changes at each attempt.
+            SettingsError: The file cannot be read or used, or changed during every attempt.
         """
         for _ in range(READ_ATTEMPTS):
             before = file_signature(self.path)
@@ -69,7 +69,7 @@
         raise SettingsError(f"{self.path} changes while it is read")
 
     def has_changed(self) -> bool:
-        """Whether two checks in a row found the same unread state: one check may find half a file."""
+        """Whether two successive checks saw the same unread version; a single one may see a partial write."""
         current = file_signature(self.path)
         is_stable = current == self._checked
         self._checked = current
--- a/pewterring/node/settings_reloader.py
+++ b/pewterring/node/settings_reloader.py
@@ -1,4 +1,4 @@
-"""Puts changed settings in force while the process runs, on a signal or without."""
+"""Applies changed settings to a running process, on a signal or by polling the file."""
 
 import asyncio
 from collections.abc import Callable
@@ -8,8 +8,8 @@
 from pewterring.node.settings import NodeSettings
 from pewterring.node.settings_file import SettingsFile
 
-POLL_INTERVAL_S = 1.0  # between checks for a change without a signal; a file's change is no event to await
-# What a process was built on: another value counts from its next start.
+POLL_INTERVAL_S = 1.0  # between checks of the file for changes without a signal
+# Settings that a running process cannot change: a new value takes effect at its next start.
 FIXED_FIELDS = (
     "node_id", "ip", "zone", "region", "front", "ready", "control", "internal_port", "data_dir", "cluster",
 )  # fmt: skip
@@ -17,23 +17,23 @@
 
 @dataclass(frozen=True, slots=True)
 class ReloadCallbacks:
-    """What the program does about a changed file."""
+    """Callbacks of the program for a changed settings file."""
 
-    apply: Callable[[NodeSettings], None]  # settings that are valid and complete come into force
-    on_refused: Callable[[SettingsError], None]  # the file cannot be used; the settings before stay in force
-    on_restart_needed: Callable[[tuple[str, ...]], None]  # fields whose change waits for the next start
+    apply: Callable[[NodeSettings], None]  # called with new settings that are valid and complete
+    on_refused: Callable[[SettingsError], None]  # the file is unusable; the previous settings stay in effect
+    on_restart_needed: Callable[[tuple[str, ...]], None]  # names of fields whose change needs a restart
 
 
 @dataclass(frozen=True, slots=True)
 class MergedSettings:
-    """New settings with what only a start can change as it was, and the names of such changes."""
+    """New settings with the running values of `FIXED_FIELDS`, and the names of those that differ."""
 
     settings: NodeSettings
     restart_needed: tuple[str, ...]
 
 
 def merge(running: NodeSettings, new: NodeSettings) -> MergedSettings:
-    """The new settings as far as the running process can take them."""
+    """Returns the new settings as far as the running process can apply them without a restart."""
     fixed = [field.name for field in fields(new) if field.name in FIXED_FIELDS]
     unchanged = {
         name: getattr(running, name) for name in fixed if getattr(running, name) != getattr(new, name)
@@ -42,7 +42,7 @@
 
 
 class SettingsReloader:
-    """Owns the settings in force. Changes come by `reload`, or by `watch` without a signal."""
+    """Owns the current settings. `reload` applies a changed file at once, `watch` polls for changes."""
 
     def __init__(self, file: SettingsFile, settings: NodeSettings, callbacks: ReloadCallbacks) -> None:
         self.settings = settings
@@ -50,7 +50,7 @@
         self._callbacks = callbacks
 
     def reload(self) -> None:
-        """Reads the file now."""
+        """Reads the file and applies its settings if they differ."""
         try:
             report = self._file.read()
         except SettingsError as error:
@@ -64,12 +64,12 @@
             self._callbacks.apply(merged.settings)
 
     def poll(self) -> None:
-        """Reads the file where it has changed."""
+        """Reloads the file if it has changed."""
         if self._file.has_changed():
             self.reload()
 
     async def watch(self) -> None:
-        """Polls for changes until it is cancelled."""
+        """Polls the file for changes until cancelled."""
         while True:
             await asyncio.sleep(POLL_INTERVAL_S)
             self.poll()
--- a/pewterring/node/value_reader.py
+++ b/pewterring/node/value_reader.py
@@ -1,4 +1,4 @@
-"""Typed values out of the raw keys of a settings file, with a record of what was read and what is wrong."""
+"""Converts raw values of a settings file to typed ones and records what was read and which are invalid."""
 
 import math
 from collections.abc import Mapping, Sequence
@@ -13,7 +13,7 @@
 
 
 class ValueKind(StrEnum):
-    """How a key's text is read."""
+    """The type as which the text of a value is parsed."""
 
     TEXT = "text"
     NUMBER = "number"
@@ -25,16 +25,16 @@
 
 @dataclass(frozen=True, slots=True)
 class SettingRead:
-    """One key that was looked up, and what was found."""
+    """The result of reading one key."""
 
     kind: ValueKind
-    value: object
-    given: bool
+    value: object  # typed; the default if not given or invalid
+    given: bool  # whether the file has a value for the key
     required: bool
 
 
 class ValueReader:
-    """Reads raw keys. Problems are collected instead of raised, so that all of them are reported at once."""
+    """Reads typed values by key. Collects problems instead of raising, so that all are reported at once."""
 
     def __init__(self, raw: Mapping[str, str]) -> None:
         self._raw = raw
@@ -42,15 +42,15 @@
         self.problems: list[str] = []
 
     def required_text(self, key: str) -> str:
-        """A text that has to be there."""
+        """Returns a text; it is a problem if it is missing."""
         return self._record(key, ValueKind.TEXT, self._required(key), required=True)
 
     def text(self, key: str) -> str:
-        """A text, empty where it is not given."""
+        """Returns a text; empty if it is not given."""
         return self._record(key, ValueKind.TEXT, self._given(key))
 
     def number(self, key: str, default: float, least: float = 0.0) -> float:
-        """A finite number, `least` or more."""
+        """Returns a finite number of at least `least`; `default` if it is not given or invalid."""
         value = self._given(key)
         return self._record(key, ValueKind.NUMBER, self._number(key, value, default, least))
 
@@ -67,14 +67,14 @@
         return default
 
     def flag(self, key: str) -> bool:
-        """`true` or `false`, the latter where it is not given."""
+        """Returns whether the value is `true`; False if it is not given or invalid."""
         value = self._given(key).lower()
         if value not in ("true", "false", ""):
             self.problems.append(f"{key} is neither true nor false: {value!r}")
         return self._record(key, ValueKind.FLAG, value == "true")
 
     def one_of(self, key: str, values: Sequence[str]) -> str:
-        """One of `values`; the first where the key is not given."""
+        """Returns one of `values`; the first if the value is not given or invalid."""
         value = self._given(key) or values[0]
         if value not in values:
             self.problems.append(f"{key} is none of {', '.join(values)}: {value!r}")
@@ -82,18 +82,18 @@
         return self._record(key, ValueKind.TEXT, str(value))
 
     def address(self, key: str) -> Address | None:
-        """`IP:port`, None where it is not given."""
+        """Returns an address written as `IP:port`; None if it is not given or invalid."""
         value = self._given(key)
         return self._record(key, ValueKind.ADDRESS, self._address(key, value) if value else None)
 
     def addresses(self, key: str) -> tuple[Address, ...]:
-        """Addresses with commas between them."""
+        """Returns the valid addresses of a comma-separated list."""
         texts = [text.strip() for text in self._given(key).split(",")]
         found = [self._address(key, text) for text in texts if text]
         return self._record(key, ValueKind.ADDRESSES, tuple(address for address in found if address))
 
     def first_port(self, key: str) -> int:
-        """The first of two ports with a comma between them."""
+        """Returns the first port of a range written as `first,last`; 0 if it is missing or invalid."""
         value = self._required(key)
         first = value.split(",")[0].strip()
         if value and not is_port(first):
@@ -101,7 +101,7 @@
         return self._record(key, ValueKind.PORTS, int(first) if is_port(first) else 0, required=True)
 
     def is_given(self, key: str) -> bool:
-        """Whether the file has a value for the key: an empty one counts as not given."""
+        """Whether the file has a value for the key; an empty value counts as not given."""
         return bool(self._given(key))
 
     def _given(self, key: str) -> str:
