--- a/pewterring/observability/__init__.py
+++ b/pewterring/observability/__init__.py
@@ -1,1 +1,1 @@
-"""What a process tells of itself: log lines and metrics."""
+"""Structured logs and metrics of a process."""
--- a/pewterring/observability/event_thinner.py
+++ b/pewterring/observability/event_thinner.py
@@ -1,24 +1,24 @@
-"""Limits how often an event is logged, so that a fault that repeats does not fill the disk."""
+"""Limits how often an event is logged, so that a recurring fault does not fill the disk."""
 
 from collections.abc import Collection
 from dataclasses import dataclass
 
-BURST_RECORDS = 5  # of one event in a period: enough to see who is concerned
-PERIOD_S = 10.0  # some records of a lasting fault in each minute
-MAX_EVENTS = 512  # whose counts are kept: names made of values must not fill the memory
+BURST_RECORDS = 5  # records of one event per period; enough to see who is affected
+PERIOD_S = 10.0  # short enough for several records of a lasting fault per minute
+MAX_EVENTS = 512  # events with a counter; bounds memory if event names contain variable values
 
 
 @dataclass(slots=True)
 class _Period:
-    began_at: float
+    began_at: float  # monotonic time in seconds
     written: int = 0
-    suppressed: int = 0  # since the last record that was written
+    suppressed: int = 0  # records dropped since the last one that was written
 
 
 class EventThinner:
-    """Decides which records of an event are written: the first `burst` of each period.
+    """Rate limit per event: admits the first `burst` records of an event in each period.
 
-    Events in `unthinned` are always written. Times are seconds of one monotonic clock.
+    Events in `unthinned` are always admitted. Times are seconds of one monotonic clock.
     """
 
     def __init__(
@@ -33,7 +33,7 @@
         self._periods: dict[str, _Period] = {}
 
     def admit(self, event: str, now: float) -> int | None:
-        """None where the record is dropped, else how many of the event were dropped before it."""
+        """Returns None to drop the record, else how many records of the event were dropped before it."""
         if event in self._unthinned:
             return 0
         period = self._period(event, now)
--- a/pewterring/observability/log.py
+++ b/pewterring/observability/log.py
@@ -1,18 +1,18 @@
-"""Logs as JSON lines through loguru: one object a line on standard error.
+"""Writes logs through loguru as JSON, one object per line, to standard error.
 
-The convention of a log call in this repository:
+The convention for log calls in this repository:
 
     logger.bind(event="leadership_acquired", group=group, term=term).info("Leadership of a group is acquired")
 
-- `event` is bound in each call: `snake_case`, in the field's terms, one name for one event. Alerts and the
-  on-call pages go by it, so a module or function can be renamed without renaming an event.
-- Values are bound as fields in base units, with the unit in the name where the type does not say it. The
-  message is a plain sentence without values.
-- Fields of every line (`time`, `level`, `event`, those given to `configure_log`) cannot be bound over.
-- Events that repeat are thinned out (`event_thinner`): `suppressed` counts those that were dropped.
+- Each call binds `event`, a stable name in `snake_case` and in common technical terms. Alerts and runbooks
+  match on it, so renaming a module or function does not rename an event.
+- Values are bound as fields in base units; the name has the unit if the type does not imply it. The message
+  is a plain sentence without values.
+- Fields of every line (`time`, `level`, `event`, those passed to `configure_log`) cannot be overridden.
+- Recurring events are rate limited (`event_thinner`); `suppressed` counts the dropped records.
 
-A record without a bound event is a library's: what comes by the standard library's logging is
-`library.LOGGER`, anything else is named by the module and function of the call.
+Records without a bound event come from libraries. Those of the standard library's logging have the event
+`library.LOGGER`; all others are named by the module and function of the call.
 """
 
 import logging
@@ -33,11 +33,11 @@
 EVENT = "event"
 ROOT = "pewterring."
 DEFAULT_LEVEL = "INFO"
-LIBRARY_LEVELS = ("WARNING", "ERROR", "CRITICAL")  # that loguru has too; others are logged as INFO
+LIBRARY_LEVELS = ("WARNING", "ERROR", "CRITICAL")  # levels that loguru has as well; others are logged as INFO
 
 
 class JsonLineSink:
-    """A sink of loguru that writes one JSON object a line. loguru calls it under a lock, on any thread."""
+    """A loguru sink that writes one JSON object per line. loguru calls it from any thread, under a lock."""
 
     def __init__(
         self,
@@ -52,7 +52,7 @@
         self._clock = clock
 
     def __call__(self, message: "Message") -> None:
-        """Writes the record, unless its event is thinned out. Called by loguru."""
+        """Writes the record unless the rate limit of its event drops it. Called by loguru."""
         record = message.record
         event = event_name(record)
         suppressed = self._thinner.admit(event, self._clock())
@@ -64,7 +64,7 @@
         self._write(orjson.dumps(content, default=str).decode() + "\n")
 
     def _content(self, record: "Record", event: str) -> dict[str, Any]:
-        """The object of a record, with the keys in the order in which they are written."""
+        """Returns the JSON object of a record, with its keys in the order of output."""
         content: dict[str, Any] = {
             "time": round(record["time"].timestamp(), 3),
             "level": record["level"].name.lower(),
@@ -82,7 +82,7 @@
 
 
 def event_name(record: "Record") -> str:
-    """The name of a record's event: the bound one, else the place of the call (libraries alone)."""
+    """Returns the bound event, else module and function of the call (only for records of libraries)."""
     bound = record["extra"].get(EVENT)
     if bound:
         return str(bound)
@@ -91,7 +91,7 @@
 
 
 class _StandardLibraryHandler(logging.Handler):
-    """Passes what libraries log by the standard library on to loguru."""
+    """Forwards records of the standard library's logging to loguru."""
 
     def emit(self, record: logging.LogRecord) -> None:
         level = record.levelname if record.levelname in LIBRARY_LEVELS else "INFO"
@@ -102,9 +102,9 @@
 def configure_log(
     fields: Mapping[str, str], level: str = DEFAULT_LEVEL, unthinned: Collection[str] = ()
 ) -> None:
-    """Sends all logs of this process to standard error.
+    """Directs all logs of this process to standard error, as JSON.
 
-    `fields` stand in every line; events named in `unthinned` are not thinned out.
+    `fields` are added to every line. Events in `unthinned` are not rate limited.
     """
     logger.remove()
     sink = JsonLineSink(sys.stderr.write, fields, EventThinner(unthinned=unthinned))
--- a/pewterring/observability/metrics.py
+++ b/pewterring/observability/metrics.py
@@ -1,6 +1,6 @@
 """Metrics in the Prometheus text format.
 
-The client library is loaded at the first scrape: start-up and requests pay for counters alone.
+The Prometheus client library is imported at the first scrape: start-up and requests only pay for counters.
 """
 
 from collections.abc import Iterable, Iterator, Mapping
@@ -14,31 +14,31 @@
 CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
 COUNTER_SUFFIX = "_total"
 
-Labels = tuple[str, ...]  # values, in the order of the family's names
+Labels = tuple[str, ...]  # label values, in the order of the family's label names
 
 
 @dataclass(frozen=True, slots=True)
 class MetricFamily:
-    """All samples of one name. A counter's name ends in `_total`; units are base units, named last."""
+    """All samples of one metric. Names end in the base unit, followed by `_total` for counters."""
 
     name: str
-    description: str  # one sentence, the text of `# HELP`
+    description: str  # one sentence, written as `# HELP`
     samples: Mapping[Labels, float]
-    labels: tuple[str, ...] = field(default=())
+    labels: tuple[str, ...] = field(default=())  # names of the labels
 
     @property
     def is_counter(self) -> bool:
-        """Whether its values only rise."""
+        """Whether the metric is a counter, else it is a gauge."""
         return self.name.endswith(COUNTER_SUFFIX)
 
 
 def single_sample(name: str, description: str, value: float) -> MetricFamily:
-    """A family of one sample without labels."""
+    """Returns a family with one sample and no labels."""
     return MetricFamily(name, description, {(): value})
 
 
 def render(families: Iterable[MetricFamily]) -> bytes:
-    """The text of these families and of the process itself: its processor time, memory, descriptors."""
+    """Renders the families and the standard process metrics (CPU time, memory, file descriptors)."""
     from prometheus_client import CollectorRegistry, ProcessCollector
     from prometheus_client.exposition import generate_latest
 
@@ -49,13 +49,13 @@
 
 
 class _Collector:
-    """Hands families to the library in its form."""
+    """Converts the families to the metric types of the client library."""
 
     def __init__(self, families: tuple[MetricFamily, ...]) -> None:
         self._families = families
 
     def collect(self) -> Iterator["Metric"]:
-        """Called by the library."""
+        """Yields one metric per family. Called by the client library."""
         from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily
 
         for family in self._families:
