--- a/pewterring/node/settings.py
+++ b/pewterring/node/settings.py
@@ -58,7 +58,7 @@
     bootstrap: bool
     data_dir: Path | None
     heartbeat_s: float  # heartbeat interval of workers
-    tolerated_machines: int  # f: how many machines may fail at once
+    tolerated_machines: int  # f: how many machines with a disk may be lost at once
     memory_mb: int
     max_descriptors: int
     cpu_share: float
