--- a/tests/configuration/documents.py
+++ b/tests/configuration/documents.py
@@ -1,4 +1,4 @@
-"""Configurations as an operator sends them."""
+"""Builders of valid configuration documents, as an operator sends them."""
 
 from typing import Any
 
@@ -6,7 +6,7 @@
 
 
 def document(**changes: Any) -> dict[str, Any]:
-    """A valid configuration with two routes and two services."""
+    """Returns a valid configuration with two routes and two services; `changes` replace top-level keys."""
     valid: dict[str, Any] = {
         "version": 7,
         "routes": [
@@ -64,19 +64,19 @@
 
 
 def encoded(**changes: Any) -> bytes:
-    """The same as JSON."""
+    """Returns the configuration of `document` as JSON."""
     return orjson.dumps(document(**changes))
 
 
 def with_route(index: int, **changes: Any) -> bytes:
-    """A configuration with one route changed."""
+    """Returns the configuration of `document` as JSON, with changed fields of one route."""
     changed = document()
     changed["routes"][index] |= changes
     return orjson.dumps(changed)
 
 
 def numbered_routes(version: int, count: int) -> list[dict[str, object]]:
-    """`count` routes to the backend `s`, each with a path of its own, different in each version."""
+    """Returns `count` routes to the backend `s` with distinct paths; their timeout depends on the version."""
     return [
         {
             "name": f"r-{number}",
--- a/tests/configuration/test_patch.py
+++ b/tests/configuration/test_patch.py
@@ -1,4 +1,4 @@
-"""Patches of a configuration: what they make of it, and which are refused."""
+"""Patches of a configuration: the resulting configuration, and which patches are rejected."""
 
 from typing import Any
 
@@ -22,11 +22,11 @@
 }
 
 
-def patch(version: int = 9, **changes: Any) -> bytes:
+def patch_json(version: int = 9, **changes: Any) -> bytes:
     return orjson.dumps({"version": version, **changes})
 
 
-def patched(body: bytes, base: bytes = BASE) -> dict[str, Any]:
+def apply_to_base(body: bytes, base: bytes = BASE) -> dict[str, Any]:
     result = apply_patch(base, read_patch(body))
     assert b"\n" not in result
     assert read_configuration(result).version == orjson.loads(result)["version"]
@@ -34,19 +34,19 @@
     return decoded
 
 
-def test_items_are_replaced_where_they_stand_added_at_the_end_and_removed() -> None:
+def test_items_are_replaced_in_position_appended_or_removed() -> None:
     changed = ROUTE | {"timeout_ms": 1}
-    result = patched(patch(upsert={"routes": [NEW_ROUTE, changed]}, delete={"routes": ["r-2"]}))
+    result = apply_to_base(patch_json(upsert={"routes": [NEW_ROUTE, changed]}, delete={"routes": ["r-2"]}))
     assert result == document(version=9, routes=[changed, NEW_ROUTE])
 
 
-def test_a_new_service_and_its_route_come_together() -> None:
+def test_one_patch_adds_a_service_and_a_route_to_it() -> None:
     service = {"name": "new", "not_read": [1.5]}
-    body = patch(upsert={"backends": [service], "routes": [NEW_ROUTE | {"backend": "new"}]})
-    assert patched(body)["backends"][-1]["name"] == "new"
+    body = patch_json(upsert={"backends": [service], "routes": [NEW_ROUTE | {"backend": "new"}]})
+    assert apply_to_base(body)["backends"][-1]["name"] == "new"
 
 
-def test_fields_that_nothing_reads_stay_as_they_came() -> None:
+def test_unknown_fields_are_preserved_byte_for_byte() -> None:
     base = BASE.replace(b'"some_new_field":{"x":1}', b'"some_new_field":{"x":12345678901234567890123.50}')
     item = b'{"name":"huvo11a","engine":{"link_mbps":2200000.0,"new":1e400}}'
     body = b'{"version":9,"upsert":{"backends":[%s]}}' % item
@@ -55,11 +55,11 @@
     assert item in result
 
 
-def test_a_list_that_nothing_reads_is_patched_as_well() -> None:
-    once = patched(patch(upsert={"tenants": [{"name": "a", "tokens": 5}, {"name": "b"}]}))
-    assert once["tenants"] == [{"name": "a", "tokens": 5}, {"name": "b"}]
-    twice = patched(patch(10, delete={"tenants": ["a", "never"]}), orjson.dumps(once))
-    assert twice["tenants"] == [{"name": "b"}]
+def test_an_unknown_list_is_patched_as_well() -> None:
+    first = apply_to_base(patch_json(upsert={"tenants": [{"name": "a", "tokens": 5}, {"name": "b"}]}))
+    assert first["tenants"] == [{"name": "a", "tokens": 5}, {"name": "b"}]
+    second = apply_to_base(patch_json(10, delete={"tenants": ["a", "never"]}), orjson.dumps(first))
+    assert second["tenants"] == [{"name": "b"}]
 
 
 @pytest.mark.parametrize(
@@ -73,19 +73,19 @@
         {"some_new_field": 1},
     ],
 )
-def test_a_patch_that_changes_no_item_gives_the_configuration_its_number(changes: dict[str, Any]) -> None:
-    assert patched(patch(**changes)) == document(version=9)
+def test_a_patch_without_changes_sets_only_the_version(changes: dict[str, Any]) -> None:
+    assert apply_to_base(patch_json(**changes)) == document(version=9)
 
 
-def test_the_first_configuration_may_come_as_a_patch() -> None:
+def test_a_patch_may_create_the_first_configuration() -> None:
     lists = {"routes": document()["routes"], "backends": document()["backends"]}
-    assert patched(patch(upsert=lists), b"null") == {"version": 9, **lists}
+    assert apply_to_base(patch_json(upsert=lists), b"null") == {"version": 9, **lists}
 
 
-def test_a_name_that_stands_twice_in_the_base_is_replaced_once() -> None:
+def test_items_of_the_base_with_a_duplicate_name_are_replaced_by_one() -> None:
     base = encoded(routes=[ROUTE, ROUTE | {"path_prefix": "/other/"}])
-    assert patched(patch(upsert={"routes": [ROUTE]}), base)["routes"] == [ROUTE]
-    assert patched(patch(delete={"routes": ["r-1"]}), base)["routes"] == []
+    assert apply_to_base(patch_json(upsert={"routes": [ROUTE]}), base)["routes"] == [ROUTE]
+    assert apply_to_base(patch_json(delete={"routes": ["r-1"]}), base)["routes"] == []
 
 
 @pytest.mark.parametrize(
@@ -98,19 +98,19 @@
         ({"upsert": {"version": [{"name": "x"}]}}, "version"),
     ],
 )
-def test_a_result_that_is_no_valid_configuration_is_refused(changes: dict[str, Any], path: str) -> None:
-    readable = read_patch(patch(**changes))
-    with pytest.raises(ConfigurationError) as refused:
-        apply_patch(BASE, readable)
-    assert refused.value.path == path
+def test_a_patch_with_an_invalid_result_is_rejected(changes: dict[str, Any], path: str) -> None:
+    valid_patch = read_patch(patch_json(**changes))
+    with pytest.raises(ConfigurationError) as raised:
+        apply_patch(BASE, valid_patch)
+    assert raised.value.path == path
 
 
-def test_a_result_without_services_or_too_large_is_refused() -> None:
+def test_a_result_that_lacks_services_or_is_too_large_is_rejected() -> None:
     with pytest.raises(ConfigurationError, match="backends: the patched configuration has none"):
-        apply_patch(b"null", read_patch(patch(upsert={"routes": []})))
+        apply_patch(b"null", read_patch(patch_json(upsert={"routes": []})))
     large = [{"name": f"x-{number}", "text": "x" * 1_000_000} for number in range(9)]
     with pytest.raises(ConfigurationError, match="bytes"):
-        apply_patch(BASE, read_patch(patch(upsert={"notes": large})))
+        apply_patch(BASE, read_patch(patch_json(upsert={"notes": large})))
 
 
 @pytest.mark.parametrize(
@@ -135,51 +135,53 @@
         b'{"version":9,"version":10}',
         b'{"version":9,"delete":{"routes":["a"],"routes":["b"]}}',
         b'{"version":9,"upsert":{"x":[{"name":"a","x":' + b"[" * 100_000 + b"]" * 100_000 + b"}]}}",
-        patch(upsert={"routes": [{"hostname": "h", "path_prefix": "/", "route_type": "idempotent"}]}),
-        patch(upsert={"routes": [NEW_ROUTE | {"name": ""}]}),
-        patch(upsert={"tenants": [{"tokens": 5}]}),
-        patch(upsert={"routes": [NEW_ROUTE, NEW_ROUTE]}),
-        patch(upsert={"routes": [NEW_ROUTE]}, delete={"routes": ["r-3"]}),
-        patch(upsert={"routes": [NEW_ROUTE | {"timeout_ms": 0}]}),
-        patch(upsert={"routes": [NEW_ROUTE | {"path_prefix": "x"}]}),
-        patch(upsert={"routes": [NEW_ROUTE | {"weighted_backends": [{"backend": "huvo11a", "weight": 0}]}]}),
-        patch(upsert={"routes": [{key: NEW_ROUTE[key] for key in NEW_ROUTE if key != "backend"}]}),
-        patch(upsert={"backends": [{"name": "s", "max_connections": -1}]}),
+        patch_json(upsert={"routes": [{"hostname": "h", "path_prefix": "/", "route_type": "idempotent"}]}),
+        patch_json(upsert={"routes": [NEW_ROUTE | {"name": ""}]}),
+        patch_json(upsert={"tenants": [{"tokens": 5}]}),
+        patch_json(upsert={"routes": [NEW_ROUTE, NEW_ROUTE]}),
+        patch_json(upsert={"routes": [NEW_ROUTE]}, delete={"routes": ["r-3"]}),
+        patch_json(upsert={"routes": [NEW_ROUTE | {"timeout_ms": 0}]}),
+        patch_json(upsert={"routes": [NEW_ROUTE | {"path_prefix": "x"}]}),
+        patch_json(
+            upsert={"routes": [NEW_ROUTE | {"weighted_backends": [{"backend": "huvo11a", "weight": 0}]}]}
+        ),
+        patch_json(upsert={"routes": [{key: NEW_ROUTE[key] for key in NEW_ROUTE if key != "backend"}]}),
+        patch_json(upsert={"backends": [{"name": "s", "max_connections": -1}]}),
     ],
 )
-def test_a_patch_that_no_base_makes_valid_is_refused_before_the_base_is_known(body: bytes) -> None:
+def test_an_invalid_patch_is_rejected_without_knowing_the_base(body: bytes) -> None:
     with pytest.raises(ConfigurationError):
         validate_patch(body)
 
 
-def test_a_patch_is_never_taken_for_a_complete_configuration() -> None:
+def test_a_patch_and_a_configuration_never_have_the_same_digest() -> None:
     complete = validate_configuration(BASE)
     assert validate_patch(BASE).digest != complete.digest
     spaced = b'{\n "upsert" : {"routes": []},\r\n "version": 9}'
-    wanted = validate_patch(spaced)
-    assert wanted.digest == validate_patch(patch(upsert={"routes": []})).digest
-    assert b"\n" not in wanted.document
-    assert read_patch(wanted.document) == Patch(9, {"routes": {}}, {})
+    validated = validate_patch(spaced)
+    assert validated.digest == validate_patch(patch_json(upsert={"routes": []})).digest
+    assert b"\n" not in validated.document
+    assert read_patch(validated.document) == Patch(9, {"routes": {}}, {})
 
 
-def test_errors_of_a_patch_name_their_field_as_those_of_a_configuration_do() -> None:
-    assert document_errors(patch(upsert={"routes": [NEW_ROUTE]})) == []
-    (error,) = document_errors(patch(upsert={"routes": [NEW_ROUTE | {"timeout_ms": 0}]}))
+def test_errors_of_a_patch_have_the_path_of_the_field() -> None:
+    assert document_errors(patch_json(upsert={"routes": [NEW_ROUTE]})) == []
+    (error,) = document_errors(patch_json(upsert={"routes": [NEW_ROUTE | {"timeout_ms": 0}]}))
     assert error.path == "upsert.routes.0.timeout_ms"
 
 
-def test_items_without_a_name_stay_in_the_base() -> None:
+def test_items_of_the_base_without_a_name_are_preserved() -> None:
     unnamed = [ROUTE | {"name": None}, NEW_ROUTE | {"name": ""}]
     base = encoded(routes=unnamed)
     assert validate_configuration(base)
-    assert patched(patch(upsert={"routes": [ROUTE | {"path_prefix": "/x/"}]}), base)["routes"] == [
+    assert apply_to_base(patch_json(upsert={"routes": [ROUTE | {"path_prefix": "/x/"}]}), base)["routes"] == [
         *unnamed,
         ROUTE | {"path_prefix": "/x/"},
     ]
 
 
 @pytest.mark.parametrize("routes", [[7], ["r"], [{"name": "r"}], [{"name": 7}], {"name": "r"}])
-def test_a_base_that_cannot_be_read_refuses_the_patch_and_ends_nothing(routes: object) -> None:
-    readable = read_patch(patch(upsert={"routes": [NEW_ROUTE]}))
+def test_a_patch_of_an_invalid_base_raises_a_configuration_error(routes: object) -> None:
+    valid_patch = read_patch(patch_json(upsert={"routes": [NEW_ROUTE]}))
     with pytest.raises(ConfigurationError):
-        apply_patch(encoded(routes=routes), readable)
+        apply_patch(encoded(routes=routes), valid_patch)
--- a/tests/configuration/test_priority_ranks.py
+++ b/tests/configuration/test_priority_ranks.py
@@ -1,4 +1,4 @@
-"""Ranks of the live priorities of a service."""
+"""Ranks of the priorities of a service's live routes."""
 
 from dataclasses import replace
 
@@ -13,23 +13,23 @@
     return PriorityRanks(Configuration(1, routes, {}, ClientLimits()))
 
 
-def test_a_rank_counts_the_priorities_of_the_same_service_that_come_before() -> None:
-    found = priority_ranks(
+def test_a_rank_counts_the_higher_priorities_of_the_same_service() -> None:
+    ranks = priority_ranks(
         replace(ROUTE, priority=5),
         replace(ROUTE, priority=2, services=SPLIT),
         replace(ROUTE, priority=2),
         replace(ROUTE, priority=9, services=SPLIT[1:]),
     )
-    assert [found.rank("a", priority) for priority in (2, 5)] == [0, 1]
-    assert [found.rank("b", priority) for priority in (2, 9)] == [0, 1]
+    assert [ranks.rank("a", priority) for priority in (2, 5)] == [0, 1]
+    assert [ranks.rank("b", priority) for priority in (2, 9)] == [0, 1]
 
 
-def test_batch_routes_take_no_rank() -> None:
-    found = priority_ranks(
+def test_batch_routes_do_not_count_in_the_ranks() -> None:
+    ranks = priority_ranks(
         replace(ROUTE, priority=0, route_type=RouteType.BATCH_JOB), replace(ROUTE, priority=4)
     )
-    assert found.rank("a", 4) == 0
+    assert ranks.rank("a", 4) == 0
 
 
-def test_an_unknown_service_has_the_first_rank() -> None:
+def test_a_priority_of_an_unknown_service_has_rank_0() -> None:
     assert priority_ranks().rank("a", 7) == 0
--- a/tests/configuration/test_reader.py
+++ b/tests/configuration/test_reader.py
@@ -1,4 +1,4 @@
-"""What is read from a configuration, and what is refused."""
+"""Parsing of configurations, and which documents are rejected."""
 
 from typing import Any
 
@@ -29,18 +29,18 @@
     assert configuration.limits.idle_timeout_ms == 15000
 
 
-def test_limits_may_be_absent() -> None:
+def test_absent_limits_have_defaults() -> None:
     assert read_configuration(encoded(limits=None)).limits.max_header_bytes == 16384
 
 
 @pytest.mark.parametrize("length", [0, 1, 100, len(encoded()) - 1])
-def test_a_truncated_document_is_refused(length: int) -> None:
+def test_a_truncated_document_is_rejected(length: int) -> None:
     with pytest.raises(ConfigurationError):
         read_configuration(encoded()[:length])
 
 
 @pytest.mark.parametrize("raw", [b"[]", b"null", b"7", b'"x"', b"\xff\xfe", b'{"version":NaN}', b"{}"])
-def test_what_is_no_configuration_is_refused(raw: bytes) -> None:
+def test_json_or_bytes_that_are_no_configuration_are_rejected(raw: bytes) -> None:
     with pytest.raises(ConfigurationError):
         read_configuration(raw)
 
@@ -74,24 +74,24 @@
         {"max_attempts": 0},
     ],
 )
-def test_a_faulty_route_is_refused_and_named(changes: dict[str, Any]) -> None:
+def test_an_invalid_route_is_rejected_with_its_path(changes: dict[str, Any]) -> None:
     with pytest.raises(ConfigurationError) as caught:
         read_configuration(with_route(1, **changes))
     assert caught.value.path.startswith("routes.1")
 
 
 @pytest.mark.parametrize("version", ["7", 7.5, None, True, [7]])
-def test_a_version_is_an_integer(version: object) -> None:
+def test_a_version_that_is_no_integer_is_rejected(version: object) -> None:
     with pytest.raises(ConfigurationError) as caught:
         read_configuration(encoded(version=version))
     assert caught.value.path == "version"
 
 
-def test_services_are_named_once() -> None:
+def test_duplicate_service_names_are_rejected() -> None:
     services = document()["backends"]
     with pytest.raises(ConfigurationError):
         read_configuration(encoded(backends=[*services, services[0]]))
 
 
-def test_the_root_is_a_prefix() -> None:
+def test_the_root_path_is_a_valid_prefix() -> None:
     assert read_configuration(with_route(1, path_prefix="/")).routes[1].path_prefix == "/"
--- a/tests/configuration/test_route_table.py
+++ b/tests/configuration/test_route_table.py
@@ -1,4 +1,4 @@
-"""Which route a request has."""
+"""Selection of the route for a request's host and path."""
 
 import orjson
 import pytest
@@ -22,12 +22,12 @@
         ("", "/lohu930/x", None),
     ],
 )
-def test_the_longest_prefix_of_the_host_is_found(host: str, path: str, name: str | None) -> None:
+def test_the_route_with_the_longest_matching_prefix_is_found(host: str, path: str, name: str | None) -> None:
     route = RouteTable(read_configuration(encoded())).find(host, path)
     assert (route.name if route else None) == name
 
 
-def test_the_order_of_routes_does_not_matter() -> None:
+def test_the_order_of_routes_in_the_document_does_not_matter() -> None:
     reversed_routes = document()
     reversed_routes["routes"].reverse()
     route = RouteTable(read_configuration(orjson.dumps(reversed_routes))).find(
--- a/tests/configuration/test_validation.py
+++ b/tests/configuration/test_validation.py
@@ -1,4 +1,4 @@
-"""Which documents control accepts from an operator, and that whatever it accepts is read back by all."""
+"""Which documents control accepts from an operator, and that every decoder reads accepted ones alike."""
 
 import msgspec
 import orjson
@@ -16,7 +16,7 @@
 
 
 def with_field(value: bytes) -> bytes:
-    """A valid configuration with one more field, that nothing reads."""
+    """Returns a valid configuration with one additional, unknown field, whose value is raw JSON."""
     return encoded()[:-1] + b',"new":' + value + b"}"
 
 
@@ -24,7 +24,7 @@
     return b"[" * depth + b"]" * depth
 
 
-def test_an_accepted_document_stands_on_a_single_line_and_otherwise_as_it_came() -> None:
+def test_an_accepted_document_is_changed_only_to_be_on_a_single_line() -> None:
     body = encoded().replace(b",", b",\r\n ")
     validated = validate_configuration(body)
     assert validated.version == 7
@@ -37,16 +37,16 @@
     [
         encoded()[:-1] + b',"version":9}',
         with_field(b'{"a":1,"a":2}'),
-        with_field(b'[{"a":1,"\\u0061":1}]'),  # the same key, written in another way
+        with_field(b'[{"a":1,"\\u0061":1}]'),  # the same key, written with an escape
     ],
 )
-def test_a_key_that_stands_twice_is_refused(body: bytes) -> None:
+def test_a_duplicate_key_is_rejected(body: bytes) -> None:
     with pytest.raises(ConfigurationError, match="twice"):
         validate_configuration(body)
 
 
 @pytest.mark.parametrize("depth", [300, 1000, 1022, 5000])
-def test_nesting_that_not_all_decoders_follow_is_refused(depth: int) -> None:
+def test_nesting_too_deep_for_some_decoder_is_rejected(depth: int) -> None:
     with pytest.raises(ConfigurationError):
         validate_configuration(with_field(nested(depth)))
 
@@ -54,7 +54,7 @@
 @pytest.mark.parametrize(
     "body",
     [
-        with_field(b'"a\nb"'),  # a line end inside a string is no JSON, and no blank either
+        with_field(b'"a\nb"'),  # a raw line break in a string is invalid JSON and must not become a space
         with_field(b'"a\rb"'),
         encoded() + b"\x0c",
         encoded() + b"\x00",
@@ -71,13 +71,13 @@
         with_field(b"1."),
     ],
 )
-def test_what_is_no_json_as_it_came_is_refused(body: bytes) -> None:
+def test_invalid_json_is_rejected(body: bytes) -> None:
     with pytest.raises(ConfigurationError):
         validate_configuration(body)
 
 
 def check_accepted_everywhere(body: bytes) -> None:
-    """Puts a validated document through the log and a snapshot, and reads it as gateways do."""
+    """Passes a valid document through the log and a snapshot, and reads it like a gateway."""
     validated = validate_configuration(body)
     command = PutConfiguration(0, validated.version, validated.digest, msgspec.Raw(validated.document))
     state, restored = ControlState(), ControlState()
