--- a/tests/node/settings_texts.py
+++ b/tests/node/settings_texts.py
@@ -1,4 +1,4 @@
-"""Settings files as they are given to processes."""
+"""Builders of settings files for tests."""
 
 from pewterring.node.settings import NodeSettings, read_report
 
@@ -24,12 +24,12 @@
 
 
 def settings_text(**changes: str | None) -> str:
-    """A gateway's file; `__` in a name stands for a dot, and None leaves the key out."""
+    """Returns a gateway's settings file. `__` in a keyword is a dot in the key; None omits the key."""
     values: dict[str, str | None] = {**VALUES}
     values.update((name.replace("__", "."), value) for name, value in changes.items())
     return "".join(f"{key}={value}\n" for key, value in values.items() if value is not None)
 
 
 def read_settings(text: str) -> NodeSettings:
-    """What a process runs with that has this file."""
+    """Returns the settings that a process reads from this text."""
     return read_report(text).settings
--- a/tests/node/test_settings.py
+++ b/tests/node/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings of a process: typed, all problems at once, unknown keys counted."""
+"""Settings of a process: typed values, a list of all problems, unknown keys."""
 
 import pytest
 
@@ -24,7 +24,7 @@
     assert (settings.heartbeat_s, settings.bootstrap, settings.data_dir) == (1.0, False, None)
 
 
-def test_all_problems_are_named_at_once() -> None:
+def test_one_error_lists_all_problems() -> None:
     text = settings_text(node_id=None, heartbeat_ms="soon", bootstrap="maybe", seed_nodes="10.1.0.38")
     with pytest.raises(SettingsError) as raised:
         read_settings(text)
@@ -34,7 +34,7 @@
 
 
 @pytest.mark.parametrize(
-    ("changes", "said"),
+    ("changes", "message"),
     [
         ({"ip": None}, "ip is missing"),
         ({"ephemeral_ports": "many"}, "ephemeral_ports is not a range of ports"),
@@ -46,24 +46,24 @@
         ({"bounds__grace_s": "-1"}, "bounds.grace_s must be 0 or more"),
     ],
 )
-def test_what_cannot_be_used_is_named(changes: dict[str, str | None], said: str) -> None:
+def test_the_error_names_the_invalid_key(changes: dict[str, str | None], message: str) -> None:
     with pytest.raises(SettingsError) as raised:
         read_settings(settings_text(**changes))
-    assert said in str(raised.value)
+    assert message in str(raised.value)
 
 
-def test_text_that_is_no_settings_file() -> None:
+def test_malformed_text_is_rejected() -> None:
     with pytest.raises(SettingsError, match=r"lines of a\.b=value"):
         read_settings("a=\\u12\n")
 
 
-def test_unknown_keys_are_ignored_and_named() -> None:
+def test_unknown_keys_are_ignored_and_reported() -> None:
     report = read_report(settings_text(some_new__field="x", another="y"))
     assert report.unknown == ("another", "some_new.field")
     assert report.settings == read_settings(settings_text())
 
 
-def test_keys_that_pages_name_are_not_unknown() -> None:
+def test_documented_keys_are_not_reported_as_unknown() -> None:
     assert read_report(settings_text()).unknown == ()
 
 
@@ -75,12 +75,12 @@
         ("store", ("data_dir",)),
     ],
 )
-def test_each_program_needs_keys_of_its_own(program: str, missing: tuple[str, ...]) -> None:
+def test_missing_keys_that_a_program_requires_are_reported(program: str, missing: tuple[str, ...]) -> None:
     problems = examine_settings(settings_text(), program).problems
     assert problems == tuple(f"{key} is missing: {program} needs it" for key in missing)
 
 
-def test_requests_are_logged_only_where_the_settings_say_so() -> None:
+def test_the_request_log_is_off_unless_a_valid_mode_is_set() -> None:
     assert read_settings(settings_text()).request_log is RequestLogMode.OFF
     for mode in RequestLogMode:
         text = settings_text() + f"\nlog.requests={mode}\n"
--- a/tests/node/test_settings_file.py
+++ b/tests/node/test_settings_file.py
@@ -1,4 +1,4 @@
-"""Where the settings file is, and when it counts as changed."""
+"""Location of the settings file, and detection of its changes."""
 
 from pathlib import Path
 
@@ -10,7 +10,7 @@
 from tests.node.settings_texts import settings_text
 
 
-def test_the_given_path_comes_before_the_variable_and_that_before_the_usual_place(
+def test_a_given_path_overrides_the_variable_which_overrides_the_default(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.delenv(SETTINGS_VARIABLE, raising=False)
@@ -20,7 +20,7 @@
     assert settings_path("given.conf") == Path("given.conf")
 
 
-def test_a_change_counts_once_two_checks_found_the_same_state(tmp_path: Path) -> None:
+def test_a_change_is_reported_after_two_checks_saw_the_same_state(tmp_path: Path) -> None:
     path = tmp_path / "node.conf"
     path.write_text(settings_text())
     file = SettingsFile(path, "gateway")
@@ -32,6 +32,6 @@
     assert not file.has_changed()
 
 
-def test_a_file_that_is_not_there_is_named(tmp_path: Path) -> None:
+def test_the_error_for_a_missing_file_names_its_path(tmp_path: Path) -> None:
     with pytest.raises(SettingsError, match=r"cannot read .*nowhere\.conf"):
         SettingsFile(tmp_path / "nowhere.conf", "gateway").read()
--- a/tests/node/test_settings_reloader.py
+++ b/tests/node/test_settings_reloader.py
@@ -1,4 +1,4 @@
-"""Changes of the settings file: taken completely or not at all, with a signal or without."""
+"""Reloading a changed settings file, on a signal or by polling: applied completely or not at all."""
 
 from pathlib import Path
 
@@ -12,7 +12,7 @@
 
 
 class Process:
-    """A process that runs with a settings file and records what its reloader calls."""
+    """A process with a settings file that records the callbacks of its reloader."""
 
     def __init__(self, folder: Path) -> None:
         self.path = folder / "node.conf"
@@ -25,7 +25,7 @@
         self.reloader = SettingsReloader(file, file.read().settings, callbacks)
 
     def replace(self, text: str) -> None:
-        """Replaces the file by another."""
+        """Replaces the file atomically, by a rename."""
         new = self.path.with_suffix(".new")
         new.write_text(text)
         new.replace(self.path)
@@ -47,7 +47,7 @@
     assert process.reloader.settings == process.applied[0]
 
 
-def test_a_change_without_a_signal_is_found(process: Process) -> None:
+def test_polling_applies_a_change_once(process: Process) -> None:
     process.poll_twice()
     assert process.applied == []
     process.replace(settings_text(seed_nodes="10.9.0.1:8146"))
@@ -57,8 +57,8 @@
     assert len(process.applied) == 1
 
 
-def test_a_file_that_still_changes_is_left_alone(process: Process) -> None:
-    process.path.write_text(settings_text(seed_nodes="10.9.0.1:8146")[:80])  # half of it
+def test_a_partially_written_file_is_not_read(process: Process) -> None:
+    process.path.write_text(settings_text(seed_nodes="10.9.0.1:8146")[:80])  # a partial write
     process.reloader.poll()
     assert process.applied == []
     assert process.refused == []
@@ -68,7 +68,7 @@
     assert process.refused == []
 
 
-def test_a_file_that_cannot_be_used_changes_nothing(process: Process) -> None:
+def test_an_invalid_file_is_refused_once_and_changes_nothing(process: Process) -> None:
     before = process.reloader.settings
     process.replace(settings_text(seed_nodes="10.9.0.1:8146", heartbeat_ms="soon"))
     process.poll_twice()
@@ -76,17 +76,17 @@
     assert "heartbeat_ms" in str(process.refused[0])
     assert process.reloader.settings == before
     process.poll_twice()
-    assert len(process.refused) == 1  # one state of the file is refused once
+    assert len(process.refused) == 1  # the same version of the file is not refused again
 
 
-def test_a_file_without_what_the_program_needs_is_refused(process: Process) -> None:
+def test_a_file_without_a_key_that_the_program_requires_is_refused(process: Process) -> None:
     process.replace(settings_text(listen_addrs__front=None))
     process.reloader.reload()
     assert process.applied == []
     assert "listen_addrs.front" in str(process.refused[0])
 
 
-def test_a_file_that_is_gone_changes_nothing_until_it_is_back(process: Process) -> None:
+def test_a_deleted_file_changes_nothing_until_it_is_restored(process: Process) -> None:
     process.path.unlink()
     process.poll_twice()
     assert process.refused == []
@@ -97,7 +97,7 @@
     assert len(process.applied) == 1
 
 
-def test_what_a_process_was_built_on_needs_a_restart(process: Process) -> None:
+def test_changes_of_fixed_fields_need_a_restart(process: Process) -> None:
     changes = {"seed_nodes": "10.9.0.1:8146", "listen_addrs__front": "10.1.0.35:9999", "cluster_name": "two"}
     process.replace(settings_text(**changes))
     process.reloader.reload()
@@ -108,7 +108,7 @@
     assert str(settings.seeds[0]) == "10.9.0.1:8146"
 
 
-def test_the_same_content_again_is_not_applied(process: Process) -> None:
+def test_a_new_file_with_the_same_content_is_not_applied(process: Process) -> None:
     process.replace(settings_text())
     process.poll_twice()
     assert process.applied == []
--- a/tests/node_settings.py
+++ b/tests/node_settings.py
@@ -1,4 +1,4 @@
-"""Settings of processes for tests; what a test does not name has a value that does not matter to it."""
+"""Builders of process settings for tests. Fields that a test does not set have arbitrary values."""
 
 from collections.abc import Iterable
 from dataclasses import replace
@@ -30,10 +30,10 @@
 
 
 def node_settings(program: str, ip: str, **changed: Any) -> NodeSettings:
-    """The settings of a program at `ip`, plain but for what is given."""
+    """Returns `PLAIN` for a program at `ip`, with changed fields."""
     return replace(PLAIN, node_id=f"{program}-{ip}", ip=ip, **changed)
 
 
 def addresses(ips: Iterable[str], port: int) -> tuple[Address, ...]:
-    """Addresses of machines, all at one port."""
+    """Returns one address per machine, all with the same port."""
     return tuple(Address(ip, port) for ip in ips)
