--- a/tests/observability/test_log.py
+++ b/tests/observability/test_log.py
@@ -1,4 +1,4 @@
-"""Log records: JSON, one name an event, thinned out where an event repeats."""
+"""Log records: JSON with an event name, rate limited if an event recurs."""
 
 import json
 import logging
@@ -15,11 +15,11 @@
 from pewterring.observability.log import JsonLineSink, configure_log
 
 ROOT = Path(__file__).resolve().parents[2]
-PATIENCE_S = 30.0
+TIMEOUT_S = 30.0
 
 
 class WrittenLog:
-    """Collects what the sink writes, at a time that the test moves."""
+    """Collects the lines that the sink writes. The test advances the clock through `now`."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -38,7 +38,7 @@
     logger.remove(number)
 
 
-def test_a_record_has_the_events_name_and_its_fields(written: WrittenLog) -> None:
+def test_a_record_has_the_event_name_and_the_bound_fields(written: WrittenLog) -> None:
     logger.bind(event="request_held", request="9c41", seconds=0.5).info("a request is held")
     (record,) = written.records()
     assert record["event"] == "request_held"
@@ -51,22 +51,22 @@
     assert written.texts[0].endswith("}\n")
 
 
-def test_an_event_without_a_name_is_named_by_its_call(written: WrittenLog) -> None:
+def test_a_record_without_an_event_is_named_by_its_call(written: WrittenLog) -> None:
     logger.info("something")
     (record,) = written.records()
-    expected = "test_an_event_without_a_name_is_named_by_its_call"
+    expected = "test_a_record_without_an_event_is_named_by_its_call"
     assert record["event"].startswith("tests.observability")
     assert record["event"].endswith(expected)
 
 
-def test_bound_fields_do_not_replace_those_of_every_record(written: WrittenLog) -> None:
+def test_bound_fields_cannot_override_the_fields_of_every_record(written: WrittenLog) -> None:
     logger.bind(event="e", node="other", time=0).info("x")
     (record,) = written.records()
     assert record["node"] == "n-1"
     assert record["time"] > 0
 
 
-def test_an_exception_comes_with_its_trace(written: WrittenLog) -> None:
+def test_a_logged_exception_includes_its_traceback(written: WrittenLog) -> None:
     def broken() -> None:
         raise RuntimeError("broken")
 
@@ -79,7 +79,7 @@
     assert "RuntimeError: broken" in record["exception"]
 
 
-def test_repeated_events_are_thinned_out_and_counted(written: WrittenLog) -> None:
+def test_recurring_events_are_rate_limited_and_counted(written: WrittenLog) -> None:
     for _ in range(100):
         logger.bind(event="again").info("x")
     logger.bind(event="other").info("y")
@@ -89,7 +89,7 @@
     assert written.records()[-1]["suppressed"] == 100 - BURST_RECORDS
 
 
-def test_what_libraries_log_is_written_as_records_too(capsys: pytest.CaptureFixture[str]) -> None:
+def test_records_of_standard_library_logging_are_written_as_json(capsys: pytest.CaptureFixture[str]) -> None:
     handlers, level = logging.root.handlers[:], logging.root.level
     try:
         configure_log({"program": "gateway"})
@@ -105,7 +105,7 @@
     assert record["program"] == "gateway"
 
 
-LOGS_WITHOUT_ROOM = """
+LOG_TO_FULL_DEVICE = """
 from loguru import logger
 from pewterring.observability.log import configure_log
 configure_log({"program": "store"})
@@ -116,14 +116,14 @@
 
 
 @pytest.mark.skipif(not Path("/dev/full").exists(), reason="the system has no device that is always full")
-def test_a_full_disk_under_the_log_ends_nothing() -> None:
+def test_a_full_disk_does_not_stop_a_process_that_logs() -> None:
     with Path("/dev/full").open("w") as full:
-        done = subprocess.run(
-            [sys.executable, "-c", LOGS_WITHOUT_ROOM],
+        completed = subprocess.run(
+            [sys.executable, "-c", LOG_TO_FULL_DEVICE],
             cwd=ROOT,
             stdout=subprocess.PIPE,
             stderr=full,
             text=True,
-            timeout=PATIENCE_S,
+            timeout=TIMEOUT_S,
         )
-    assert (done.returncode, done.stdout) == (0, "goes on\n")
+    assert (completed.returncode, completed.stdout) == (0, "goes on\n")
--- a/tests/observability/test_metrics.py
+++ b/tests/observability/test_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics: names and units, the text format, and what a gateway counts."""
+"""Metrics: names and units, the text format, and the counters of a gateway."""
 
 import subprocess
 import sys
@@ -16,7 +16,7 @@
 
 
 def samples(text: bytes) -> dict[tuple[str, tuple[str, ...]], float]:
-    """Every sample by its name and labels' values."""
+    """Returns every sample by its name and label values."""
     return {
         (sample.name, tuple(sample.labels.values())): sample.value
         for family in text_string_to_metric_families(text.decode())
@@ -36,7 +36,7 @@
     )
 
 
-def test_counters_and_gauges_are_written_with_their_kind() -> None:
+def test_counters_and_gauges_are_written_with_their_type() -> None:
     text = render(
         [single_sample("a_total", "A.", 2), MetricFamily("b", "B.", {("x",): 1.5, ("y",): 0}, ("kind",))]
     )
@@ -48,7 +48,7 @@
     assert found["b", ("y",)] == 0
 
 
-def test_the_process_itself_is_measured() -> None:
+def test_process_metrics_are_included() -> None:
     found = samples(render([]))
     assert found["process_resident_memory_bytes", ()] > 0
     assert ("process_cpu_seconds_total", ()) in found
@@ -78,7 +78,7 @@
     assert found["pewterring_gateway_ceiling", ("chat",)] == 0
 
 
-def test_names_follow_the_formats_customs() -> None:
+def test_names_follow_the_conventions_of_the_format() -> None:
     metrics = GatewayMetrics()
     for family in metrics.families(state()):
         assert family.name.startswith("pewterring_gateway_")
@@ -87,7 +87,9 @@
         assert family.description.endswith(".")
 
 
-def test_the_library_is_loaded_at_the_first_scrape_only() -> None:
-    look = "import sys; import pewterring.gateway.metrics; print('prometheus_client' in sys.modules)"
-    done = subprocess.run([sys.executable, "-c", look], check=True, capture_output=True, text=True, cwd=ROOT)
-    assert done.stdout.strip() == "False"
+def test_gateway_metrics_do_not_import_the_client_library() -> None:
+    script = "import sys; import pewterring.gateway.metrics; print('prometheus_client' in sys.modules)"
+    completed = subprocess.run(
+        [sys.executable, "-c", script], check=True, capture_output=True, text=True, cwd=ROOT
+    )
+    assert completed.stdout.strip() == "False"
--- a/tests/observability/test_request_log.py
+++ b/tests/observability/test_request_log.py
@@ -1,4 +1,4 @@
-"""The record of a request that ended badly: its fields keep their names in the log."""
+"""The log record of a late, rejected or failed request: the field names in the log are stable."""
 
 import msgspec
 
@@ -10,7 +10,7 @@
 )  # fmt: skip
 
 
-def test_fields_are_logged_by_their_names_in_the_log_and_read_back() -> None:
+def test_a_record_is_logged_with_the_stable_names_and_can_be_decoded() -> None:
     record = RequestRecord(RECORD_FORMAT, "9c41", "chat", Reason.PROMPT_NOT_CACHED, target_s=0.4, in_flight=3)
     fields = record.log_fields()
     assert tuple(fields) == LOG_NAMES
