--- a/tests/golden/settings_cases.py
+++ b/tests/golden/settings_cases.py
@@ -1,7 +1,7 @@
-"""Settings and configurations as files, and the values that they are read to.
+"""Expected values of the golden settings and configuration files, and lists of all their keys.
 
-This is the one place where expected values are built. The files in `surfaces/inputs` name every key that the
-readers know.
+All expected values are built in this module. The files in `surfaces/inputs` have every key that the readers
+know.
 """
 
 import tomllib
@@ -57,7 +57,7 @@
     warm_learners=3,
     request_log=settings.RequestLogMode.ALL,
 )
-LEAST_NODE_SETTINGS = settings.NodeSettings(
+MINIMAL_NODE_SETTINGS = settings.NodeSettings(
     node_id="control-a-1",
     ip="10.1.0.38",
     zone="a",
@@ -83,7 +83,7 @@
 )
 
 
-def _least_route(path: str, kind: model.RouteType, service: str) -> model.Route:
+def _minimal_route(path: str, kind: model.RouteType, service: str) -> model.Route:
     services = (model.WeightedService(service, 1.0),)
     return model.Route("", "h", path, kind, services, 30000.0, 1000.0, 0, 1, False, False, 0.0, 0, 0.0, 0.0)
 
@@ -108,9 +108,9 @@
             completion_target_ms=10000.0,
             job_ttl_s=60.0,
         ),
-        _least_route("/jobs/", model.RouteType.BATCH_JOB, "large"),
-        _least_route("/once/", model.RouteType.NON_IDEMPOTENT, "large"),
-        _least_route("/", model.RouteType.IDEMPOTENT, "small"),
+        _minimal_route("/jobs/", model.RouteType.BATCH_JOB, "large"),
+        _minimal_route("/once/", model.RouteType.NON_IDEMPOTENT, "large"),
+        _minimal_route("/", model.RouteType.IDEMPOTENT, "small"),
     ),
     services={
         "large": model.Service("large", "/ready", 290, model.Engine(48, 469689, 14, ("m",))),
@@ -174,10 +174,10 @@
 
 
 def patched_items() -> dict[str, list[Any]]:
-    """The routes and services after the golden patch was put on the golden configuration, as JSON."""
+    """Returns the items of the golden configuration after the golden patch was applied, as decoded JSON."""
     change = patch.read_patch((INPUTS / "patch.json").read_bytes())
-    made = patch.apply_patch((INPUTS / "configuration.json").read_bytes(), change)
-    tree = orjson.loads(made)
+    patched = patch.apply_patch((INPUTS / "configuration.json").read_bytes(), change)
+    tree = orjson.loads(patched)
     return {"version": tree["version"], "routes": tree["routes"], "backends": tree["backends"]}
 
 
@@ -187,7 +187,7 @@
 
 
 def node_keys() -> str:
-    """Each key of node.conf with its kind, whether it is required, and its default; then keys not used."""
+    """Lists the keys of node.conf with kind and default, unused keys, and required keys of each program."""
     report = settings.examine_settings("")
     lines = [
         f"{key} {read.kind} required" if read.required else f"{key} {read.kind} default={read.value!s}"
@@ -201,7 +201,7 @@
 
 
 def environment_variables() -> str:
-    """The variables that programs read, and where node.conf is without one."""
+    """Lists the environment variables that programs read, and the default path of node.conf."""
     names = [standalone.CONFIG, standalone.LISTEN, standalone.DISCOVERY, standalone.NAME, standalone.TALLY]
     return sorted_lines([*names, f"{keys.SETTINGS_VARIABLE} default={keys.DEFAULT_PATH}"])
 
@@ -216,7 +216,7 @@
 
 
 def configuration_keys() -> str:
-    """Each key of a configuration with its kind, the kinds of routes, and the keys of a patch."""
+    """Lists the keys of a configuration with their kinds, the route types and the keys of a patch."""
     lines = list(_schema_keys(schema.configuration_schema().fields))
     lines += [f"routes.route_type value {kind.value}" for kind in model.RouteType]
     lines += [f"patch {key}" for key in patch.PATCH_FIELDS]
@@ -224,7 +224,7 @@
 
 
 def _tree_keys(value: Any, path: str = "") -> Iterator[str]:
-    """The path and kind of each value; items of a list share one path."""
+    """Yields path and type of each value; all items of a list have the same path."""
     if isinstance(value, dict):
         for name, inner in value.items():
             yield from _tree_keys(inner, f"{path}.{name}" if path else name)
@@ -237,7 +237,7 @@
 
 
 def deployment_keys(name: str) -> str:
-    """The keys of one file of `DEPLOYMENT_FILES`, with the kinds of their values."""
+    """Lists the keys of one file of `DEPLOYMENT_FILES` with the types of their values."""
     data = DEPLOYMENT_FILES[name].read_text(encoding="utf-8")
     tree = tomllib.loads(data) if DEPLOYMENT_FILES[name].suffix == ".toml" else orjson.loads(data)
     return sorted_lines(set(_tree_keys(tree)))
--- a/tests/golden/test_settings_keys.py
+++ b/tests/golden/test_settings_keys.py
@@ -1,4 +1,4 @@
-"""Keys of node.conf, of configurations, of the standalone gateway's file and of the deployment's files."""
+"""Golden keys of node.conf, configurations, the standalone gateway's file and the deployment files."""
 
 import orjson
 import pytest
@@ -11,8 +11,8 @@
     assert cases.read_node_settings("node.conf") == cases.NODE_SETTINGS
 
 
-def test_keys_that_are_left_out_of_node_conf_have_the_same_defaults() -> None:
-    assert cases.read_node_settings("least-node.conf") == cases.LEAST_NODE_SETTINGS
+def test_keys_missing_from_node_conf_have_the_golden_defaults() -> None:
+    assert cases.read_node_settings("least-node.conf") == cases.MINIMAL_NODE_SETTINGS
 
 
 def test_the_keys_of_node_conf_are_the_golden_ones() -> None:
