--- a/benchmarks/admission_exchange.py
+++ b/benchmarks/admission_exchange.py
@@ -21,9 +21,9 @@
 from pewterring.admission.datagram import GATEWAY, service_number, write_heartbeat
 from pewterring.admission.digests import Totals
 from pewterring.admission.relay_exchange import RelayExchange
-from pewterring.admission.relay_plan import Speaker, make_plan
+from pewterring.admission.relay_plan import HeartbeatSender, make_plan
 from pewterring.admission.relayed_shares import RelayedShares
-from pewterring.admission.shares import BEAT_S, LEASE_S
+from pewterring.admission.shares import HEARTBEAT_PERIOD_S, LEASE_S
 from pewterring.standalone.peer_messages import read_beat
 from pewterring.standalone.policy.state import Peer
 from pewterring.transport.datagrams import IP_UDP_BYTES
@@ -68,19 +68,19 @@
             self.shares.sparse = True
             self.shares.lease = 2 * LEASE_S
         self.shares.lends = True
-        self.shares.began = 0.0
+        self.shares.started_at = 0.0
         self.now = 0.0
         self.exchange = RelayExchange(self.ip, index + 1, self.hear_totals)
 
     def hear_totals(self, number: int, totals: Totals) -> None:
-        self.shares.hear_totals(self.now, totals, self.limit)
+        self.shares.receive_totals(self.now, totals, self.limit)
 
     def tick(self, now: float, everybody: "list[Gateway]") -> Iterator[tuple[str, bytes]]:
         self.now = now
-        self.shares.settle(now, BEAT_S, self.limit)
-        data = write_heartbeat(GATEWAY, {SERVICE: self.shares.beat(self.limit, self.out)})
+        self.shares.update_demand(now, HEARTBEAT_PERIOD_S, self.limit)
+        data = write_heartbeat(GATEWAY, {SERVICE: self.shares.heartbeat(self.limit, self.out)})
         if self.way == "relayed":
-            yield from self.exchange.round(now, data, BEAT_S)
+            yield from self.exchange.round(now, data, HEARTBEAT_PERIOD_S)
         elif self.way == "all":
             yield from ((peer.ip, data) for peer in everybody if peer is not self)
         else:
@@ -104,7 +104,9 @@
     rng = random.Random(seed)
     gateways = [Gateway(index, fleet, way, rng) for index in range(fleet)]
     by_ip = {gateway.ip: gateway for gateway in gateways}
-    plan = make_plan(Speaker(gateway.ip, f"zone-{gateway.index % ZONES}", True) for gateway in gateways)
+    plan = make_plan(
+        HeartbeatSender(gateway.ip, f"zone-{gateway.index % ZONES}", True) for gateway in gateways
+    )
     for gateway in gateways:
         gateway.exchange.plan = plan
     weights = [BUSIER if index % 4 == 0 else 1.0 for index in range(fleet)]
@@ -117,7 +119,7 @@
         heapq.heappush(events, (at, next(order), what, index, value))
 
     for index in range(fleet):
-        plan_event(rng.uniform(0, BEAT_S), "tick", index)
+        plan_event(rng.uniform(0, HEARTBEAT_PERIOD_S), "tick", index)
     plan_event(0.0, "request", 0)
     asked = refused = 0
     errors: list[float] = []
@@ -130,9 +132,9 @@
             plan_event(now + rng.expovariate(rate), "request", 0)
             index = rng.choices(range(fleet), weights)[0]
             gateway = gateways[index]
-            gateway.shares.wanted += 1
+            gateway.shares.requested += 1
             asked += measured
-            if gateway.out < gateway.shares.room(gateway.out):
+            if gateway.out < gateway.shares.capacity(gateway.out):
                 gateway.out += 1
                 plan_event(now + rng.expovariate(1 / HOLD_S), "end", index)
                 over = max(over, sum(each.out for each in gateways) / ceiling - 1) if measured else 0.0
@@ -141,7 +143,7 @@
         elif what == "end":
             gateway.out -= 1
         elif what == "tick":
-            plan_event(now + BEAT_S, "tick", index)
+            plan_event(now + HEARTBEAT_PERIOD_S, "tick", index)
             for ip, data in gateway.tick(now, gateways):
                 gateway.sent_bytes += len(data) + IP_UDP_BYTES
                 if rng.random() >= LOST:
@@ -160,20 +162,22 @@
     """Processor seconds of a round at the relay that takes most, and of a member on average."""
     rng = random.Random(1)
     gateways = [Gateway(index, fleet, "relayed", rng) for index in range(fleet)]
-    plan = make_plan(Speaker(gateway.ip, f"zone-{gateway.index % ZONES}", True) for gateway in gateways)
+    plan = make_plan(
+        HeartbeatSender(gateway.ip, f"zone-{gateway.index % ZONES}", True) for gateway in gateways
+    )
     by_ip = {gateway.ip: gateway for gateway in gateways}
     spent = dict.fromkeys(by_ip, 0.0)
-    gateways[0].shares.settle(1.0, BEAT_S, 4.0)
-    beat = gateways[0].shares.beat(4.0, 1)
+    gateways[0].shares.update_demand(1.0, HEARTBEAT_PERIOD_S, 4.0)
+    beat = gateways[0].shares.heartbeat(4.0, 1)
     heartbeat = write_heartbeat(GATEWAY, dict.fromkeys(range(services), beat))
     for gateway in gateways:
         gateway.exchange.plan = plan
     for number in range(rounds):
-        now = number * BEAT_S
+        now = number * HEARTBEAT_PERIOD_S
         datagrams = []
         for gateway in gateways:
             began = time.process_time()
-            sent = gateway.exchange.round(now, heartbeat, BEAT_S)
+            sent = gateway.exchange.round(now, heartbeat, HEARTBEAT_PERIOD_S)
             spent[gateway.ip] += time.process_time() - began
             datagrams += [(gateway, by_ip[ip], data) for ip, data in sent]
         for source, target, data in datagrams:
--- a/pewterring/standalone/proxy/tally.py
+++ b/pewterring/standalone/proxy/tally.py
@@ -77,11 +77,11 @@
             shares = module.shares
             figures = {
                 "limit": module.ceiling.limit,
-                "whole": shares.whole,
+                "whole": shares.fleet_limit,
                 "share": shares.share,
-                "elsewhere": shares.elsewhere,
+                "elsewhere": shares.peers_in_flight,
                 "demand": shares.demand,
-                "demands": shares.total,
+                "demands": shares.fleet_demand,
                 "usual": module.usual(),
                 "out": module.out,
                 "peers": sum(now - p.heard < shares.lease for p in shares.peers.values()),
