--- a/pewterring/configuration/patch.py
+++ b/pewterring/configuration/patch.py
@@ -76,7 +76,7 @@
         raise ConfigurationError("", f"not a patch: {error}") from error
     deletes = {name: frozenset(names) for name, names in (document.delete or {}).items()}
     upserts = {
-        name: _by_name(name, items, deletes.get(name, frozenset()))
+        name: _items_by_name(name, items, deletes.get(name, frozenset()))
         for name, items in (document.upsert or {}).items()
     }
     return Patch(document.version, upserts, deletes)
@@ -97,9 +97,9 @@
     """
     content = msgspec.json.decode(document, type=dict[str, msgspec.Raw] | None) or {}
     for name in [*patch.upserts, *patch.deletes]:
-        items = _items(name, content.get(name))
+        items = _decode_items(name, content.get(name))
         content[name] = _encoded(
-            _patched(items, patch.upserts.get(name, {}), patch.deletes.get(name, frozenset()))
+            _patched_items(items, patch.upserts.get(name, {}), patch.deletes.get(name, frozenset()))
         )
     content[VERSION] = msgspec.Raw(str(patch.version).encode())
     for error in _result_errors(content):
@@ -110,12 +110,14 @@
     return bytes(result)
 
 
-def _by_name(list_name: str, items: Iterable[msgspec.Raw], deleted: frozenset[str]) -> dict[str, msgspec.Raw]:
+def _items_by_name(
+    list_name: str, items: Iterable[msgspec.Raw], deleted: frozenset[str]
+) -> dict[str, msgspec.Raw]:
     """Returns the items of one list of a patch by name; raises `ConfigurationError` for an invalid name."""
     named: dict[str, msgspec.Raw] = {}
     for index, item in enumerate(items):
         item_path = f"upsert.{list_name}.{index}"
-        name = _name_of(item_path, item)
+        name = _item_name(item_path, item)
         if not name:
             raise ConfigurationError(f"{item_path}.name", "an item of a patch needs a name")
         if name in named:
@@ -126,7 +128,7 @@
     return named
 
 
-def _name_of(path: str, item: msgspec.Raw) -> str:
+def _item_name(path: str, item: msgspec.Raw) -> str:
     try:
         return msgspec.json.decode(item, type=_Named).name or ""
     except msgspec.MsgspecError as error:
@@ -135,12 +137,12 @@
 
 def _item_errors(upserts: Mapping[str, Mapping[str, msgspec.Raw]]) -> Iterator[ConfigurationError]:
     """Yields errors of individual items, in the lists that have a schema."""
-    read = {name: items for name, items in upserts.items() if name in (ROUTES, SERVICES)}
-    items = {name: [orjson.loads(bytes(item)) for item in each.values()] for name, each in read.items()}
-    yield from read_item_errors(items, "upsert")
+    checked = {name: items for name, items in upserts.items() if name in (ROUTES, SERVICES)}
+    lists = {name: [orjson.loads(bytes(item)) for item in items.values()] for name, items in checked.items()}
+    yield from read_item_errors(lists, "upsert")
 
 
-def _items(name: str, raw: msgspec.Raw | None) -> list[msgspec.Raw]:
+def _decode_items(name: str, raw: msgspec.Raw | None) -> list[msgspec.Raw]:
     if raw is None:
         return []
     try:
@@ -149,14 +151,14 @@
         raise ConfigurationError(name, "not a list of named items") from error
 
 
-def _patched(
+def _patched_items(
     items: Iterable[msgspec.Raw], upserts: Mapping[str, msgspec.Raw], deletes: frozenset[str]
 ) -> list[msgspec.Raw]:
     """Returns the patched list: replaced items keep their position, new items are appended."""
     remaining = dict(upserts)
     patched = []
     for item in items:
-        name = _name_of("", item)
+        name = _item_name("", item)
         if name in deletes:
             continue
         if name not in upserts:
@@ -172,8 +174,8 @@
         if name not in content:
             yield ConfigurationError(name, "the patched configuration has none")
             return
-    services = [_name_of(SERVICES, item) for item in _items(SERVICES, content.get(SERVICES))]
-    routes = [_references(item) for item in _items(ROUTES, content.get(ROUTES))]
+    services = [_item_name(SERVICES, item) for item in _decode_items(SERVICES, content.get(SERVICES))]
+    routes = [_references(item) for item in _decode_items(ROUTES, content.get(ROUTES))]
     yield from reference_errors(services, routes)
 
 
--- a/pewterring/configuration/priority_ranks.py
+++ b/pewterring/configuration/priority_ranks.py
@@ -19,8 +19,8 @@
                 priorities.setdefault(weighted.service, set()).add(route.priority)
         self._ranks: Mapping[tuple[str, int], int] = {
             (service, priority): rank
-            for service, live in priorities.items()
-            for rank, priority in enumerate(sorted(live))
+            for service, service_priorities in priorities.items()
+            for rank, priority in enumerate(sorted(service_priorities))
         }
 
     def rank(self, service: str, priority: int) -> int:
--- a/pewterring/configuration/references.py
+++ b/pewterring/configuration/references.py
@@ -33,13 +33,13 @@
         if name in services:
             yield ConfigurationError(f"backends.{index}.name", f"{name!r} is there twice")
         services.add(name)
-    matches: set[tuple[str, str]] = set()
+    seen_routes: set[tuple[str, str]] = set()
     for index, route in enumerate(routes):
         yield from _unknown_services(f"routes.{index}", route, services)
-        match = (route.host.lower(), route.path_prefix)
-        if match in matches:
-            yield ConfigurationError(f"routes.{index}", f"another route has {''.join(match)}")
-        matches.add(match)
+        host_and_path = (route.host.lower(), route.path_prefix)
+        if host_and_path in seen_routes:
+            yield ConfigurationError(f"routes.{index}", f"another route has {''.join(host_and_path)}")
+        seen_routes.add(host_and_path)
 
 
 def _unknown_services(path: str, route: RouteReferences, services: set[str]) -> Iterator[ConfigurationError]:
