--- a/pewterring/node/settings.py
+++ b/pewterring/node/settings.py
@@ -70,27 +70,27 @@
     request_log: RequestLogMode = RequestLogMode.OFF  # gateways only
 
 
-def _seconds(reader: ValueReader, key: str, default_s: float) -> float:
+def _read_seconds(reader: ValueReader, key: str, default_s: float) -> float:
     """Returns in seconds a value that the file has in milliseconds."""
     return reader.number(key, default_s * MILLISECONDS_PER_SECOND) / MILLISECONDS_PER_SECOND
 
 
-def _bounds(reader: ValueReader) -> Bounds:
+def _read_bounds(reader: ValueReader) -> Bounds:
     defaults = Bounds()
     return Bounds(
-        contact_s=_seconds(reader, "bounds.contact_ms", defaults.contact_s),
-        config_s=_seconds(reader, "bounds.config_ms", defaults.config_s),
-        drain_s=_seconds(reader, "bounds.drain_ms", defaults.drain_s),
+        contact_s=_read_seconds(reader, "bounds.contact_ms", defaults.contact_s),
+        config_s=_read_seconds(reader, "bounds.config_ms", defaults.config_s),
+        drain_s=_read_seconds(reader, "bounds.drain_ms", defaults.drain_s),
         grace_s=reader.number("bounds.grace_s", defaults.grace_s),
         catch_up_s=reader.number("bounds.catch_up_s", defaults.catch_up_s),
-        ack_s=_seconds(reader, "bounds.ack_ms", defaults.ack_s),
+        ack_s=_read_seconds(reader, "bounds.ack_ms", defaults.ack_s),
         status_s=reader.number("bounds.status_s", defaults.status_s),
-        cancel_s=_seconds(reader, "bounds.cancel_ms", defaults.cancel_s),
+        cancel_s=_read_seconds(reader, "bounds.cancel_ms", defaults.cancel_s),
         quota_overshoot=reader.number("bounds.quota_overshoot", defaults.quota_overshoot),
     )
 
 
-def _node_settings(reader: ValueReader) -> NodeSettings:
+def _read_node_settings(reader: ValueReader) -> NodeSettings:
     data_dir = reader.text("data_dir")
     return NodeSettings(
         node_id=reader.required_text("node_id"),
@@ -110,7 +110,7 @@
         max_descriptors=int(reader.number("limits.max_fds", 1024)),
         cpu_share=reader.number("limits.cpu_share", 1.0),
         disk_mb=int(reader.number("limits.disk_mb", 0)),
-        bounds=_bounds(reader),
+        bounds=_read_bounds(reader),
         cluster=reader.text("cluster_name"),
         copy_mb_per_s=reader.number("limits.copy_mb_per_s", 0.0),
         warm_learners=int(reader.number("batch.warm_learners", tolerated_machines)),
@@ -141,14 +141,14 @@
     except ValueError as error:
         raise SettingsError(f"not lines of a.b=value: {error}") from error
     reader = ValueReader(raw)
-    settings = _node_settings(reader)
+    settings = _read_node_settings(reader)
     missing = [key for key in REQUIRED_BY.get(program, ()) if not reader.is_given(key)]
     reader.problems += [f"{key} is missing: {program} needs it" for key in missing]
-    unknown = (key for key in raw if key not in reader.reads and not _is_named(key))
+    unknown = (key for key in raw if key not in reader.reads and not _is_documented(key))
     return SettingsReport(settings, reader.reads, tuple(sorted(unknown)), tuple(reader.problems))
 
 
-def _is_named(key: str) -> bool:
+def _is_documented(key: str) -> bool:
     return key in UNUSED_KEYS or key.startswith(UNUSED_PREFIXES)
 
 
--- a/pewterring/node/settings_file.py
+++ b/pewterring/node/settings_file.py
@@ -51,8 +51,8 @@
     def __init__(self, path: Path, program: str) -> None:
         self.path = path
         self._program = program
-        self._read: FileSignature | None = None  # signature of the content that was read last
-        self._checked: FileSignature | None = None  # signature at the last check for changes
+        self._read_signature: FileSignature | None = None  # of the content that was read last
+        self._checked_signature: FileSignature | None = None  # at the last check for changes
 
     def read(self) -> SettingsReport:
         """Reads and parses the file; reads it again if it changed during the read.
@@ -64,13 +64,13 @@
             before = file_signature(self.path)
             text = read_text(self.path)
             if file_signature(self.path) == before:
-                self._read = self._checked = before
+                self._read_signature = self._checked_signature = before
                 return read_report(text, self._program)
         raise SettingsError(f"{self.path} changes while it is read")
 
     def has_changed(self) -> bool:
         """Whether two successive checks saw the same unread version; a single one may see a partial write."""
         current = file_signature(self.path)
-        is_stable = current == self._checked
-        self._checked = current
-        return is_stable and current is not None and current != self._read
+        is_stable = current == self._checked_signature
+        self._checked_signature = current
+        return is_stable and current is not None and current != self._read_signature
--- a/pewterring/node/value_reader.py
+++ b/pewterring/node/value_reader.py
@@ -43,18 +43,18 @@
 
     def required_text(self, key: str) -> str:
         """Returns a text; it is a problem if it is missing."""
-        return self._record(key, ValueKind.TEXT, self._required(key), required=True)
+        return self._record(key, ValueKind.TEXT, self._required_raw_value(key), required=True)
 
     def text(self, key: str) -> str:
         """Returns a text; empty if it is not given."""
-        return self._record(key, ValueKind.TEXT, self._given(key))
+        return self._record(key, ValueKind.TEXT, self._raw_value(key))
 
     def number(self, key: str, default: float, least: float = 0.0) -> float:
         """Returns a finite number of at least `least`; `default` if it is not given or invalid."""
-        value = self._given(key)
-        return self._record(key, ValueKind.NUMBER, self._number(key, value, default, least))
+        value = self._raw_value(key)
+        return self._record(key, ValueKind.NUMBER, self._parse_number(key, value, default, least))
 
-    def _number(self, key: str, value: str, default: float, least: float) -> float:
+    def _parse_number(self, key: str, value: str, default: float, least: float) -> float:
         number = default
         if value:
             try:
@@ -68,14 +68,14 @@
 
     def flag(self, key: str) -> bool:
         """Returns whether the value is `true`; False if it is not given or invalid."""
-        value = self._given(key).lower()
+        value = self._raw_value(key).lower()
         if value not in ("true", "false", ""):
             self.problems.append(f"{key} is neither true nor false: {value!r}")
         return self._record(key, ValueKind.FLAG, value == "true")
 
     def one_of(self, key: str, values: Sequence[str]) -> str:
         """Returns one of `values`; the first if the value is not given or invalid."""
-        value = self._given(key) or values[0]
+        value = self._raw_value(key) or values[0]
         if value not in values:
             self.problems.append(f"{key} is none of {', '.join(values)}: {value!r}")
             value = values[0]
@@ -83,18 +83,18 @@
 
     def address(self, key: str) -> Address | None:
         """Returns an address written as `IP:port`; None if it is not given or invalid."""
-        value = self._given(key)
-        return self._record(key, ValueKind.ADDRESS, self._address(key, value) if value else None)
+        value = self._raw_value(key)
+        return self._record(key, ValueKind.ADDRESS, self._parse_address(key, value) if value else None)
 
     def addresses(self, key: str) -> tuple[Address, ...]:
         """Returns the valid addresses of a comma-separated list."""
-        texts = [text.strip() for text in self._given(key).split(",")]
-        found = [self._address(key, text) for text in texts if text]
+        texts = [text.strip() for text in self._raw_value(key).split(",")]
+        found = [self._parse_address(key, text) for text in texts if text]
         return self._record(key, ValueKind.ADDRESSES, tuple(address for address in found if address))
 
     def first_port(self, key: str) -> int:
         """Returns the first port of a range written as `first,last`; 0 if it is missing or invalid."""
-        value = self._required(key)
+        value = self._required_raw_value(key)
         first = value.split(",")[0].strip()
         if value and not is_port(first):
             self.problems.append(f"{key} is not a range of ports: {value!r}")
@@ -102,18 +102,18 @@
 
     def is_given(self, key: str) -> bool:
         """Whether the file has a value for the key; an empty value counts as not given."""
-        return bool(self._given(key))
+        return bool(self._raw_value(key))
 
-    def _given(self, key: str) -> str:
+    def _raw_value(self, key: str) -> str:
         return self._raw.get(key, "").strip()
 
-    def _required(self, key: str) -> str:
-        value = self._given(key)
+    def _required_raw_value(self, key: str) -> str:
+        value = self._raw_value(key)
         if not value:
             self.problems.append(f"{key} is missing")
         return value
 
-    def _address(self, key: str, value: str) -> Address | None:
+    def _parse_address(self, key: str, value: str) -> Address | None:
         try:
             return parse_address(key, value)
         except SettingsError as error:
