--- a/pewterring/observability/log.py
+++ b/pewterring/observability/log.py
@@ -31,7 +31,7 @@
     from loguru import Message, Record
 
 EVENT = "event"
-ROOT = "pewterring."
+PACKAGE_PREFIX = "pewterring."
 DEFAULT_LEVEL = "INFO"
 LIBRARY_LEVELS = ("WARNING", "ERROR", "CRITICAL")  # levels that loguru has as well; others are logged as INFO
 
@@ -86,7 +86,7 @@
     bound = record["extra"].get(EVENT)
     if bound:
         return str(bound)
-    module = (record["name"] or "").removeprefix(ROOT)
+    module = (record["name"] or "").removeprefix(PACKAGE_PREFIX)
     return f"{module}.{record['function'].strip('_<>')}"
 
 
--- a/tests/observability/test_log.py
+++ b/tests/observability/test_log.py
@@ -33,9 +33,9 @@
 def written() -> Iterator[WrittenLog]:
     collected = WrittenLog()
     sink = JsonLineSink(collected.texts.append, {"node": "n-1"}, clock=lambda: collected.now)
-    number = logger.add(sink, level="INFO", format="{message}", backtrace=False, diagnose=False)
+    sink_id = logger.add(sink, level="INFO", format="{message}", backtrace=False, diagnose=False)
     yield collected
-    logger.remove(number)
+    logger.remove(sink_id)
 
 
 def test_a_record_has_the_event_name_and_the_bound_fields(written: WrittenLog) -> None:
