--- a/pewterring/node/settings_reloader.py
+++ b/pewterring/node/settings_reloader.py
@@ -8,7 +8,7 @@
 from pewterring.node.settings import NodeSettings
 from pewterring.node.settings_file import SettingsFile
 
-POLL_INTERVAL_S = 1.0  # between checks of the file for changes without a signal
+POLL_INTERVAL_S = 1.0  # between checks without a signal; asyncio cannot await a change of a file
 # Settings that a running process cannot change: a new value takes effect at its next start.
 FIXED_FIELDS = (
     "node_id", "ip", "zone", "region", "front", "ready", "control", "internal_port", "data_dir", "cluster",
--- a/pewterring/observability/request_log.py
+++ b/pewterring/observability/request_log.py
@@ -19,7 +19,7 @@
     NO_WORKER = "no_worker"  # no worker available, for the first or another attempt
     NO_CONNECTION = "no_connection"  # all connections to the selected workers were in use
     DEADLINE = "deadline"  # the request timed out before a worker responded
-    WORKER_FAILED = "worker_failed"  # an attempt before the last one failed or timed out
+    WORKER_FAILED = "worker_failed"  # an attempt failed or timed out
     STREAM_BROKEN = "stream_broken"  # the stream failed after its first event and was not resumed
     PROMPT_NOT_CACHED = "prompt_not_kept"  # most of the time was spent on the prefill of the prompt
     BEHIND_PREFILLS = "behind_prompts"  # waited for prefills of requests that the worker got earlier
