--- a/pewterring/control/__init__.py
+++ b/pewterring/control/__init__.py
@@ -1,1 +1,1 @@
-"""The control program: configuration, workers, nodes and placement behind one replicated log."""
+"""The control program: keeps configuration, workers, nodes and placements in one replicated log."""
--- a/pewterring/control/configuration_history.py
+++ b/pewterring/control/configuration_history.py
@@ -60,7 +60,7 @@
         return self._accept(command, msgspec.Raw(document))
 
     def restore(self, snapshot: Snapshot) -> None:
-        """Replaces everything by the snapshot's."""
+        """Replaces all content by that of the snapshot."""
         self.version = snapshot.version
         self.document = snapshot.document.copy()
         self.accepted_digests = dict(snapshot.accepted_digests)
--- a/pewterring/control/decommissioning.py
+++ b/pewterring/control/decommissioning.py
@@ -1,8 +1,7 @@
-"""Decommissioning of stores: when one may start, how far it is, and when the store holds nothing any more.
+"""Decommissioning of stores: whether one may start, its progress, and when the store has no replica left.
 
-Runs at the leader. What may go wrong: stores are absent for a moment, so that too few seem to remain (503
-until the leader is sure, then 409); the outcome of the decommissioning before is not known yet (the next one
-waits).
+Runs at the leader. A start is refused if too few stores would remain: with 503 while absent stores may still
+come back, then with 409. If the outcome of the previous start is not known yet, the next one waits for it.
 """
 
 import asyncio
@@ -19,21 +18,21 @@
 from pewterring.control.state import ControlState
 from pewterring.distribution.messages import STORE, GroupStatus, NodeRecord, PlacementRecord
 
-ABSENCE_CONFIRMED_S = 5.0  # a store absent for so long is gone, not just restarting
-OBSERVATION_GAP_S = 2.0  # without an observation for so long the leader must find out anew who is absent
+ABSENCE_CONFIRMED_S = 5.0  # a store that is absent for this long is not just restarting
+OBSERVATION_GAP_S = 2.0  # after a longer gap between observations, recorded absences are discarded
 
 
 class DecommissioningProgress(StrEnum):
-    """How far a decommissioning is, in the words of the operator's API."""
+    """The progress of a decommissioning; the values are those of the operator's API."""
 
     RUNNING = "running"
     SUCCEEDED = "succeeded"
 
 
 class StoreDecommissioner:
-    """Starts decommissionings one at a time, so that two cannot both count on the same remaining stores.
+    """Starts decommissionings one at a time, so that two cannot both rely on the same remaining stores.
 
-    Owns the task of the proposal that is under way: it goes on when the caller that made it is cancelled.
+    The proposal runs as a future of its own, which continues when its caller is cancelled.
     """
 
     def __init__(
@@ -53,14 +52,15 @@
         self._observed_at = -OBSERVATION_GAP_S
 
     async def start(self, now: float, node_id: str) -> None:
-        """Commits the start of a decommissioning; again for the same store it changes nothing.
+        """Commits the start of a decommissioning; a repeated start for the same store changes nothing.
 
-        Nothing is decided before the outcome of the proposal before is known, also where its caller has left
-        meanwhile: that store may not count as one that remains.
+        First waits for the outcome of the previous proposal, even if its caller has been cancelled: the store
+        of that proposal must not be counted as one that remains.
 
         Raises:
-            DecommissioningRefusedError: The store is not known or too few would remain; nothing was done.
-            ControlError: The leadership was lost or the outcome is not known.
+            DecommissioningRefusedError: The store is not known, or too few stores would remain; nothing was
+                done.
+            ControlError: The leadership was lost, or the outcome is not known.
         """
         async with self._lock:
             await self._previous_outcome()
@@ -71,15 +71,15 @@
                 await asyncio.shield(self._proposal)
 
     def progress(self, node_id: str) -> DecommissioningProgress | None:
-        """How far a store's decommissioning is, or None where there is none."""
+        """The progress of a store's decommissioning, or None if there is none."""
         decommissioning = self._state.decommissionings.get(node_id)
         if decommissioning is None:
             return None
         return DecommissioningProgress.SUCCEEDED if decommissioning.ended else DecommissioningProgress.RUNNING
 
     def observe_stores(self, now: float) -> None:
-        """Notes since when stores are absent; to be called again and again while this member leads."""
-        if now - self._observed_at > OBSERVATION_GAP_S:  # another led meanwhile, or nobody
+        """Records since when each store is absent. Must be called regularly while this member leads."""
+        if now - self._observed_at > OBSERVATION_GAP_S:  # this member did not lead in the meantime
             self._absent_since = {}
         self._observed_at = now
         absent = [node_id for node_id in self._state.stores if node_id not in self._nodes.records]
@@ -90,7 +90,7 @@
             await asyncio.wait((self._proposal,))
 
     def _checked_command(self, now: float, node_id: str) -> StartDecommissioning | None:
-        """The command to commit, or None where it has been; raises `DecommissioningRefusedError`."""
+        """The command to commit, or None if it was committed before; raises `DecommissioningRefusedError`."""
         store = self._newest_record(node_id)
         if store is None and node_id in self._state.decommissionings:
             return None
@@ -120,7 +120,7 @@
         raise TooFewStoresError(f"only {remaining} stores would remain")
 
     def _recently_absent(self, now: float, store: NodeRecord) -> int:
-        """How many other stores may come back: they are absent for less than `ABSENCE_CONFIRMED_S`."""
+        """The number of other stores that may come back, being absent for less than `ABSENCE_CONFIRMED_S`."""
         return sum(
             now - since < ABSENCE_CONFIRMED_S
             for node_id, since in self._absent_since.items()
@@ -134,7 +134,11 @@
     statuses: Mapping[str, GroupStatus],
     needed_stores: int,
 ) -> bool:
-    """Whether no partition has a member on the store's machine, and enough other voters hold all of each."""
+    """Whether a store is empty: no partition has a member on its machine, all have enough complete replicas.
+
+    `statuses` maps a partition's group name to the newest report of its leader. A partition without a report,
+    or with fewer than `needed_stores` complete voters, counts as not moved yet.
+    """
     ip = address_of(decommissioning.member)
     for placement in placements:
         status = statuses.get(placement.group)
--- a/pewterring/control/leader_task_runner.py
+++ b/pewterring/control/leader_task_runner.py
@@ -1,8 +1,8 @@
-"""Commits what `LeaderTasks` and the membership planner find due, one thing after the other.
+"""Commits the commands of `LeaderTasks` and the changes of the membership planner, one after the other.
 
-Owns the one asyncio task in which this happens: two at once could both begin a change of membership. What
-may go wrong: the leadership is lost or a command is not committed in time. Then the log says so, and what is
-still due is found again at the next check.
+Everything runs in one asyncio task: two tasks at the same time could both begin a membership change. If the
+leadership is lost or a command is not committed in time, this is logged, and the work that is still due is
+found again at the next check.
 """
 
 import asyncio
@@ -38,26 +38,26 @@
         self._running: asyncio.Task[None] | None = None
 
     def start(self, now: float) -> None:
-        """Begins a leadership, everything before it being applied."""
+        """Begins a leadership; all earlier log entries have been applied."""
         self._tasks.start(now, self._group.term, self._group.membership)
         self._planner.start(now, self._group)
         self._join_requests.start()
 
     async def stop(self) -> None:
-        """Cancels what is under way, and waits for its end."""
+        """Cancels the running task and waits until it has ended."""
         if self._running is not None:
             self._running.cancel()
             with contextlib.suppress(asyncio.CancelledError):
                 await self._running
 
     def check(self, now: float) -> None:
-        """Brings the leader's tables up to date, and begins what is due unless something is under way."""
+        """Updates the leader's tables and starts a task for the work that is due, unless one is running."""
         self._tasks.observe(now, self._group.membership)
         if not self._is_busy:
             self._running = asyncio.create_task(self.run_once(now))
 
     def on_departure(self, now: float) -> None:
-        """Has the place of a voter that departs filled now, not at the next check."""
+        """Replaces a departing voter at once rather than at the next check."""
         if self._leadership.has_lease and not self._is_busy:
             self._running = asyncio.create_task(self.change_members(now))
 
@@ -66,19 +66,19 @@
         return self._running is not None and not self._running.done()
 
     async def run_once(self, now: float) -> None:
-        """Does all that is due at `now`; what fails is found due again."""
+        """Does all work that is due at `now`; work that fails is found due again at the next check."""
         try:
             for command in self._tasks.due_commands(now):
                 await self._leadership.propose(command)
         except (ControlError, ConsensusError) as error:
             logger.bind(event="leader_task_failed", error=repr(error)).info(
-                "A task of the control leader was not done and is tried again."
+                "A task of the control leader failed; it is retried at the next check."
             )
         else:
             await self.change_members(now)
 
     async def change_members(self, now: float) -> None:
-        """Makes one change after the other until none is due, so that few checks complete the group."""
+        """Makes membership changes until none is due, so that the group is complete after a few checks."""
         try:
             for _ in range(MAX_CHANGES_PER_CHECK):
                 change = self._planner.plan(now, self._group, self._join_requests.candidates(now))
@@ -90,9 +90,9 @@
                     term=self._group.term,
                     voters=change.voters,
                     learners=change.learners,
-                ).info("The group changes its members.")
+                ).info("Changing the members of the group.")
                 await self._group.change_membership(change)
         except ConsensusError as error:
             logger.bind(event="membership_change_failed", group=self._group.group, error=repr(error)).info(
-                "The group did not change its members; the change is planned anew."
+                "The membership change failed; it is planned again at the next check."
             )
--- a/pewterring/control/leader_tasks.py
+++ b/pewterring/control/leader_tasks.py
@@ -1,8 +1,9 @@
-"""What the leader of the control group has to do by itself, found anew at each check and without I/O.
+"""The periodic tasks of the leader of the control group, computed from its tables without I/O.
 
-Decides which workers are unresponsive or gone, which nodes came or went, where the first partition is placed,
-and which stores are empty by now. What it finds is committed by `LeaderTaskRunner`; what was not committed is
-found again, so a lost leadership loses no task.
+Each check decides which workers are unresponsive or have expired, which nodes were added or removed, where
+the first partition is placed, and which decommissioned stores are empty. `LeaderTaskRunner` commits the
+resulting commands. A command that was not committed is found again at the next check, so no task is lost when
+the leadership changes.
 """
 
 from collections.abc import Iterator
@@ -25,21 +26,22 @@
     zone_count,
 )
 
-ZONE_WAIT_S = 1.0  # after the first store was seen, stores in different zones are no longer waited for
+ZONE_WAIT_S = 1.0  # time after the first store is seen in which stores in other zones are waited for
 
 
 class LeaderTasks:
-    """Finds the commands that are due. Lives as long as the process; `start` begins each leadership."""
+    """Finds the commands that are due. One instance per process; `start` resets it for each leadership."""
 
     def __init__(self, tables: LeaderState, needed_stores: int, report_delay_s: float) -> None:
-        """Keeps what it decides on.
+        """Creates the tasks of one process.
 
         Args:
             tables: The replicated state and the leader's own tables.
-            needed_stores: How many stores a partition needs.
-            report_delay_s: A decommissioning is judged by reports that came so long after it was committed.
-                It is no shorter than a store's leader plans with tables that were not confirmed; before,
-                such a leader may not know of the decommissioning and make a voter of the very store.
+            needed_stores: The number of stores that a partition needs.
+            report_delay_s: Whether a decommissioning has finished is decided only on reports received at
+                least this long after it was committed. Must not be shorter than the time for which a
+                partition's leader plans with tables that were not confirmed: within that time it may not know
+                of the decommissioning and may make the same store a voter.
         """
         self._tables = tables
         self._needed_stores = needed_stores
@@ -48,19 +50,19 @@
         self._decommissioning_since: dict[str, float] = {}
 
     def start(self, now: float, term: int, membership: Membership) -> None:
-        """Begins a leadership, everything before it being applied."""
+        """Begins a leadership; all earlier log entries have been applied."""
         self._tables.start(now, term, control_ips(membership))
         self._first_store_seen_at = None
         self._decommissioning_since = {}
 
     def observe(self, now: float, membership: Membership) -> None:
-        """Brings the leader's own tables up to date."""
+        """Updates the leader's own tables: expires nodes, records absent stores and the group's members."""
         self._tables.nodes.expire(now)
         self._tables.decommissioner.observe_stores(now)
         self._tables.publisher.set_control_ips(control_ips(membership))
 
     def due_commands(self, now: float) -> list[Command]:
-        """The commands that are to be committed now, in this order."""
+        """The commands that must be committed now, in this order."""
         nodes = self._tables.nodes.uncommitted(self._tables.replicated.nodes)
         placement = self._due_placement(now)
         return [
@@ -104,5 +106,5 @@
 
 
 def control_ips(membership: Membership) -> set[str]:
-    """The IPs of the members of the control group, voters and learners."""
+    """The IPs of all voters and learners of the control group."""
     return {address_of(member) for member in (*membership.voters, *membership.learners)}
--- a/pewterring/control/program.py
+++ b/pewterring/control/program.py
@@ -1,9 +1,9 @@
-"""The control program: one member of the control group with the operator's and workers' API and the feed.
+"""The control program: a member of the control group, the HTTP API for operators and workers, and the feed.
 
-Owns the wiring of its parts, the messages between machines and the background tasks. On disk is the
-member's log with its snapshots (`member_storage.py`); all else is built anew at each start. What may go
-wrong: the disk fails or a record is damaged, and the program ends; everything else (no leader, lost messages,
-a taken address) is waited for.
+Connects these components, dispatches messages between machines and runs the background tasks. The member's
+log and its snapshots are on disk (`member_storage.py`); all other state is rebuilt at each start. The program
+ends if the disk fails or a record is damaged; it waits for every other fault (no leader, lost messages, an
+address in use) to pass.
 """
 
 import asyncio
@@ -45,21 +45,21 @@
 from pewterring.transport.channel import Answer
 from pewterring.transport.lines import Channel, LineServer, LinkPool, Message, MessageCodec
 
-LEADER_CHECK_INTERVAL_S = 0.2  # far below the time-outs that the leader watches, of 1.5 s and more
+LEADER_CHECK_INTERVAL_S = 0.2  # far below the timeouts that the leader enforces, which are 1.5 s and more
 
 MESSAGES = (*CONSENSUS_MESSAGES, *FEED_MESSAGES, *CONTROL_MESSAGES)
 
 
 class ControlProgram:
-    """Wires the parts together; `start` and `stop` are called once each, on the event loop.
+    """Connects the components of the program; `start` and `stop` are called once each, on the event loop.
 
     Args:
-        settings: Of this machine.
-        on_failure: Called when the member stopped, such as when its disk failed: the process is of no more
-            use then.
+        settings: The settings of this machine.
+        on_failure: Called when the group's member has stopped because of an error, for example a failed disk.
+            The process should end then.
 
     Raises:
-        SettingsError: The settings have no data folder, or no address for the API.
+        SettingsError: The settings contain no data folder or no address for the API.
         StorageError: The data folder cannot be used.
     """
 
@@ -124,35 +124,37 @@
             self._pauses.was_paused,
         )
 
-    # Life cycle
+    # Lifecycle
 
     async def start(self) -> None:
-        """Starts all parts; returns once it listens.
+        """Starts all components; returns once other machines can connect.
 
         Raises:
             GroupFailedError: The member's log cannot be read.
-            OSError: The address for messages between machines cannot be listened at.
+            OSError: The address for messages between machines cannot be bound.
         """
         await self._listener.start(self._settings.ip, self._settings.internal_port)
         await self.group.start()
         await self._api.start()
         background = (self._pauses.run(), self._check_leader_tasks(), self.joining.run())
         self._background = [asyncio.create_task(work) for work in background]
-        logger.bind(event="control_started", member=self.group.member).info("Control listens.")
+        logger.bind(event="control_started", member=self.group.member).info(
+            "The control program has started."
+        )
 
     def reload(self, settings: NodeSettings) -> None:
-        """Takes settings that have changed: a member that is not a voter asks other seeds to be admitted."""
+        """Applies changed settings: a member that is not a voter sends join requests to the new seeds."""
         self._settings = settings
         self.joining.settings = settings
 
     async def drain(self) -> None:
-        """Transfers the leadership before a planned stop, and the vote where a learner is there to take it.
+        """Transfers the leadership before a planned stop, and the vote if a learner can take it over.
 
-        Calls are passed on to the leader meanwhile.
+        Meanwhile calls are forwarded to the new leader.
         """
         if self.group.is_leader:
             logger.bind(event="leadership_transfer_started", group=GROUP, term=self.group.term).info(
-                "A planned stop: the leadership is transferred."
+                "Transferring the leadership before a planned stop."
             )
         with contextlib.suppress(ConsensusError):
             await self.group.transfer_leadership()
@@ -160,7 +162,7 @@
                 await self.group.depart(DEPARTURE_TIMEOUT_FRACTION * self._settings.bounds.grace_s)
 
     async def stop(self) -> None:
-        """Ends calls that are open, then all parts."""
+        """Waits for open calls to complete, then stops all components."""
         await self._api.stop()
         self.leadership.ready = False
         for task in self._background:
@@ -192,7 +194,7 @@
     def _send(self, message: ConsensusMessage) -> None:
         self._links.send(address_of(message.target), message)
 
-    # Called by the group
+    # Callbacks of the replicated group
 
     def _on_state_change(self) -> None:
         self._feed.publish_soon()
@@ -204,7 +206,7 @@
             return
         self._task_runner.start(self._clock())
         logger.bind(event="leadership_acquired", group=GROUP, term=self.group.term).info(
-            "This member leads, and has applied all that was committed before."
+            "This member leads the group and has applied all entries committed before its term."
         )
 
     def _on_departure(self) -> None:
@@ -212,7 +214,7 @@
 
     def _on_group_failure(self, error: Exception) -> None:
         logger.bind(event="group_failed", group=GROUP, error=str(error)).error(
-            "The member of the group stopped."
+            "This machine's member of the group stopped because of an error."
         )
         if self._on_failure is not None:
             self._on_failure(error)
@@ -226,7 +228,10 @@
 
 
 def _required(settings: NodeSettings) -> tuple[Path, Address]:
-    """The settings that are optional for other programs: the data folder, and the address of the API."""
+    """Returns the data folder and the address of the API, which are optional for other programs.
+
+    Raises `SettingsError` if one of them is missing.
+    """
     if settings.data_dir is None:
         raise SettingsError("data_dir is missing")
     if settings.control is None:
--- a/pewterring/control/service.py
+++ b/pewterring/control/service.py
@@ -1,8 +1,8 @@
-"""Answers calls of the operator and the workers at the leader of the control group.
+"""Handles the calls of operators and workers at the leader of the control group.
 
-Owns the meaning of each call; where it is answered is for `relay.py` to say. What may go wrong: the
-leadership or the lease is lost on the way, which the errors of `Leadership` say; the caller's machine then
-looks for the next leader. Each call may come more than once and has the same answer again.
+Implements each call; `relay.py` decides which machine answers it. If the leadership or the lease is lost
+during a call, `Leadership` raises an error, and the machine that received the call looks for the next leader.
+Calls are idempotent: a repeated call gets the same answer.
 """
 
 from collections.abc import Callable
@@ -35,7 +35,7 @@
 
 
 class ControlService:
-    """Handles calls by endpoint. Configurations and patches are checked before they go to the log."""
+    """Handles calls by endpoint. Configurations and patches are validated before they are proposed."""
 
     def __init__(self, tables: LeaderState, leadership: Leadership, clock: Callable[[], float]) -> None:
         self._state = tables.replicated
@@ -45,7 +45,7 @@
         self._clock = clock
 
     async def handle(self, call: Call) -> Answer:
-        """Answers a call.
+        """Returns the answer to a call.
 
         Raises:
             ControlError: This machine does not lead, or the outcome of a command is not known.
@@ -103,20 +103,21 @@
         check: Callable[[bytes], ValidatedDocument],
         command_for: Callable[[int, ValidatedDocument], Command],
     ) -> Answer:
-        """Commits a configuration or a patch. A patch is checked against its base only when it is applied."""
+        """Commits a configuration or a patch. A patch is compared with its base only when it is applied."""
         base = read_base_version(call.base_version)
         if base is None:
             return error_answer(400, "Base-Version is not a number")
         try:
-            order = check(call.body)
+            validated = check(call.body)
         except ConfigurationError as error:
             return error_answer(400, str(error))
-        if order.version <= base:  # never accepted, so this is no repeat, even if its document was
+        # Such a call is never accepted, so it repeats no accepted call, even if its document was accepted.
+        if validated.version <= base:
             return error_answer(400, f"version: not above Base-Version {base}")
-        if self._state.has_accepted(order.version, order.digest):  # a repeat: the log need not hold it again
+        if self._state.has_accepted(validated.version, validated.digest):  # a repetition needs no log entry
             await self._leadership.read_barrier()
             return ACKNOWLEDGED
-        return _configuration_answer(await self._leadership.propose(command_for(base, order)))
+        return _configuration_answer(await self._leadership.propose(command_for(base, validated)))
 
     async def _read_configuration(self) -> Answer:
         await self._leadership.read_barrier()
@@ -143,12 +144,12 @@
         return Answer(200, msgspec.json.encode({"state": state}))
 
 
-def _replace_command(base: int, order: ValidatedDocument) -> Command:
-    return PutConfiguration(base, order.version, order.digest, msgspec.Raw(order.document))
+def _replace_command(base: int, validated: ValidatedDocument) -> Command:
+    return PutConfiguration(base, validated.version, validated.digest, msgspec.Raw(validated.document))
 
 
-def _patch_command(base: int, order: ValidatedDocument) -> Command:
-    return PatchConfiguration(base, order.version, order.digest, msgspec.Raw(order.document))
+def _patch_command(base: int, validated: ValidatedDocument) -> Command:
+    return PatchConfiguration(base, validated.version, validated.digest, msgspec.Raw(validated.document))
 
 
 def _configuration_answer(result: Result) -> Answer:
--- a/pewterring/control/store_tables.py
+++ b/pewterring/control/store_tables.py
@@ -48,7 +48,7 @@
         return Accepted()
 
     def restore(self, snapshot: Snapshot) -> None:
-        """Replaces everything by the snapshot's."""
+        """Replaces all content by that of the snapshot."""
         self._records.clear()
         self._records.update((node.node_id, node) for node in snapshot.nodes)
         self._stores.clear()
@@ -76,7 +76,7 @@
         return Accepted()
 
     def restore(self, snapshot: Snapshot) -> None:
-        """Replaces everything by the snapshot's."""
+        """Replaces all content by that of the snapshot."""
         self._records.clear()
         self._records.update((placement.group, placement) for placement in snapshot.placements)
 
@@ -117,6 +117,6 @@
         return Accepted()
 
     def restore(self, snapshot: Snapshot) -> None:
-        """Replaces everything by the snapshot's."""
+        """Replaces all content by that of the snapshot."""
         self._records.clear()
         self._records.update((each.node_id, each) for each in snapshot.decommissionings)
--- a/pewterring/control/worker_table.py
+++ b/pewterring/control/worker_table.py
@@ -76,7 +76,7 @@
         return Accepted()
 
     def restore(self, snapshot: Snapshot) -> None:
-        """Replaces everything by the snapshot's."""
+        """Replaces all content by that of the snapshot."""
         self._records.clear()
         self._records.update((worker.id, worker) for worker in snapshot.workers)
         self._id_by_address = {worker.address: worker.id for worker in snapshot.workers}
