--- a/pewterring/control/api.py
+++ b/pewterring/control/api.py
@@ -1,6 +1,6 @@
-"""The HTTP API of control: calls from requests, and answers as JSON.
+"""The HTTP API of control: converts HTTP requests into calls and answers into HTTP responses.
 
-Translates only. Which calls there are is in `calls.py`, who answers them in `relay.py` and `service.py`.
+`calls.py` defines the calls; `relay.py` and `service.py` answer them.
 """
 
 from collections.abc import Awaitable, Callable
@@ -15,13 +15,13 @@
 
 
 class ControlApi:
-    """The handler of control's HTTP server. `answer` decides what is answered."""
+    """The request handler of control's HTTP server; `answer` computes the answer to each call."""
 
     def __init__(self, answer: Callable[[Call], Awaitable[Answer]]) -> None:
         self._answer = answer
 
     async def __call__(self, request: ServerRequest, responder: Responder) -> None:
-        """Answers one request that was read completely."""
+        """Answers one request, which has been read completely."""
         answer = await self._answer(read_call(request))
         await responder.respond(answer.status, [JSON_CONTENT_TYPE], answer.body)
 
--- a/pewterring/control/bounded_memory.py
+++ b/pewterring/control/bounded_memory.py
@@ -1,4 +1,4 @@
-"""Bounds the mappings that remember past versions and ids: the oldest entries are dropped."""
+"""Limits the size of mappings that remember past versions and ids by dropping the oldest entries."""
 
 from itertools import islice
 from typing import Any, TypeVar
@@ -7,7 +7,7 @@
 
 
 def drop_oldest(target: dict[_Key, Any], limit: int) -> list[_Key]:
-    """Removes the entries inserted first until `limit` are left; returns the keys removed."""
+    """Removes the oldest insertions until at most `limit` entries are left; returns the removed keys."""
     dropped = list(islice(target, max(0, len(target) - limit)))
     for key in dropped:
         del target[key]
--- a/pewterring/control/calls.py
+++ b/pewterring/control/calls.py
@@ -1,6 +1,6 @@
-"""The calls of the operator and the workers, and their answers, apart from how they are carried.
+"""The calls of operators and workers and their answers, independent of the transport.
 
-Owns the paths of the HTTP API and the methods that they are called with (docs/serving-tier.md).
+Defines the paths of the HTTP API and the HTTP method of each (docs/serving-tier.md).
 """
 
 import re
@@ -18,12 +18,12 @@
 DECOMMISSION_STATUS_PATH = "/v1/Retire.Get/"
 STATUS_PATH = "/v1/Tier.Status"
 
-# Versions have 20 digits at most (64 bits). Python refuses to convert numbers of thousands of digits.
+# A version has at most 20 digits (64 bits). Python refuses to convert numbers of thousands of digits.
 _VERSION = re.compile("0*([0-9]{1,20})")
 
 
 class Endpoint(Enum):
-    """What can be called: the method, the path, and whether the path goes on with a name."""
+    """The endpoints of the API: HTTP method, path, and whether the path ends with a name."""
 
     HEARTBEAT = ("POST", HEARTBEAT_PATH, True)
     DEREGISTER = ("POST", DEREGISTER_PATH, True)
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """One call. `path` has no query; `base_version` is the header of that name."""
+    """One call. `path` contains no query; `base_version` is the value of the header `Base-Version`."""
 
     method: str
     path: str
@@ -52,20 +52,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """What the caller gets; `body` is JSON."""
+    """The answer to a call: HTTP status, and a body in JSON."""
 
     status: int
     body: bytes = b"{}"
 
 
 def read_base_version(text: str) -> int | None:
-    """Returns the number in a `Base-Version` header, or None where there is none."""
+    """Returns the number in a `Base-Version` header, or None if the text is not a number."""
     match = _VERSION.fullmatch(text)
     return int(match[1]) if match else None
 
 
 def error_answer(status: int, reason: str) -> Answer:
-    """Returns an answer that is not 2xx and says why."""
+    """Returns an answer with an error status and the reason."""
     return Answer(status, msgspec.json.encode({"error": reason}))
 
 
@@ -73,7 +73,7 @@
 
 
 def endpoint_at(path: str) -> Endpoint | None:
-    """Returns the endpoint of a path, also where its name is missing; None for an unknown path."""
+    """Returns the endpoint of a path, even if the name at its end is missing; None for an unknown path."""
     for endpoint in _ENDPOINTS:
         if path.startswith(endpoint.path) if endpoint.takes_name else path == endpoint.path:
             return endpoint
--- a/pewterring/control/commands.py
+++ b/pewterring/control/commands.py
@@ -1,8 +1,8 @@
-"""Commands of the control group's log, as JSON (msgspec structs with a tag each), and their results.
+"""Commands of the control group's log, as JSON (tagged msgspec structs), and their results.
 
-A member that meets a command or a field that it doesn't know must stop: going on without it would let the
-members' states diverge. Whoever adds a field to a record within a command therefore adds one to the command
-as well, or a new command: records, which the feed shares, are read leniently.
+A member that reads a command or a field unknown to it must stop: if it continued, the members' states would
+diverge. Decoding rejects unknown fields of commands, but ignores those of the records inside them, which the
+feed uses too. A new field in a record therefore needs a new field in the command as well, or a new command.
 """
 
 from dataclasses import dataclass
@@ -12,16 +12,16 @@
 from pewterring.control.errors import InvalidCommandError
 from pewterring.distribution.messages import NodeRecord, PlacementRecord, WorkerRecord
 
-# What msgspec's decoder raises: besides its own errors those of bad UTF-8 and of nesting that is too deep.
+# Errors raised by msgspec's decoder: its own, ValueError for invalid UTF-8, RecursionError for deep nesting.
 UNDECODABLE = (msgspec.MsgspecError, ValueError, RecursionError)
 
 
 class _Command(msgspec.Struct, frozen=True, tag=True, forbid_unknown_fields=True):
-    """What all commands have in common."""
+    """Base of all commands: tagged with the class name, unknown fields are rejected."""
 
 
 class PutConfiguration(_Command, frozen=True):
-    """Puts a checked configuration on top of version `base`. `digest` identifies the document."""
+    """Replaces version `base` by a validated configuration. `digest` identifies the document."""
 
     base: int
     version: int
@@ -30,7 +30,7 @@
 
 
 class PatchConfiguration(_Command, frozen=True):
-    """Changes items of version `base`. `digest` identifies the patch as it was sent."""
+    """Applies a patch to version `base`. `digest` identifies the patch as it was sent."""
 
     base: int
     version: int
@@ -39,13 +39,13 @@
 
 
 class PutWorker(_Command, frozen=True):
-    """Adds or changes a worker; others at the same address are removed."""
+    """Adds or changes a worker; another worker at the same address is removed."""
 
     worker: WorkerRecord
 
 
 class RemoveWorkers(_Command, frozen=True):
-    """Removes workers. With `permanent` their ids never come back, also not by a late heartbeat."""
+    """Removes workers. With `permanent` their ids are never registered again, even by a late heartbeat."""
 
     ids: tuple[str, ...]
     permanent: bool = msgspec.field(default=False, name="for_good")  # the wire's name
@@ -65,20 +65,20 @@
 
 
 class CreateGroup(_Command, frozen=True):
-    """Places a batch partition, unless it has been placed."""
+    """Places a batch partition, unless it was placed before."""
 
     placement: PlacementRecord
 
 
 class StartDecommissioning(_Command, frozen=True, tag="SetRetiring"):  # the wire's name
-    """Marks a store as to be emptied: no partition may keep a replica on it."""
+    """Starts the decommissioning of a store: no partition may keep a replica on it."""
 
     node_id: str
     member: str
 
 
 class EndDecommissioning(_Command, frozen=True, tag="EndRetirement"):  # the wire's name
-    """Notes that a store that is decommissioned holds no replica any more."""
+    """Ends the decommissioning of a store that has no replica left."""
 
     node_id: str
 
@@ -101,34 +101,34 @@
 
 
 def encode_command(command: Command) -> bytes:
-    """The command as it is written to the log."""
+    """Encodes a command for the log."""
     return _encoder.encode(command)
 
 
 def decode_command(index: int, data: bytes) -> Command:
-    """Reads the command of the log's entry `index`.
+    """Decodes the command in the log entry at `index`.
 
     Raises:
-        InvalidCommandError: It is no command that this version knows.
+        InvalidCommandError: The entry is not a command known to this version.
     """
     try:
         return _decoder.decode(data)
     except UNDECODABLE as error:
         raise InvalidCommandError(
-            f"entry {index} of the log is no command that this version knows: {error}"
+            f"log entry {index} is not a command known to this version: {error}"
         ) from error
 
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """The command is in force, or was before (`repeated`)."""
+    """The command is accepted; with `repeated` it changed nothing, usually because it was applied before."""
 
     repeated: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class Conflict:
-    """The configuration builds on a version that is not the current one."""
+    """The configuration's base is not the current version."""
 
     current: int
 
@@ -142,12 +142,12 @@
 
 @dataclass(frozen=True, slots=True)
 class OutcomeUnknown:
-    """The configuration is so old that whether it was accepted is no longer known."""
+    """The configuration is so old that it is no longer known whether it was accepted."""
 
 
 @dataclass(frozen=True, slots=True)
 class Invalid:
-    """The configuration that the patch would make is not valid."""
+    """The configuration that would result from the patch is not valid."""
 
     reason: str
 
--- a/pewterring/control/configuration_history.py
+++ b/pewterring/control/configuration_history.py
@@ -1,8 +1,8 @@
-"""The operator's configuration in force, and which versions were accepted before it.
+"""The operator's current configuration, and the versions accepted before it.
 
-Owns the compare-and-set of configurations: of several changes to the same base version one is accepted, and a
-repeated change gets the answer that it had, as long as its digest is remembered. What may go wrong: a change
-whose digest is forgotten gets no clear answer (`OutcomeUnknown`), since a rejection could be wrong.
+Implements compare-and-set for configurations: of several changes to the same base version one is accepted,
+and a repeated change gets its previous answer while its digest is remembered. Once the digest is forgotten,
+the result is `OutcomeUnknown`, because a rejection could be wrong.
 """
 
 import msgspec
@@ -23,12 +23,12 @@
 from pewterring.control.snapshot import Snapshot
 from pewterring.control.state_changes import StateChanges
 
-REMEMBERED_VERSIONS = 2048  # accepted digests kept; the bound on what repeats cost in memory and snapshots
-NO_DOCUMENT = msgspec.Raw(b"null")  # before the first configuration
+REMEMBERED_VERSIONS = 2048  # accepted digests; limits the memory and snapshot size that they take
+NO_DOCUMENT = msgspec.Raw(b"null")  # the document before the first configuration
 
 
 class ConfigurationHistory:
-    """`version` and `document` are those in force; 0 and null before the first configuration."""
+    """The current `version` and `document` (0 and null before the first one), and the accepted digests."""
 
     def __init__(self, changes: StateChanges) -> None:
         self.version = 0
@@ -38,17 +38,18 @@
         self._changes = changes
 
     def has_accepted(self, version: int, digest: str) -> bool:
-        """Whether exactly this configuration is or was in force, as far as that is remembered."""
+        """Whether this configuration was accepted, now or earlier, as far as its digest is remembered."""
         return self.accepted_digests.get(version) == digest
 
     def put(self, command: PutConfiguration) -> Result:
-        """Takes a complete configuration, if it builds on the current one."""
+        """Accepts a complete configuration if its base is the current version."""
         return self._result_by_version(command) or self._accept(command, command.document)
 
     def patch(self, command: PatchConfiguration) -> Result:
-        """Applies a patch, if it builds on the current version.
+        """Applies a patch if its base is the current version.
 
-        Guards against a patch that was checked on arrival and meets another base in the log.
+        The result is validated here because another configuration may have been committed since the patch
+        arrived.
         """
         result = self._result_by_version(command)
         if result is not None:
@@ -67,7 +68,7 @@
         self.newest_forgotten_version = snapshot.newest_forgotten_version
 
     def _result_by_version(self, command: PutConfiguration | PatchConfiguration) -> Result | None:
-        """The result that the versions alone decide, or None where the content may come into force."""
+        """The result that follows from the versions alone, or None if the content may be accepted."""
         if self.has_accepted(command.version, command.digest):
             return Accepted(repeated=True)
         if command.version <= self.newest_forgotten_version:  # perhaps accepted: a rejection could be wrong
--- a/pewterring/control/errors.py
+++ b/pewterring/control/errors.py
@@ -1,7 +1,7 @@
-"""Errors of the control package: why a call was not carried out, or stored data could not be read.
+"""Errors of the control package: why a call was not executed, or stored data could not be read.
 
-Each says whether anything was done, which decides what the caller may do: send the call to another member,
-send the same call again, or give up.
+Each error of a call states whether the call may have taken effect, and so whether the caller may send it to
+another member, may repeat the same call, or must give up.
 """
 
 from http import HTTPStatus
@@ -13,7 +13,7 @@
 
 
 class NotLeadingError(ControlError):
-    """This member does not lead the control group, is not sure of it, or can take nothing now.
+    """This member does not lead the control group, cannot confirm that it does, or is overloaded.
 
     Nothing was done: the call may be sent to the leader, or to this member again.
     """
@@ -23,52 +23,55 @@
 
 
 class StaleCallError(ControlError):
-    """A relayed call was on the way for too long. Nothing was done: it may be sent anew."""
+    """A relayed call took too long to reach the leader. Nothing was done: it may be sent again."""
 
     def __init__(self) -> None:
         super().__init__(
-            "the relayed call was on the way for too long; nothing was done, it may be sent anew"
+            "the relayed call took too long to reach the leader; nothing was done, it may be sent again"
         )
 
 
 class RelayError(ControlError):
-    """The leader did not answer a relayed call. It may have been handled; the same call may be repeated."""
+    """The leader did not answer a relayed call. The call may have taken effect; it may be repeated."""
 
 
 class CommandOutcomeUnknownError(ControlError):
-    """A command may or may not come into force. The same command may be sent again: it is idempotent."""
+    """A command may or may not take effect. The same command may be sent again: commands are idempotent."""
 
     def __init__(self) -> None:
-        super().__init__("the command may or may not come into force; the same command may be sent again")
+        super().__init__("the command may or may not take effect; the same command may be sent again")
 
 
 class InvalidCommandError(ControlError):
-    """An entry of the log is not a command, or one of a later version: the member must not go on."""
+    """A log entry is not a command, or one of a later software version: the member must stop."""
 
 
 class InvalidSnapshotError(ControlError):
-    """The bytes are no snapshot of the control state, or of a later version: the member cannot start."""
+    """The bytes are not a snapshot of the control state, or one of a later software version.
+
+    The member cannot start with such a snapshot.
+    """
 
 
 class DecommissioningRefusedError(ControlError):
-    """A store's decommissioning was not started. `status` is that of the HTTP answer."""
+    """The decommissioning of a store was refused. `status` is the status of the HTTP response."""
 
     status: ClassVar[HTTPStatus]
 
 
 class UnknownStoreError(DecommissioningRefusedError):
-    """No store of that node id was ever seen."""
+    """No store with this node id ever connected."""
 
     status = HTTPStatus.NOT_FOUND
 
 
 class TooFewStoresError(DecommissioningRefusedError):
-    """Fewer stores than a partition needs would remain: the operator adds stores first."""
+    """Fewer stores than a partition needs would remain: the operator must add stores first."""
 
     status = HTTPStatus.CONFLICT
 
 
 class StoresAbsentError(DecommissioningRefusedError):
-    """Enough stores would remain if some came back that went missing just now: the call may be sent again."""
+    """Too few stores would remain unless recently absent ones come back: the call may be repeated later."""
 
     status = HTTPStatus.SERVICE_UNAVAILABLE
--- a/pewterring/control/feed.py
+++ b/pewterring/control/feed.py
@@ -1,8 +1,7 @@
-"""The leader's side of the feed over channels: answers nodes and pushes what changes.
+"""The leader's side of the feed over channels: answers requests of nodes and pushes changes to them.
 
-Owns the channels of the sessions; `FeedPublisher` owns versions and content. What may go wrong: a node does
-not read, and its channel is aborted rather than let its backlog grow; the leadership ends, and with it all
-sessions.
+Manages the channels of the sessions; `FeedPublisher` manages versions and content. The channel of a node that
+does not read is aborted, so that its backlog cannot grow without limit. All sessions end with the leadership.
 """
 
 import asyncio
@@ -16,7 +15,7 @@
 
 
 class FeedServer:
-    """Keeps one channel a session. All methods are called on the event loop."""
+    """Serves the feed with one channel per session. All methods are called on the event loop."""
 
     def __init__(
         self,
@@ -35,7 +34,10 @@
         self._publication_due = False
 
     def subscribe(self, channel: Channel, message: Subscribe) -> CompleteTables | Redirect:
-        """Opens a session; the answer must be sent before this channel gets anything else."""
+        """Opens a session, or redirects if this machine has no lease.
+
+        The answer must be sent before any other message on this channel.
+        """
         if not self._leadership.has_lease:
             return Redirect(self._other_leader_ip())
         self._nodes.observe(self._clock(), message.node)
@@ -46,7 +48,7 @@
         return self._publisher.open(channel)
 
     def renew(self, channel: Channel, message: Renew) -> Renewed | Redirect:
-        """Confirms the versions; a session that is not open is to be opened anew."""
+        """Confirms the published versions; redirects a node without a session, which must subscribe again."""
         if not self._leadership.has_lease:
             return Redirect(self._other_leader_ip())
         self._nodes.observe(self._clock(), message.node)
@@ -56,21 +58,21 @@
         return self._publisher.renew(channel) or Redirect(self._leadership.leader_ip)
 
     def publish_soon(self) -> None:
-        """Publishes changes of the state once the commands that are committed by now are applied."""
+        """Schedules one publication after all currently committed commands have been applied."""
         if not self._publication_due and self._leadership.ready:
             self._publication_due = True
             asyncio.get_running_loop().call_soon(self._publish_due)
 
     def publish_state(self) -> None:
-        """Pushes what changed of configuration, workers and placements."""
+        """Pushes changes of configuration, workers, placements and decommissioned stores."""
         self._push(self._publisher.take_state_changes())
 
     def publish_nodes(self) -> None:
-        """Pushes what changed of nodes and groups."""
+        """Pushes changes of nodes, partition leaders and control machines."""
         self._push(self._publisher.take_node_changes())
 
     def end_sessions(self) -> None:
-        """Closes all sessions: their nodes look for the leader."""
+        """Closes all sessions; their nodes then look for the leader."""
         for channel in tuple(self._channels):
             channel.close()
 
@@ -92,5 +94,5 @@
         self._publisher.close(channel)
 
     def _other_leader_ip(self) -> str:
-        """The leader's IP; empty where that would be this machine, which has no lease at the moment."""
+        """The IP of another machine that leads; empty if this machine leads but has no lease at present."""
         return "" if self._leadership.ready else self._leadership.leader_ip
--- a/pewterring/control/http_server.py
+++ b/pewterring/control/http_server.py
@@ -1,7 +1,7 @@
-"""Serves the HTTP API of control for as long as it is wanted, with the server that gateways use too.
+"""The server of control's HTTP API, based on the HTTP server that gateways use too.
 
-What may go wrong: the address is taken, such as by a process that still ends. Then the member takes part in
-the group without an API, and the address is tried again until it can be had.
+If the address is in use, for example by a process that is still shutting down, the member takes part in the
+group without an API, and binding the address is retried until it succeeds.
 """
 
 import asyncio
@@ -16,12 +16,12 @@
 LIMITS = ServerLimits(
     max_header_bytes=64 * 1024, max_body_bytes=8 * 1024 * 1024, header_timeout_s=10.0, idle_timeout_s=30.0
 )
-OPEN_CALLS_GRACE_S = 1.0  # for open calls at the end: each is answered within 0.9 s
-REBIND_INTERVAL_S = 0.5  # before the address is tried again
+OPEN_CALLS_GRACE_S = 1.0  # time at shutdown for open calls, each of which is answered within 0.9 s
+REBIND_INTERVAL_S = 0.5  # between two attempts to bind the address
 
 
 class ApiServer:
-    """One listening address, and the task that tries to have it."""
+    """Listens at one address; a background task retries binding while the address is in use."""
 
     def __init__(self, handler: Handler, address: Address, limits: ServerLimits = LIMITS) -> None:
         self._address = address
@@ -30,16 +30,16 @@
 
     @property
     def open_connections(self) -> int:
-        """Connections of callers that are open."""
+        """The number of open connections."""
         return self._server.open_connections
 
     async def start(self) -> None:
-        """Listens; where the address is taken, it is tried again in the background."""
+        """Starts listening; if the address cannot be bound, retries in the background."""
         if not await self._listen():
             self._rebinding = asyncio.create_task(self._listen_until_bound())
 
     async def stop(self) -> None:
-        """Lets open calls end for `OPEN_CALLS_GRACE_S` at most, then ends the server."""
+        """Waits at most `OPEN_CALLS_GRACE_S` for open calls to complete, then stops the server."""
         if self._rebinding is not None:
             self._rebinding.cancel()
             with contextlib.suppress(asyncio.CancelledError):
@@ -61,7 +61,7 @@
             await self._server.start(self._address.ip, self._address.port)
         except OSError as error:
             logger.bind(event="control_api_bind_failed", address=str(self._address), error=str(error)).error(
-                "The address of the control API cannot be listened at; it is tried again."
+                "Cannot bind the address of the control API; retrying."
             )
             return False
         return True
--- a/pewterring/control/join_protocol.py
+++ b/pewterring/control/join_protocol.py
@@ -1,7 +1,7 @@
-"""How a machine becomes a member of the control group: it asks again and again, and the leader takes note.
+"""How a machine becomes a member of the control group: it repeats a join request, which the leader records.
 
-Owns no state of its own; the leader's notes are `JoinRequests`, from which the membership planner chooses.
-What may go wrong: messages are lost or reach followers, which forward them once; hence the repetition.
+The leader records requests in `JoinRequests`, from which the membership planner chooses candidates. Requests
+are repeated because they may be lost, and followers forward them only once.
 """
 
 import asyncio
@@ -14,16 +14,16 @@
 from pewterring.node.settings import NodeSettings
 from pewterring.transport.lines import LinkPool
 
-JOIN_INTERVAL_S = 0.5  # between requests to join; the leader forgets one that is not repeated within 2 s
-# The same for a member that no leader has let in yet. Until the first voters are 2f + 1 the group tolerates
-# fewer losses than it should, and requests that come before there is a leader are lost.
+JOIN_INTERVAL_S = 0.5  # between join requests; the leader forgets one that is not repeated within 2 s
+# Interval between join requests of a member that knows no leader yet. It is short because the group tolerates
+# fewer losses than intended until it has 2f + 1 voters, and requests sent before the election are lost.
 FIRST_JOIN_INTERVAL_S = 0.1
 
 
 class JoinProtocol:
-    """Both sides of joining: requests of this member, and those that others send to this machine.
+    """Sends the join requests of this member, and handles those that other members send to this machine.
 
-    `settings` may be replaced while it runs: a member that is not a voter asks the seeds that they name.
+    `settings` may be replaced while it runs; the seeds in them receive the join requests.
     """
 
     def __init__(
@@ -42,11 +42,11 @@
 
     @property
     def is_voter(self) -> bool:
-        """Whether this member counts, as far as it knows. One that was removed meanwhile hears no leader."""
+        """Whether this member believes that it is a voter. A member that was removed follows no leader."""
         return self._group.leader is not None and self._group.member in self._group.membership.voters
 
     async def run(self) -> None:
-        """Asks all known control machines for admission while this member is no voter, until cancelled."""
+        """Sends join requests to all known control machines while this member is no voter. Never returns."""
         while True:
             if not self.is_voter:
                 for ip in sorted(self._known_control_ips() - {self.settings.ip}):
@@ -55,7 +55,7 @@
             await asyncio.sleep(JOIN_INTERVAL_S if has_joined else FIRST_JOIN_INTERVAL_S)
 
     def receive(self, now: float, message: JoinGroup) -> None:
-        """Notes another member's request as the leader, or forwards it to the leader, once."""
+        """Records another member's request if this member leads, else forwards it once to the leader."""
         if self._leadership.ready:
             self._requests.record(now, message.member)
         elif not message.forwarded and self._leadership.leader_ip not in ("", self.settings.ip):
--- a/pewterring/control/publisher.py
+++ b/pewterring/control/publisher.py
@@ -1,8 +1,8 @@
-"""The leader's side of the feed without I/O: sessions, versions of tables, complete tables and changes.
+"""The leader's side of the feed without I/O: sessions, table versions, complete tables and changes.
 
-A new session gets what was published last, so that the next change fits every session. Versions count up
-within one leadership (`epoch`); a session whose versions do not match the base of a change must be opened
-anew.
+A new session gets the tables as last published, so that the next change applies to every session. Versions
+increase within one leadership (`epoch`); a subscriber whose versions do not match the base of a change must
+open a new session.
 """
 
 from collections.abc import Hashable, Iterable
@@ -25,14 +25,14 @@
 
 
 class NodeDifference(NamedTuple):
-    """What changed of the nodes since they were published."""
+    """The nodes that changed since they were last published."""
 
-    changed: tuple[NodeRecord, ...] = ()  # new ones too
+    changed: tuple[NodeRecord, ...] = ()  # added and changed nodes
     removed_ids: tuple[str, ...] = ()
 
 
 class GroupLeader(NamedTuple):
-    """What is published of a partition's report; its progress is not."""
+    """The fields of a partition's report whose change is published; its log progress is not among them."""
 
     group: str
     term: int
@@ -42,9 +42,9 @@
 
 
 class FeedPublisher:
-    """Publishes the control state to sessions. Each `take_...` publishes what it returns.
+    """Computes what is sent to the sessions. Each `take_...` method counts what it returns as published.
 
-    Times are those of the leader's monotonic clock, in seconds.
+    Times are seconds of the leader's monotonic clock.
     """
 
     def __init__(self, state: ControlState, nodes: NodeTable) -> None:
@@ -60,7 +60,7 @@
 
     @property
     def versions(self) -> TableVersions:
-        """The versions last published."""
+        """The table versions that were last published."""
         return self._versions
 
     def start(self, epoch: int, control_ips: Iterable[str]) -> None:
@@ -74,19 +74,19 @@
         self._published_control_ips = self._control_ips = tuple(sorted(control_ips))
 
     def set_control_ips(self, control_ips: Iterable[str]) -> None:
-        """Takes the IPs of the control group's members, to be published with the next change of nodes."""
+        """Sets the IPs of the control group's members, which `take_node_changes` publishes."""
         self._control_ips = tuple(sorted(control_ips))
 
     def record_report(self, now: float, status: GroupStatus) -> None:
-        """Takes a report of a partition's leader, unless a later one is known."""
+        """Records a report of a partition's leader, unless a later one is known."""
         self._reports.record(now, status)
 
     def reports_since(self, moment: float) -> dict[str, GroupStatus]:
-        """The newest report of each partition that made one after `moment`."""
+        """The newest report of each partition from which one was received after `moment`."""
         return self._reports.since(moment)
 
     def open(self, session: Hashable) -> CompleteTables:
-        """Adds a session. Changes that are due must have been published before."""
+        """Adds a session and returns the published tables. Pending changes must be published first."""
         self.sessions.add(session)
         state = self._state
         return CompleteTables(
@@ -100,7 +100,7 @@
         )
 
     def close(self, session: Hashable) -> None:
-        """Drops a session. Its node stays in the table until its time-out."""
+        """Removes a session. Its node stays in the node table until it times out."""
         self.sessions.discard(session)
 
     def renew(self, session: Hashable) -> Renewed | None:
@@ -108,7 +108,7 @@
         return Renewed(self._versions) if session in self.sessions else None
 
     def take_state_changes(self) -> TableChanges | None:
-        """Publishes what changed of configuration, workers and placements, and which stores are marked."""
+        """Returns the changes of configuration, workers, placements and decommissioned stores, if any."""
         changes = self._state.take_changes()
         workers = self._state.workers
         nodes = self._take_node_difference() if changes.decommissionings else NodeDifference()
@@ -126,7 +126,7 @@
         )
 
     def take_node_changes(self) -> TableChanges | None:
-        """Publishes what changed of nodes, leaders of partitions and control machines."""
+        """Returns the changes of nodes, partition leaders and control machines, if any."""
         nodes = self._take_node_difference()
         return self._publish(
             TableChanges(
@@ -140,7 +140,7 @@
         )
 
     def _publish(self, changes: TableChanges) -> TableChanges | None:
-        """Gives the changes their versions; None where there are none."""
+        """Returns the changes with the new versions set, or None if nothing changed."""
         base = self._versions
         optional = (changes.placements, changes.groups, changes.controls)
         workers_changed = bool(changes.workers or changes.workers_gone)
@@ -159,10 +159,10 @@
         return msgspec.structs.replace(changes, versions=self._versions)
 
     def _take_node_difference(self) -> NodeDifference:
-        """The nodes that are new or changed since they were published, and the ids of those removed.
+        """The nodes added or changed since they were last published, and the ids of those removed.
 
-        Differences alone: with the complete table in each change, the bytes sent while all nodes start grow
-        as the square of their number.
+        Only differences are sent: with the complete table in each change, the bytes sent while all nodes
+        start would grow with the square of their number.
         """
         published = {node.node_id: node for node in self._published_nodes}
         current = self._current_nodes()
@@ -178,7 +178,7 @@
         )
 
     def _take_new_groups(self) -> tuple[GroupStatus, ...] | None:
-        """All reports where a leader or member changed, else None."""
+        """All reports if the leader or a member of any partition changed, else None."""
         current = self._reports.all()
         if [_leader_of(status) for status in current] == [
             _leader_of(status) for status in self._published_groups
@@ -188,7 +188,7 @@
         return current
 
     def _take_new_control_ips(self) -> tuple[str, ...] | None:
-        """The IPs of the control machines where they changed, else None."""
+        """The IPs of the control machines if they changed, else None."""
         if self._control_ips == self._published_control_ips:
             return None
         self._published_control_ips = self._control_ips
--- a/pewterring/control/relay.py
+++ b/pewterring/control/relay.py
@@ -1,8 +1,8 @@
-"""Has each call answered by the leader of the control group, here or at another machine.
+"""Routes each call to the leader of the control group, which is this process or another machine.
 
-Owns the time that a call may take, and the two guards against late calls (docs/safety.md, "Late calls"): a
-call that waited in a paused process is not begun, nor is one that was on the way to the leader for too long.
-What may go wrong: no leader is known or answers in time; the caller gets 503 and goes to another machine.
+Limits the time that a call may take, and implements the two guards against late calls (docs/safety.md, "Late
+calls"): a call that waited in a paused process is not executed, nor is one that took too long to reach the
+leader. If no leader is known, or none answers in time, the caller gets 503 and tries another machine.
 """
 
 import asyncio
@@ -18,42 +18,41 @@
 from pewterring.control.messages import RelayedAnswer, RelayedCall
 from pewterring.transport.lines import TransportError
 
-ANSWER_TIMEOUT_S = 0.9  # a caller goes to another machine after a second
-LEADER_RETRY_INTERVAL_S = 0.05  # before the leader is looked for again: an election takes some 0.5 s
+ANSWER_TIMEOUT_S = 0.9  # callers try another machine after 1 s
+LEADER_RETRY_INTERVAL_S = 0.05  # a fraction of the time that an election takes, about 0.5 s
 
 Request = Callable[[str, msgspec.Struct, float], Awaitable[msgspec.Struct]]
 
 
 class LeaderView(Protocol):
-    """What this machine knows of the leader, and of the heartbeat rounds by which relayed calls are dated."""
+    """The leader as this machine knows it, and the heartbeat rounds by which relayed calls are dated."""
 
     @property
     def leader_ip(self) -> str:
-        """The leader's IP; empty where none is known."""
+        """The leader's IP; empty if no leader is known."""
 
     @property
     def newest_round(self) -> tuple[int, int]:
-        """Term and number of the newest round that is known here."""
+        """Term and number of the newest heartbeat round that this machine knows."""
 
     def check_round(self, term: int, number: int) -> None:
-        """Checks that this leader sent that round a moment ago.
+        """Checks that this machine, as the leader, sent the given round recently.
 
         Raises:
             NotLeadingError: This machine does not lead.
-            StaleCallError: The round is of another term, or too long ago.
+            StaleCallError: The round belongs to another term or was sent too long ago.
         """
 
 
 class CallRouter:
-    """Repeats calls until one is answered or the time is over. All calls may be handled more than once.
+    """Retries each call until the leader answers it or its time is over. The leader may execute a call twice.
 
     Args:
-        handle_here: Answers a call as the leader; raises `NotLeadingError` where this machine does not lead.
-        leader: What is known here of the leader.
+        handle_here: Answers a call as the leader; raises `NotLeadingError` if this machine does not lead.
+        leader: The leader as this machine knows it.
         request: Sends a message to a machine and waits for the reply; raises `TransportError`.
-        own_ip: Of this machine.
-        was_paused: Whether what is read now may have waited in the sockets of this process while it was
-            paused.
+        own_ip: The IP of this machine.
+        was_paused: Whether data read now may have waited in the sockets of this process while it was paused.
     """
 
     def __init__(
@@ -71,7 +70,7 @@
         self._was_paused = was_paused
 
     async def answer(self, call: Call) -> Answer:
-        """Answers a call that came from outside, within `ANSWER_TIMEOUT_S`."""
+        """Answers a call of an operator or a worker within `ANSWER_TIMEOUT_S`."""
         endpoint = endpoint_at(call.path)
         if endpoint is None:
             return error_answer(404, "no such path")
@@ -80,20 +79,20 @@
         if self._was_paused():
             return error_answer(503, "the call may have waited for too long")
         try:
-            return await _in_time(self._until_answered(call))
+            return await _answer_in_time(self._until_answered(call))
         except TimeoutError:
             return error_answer(503, "no leader answered in time")
 
     async def answer_relayed(self, message: RelayedCall) -> RelayedAnswer:
-        """Answers a call that another machine passed on, as the leader.
+        """Answers, as the leader, a call that another machine forwarded.
 
-        One that was delayed on the way is not begun. Symptom answered: a partition or a freeze ends, and
-        calls whose callers were answered 503 long ago are carried out.
+        A call that was delayed on the way is not executed. Otherwise, after a network partition or a pause
+        ends, calls would take effect whose callers had got a 503 long before.
         """
         call = Call(message.method, message.path, message.base_version, message.body)
         try:
             self._leader.check_round(message.term, message.round)
-            answer = await _in_time(self._handle_here(call))
+            answer = await _answer_in_time(self._handle_here(call))
         except NotLeadingError:
             return RelayedAnswer(503, not_leading=True)
         except StaleCallError:
@@ -114,9 +113,9 @@
             await asyncio.sleep(LEADER_RETRY_INTERVAL_S)
 
     async def _relay(self, leader_ip: str, call: Call) -> Answer:
-        """Passes a call on, and again with the leader's newest round where the one known here is too old.
+        """Forwards a call to the leader; if its heartbeat round is too old, retries with the newest one.
 
-        A member whose heartbeats wait behind a snapshot knows old rounds alone.
+        A member knows only old rounds while heartbeats to it are queued behind a snapshot.
         """
         newest_round = self._leader.newest_round
         while True:
@@ -141,21 +140,21 @@
 
 
 def relayed_call(call: Call, newest_round: tuple[int, int]) -> RelayedCall:
-    """Returns the message that passes a call on, dated by the term and number of a heartbeat round."""
+    """Returns the message that forwards a call, dated by the term and number of a heartbeat round."""
     return RelayedCall(call.method, call.path, call.base_version, call.body, *newest_round)
 
 
-async def _in_time(answering: Awaitable[Answer]) -> Answer:
-    """Returns the answer, if it comes within `ANSWER_TIMEOUT_S`; raises `TimeoutError`.
+async def _answer_in_time(answering: Awaitable[Answer]) -> Answer:
+    """Returns the answer if it arrives within `ANSWER_TIMEOUT_S`; raises `TimeoutError` otherwise.
 
-    A process that was paused in the midst of a call finds the answer before the timer: hence the look at the
-    clock behind it. Symptom answered: a call begun under a lease hands out, seconds later, what was current
-    then.
+    After a pause of the process the event loop handles the answer before the timer, so the clock is checked
+    again. Otherwise a call begun under a lease could return, seconds later, state that was current when the
+    lease was held.
     """
     clock = asyncio.get_running_loop().time
-    began = clock()
+    started_at = clock()
     async with asyncio.timeout(ANSWER_TIMEOUT_S):
         answer = await answering
-    if clock() - began > ANSWER_TIMEOUT_S:
+    if clock() - started_at > ANSWER_TIMEOUT_S:
         raise TimeoutError
     return answer
--- a/pewterring/control/service.py
+++ b/pewterring/control/service.py
@@ -103,7 +103,7 @@
         check: Callable[[bytes], ValidatedDocument],
         command_for: Callable[[int, ValidatedDocument], Command],
     ) -> Answer:
-        """Commits a configuration or a patch. A patch is compared with its base only when it is applied."""
+        """Commits a configuration or a patch. The result of a patch is validated only when it is applied."""
         base = read_base_version(call.base_version)
         if base is None:
             return error_answer(400, "Base-Version is not a number")
--- a/pewterring/control/state.py
+++ b/pewterring/control/state.py
@@ -1,9 +1,9 @@
 """The replicated state of the control group: a state machine without I/O, clock or randomness.
 
-Owns the tables that it is made of (`configuration_history`, `worker_table`, `store_tables`) and hands each
-committed command to the one that it concerns. Every member applies the same commands in the same order, so
-whatever a table decides must depend on its content and the command alone. What may go wrong: a command or
-snapshot of a later version, at which the member stops (`InvalidCommandError`, `InvalidSnapshotError`).
+Consists of several tables (`configuration_history`, `worker_table`, `store_tables`) and dispatches each
+committed command to the table that it concerns. Every member applies the same commands in the same order, so
+the decisions of a table must depend only on its content and the command. A command or snapshot of a later
+software version raises `InvalidCommandError` or `InvalidSnapshotError`, and the member stops.
 """
 
 from collections.abc import Callable, Mapping, Set
@@ -46,7 +46,7 @@
         self._nodes = CommittedNodes()
         self._placements = PlacementTable(self._changes)
         self._decommissionings = DecommissioningTable(self._changes)
-        # Any: each handler takes the type under which it stands.
+        # The parameter type is Any because each handler accepts only the command type that is its key.
         self._handlers: dict[type, Callable[[Any], Result]] = {
             PutConfiguration: self._configuration.put,
             PatchConfiguration: self._configuration.patch,
@@ -61,12 +61,12 @@
 
     @property
     def version(self) -> int:
-        """Version of the configuration in force; 0 before the first."""
+        """Version of the current configuration; 0 before the first one."""
         return self._configuration.version
 
     @property
     def document(self) -> msgspec.Raw:
-        """The configuration in force as JSON; null before the first."""
+        """The current configuration as JSON; null before the first one."""
         return self._configuration.document
 
     @property
@@ -81,41 +81,41 @@
 
     @property
     def nodes(self) -> Mapping[str, NodeRecord]:
-        """The committed nodes by id; the leader's table of live nodes is ahead of it."""
+        """The committed nodes by id. The leader's table of live nodes is more recent."""
         return self._nodes.records
 
     @property
     def stores(self) -> Mapping[str, NodeRecord]:
-        """All stores that were ever seen, by node id."""
+        """All stores that ever connected, also those that are gone, by node id."""
         return self._nodes.stores
 
     @property
     def placements(self) -> Mapping[str, PlacementRecord]:
-        """Batch partitions by group name."""
+        """Placements of batch partitions by group name."""
         return self._placements.records
 
     @property
     def decommissionings(self) -> Mapping[str, Decommissioning]:
-        """Stores that are to be emptied, or have been, by node id."""
+        """Decommissionings that are running or have ended, by the store's node id."""
         return self._decommissionings.records
 
     def has_accepted(self, version: int, digest: str) -> bool:
-        """Whether exactly this configuration is or was in force, as far as that is remembered."""
+        """Whether this configuration was accepted, now or earlier, as far as its digest is remembered."""
         return self._configuration.has_accepted(version, digest)
 
     def is_decommissioning(self, node: NodeRecord) -> bool:
-        """Whether a store is to be emptied. After the end only the same member still is."""
+        """Whether a store is being emptied, or has been and is still the same member."""
         return self._decommissionings.includes(node)
 
     def take_changes(self) -> StateChanges:
-        """What changed since the last call."""
+        """Returns the changes since the last call."""
         return self._changes.take()
 
     def apply(self, index: int, data: bytes) -> Result:
         """Applies one committed command; `index` is its position in the log.
 
         Raises:
-            InvalidCommandError: The entry is no command that this version knows; the state is as before.
+            InvalidCommandError: The entry is not a command known to this version; the state is unchanged.
         """
         command = decode_command(index, data)
         result = self._handlers[type(command)](command)
@@ -123,7 +123,7 @@
         return result
 
     def snapshot(self) -> bytes:
-        """The complete state as JSON in one line."""
+        """The complete state as a single line of JSON."""
         return encode_snapshot(
             Snapshot(
                 version=self.version,
@@ -143,7 +143,7 @@
         """Replaces the state by that of a snapshot.
 
         Raises:
-            InvalidSnapshotError: The bytes are no snapshot that this version knows; the state is as before.
+            InvalidSnapshotError: The bytes are not a snapshot known to this version; the state is unchanged.
         """
         snapshot = decode_snapshot(data)
         replaced_workers = set(self.workers)
--- a/pewterring/control/store_tables.py
+++ b/pewterring/control/store_tables.py
@@ -1,4 +1,4 @@
-"""What is committed of the tier's processes, of batch partitions and of stores that are decommissioned."""
+"""Committed tables of the tier's processes, of batch partitions and of decommissioned stores."""
 
 from collections.abc import Mapping
 
@@ -18,9 +18,9 @@
 
 
 class CommittedNodes:
-    """The nodes that were there at the last commit, and all stores that were ever seen, by node id.
+    """The nodes as last committed, and all stores that ever connected, by node id.
 
-    The leader's own table of live nodes (`NodeTable`) is ahead of this one.
+    The leader's own table of live nodes (`NodeTable`) is more recent.
     """
 
     def __init__(self) -> None:
@@ -34,7 +34,7 @@
 
     @property
     def stores(self) -> Mapping[str, NodeRecord]:
-        """The newest record of each store, also of those that are gone, by node id."""
+        """The newest record of each store, also of stores that are gone, by node id."""
         return self._stores
 
     def put(self, command: PutNodes) -> Result:
@@ -56,7 +56,7 @@
 
 
 class PlacementTable:
-    """The first members of each batch partition, by group name."""
+    """The initial members of each batch partition, by group name."""
 
     def __init__(self, changes: StateChanges) -> None:
         self._records: dict[str, PlacementRecord] = {}
@@ -68,7 +68,7 @@
         return self._records
 
     def create(self, command: CreateGroup) -> Result:
-        """Places a partition, unless it has been placed."""
+        """Places a partition, unless it was placed before."""
         if command.placement.group in self._records:
             return Accepted(repeated=True)
         self._records[command.placement.group] = command.placement
@@ -82,7 +82,7 @@
 
 
 class DecommissioningTable:
-    """The stores that are to be emptied, or have been, by node id."""
+    """Running and ended decommissionings, by the store's node id."""
 
     def __init__(self, changes: StateChanges) -> None:
         self._records: dict[str, Decommissioning] = {}
@@ -94,12 +94,15 @@
         return self._records
 
     def includes(self, node: NodeRecord) -> bool:
-        """Whether a store is to be emptied. After the end only the same member still is."""
+        """Whether a store is being emptied, or has been and is still the same member.
+
+        A store that comes back as another member after the end is an ordinary store again.
+        """
         known = self._records.get(node.node_id)
         return known is not None and (not known.ended or known.member == node.member)
 
     def start(self, command: StartDecommissioning) -> Result:
-        """Starts one, unless one is under way or has ended for the same member."""
+        """Starts a decommissioning, unless one is running, or has ended for the same member."""
         known = self._records.get(command.node_id)
         if known is not None and (known.member == command.member or not known.ended):
             return Accepted(repeated=True)
@@ -108,7 +111,7 @@
         return Accepted()
 
     def end(self, command: EndDecommissioning) -> Result:
-        """Ends one that is under way."""
+        """Ends a running decommissioning."""
         known = self._records.get(command.node_id)
         if known is None or known.ended:
             return Accepted(repeated=True)
--- a/pewterring/control/worker_table.py
+++ b/pewterring/control/worker_table.py
@@ -1,7 +1,7 @@
-"""The committed workers, and the ids of those that left permanently.
+"""The committed workers, and the ids of workers that left permanently.
 
-Owns two rules: an address has one worker at most, and an id that left permanently never comes back, also not
-by a heartbeat that was delayed.
+Enforces two rules: an address has at most one worker, and an id that left permanently is never registered
+again, not even by a delayed heartbeat.
 """
 
 from collections.abc import Mapping, Set
@@ -14,11 +14,11 @@
 from pewterring.control.state_changes import StateChanges
 from pewterring.distribution.messages import RegistrationState, WorkerRecord
 
-REMEMBERED_DEPARTURES = 8192  # ids kept: the bound on what departures cost in memory and snapshots
+REMEMBERED_DEPARTURES = 8192  # worker ids; limits the memory and snapshot size that departed ids take
 
 
 class WorkerTable:
-    """Workers by id, changed in place: whoever holds `records` or `departed` sees each change."""
+    """Workers by id. `records` and `departed` are live views: they show every later change."""
 
     def __init__(self, changes: StateChanges) -> None:
         self._records: dict[str, WorkerRecord] = {}
@@ -28,16 +28,16 @@
 
     @property
     def records(self) -> Mapping[str, WorkerRecord]:
-        """Workers by id."""
+        """Committed workers by id."""
         return self._records
 
     @property
     def departed(self) -> Set[str]:
-        """Ids of workers that left permanently, oldest first."""
+        """Ids of workers that left permanently, in the order of their departure."""
         return self._departed.keys()
 
     def put(self, command: PutWorker) -> Result:
-        """Adds or changes a worker. A draining one does not become ready again, a departed id stays out."""
+        """Adds or changes a worker. A draining worker never becomes ready again; a departed id is ignored."""
         worker = command.worker
         known = self._records.get(worker.id)
         if known == worker or worker.id in self._departed:
@@ -59,13 +59,13 @@
         return Accepted()
 
     def remove(self, command: RemoveWorkers) -> Result:
-        """Removes workers, as far as they are there."""
+        """Removes workers. With `permanent`, ids without a worker are recorded as departed too."""
         for worker_id in command.ids:
             self._remove(worker_id, command.permanent)
         return Accepted()
 
     def mark_unresponsive(self, command: MarkWorkersUnresponsive) -> Result:
-        """Marks those of the workers that are ready."""
+        """Sets the state of the given workers to unresponsive if they are ready."""
         for worker_id in command.ids:
             worker = self._records.get(worker_id)
             if worker is not None and worker.state == RegistrationState.READY:
@@ -84,7 +84,7 @@
         self._departed.update(dict.fromkeys(snapshot.departed))
 
     def _remove(self, worker_id: str, permanent: bool) -> None:
-        """Removes a worker. One that was draining departs: it has nothing left to come back for."""
+        """Removes a worker; a draining worker counts as departed permanently, since it will not return."""
         worker = self._records.pop(worker_id, None)
         if permanent or (worker is not None and worker.state == RegistrationState.DRAINING):
             self._departed[worker_id] = None
--- a/tests/control/test_bad_input.py
+++ b/tests/control/test_bad_input.py
@@ -65,7 +65,7 @@
 def test_an_entry_that_is_no_command_changes_nothing_and_is_named(data: bytes) -> None:
     state = complete_state()
     before = state.snapshot()
-    with pytest.raises(InvalidCommandError, match="entry 17 of the log") as caught:
+    with pytest.raises(InvalidCommandError, match="log entry 17") as caught:
         state.apply(17, data)
     assert "\n" not in str(caught.value)
     assert state.snapshot() == before
@@ -146,7 +146,7 @@
         return str(failure)
 
     text = run(scenario())
-    assert "entry 2 of the log is no command that this version knows" in text
+    assert "log entry 2 is not a command known to this version" in text
     assert "\n" not in text
     assert state.version == 5
 
