--- a/pewterring/control/join_requests.py
+++ b/pewterring/control/join_requests.py
@@ -1,23 +1,23 @@
-"""Who requests to join the control group, as its leader has heard. Soft state of one leadership."""
+"""The requests to join the control group that its leader has received. Soft state of one leadership."""
 
 from pewterring.consensus.membership import address_of
 from pewterring.consensus.membership_view import Candidates
 
-JOIN_REQUEST_TTL_S = 2.0  # a request is repeated each half second, so that three may be lost
+JOIN_REQUEST_TTL_S = 2.0  # requests are repeated every 0.5 s, so three in a row may be lost
 
 
 class JoinRequests:
-    """The newest request of each IP address; times are those of the leader's monotonic clock, in seconds."""
+    """The newest join request from each IP address. Times are seconds of the leader's monotonic clock."""
 
     def __init__(self) -> None:
-        self._requested_at: dict[str, float] = {}  # by member
+        self._requested_at: dict[str, float] = {}  # keyed by member name
 
     def start(self) -> None:
-        """Begins a leadership."""
+        """Begins a leadership without requests."""
         self._requested_at = {}
 
     def record(self, now: float, member: str) -> None:
-        """Notes a member's request, which replaces those of earlier members at its address."""
+        """Records a member's request, which replaces requests of other members at the same address."""
         ip = address_of(member)
         self._requested_at = {
             other: requested_at
@@ -27,7 +27,7 @@
         self._requested_at[member] = now
 
     def candidates(self, now: float) -> Candidates:
-        """Who may join now."""
+        """Removes expired requests and returns the members that may join now."""
         self._requested_at = {
             member: requested_at
             for member, requested_at in self._requested_at.items()
--- a/pewterring/control/leader_state.py
+++ b/pewterring/control/leader_state.py
@@ -1,7 +1,8 @@
-"""What the leader of the control group decides and answers on: the replicated state and its own soft state.
+"""The state that the leader of the control group works on: the replicated state and its own soft state.
 
-The replicated state outlasts leaders. The rest (sessions, reports, times of last contact) is known to one
-leader alone and begins anew with each leadership, so a new leader waits before it calls anything lost.
+The replicated state survives a change of leader. The soft state (sessions, reports, times of last contact) is
+local to one leader and is reset at each leadership, so a new leader waits a full timeout before it treats a
+node or worker as lost.
 """
 
 from collections.abc import Iterable
@@ -18,14 +19,14 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaderState:
-    """The tables of one control machine, which count only while it leads.
+    """The tables of one control machine; all but the replicated state are valid only while it leads.
 
     Attributes:
         replicated: The state machine of the control group, the same at all members.
-        nodes: The processes that are there, by their sessions on the feed.
-        workers: When each worker last sent a heartbeat.
-        publisher: Versions and sessions of the feed, and the reports of partitions.
-        decommissioner: Starts the emptying of stores, and knows which of them are away.
+        nodes: The live processes of the tier, according to their sessions on the feed.
+        workers: The time of each worker's last heartbeat.
+        publisher: The versions and sessions of the feed, and the reports of partitions.
+        decommissioner: Starts decommissionings, and records which stores are absent.
     """
 
     replicated: ControlState
@@ -38,13 +39,13 @@
     def of(
         cls, replicated: ControlState, leadership: Leadership, needed_stores: int, heartbeat_s: float
     ) -> Self:
-        """Builds the leader's own tables around a replicated state.
+        """Creates the leader's own tables for a replicated state.
 
         Args:
             replicated: The state that the group's log is applied to.
-            leadership: Commits what the decommissioner decides.
-            needed_stores: How many stores a partition needs.
-            heartbeat_s: The period in which workers send heartbeats.
+            leadership: Commits the commands of the decommissioner.
+            needed_stores: The number of stores that a partition needs.
+            heartbeat_s: The interval at which workers send heartbeats, in seconds.
         """
         nodes = NodeTable()
         return cls(
@@ -56,7 +57,7 @@
         )
 
     def start(self, now: float, term: int, control_ips: Iterable[str]) -> None:
-        """Begins a leadership in `term`, everything before it being applied."""
+        """Begins a leadership in `term`; all earlier log entries have been applied."""
         self.nodes.start(now, self.replicated.nodes)
         self.workers.restart_timeouts(now)
         self.publisher.start(term, control_ips)
--- a/pewterring/control/leadership.py
+++ b/pewterring/control/leadership.py
@@ -1,8 +1,8 @@
 """The replicated group as the control layer uses it: typed commands, and this layer's own errors.
 
-Owns the question whether this process leads and may answer. What may go wrong: the lease runs out between a
-check and what follows it (docs/safety.md says for each caller why that is harmless), or the outcome of a
-command stays unknown, which is an error of its own.
+Decides whether this process leads and may answer calls. The lease may expire between a check and the action
+that depends on it; docs/safety.md explains for each caller why that is harmless. If the outcome of a command
+is not known, `CommandOutcomeUnknownError` is raised.
 """
 
 import asyncio
@@ -15,27 +15,30 @@
 from pewterring.control.commands import Command, Result, encode_command
 from pewterring.control.errors import CommandOutcomeUnknownError, NotLeadingError, StaleCallError
 
-READ_BARRIER_TIMEOUT_S = 0.8  # below the 0.9 s of a call, so that another leader can be tried
+READ_BARRIER_TIMEOUT_S = 0.8  # less than the 0.9 s of a call, so that there is time to try another leader
 
 
 class Leadership(Protocol):
-    """What answering calls needs of the group.
+    """The operations of the group that are needed to answer calls.
 
-    All raise `NotLeadingError` or `CommandOutcomeUnknownError`.
+    All raise `NotLeadingError`; `propose` may also raise `CommandOutcomeUnknownError`.
     """
 
     async def propose(self, command: Command) -> Result:
-        """Commits a command and gives the result of applying it."""
+        """Commits a command and returns the result of applying it."""
 
     async def read_barrier(self) -> None:
-        """Returns once all that was committed before the call has been applied here."""
+        """Returns once every entry committed before this call has been applied here."""
 
     def check_lease(self) -> None:
-        """Raises `NotLeadingError` unless no other member can lead now."""
+        """Raises `NotLeadingError` unless this member holds the lease, so that no other member can lead."""
 
 
 class GroupLeadership:
-    """Commits commands and confirms reads. `ready` says that this leader has applied all that came before."""
+    """Commits commands and confirms reads through the replicated group.
+
+    `ready` is set while this member leads and has applied all entries committed before its term.
+    """
 
     def __init__(self, group: ReplicatedGroup, clock: Callable[[], float]) -> None:
         self.ready = False
@@ -44,7 +47,7 @@
 
     @property
     def has_lease(self) -> bool:
-        """Whether this process leads and no other can."""
+        """Whether this process leads and no other process can lead."""
         return self.ready and self._group.has_lease(self._clock())
 
     def check_lease(self) -> None:
@@ -54,20 +57,20 @@
 
     @property
     def leader_ip(self) -> str:
-        """The IP of the leader that this member follows or is; empty where none is known."""
+        """The IP of the leader, which may be this member; empty if no leader is known."""
         return address_of(self._group.leader or "")
 
     @property
     def newest_round(self) -> tuple[int, int]:
-        """Term and number of the leader's newest heartbeat round that is known here."""
+        """Term and number of the leader's newest heartbeat round that this member knows."""
         return self._group.newest_round
 
     def check_round(self, term: int, number: int) -> None:
-        """Checks that this leader sent that round a moment ago.
+        """Checks that this member, as the leader, sent the given round recently.
 
         Raises:
             NotLeadingError: This member does not lead.
-            StaleCallError: The round is of another term, or too long ago.
+            StaleCallError: The round belongs to another term or was sent too long ago.
         """
         if not self.ready:
             raise NotLeadingError
@@ -87,7 +90,7 @@
         return cast(Result, result)
 
     async def read_barrier(self) -> None:
-        """Waits until all that was committed before is applied; raises `NotLeadingError`."""
+        """Waits until every entry committed before this call is applied; raises `NotLeadingError`."""
         if not self.ready:
             raise NotLeadingError
         try:
--- a/pewterring/control/member_storage.py
+++ b/pewterring/control/member_storage.py
@@ -1,8 +1,7 @@
 """The identity and the storage of this machine's member of the control group.
 
-Owns the decision who the first voters are: at the first start of all, the machines that `seed_nodes` names.
-What may go wrong: the data folder belongs to another machine, is damaged, or its disk is full; `StorageError`
-says which file.
+Also determines the first voters: when the cluster is bootstrapped, the machines listed in `seed_nodes`. If
+the data folder belongs to another machine or is damaged, or its disk is full, `StorageError` names the file.
 """
 
 from pathlib import Path
@@ -13,18 +12,18 @@
 from pewterring.storage.group import DiskGroupStorage
 from pewterring.storage.identity import member_name
 
-GROUP = "control"  # prefix of the group's files, and its name in messages and logs
-FIRST_TAG = "seed"  # of the first voters, whose names all must know
+GROUP = "control"  # the group's name in messages and logs, and the prefix of its files
+FIRST_TAG = "seed"  # tag of the first voters; it is fixed because all machines must know their names
 
 
 def open_member_storage(settings: NodeSettings, data_dir: Path) -> tuple[str, DiskGroupStorage]:
     """Returns the member's name, `IP#tag`, and its storage.
 
-    A machine that bootstraps the cluster with an empty folder begins with all seeds as voters. A folder that
-    has a tag keeps it: one that lost its disk comes back under another name and must be admitted.
+    A machine that bootstraps the cluster with an empty folder starts with all seeds as voters. A tag that is
+    already stored in the folder is kept; a machine that lost its disk gets another name and must join again.
 
     Raises:
-        StorageError: The folder cannot be read or written, or is another machine's.
+        StorageError: The folder cannot be read or written, or belongs to another machine.
     """
     seed_ips = sorted({seed.ip for seed in settings.seeds})
     is_first = settings.bootstrap and settings.ip in seed_ips
--- a/pewterring/control/pause_detector.py
+++ b/pewterring/control/pause_detector.py
@@ -1,25 +1,25 @@
-"""Detection of pauses of this process: what waited in its sockets meanwhile must not be taken as new.
+"""Detects pauses of this process, because data that waited in its sockets meanwhile must not count as new.
 
-A process that was stopped, swapped out or frozen with its machine reads calls afterwards whose callers were
-answered elsewhere, or gave up, long ago. What may go wrong: a pause shorter than `PAUSE_THRESHOLD_S` is not
-noticed; the caller of such a call still waits for its answer.
+A process that was stopped, swapped out or frozen with its machine afterwards reads calls whose callers have
+long got an answer elsewhere or given up. Pauses shorter than `PAUSE_THRESHOLD_S` are not detected; they are
+harmless, because the callers are still waiting.
 """
 
 import asyncio
 from collections.abc import Callable
 
 CHECK_INTERVAL_S = 0.1  # far below the threshold, so that a busy event loop is not taken for a pause
-PAUSE_THRESHOLD_S = 0.9  # a call that waited for less is still waited for by its caller
-# For so long after a pause what is read may be of before: a connection is accepted in one turn of the event
-# loop and read in a later one.
+PAUSE_THRESHOLD_S = 0.9  # callers wait at least this long for an answer
+# Time after a pause in which data read may have arrived before or during it: a connection is accepted in one
+# iteration of the event loop and read in a later one.
 PAUSE_GRACE_S = 0.2
 
 
 class PauseDetector:
-    """Compares the time of a check with that of the one before; `run` checks again and again.
+    """Detects a pause by a long gap between two checks; `run` checks periodically.
 
-    Input is handled before timers in each turn of the event loop: what waited in the sockets is read before
-    the check that is overdue, and `was_paused` sees that it is.
+    Each iteration of the event loop handles input before timers, so after a pause the data in the sockets is
+    read before `run` makes its overdue check. `was_paused`, called when the data is read, detects the gap.
     """
 
     def __init__(self, clock: Callable[[], float]) -> None:
@@ -28,7 +28,7 @@
         self._grace_ends_at = self._checked_at
 
     def was_paused(self) -> bool:
-        """Whether what is read now may have waited for longer than its caller does."""
+        """Whether data read now may have waited in the sockets for longer than its caller does."""
         now = self._clock()
         if now - self._checked_at > PAUSE_THRESHOLD_S:
             self._grace_ends_at = now + PAUSE_GRACE_S
--- a/pewterring/control/placement.py
+++ b/pewterring/control/placement.py
@@ -1,4 +1,4 @@
-"""On which stores the first batch partition is placed."""
+"""Chooses the stores on which the first batch partition is placed."""
 
 from collections.abc import Iterable, Sequence
 
@@ -13,12 +13,12 @@
 
 
 def zone_count(stores: Iterable[NodeRecord]) -> int:
-    """How many zones the stores stand in."""
+    """The number of zones in which the stores run."""
     return len({store.zone for store in stores})
 
 
 def first_placement(stores: Sequence[NodeRecord], needed_stores: int) -> PlacementRecord | None:
-    """Places the first partition, in different zones where there are enough; None with too few stores."""
+    """Places the first partition, in different zones if possible; None if there are too few stores."""
     if len(stores) < needed_stores:
         return None
     used_zones: set[str] = set()
--- a/pewterring/control/recovery.py
+++ b/pewterring/control/recovery.py
@@ -1,7 +1,7 @@
-"""Recovery of the control group at the one member that goes on, on the disk of a process that has ended.
+"""Recovery of the control group from a single surviving member, on the disk of a process that has ended.
 
-`pewterring cluster recover` calls this after it has asked the other machines. Owns the file that records each
-recovery beside the log.
+`pewterring cluster recover` calls this after it has queried the other machines. Each recovery is recorded in
+a file beside the log.
 """
 
 import datetime
@@ -16,11 +16,11 @@
 from pewterring.storage.disk import Disk
 from pewterring.storage.group import DiskGroupStorage
 
-RECOVERIES_FILE = "recoveries"  # one JSON line each, oldest first
+RECOVERIES_FILE = "recoveries"  # one line of JSON per recovery, oldest first
 
 
 class RecoveryRecord(msgspec.Struct, frozen=True):
-    """One recovery, as it is recorded: what the member had, and what the group has been since."""
+    """The record of one recovery: the state of the surviving member before it, and the new term."""
 
     at: str  # UTC, ISO 8601
     member: str
@@ -32,15 +32,15 @@
 
 
 def confirmation_of(survivor: Survivor) -> str:
-    """What an operator repeats to confirm: it names the member and the end of its log."""
+    """The text that an operator must repeat to confirm; it names the member and the end of its log."""
     return f"{survivor.member}@{survivor.last_term}.{survivor.last_index}"
 
 
 def read_survivor(disk: Disk, member: str) -> Survivor:
-    """Reads what the member has.
+    """Reads the stored state of the surviving member.
 
     Raises:
-        StorageError: its files cannot be read.
+        StorageError: The member's files cannot be read.
     """
     storage = DiskGroupStorage(disk, GROUP)
     with closing(storage):
@@ -48,12 +48,12 @@
 
 
 def recover(disk: Disk, member: str, confirmation: str, now: datetime.datetime) -> RecoveryRecord:
-    """Makes the member the only voter of the group. It is recorded first, and then done in one write.
+    """Makes the member the only voter of the group: records the recovery, then applies it in one write.
 
     Raises:
-        RecoveryRefusedError: the confirmation is of another state, or the member cannot or need not go on
-            alone; nothing was changed.
-        StorageError: the files cannot be read or written.
+        RecoveryRefusedError: The confirmation does not match the current state, or the member cannot or need
+            not continue alone; nothing was changed.
+        StorageError: The files cannot be read or written.
     """
     storage = DiskGroupStorage(disk, GROUP)
     with closing(storage):
--- a/pewterring/control/snapshot.py
+++ b/pewterring/control/snapshot.py
@@ -1,6 +1,7 @@
-"""The bytes of a snapshot of the control state: all of it as one line of JSON.
+"""Encodes and decodes snapshots of the control state: the complete state as one line of JSON.
 
-Bytes of a later version are refused rather than read in part, so that members cannot diverge.
+A snapshot of a later software version is rejected rather than read incompletely, so that the members' states
+cannot diverge.
 """
 
 import msgspec
@@ -11,7 +12,7 @@
 
 
 class Decommissioning(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A store that is to be emptied, or has been (`ended`). `member` is its name in the replicated groups."""
+    """A decommissioning of a store, running or `ended`. `member` is the store's name in replicated groups."""
 
     node_id: str
     member: str
@@ -19,11 +20,11 @@
 
 
 class Snapshot(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """All that is committed. `newest_forgotten_version` is that of the newest digest no longer kept."""
+    """All committed tables. `newest_forgotten_version` is the newest version whose digest was dropped."""
 
     version: int
     document: msgspec.Raw
-    # Digests by version, oldest first.
+    # Digests of accepted configurations by version, oldest first.
     accepted_digests: dict[int, str] = msgspec.field(name="taken")  # the wire's name
     workers: tuple[WorkerRecord, ...]
     departed: tuple[str, ...]  # worker ids, oldest first
@@ -31,7 +32,7 @@
     stores: tuple[NodeRecord, ...]
     placements: tuple[PlacementRecord, ...]
     decommissionings: tuple[Decommissioning, ...] = msgspec.field(name="retirements")  # the wire's name
-    # Snapshots of the first versions lack it.
+    # Missing in snapshots of early software versions.
     newest_forgotten_version: int = msgspec.field(default=0, name="forgotten")  # the wire's name
 
 
@@ -40,17 +41,17 @@
 
 
 def encode_snapshot(snapshot: Snapshot) -> bytes:
-    """The snapshot as it is written to disk and sent to other members."""
+    """Encodes a snapshot as it is written to disk and sent to other members."""
     return _encoder.encode(snapshot)
 
 
 def decode_snapshot(data: bytes) -> Snapshot:
-    """Reads a snapshot.
+    """Decodes a snapshot.
 
     Raises:
-        InvalidSnapshotError: The bytes are no snapshot that this version knows.
+        InvalidSnapshotError: The bytes are not a snapshot known to this version.
     """
     try:
         return _decoder.decode(data)
     except UNDECODABLE as error:
-        raise InvalidSnapshotError(f"the snapshot is none that this version knows: {error}") from error
+        raise InvalidSnapshotError(f"not a snapshot known to this version: {error}") from error
--- a/pewterring/control/status.py
+++ b/pewterring/control/status.py
@@ -1,4 +1,4 @@
-"""The status of the tier as control has committed it, for the operator's `cluster status`."""
+"""The committed status of the tier, for the operator's command `cluster status`."""
 
 import msgspec
 
@@ -10,7 +10,7 @@
 class TierStatus(msgspec.Struct, frozen=True):
     """The committed tables, as JSON."""
 
-    version: int  # of the configuration; 0: none yet
+    version: int  # of the current configuration; 0 before the first one
     nodes: tuple[NodeRecord, ...]
     workers: tuple[WorkerRecord, ...]
     placements: tuple[PlacementRecord, ...]
@@ -18,7 +18,7 @@
 
 
 def encode_status(state: ControlState) -> bytes:
-    """The tables of a state that is current, that is, read after a read barrier."""
+    """Encodes the tables of `state` as JSON. The caller must have waited for a read barrier."""
     status = TierStatus(
         version=state.version,
         nodes=tuple(state.nodes.values()),
--- a/tests/control/test_bad_input.py
+++ b/tests/control/test_bad_input.py
@@ -159,7 +159,7 @@
     async def scenario() -> None:
         await member(storage, ControlState(), lambda _: None).start()
 
-    expected = "cannot start: the snapshot cannot be read: the snapshot is none that this version knows"
+    expected = "cannot start: the snapshot cannot be read: not a snapshot known to this version"
     with pytest.raises(GroupFailedError, match=expected) as caught:
         run(scenario())
     assert "\n" not in str(caught.value)
