--- a/pewterring/membership/__init__.py
+++ b/pewterring/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Who is there: failure detection and dissemination among gateways, without a leader. Free of I/O."""
+"""Membership among gateways without a leader: failure detection and dissemination (SWIM), without I/O."""
--- a/pewterring/membership/errors.py
+++ b/pewterring/membership/errors.py
@@ -1,5 +1,5 @@
-"""The one error of this package."""
+"""The error of the membership package."""
 
 
 class MembershipError(ValueError):
-    """A setting or a member's number makes no fleet; the caller has to mend it before it starts."""
+    """A protocol setting or a member's number is invalid; the caller must correct it before the start."""
--- a/pewterring/membership/instance.py
+++ b/pewterring/membership/instance.py
@@ -1,4 +1,4 @@
-"""What the parts of one instance share: who it is, whom it knows, what it measured."""
+"""State shared by the components of one instance: identity, known members and measured loss."""
 
 from dataclasses import dataclass, field
 
@@ -10,20 +10,20 @@
 
 @dataclass(slots=True)
 class Identity:
-    """Who an instance is: its number in the seed list, the id of its start, its current incarnation."""
+    """The identity of an instance: its number in the seed list, its start id and its current incarnation."""
 
     number: int
     start_id: int
     incarnation: int = 0
 
     def update(self) -> MemberUpdate:
-        """What is disseminated of the instance itself."""
+        """The update that is disseminated about this instance."""
         return MemberUpdate(self.number, self.incarnation, self.start_id, State.ALIVE)
 
 
 @dataclass(frozen=True, slots=True)
 class Instance:
-    """The state of one instance apart from its probes."""
+    """The state of one instance, except its probes."""
 
     identity: Identity
     settings: ProtocolSettings
--- a/pewterring/membership/member_list.py
+++ b/pewterring/membership/member_list.py
@@ -1,4 +1,4 @@
-"""What one instance knows of the other members, and the order in which one update overrides another."""
+"""One instance's knowledge of the other members, and the rule by which one update overrides another."""
 
 import math
 from collections.abc import Mapping
@@ -10,7 +10,7 @@
 
 
 class Change(NamedTuple):
-    """A member's state or start that became known, and when."""
+    """A change of a member's state or start id, and when this instance learned of it (`at`)."""
 
     at: float
     update: MemberUpdate
@@ -18,7 +18,7 @@
 
 @dataclass(slots=True)
 class Member:
-    """Another instance, as it is known. `since`: when its state became known."""
+    """Another instance as known to this one. `since` is when its state became known."""
 
     number: int
     incarnation: int
@@ -27,12 +27,12 @@
     since: float
 
     def update(self) -> MemberUpdate:
-        """What is disseminated of it."""
+        """The update that is disseminated about this member."""
         return MemberUpdate(self.number, self.incarnation, self.start_id, self.state)
 
 
 class MemberList:
-    """The other members of whom anything was heard. Each change is queued for dissemination."""
+    """The other members from or about which anything was received. Changes are queued for dissemination."""
 
     def __init__(self) -> None:
         self._members: dict[int, Member] = {}
@@ -41,33 +41,33 @@
 
     @property
     def by_number(self) -> Mapping[int, Member]:
-        """All that are known, dead ones among them."""
+        """All known members by number, including dead ones."""
         return self._members
 
     @property
     def scale(self) -> float:
-        """How many times as long dissemination takes as between two: it grows with log2 of the fleet."""
+        """The duration of dissemination relative to a fleet of two; it grows with log2 of the fleet size."""
         return max(1.0, math.log2(len(self._members) + 2))
 
     def present(self) -> list[int]:
-        """Numbers of those that count as there: alive or suspect."""
+        """Numbers of the members that are alive or suspect."""
         return [member.number for member in self._members.values() if member.state <= State.SUSPECT]
 
     def alive(self) -> list[int]:
-        """Numbers of those that are alive and not suspect."""
+        """Numbers of the members that are alive and not suspect."""
         return [member.number for member in self._members.values() if member.state == State.ALIVE]
 
     def suspects(self) -> list[Member]:
-        """Those that are suspect."""
+        """The members that are suspect."""
         return [member for member in self._members.values() if member.state == State.SUSPECT]
 
     def state(self, number: int) -> State | None:
-        """None: nothing was ever heard of it."""
+        """The state of a member, or None if nothing is known about it."""
         known = self._members.get(number)
         return known.state if known else None
 
     def apply(self, now: float, update: MemberUpdate) -> None:
-        """Takes what is said of a member, if it is newer than what is known (SWIM, section 4.2)."""
+        """Applies an update if it overrides what is known about the member (SWIM, section 4.2)."""
         known = self._members.get(update.member)
         if known is None:
             self._members[update.member] = Member(*update, since=now)
@@ -81,13 +81,13 @@
         self.queue.add(update.member)
 
     def _overwrite(self, now: float, known: Member, update: MemberUpdate) -> None:
-        """A suspicion that is raised anew has its full time."""
+        """Replaces what is known about a member; a repeated suspicion restarts the suspicion timeout."""
         if update.state != known.state or update.state == State.SUSPECT:
             known.since = now
         known.incarnation, known.start_id, known.state = update.incarnation, update.start_id, update.state
 
     def forget_dead(self, now: float, retention_s: float) -> None:
-        """Drops those that died or left longer ago than `retention_s`."""
+        """Removes members that died or left more than `retention_s` seconds ago."""
         forgotten = [
             member.number
             for member in self._members.values()
--- a/pewterring/membership/messages.py
+++ b/pewterring/membership/messages.py
@@ -1,8 +1,8 @@
-"""The bytes of the membership protocol: one probe, answer or request with as many updates as fit.
+"""The wire format of the membership protocol: one message per datagram, with as many updates as fit.
 
-All numbers are big-endian. A datagram is `M`, a version, its kind, the sender's incarnation and start id, a
-sequence number, the member that it is about, then updates of eleven bytes each. docs/membership.md has the
-layout. Nothing is decided here; bytes that are no complete message are no message.
+All numbers are big-endian. A datagram consists of `M`, the format version, the message kind, the sender's
+incarnation and start id, a sequence number and the member that the message is about, followed by updates of
+eleven bytes each. docs/membership.md describes the layout. Incomplete or unknown datagrams are rejected.
 """
 
 import struct
@@ -12,22 +12,22 @@
 HEADER = struct.Struct(">cBBIIIH")
 UPDATE = struct.Struct(">HIIB")
 MAGIC, VERSION = b"M", 1
-MAX_DATAGRAM_BYTES = 256  # of the peers' datagrams, so that one always fits into one packet
-MAX_UPDATES = (MAX_DATAGRAM_BYTES - HEADER.size) // UPDATE.size  # that fit in one datagram
-MAX_NUMBER = 0xFFFFFFFF  # of an incarnation, a start id or a sequence
+MAX_DATAGRAM_BYTES = 256  # so that a datagram between peers always fits into one packet
+MAX_UPDATES = (MAX_DATAGRAM_BYTES - HEADER.size) // UPDATE.size  # updates that fit in one datagram
+MAX_NUMBER = 0xFFFFFFFF  # largest incarnation, start id or sequence number
 
 
 class Kind(IntEnum):
-    """What a message is for."""
+    """The kind of a message."""
 
     PING = 1
     ACK = 2
-    PING_REQUEST = 3  # ping `about` for me
+    PING_REQUEST = 3  # requests the receiver to ping the member `about` for the sender
     LEAVE = 4
 
 
 class State(IntEnum):
-    """What is known of a member, in the order in which one overrides another of the same incarnation."""
+    """The known state of a member. A higher state overrides a lower one of the same incarnation."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -36,11 +36,11 @@
 
 
 class MemberUpdate(NamedTuple):
-    """What one instance knows of a member, as it is disseminated."""
+    """One instance's knowledge of a member, as it is disseminated."""
 
     member: int
-    incarnation: int  # raised by the member itself, to refute what is said of a lower one
-    start_id: int  # a random number of each start: it tells a restart, and two under one number
+    incarnation: int  # only the member itself raises it, to refute updates with a lower incarnation
+    start_id: int  # random for each start; reveals a restart, or two instances with the same number
     state: State
 
 
@@ -50,19 +50,19 @@
     kind: Kind
     incarnation: int
     start_id: int
-    sequence: int  # an ack repeats its ping's
-    about: int
+    sequence: int  # an ack repeats the sequence number of its ping
+    about: int  # number of the member that the message is about
     updates: tuple[MemberUpdate, ...] = ()
 
 
 def encode(message: Message) -> bytes:
-    """At most `MAX_DATAGRAM_BYTES`; updates past `MAX_UPDATES` are left out."""
+    """Encodes a message in at most `MAX_DATAGRAM_BYTES`; updates beyond `MAX_UPDATES` are omitted."""
     header = HEADER.pack(MAGIC, VERSION, *message[:5])
     return header + b"".join(UPDATE.pack(*update) for update in message.updates[:MAX_UPDATES])
 
 
 def decode(data: bytes) -> Message | None:
-    """None where the bytes are not one complete message: nothing of it is believed then."""
+    """Decodes a datagram; None if it is not exactly one valid message, of which nothing may be used then."""
     if not HEADER.size <= len(data) <= MAX_DATAGRAM_BYTES or (len(data) - HEADER.size) % UPDATE.size:
         return None
     magic, version, kind, incarnation, start_id, sequence, about = HEADER.unpack_from(data)
@@ -70,8 +70,8 @@
         return None
     try:
         updates = tuple(
-            MemberUpdate(member, raised, started, State(state))
-            for member, raised, started, state in UPDATE.iter_unpack(data[HEADER.size :])
+            MemberUpdate(member, known_incarnation, known_start_id, State(state))
+            for member, known_incarnation, known_start_id, state in UPDATE.iter_unpack(data[HEADER.size :])
         )
         return Message(Kind(kind), incarnation, start_id, sequence, about, updates)
     except ValueError:
--- a/pewterring/membership/outgoing.py
+++ b/pewterring/membership/outgoing.py
@@ -1,4 +1,4 @@
-"""Builds an instance's datagrams, with the updates that ride along."""
+"""Builds an instance's datagrams with piggybacked updates."""
 
 import math
 from typing import NamedTuple
@@ -8,20 +8,20 @@
 
 
 class Datagram(NamedTuple):
-    """Bytes for another member."""
+    """The bytes to be sent to the member with the number `target`."""
 
     target: int
     data: bytes
 
 
 class MessageBuilder:
-    """Writes messages of one instance, each with the updates that were sent least."""
+    """Builds the messages of one instance, each with the updates that were sent least often."""
 
     def __init__(self, instance: Instance) -> None:
         self._instance = instance
 
     def build(self, kind: Kind, sequence: int, about: int, target: int, first: int | None = None) -> Datagram:
-        """A message for `target`; the update about `first` goes along in any case."""
+        """Builds a message to `target`. The update about member `first`, if any, is always included."""
         identity = self._instance.identity
         updates = tuple(self._updates(first))
         message = Message(kind, identity.incarnation, identity.start_id, sequence, about, updates)
--- a/pewterring/membership/prober.py
+++ b/pewterring/membership/prober.py
@@ -1,8 +1,8 @@
-"""Probes one member a period, indirectly where it does not answer, and relays the probes of others.
+"""Probes one member per period, indirectly if it does not answer, and relays probes for other members.
 
-SWIM, sections 3.1 (probes, indirect probes) and 4.3 (round-robin over a shuffled list). Ours: a probe is
-repeated within the first half of its period as the measured loss asks, and members that are dead or unknown
-are called now and then, so that a network partition heals.
+SWIM, sections 3.1 (probes, indirect probes) and 4.3 (round-robin over a shuffled list). Extensions: a ping is
+repeated within the first half of its period, more often at a higher measured loss, and members that are dead
+or unknown are pinged occasionally, so that the fleet reunites after a network partition.
 """
 
 import math
@@ -14,9 +14,10 @@
 from pewterring.membership.messages import Kind, Message, State
 from pewterring.membership.outgoing import Datagram, MessageBuilder
 
-DIRECT_FRACTION = 0.5  # of a period, for direct probes; the rest is left to the indirect ones
-# Calls to each missing member, from the whole fleet together: a partition heals soon, the dead cost little.
-MISSING_CALLS_PER_PERIOD = 2
+DIRECT_FRACTION = 0.5  # fraction of a period for direct pings; the rest is for indirect ones
+# Pings to each missing member per period, from all members of the fleet together: enough to reunite soon
+# after a network partition, few enough that dead members cost little.
+MISSING_PINGS_PER_PERIOD = 2
 
 
 @dataclass(slots=True)
@@ -25,22 +26,22 @@
 
     member: int
     sequence: int
-    next_at: float  # of its next datagrams
-    sent: int = 0
-    indirect: bool = False  # others were requested to probe the member
+    next_at: float  # time of its next datagrams
+    sent: int = 0  # number of direct pings sent
+    indirect: bool = False  # whether other members were requested to ping this one
 
 
 @dataclass(frozen=True, slots=True)
 class Relay:
-    """A probe for another member, until its ack is passed on."""
+    """A ping on behalf of another member, kept until its ack is forwarded."""
 
     requester: int
-    sequence: int  # the requester's
-    until: float
+    sequence: int  # of the requester's own probe
+    until: float  # time at which the relay expires
 
 
 class Prober:
-    """Owns the current probe, the order of the next ones, and relays. Its pings go by sequence numbers.
+    """The current probe, the order of the next ones, and the relays. Acks are matched by sequence number.
 
     `candidates` are the numbers of all other members of the seed list.
     """
@@ -64,15 +65,15 @@
         self._relays: dict[int, Relay] = {}  # by the sequence of the ping that was sent for the requester
 
     def due(self) -> float:
-        """When the probe has something to send."""
+        """The time at which the probe must send its next datagrams; infinite without a probe."""
         return self.probe.next_at if self.probe else math.inf
 
     def begin_period(self, now: float) -> Iterator[Datagram]:
-        """The period's probe; and where somebody is missing, now and then a call to one such."""
+        """Starts the probe of a new period and occasionally pings a missing member."""
         self.probe = None
         present = self._members.present()
         missing = self._missing()
-        if missing and self._calls_missing(len(missing), len(present)):
+        if missing and self._pings_missing(len(missing), len(present)):
             target = self._rng.choice(missing)
             yield self._builder.build(Kind.PING, 0, 0, target)
         if present:
@@ -81,18 +82,18 @@
             yield from self.advance(now)
 
     def _missing(self) -> list[int]:
-        """Members that are not alive as far as is known, then those never heard of."""
+        """Members known as suspect, dead or left, then those about which nothing is known."""
         known = self._members.by_number
         not_alive = [
             number for number in self._candidates if self._members.state(number) not in (None, State.ALIVE)
         ]
         return not_alive + [number for number in self._candidates if number not in known]
 
-    def _calls_missing(self, missing: int, present: int) -> bool:
-        return not present or self._rng.random() < MISSING_CALLS_PER_PERIOD * missing / (present + 1)
+    def _pings_missing(self, missing: int, present: int) -> bool:
+        return not present or self._rng.random() < MISSING_PINGS_PER_PERIOD * missing / (present + 1)
 
     def _next_member(self, present: list[int]) -> int:
-        """The next of a shuffled list: each is probed once before one is probed again."""
+        """The next member of a shuffled list: each is probed once before any is probed again."""
         while True:
             if not self._upcoming:
                 self._upcoming = present[:]
@@ -103,7 +104,7 @@
                 return number
 
     def advance(self, now: float) -> list[Datagram]:
-        """Sends what of the probe is due: the first ping, its repeats, then requests for indirect pings."""
+        """Returns the datagrams of the probe that are due: pings first, then requests for indirect pings."""
         probe = self.probe
         if probe is None or now < probe.next_at:
             return []
@@ -118,7 +119,7 @@
         return self._ping_requests(probe)
 
     def _ping(self, probe: Probe) -> Datagram:
-        """A ping; a suspect hears of the suspicion with it, so that it can refute it."""
+        """A ping; to a suspect it carries the suspicion, so that the member can refute it."""
         suspect = self._members.state(probe.member) not in (None, State.ALIVE)
         first = probe.member if suspect else None
         return self._builder.build(Kind.PING, probe.sequence, probe.member, probe.member, first)
@@ -131,29 +132,29 @@
         ]
 
     def unanswered(self) -> int | None:
-        """Ends the period's probe; the member that did not answer it, if any."""
+        """Ends the period's probe and returns the member that did not answer it, if any."""
         probe, self.probe = self.probe, None
         return probe.member if probe else None
 
     def relay(self, now: float, requester: int, request: Message) -> Datagram:
-        """A ping on behalf of another member."""
+        """Builds a ping on behalf of another member, and remembers to forward its ack."""
         self._sequence += 1
         until = now + self._settings.period_s
         self._relays[self._sequence] = Relay(requester, request.sequence, until)
         return self._builder.build(Kind.PING, self._sequence, request.about, request.about, request.about)
 
     def expire_relays(self, now: float) -> None:
-        """Forgets relays whose requester waits no longer."""
+        """Drops relays whose requester no longer waits for the ack."""
         self._relays = {sequence: relay for sequence, relay in self._relays.items() if now < relay.until}
 
     def acknowledged(self, ack: Message) -> list[Datagram]:
-        """Passes an ack on to whoever requested the ping, or takes it for the own probe."""
+        """Forwards an ack to the member that requested the ping, or completes this instance's own probe."""
         relay = self._relays.pop(ack.sequence, None)
         if relay is not None:
             return [self._builder.build(Kind.ACK, relay.sequence, ack.about, relay.requester)]
         probe = self.probe
         if probe and probe.sequence == ack.sequence and ack.about == probe.member:
-            # Of the pings sent so far one was answered, directly or through another member.
+            # One of the pings sent so far was answered, directly or through another member.
             self._loss.record(1.0 if probe.indirect else (probe.sent - 1) / probe.sent)
             self.probe = None
         return []
--- a/pewterring/membership/protocol.py
+++ b/pewterring/membership/protocol.py
@@ -2,12 +2,13 @@
 
 Source: Das, Gupta, Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership
 Protocol" (2002): random probes in rounds, indirect probes, suspicion, incarnations, piggybacked
-dissemination. Ours: probes are repeated within a period as the measured loss asks (`prober`), suspicion lasts
-longer where it is high, the dead are called now and then, so that a partition heals, and a start id tells a
-restart from a refutation.
+dissemination. Extensions: more probes per period and a longer suspicion timeout at a higher measured loss
+(`prober`, `loss`); dead members are pinged occasionally, so that the fleet reunites after a network
+partition; a start id distinguishes a restart from a refutation.
 
-All times are seconds on one monotonic clock that the caller gives as `now`. A clock that steps back changes
-nothing, one that steps forward lets time-outs end early, and suspicion gives the others a period to refute.
+All times are seconds of one monotonic clock, which the caller passes as `now`. If the clock steps back,
+nothing changes. If it steps forward, timeouts end early; a member that is suspected for that reason still has
+time to refute.
 """
 
 import math
@@ -29,13 +30,14 @@
 from pewterring.membership.settings import ProtocolSettings
 
 DEFAULT_SETTINGS = ProtocolSettings()
-LEAVE_FACTOR = 3  # times the indirect probes: members that hear of a departure at first hand
+LEAVE_FACTOR = 3  # a departure is announced to this many times `indirect_probes` members
 
 
 class MembershipProtocol:
-    """One instance. `receive`, `tick` and `leave` return what is to be sent; the caller sends it.
+    """One instance. `receive`, `tick` and `leave` return datagrams, which the caller must send.
 
-    Members are numbered from 0 up to `size`, which the seed list gives; `start_id` is drawn anew each start.
+    Members are numbered from 0 to `size` - 1 in the order of the seed list; `start_id` must be random and new
+    at each start. Raises `MembershipError` if `number` is out of range.
     """
 
     def __init__(
@@ -53,7 +55,7 @@
         self.members = instance.members
         self.rng = rng
         self.settings = settings
-        self.conflicts = 0  # times that another instance under this number was heard of
+        self.conflicts = 0  # number of updates that showed another live instance with this number
         self.left = False
         self._size = size
         self._loss = instance.loss
@@ -63,36 +65,36 @@
         self._next_period_at = -math.inf
         self._former_starts: dict[
             int, int
-        ] = {}  # other starts under this number, and their latest incarnation
+        ] = {}  # latest known incarnation of other start ids with this number
 
     def present(self) -> list[int]:
-        """Numbers of those that count as there, the own among them; suspects do."""
+        """Numbers of the members that are alive or suspect, including this instance unless it has left."""
         own = [] if self.left else [self.identity.number]
         return sorted([*self.members.present(), *own])
 
     def state(self, member: int) -> State | None:
-        """None: nothing was ever heard of it."""
+        """The state of a member, or None if nothing is known about it."""
         if member == self.identity.number:
             return State.LEFT if self.left else State.ALIVE
         return self.members.state(member)
 
     def due(self) -> float:
-        """When `tick` has something to do."""
+        """The time at which `tick` must be called next."""
         timeouts = [member.since + self._suspicion_s() for member in self.members.suspects()]
         return min([self._next_period_at, self.prober.due(), *timeouts])
 
     def _suspicion_s(self) -> float:
-        """How long a suspect has to refute.
+        """The time in seconds within which a suspect must refute the suspicion.
 
-        The suspicion and its refutation each need some hops, more where these get lost: the time widens with
-        the measured loss, up to four times.
+        The suspicion and its refutation each take several hops, and more if datagrams are lost, so the time
+        grows with the measured loss, up to four times.
         """
         settings = self.settings
         widened = 1 / self._loss.delivery
         return settings.suspicion_factor * self.members.scale * settings.period_s * widened
 
     def tick(self, now: float) -> list[Datagram]:
-        """Does what is due: ends suspicions, repeats the probe, begins a period."""
+        """Does the work that is due: ends expired suspicions, continues the probe, begins a new period."""
         if self.left:
             return []
         self._end_suspicions(now)
@@ -107,7 +109,7 @@
 
     def _end_suspicions(self, now: float) -> None:
         for member in self.members.suspects():
-            if now >= member.since + self._suspicion_s():  # as `due` computes it, to the last bit
+            if now >= member.since + self._suspicion_s():  # same expression as in `due`: rounds equally
                 self.members.apply(now, member.update()._replace(state=State.DEAD))
 
     def _suspect_unanswered(self, now: float) -> None:
@@ -117,7 +119,10 @@
             self.members.apply(now, known.update()._replace(state=State.SUSPECT))
 
     def receive(self, now: float, sender: int, data: bytes) -> list[Datagram]:
-        """A datagram from that member's address. What is not complete or of no member changes nothing."""
+        """Handles a datagram from the address of member `sender`; returns the answers.
+
+        Invalid datagrams and those from no other member are ignored.
+        """
         message = decode(data)
         if message is None or self.left or not self._is_other(sender):
             return []
@@ -132,7 +137,7 @@
 
     def _answer(self, now: float, sender: int, message: Message) -> list[Datagram]:
         if message.kind == Kind.PING:
-            first = sender if self._is_doubted(sender, message.start_id) else None
+            first = sender if self._has_to_refute(sender, message.start_id) else None
             number = self.identity.number
             return [self._builder.build(Kind.ACK, message.sequence, number, sender, first)]
         if message.kind == Kind.PING_REQUEST and self._is_other(message.about):
@@ -141,16 +146,16 @@
             return self.prober.acknowledged(message)
         return []
 
-    def _is_doubted(self, sender: int, start_id: int) -> bool:
-        """Whether a sender counts as suspect or dead, or an earlier start of it is known.
+    def _has_to_refute(self, sender: int, start_id: int) -> bool:
+        """Whether a sender is known as suspect, dead or left, or with the start id of an earlier start.
 
-        It hears of that before all else, so that it can refute it.
+        The answer to such a sender always includes what is known about it, so that it can refute it.
         """
         known = self.members.by_number[sender]
         return known.state != State.ALIVE or known.start_id != start_id
 
     def apply(self, now: float, update: MemberUpdate) -> None:
-        """Takes what another instance knows of a member. What is said of this one is refuted."""
+        """Applies an update received from another instance; wrong updates about this instance are refuted."""
         if self._is_other(update.member):
             self.members.apply(now, update)
         elif update.member == self.identity.number and update.incarnation >= self.identity.incarnation:
@@ -161,9 +166,9 @@
                 self.refute(update.incarnation)
 
     def _notice_other_start(self, update: MemberUpdate) -> None:
-        """Tells an earlier start of this instance from another instance under its number.
+        """Distinguishes an earlier start of this instance from another instance with the same number.
 
-        An earlier start cannot speak anew: where its incarnation goes on rising, it is another's.
+        An earlier start no longer sends anything: if its incarnation still rises, it is another instance.
         """
         latest = self._former_starts.get(update.start_id)
         if latest is not None and update.state == State.ALIVE and update.incarnation > latest:
@@ -171,12 +176,12 @@
         self._former_starts[update.start_id] = max(update.incarnation, latest or 0)
 
     def refute(self, incarnation: int) -> None:
-        """Takes an incarnation above the one that something wrong was said of, and disseminates it."""
+        """Raises the own incarnation above that of a wrong update and disseminates it."""
         self.identity.incarnation = min(MAX_NUMBER, incarnation + 1)
         self.members.queue.add(self.identity.number)
 
     def leave(self) -> list[Datagram]:
-        """Announces the departure to some, who disseminate it. Nothing is sent or taken afterwards."""
+        """Announces the departure to some members, which disseminate it. Stops sending and receiving."""
         self.left = True
         identity = self.identity
         message = encode(Message(Kind.LEAVE, identity.incarnation, identity.start_id, 0, identity.number))
--- a/pewterring/membership/settings.py
+++ b/pewterring/membership/settings.py
@@ -1,4 +1,4 @@
-"""The figures of the membership protocol."""
+"""The settings of the membership protocol."""
 
 from dataclasses import dataclass
 
@@ -9,15 +9,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ProtocolSettings:
-    """What all instances of a fleet have alike. Raises `MembershipError` where a figure cannot be used."""
+    """Settings that all instances of a fleet must share. Raises `MembershipError` for an invalid value."""
 
-    period_s: float = 0.5  # each instance probes one other in this
-    indirect_probes: int = 3  # members that are requested to probe one that does not answer
-    suspicion_factor: float = 3.0  # periods, times log2 of the fleet's size, that a suspect has to refute
-    retransmit_factor: float = 3.0  # times log2 of the fleet's size: how often an instance sends an update
-    dead_retention_s: float = 120.0  # the dead are remembered, so that old updates do not revive them
-    unanswered_chance: float = 0.01  # aimed at for a live member's period; more probes keep it
-    max_probes: int = 4  # in one period
+    period_s: float = 0.5  # each instance probes one other member per period
+    indirect_probes: int = 3  # members that are requested to ping a member that does not answer
+    suspicion_factor: float = 3.0  # suspicion timeout in periods, multiplied by log2 of the fleet size
+    retransmit_factor: float = 3.0  # sends of an update per instance, multiplied by log2 of the fleet size
+    dead_retention_s: float = 120.0  # dead members are remembered, so that stale updates do not revive them
+    unanswered_chance: float = 0.01  # target for a live member in one period, which more probes achieve
+    max_probes: int = 4  # direct pings per period
 
     def __post_init__(self) -> None:
         for name in MUST_BE_POSITIVE:
