--- a/tests/control/test_two_operators.py
+++ b/tests/control/test_two_operators.py
@@ -1,8 +1,8 @@
-"""Two operators against the service and the replicated state, as a model of random orders.
+"""Model test: two operators send configuration requests to the service and the replicated state.
 
-Any number of orders under one version, lost answers, changes of leader, snapshots and restarts, with few
-digests remembered. Only what callers were answered and what is in force is checked. An answer that was lost
-is an order that is sent again, so any order may come again at any time, whatever was answered before.
+The random sequences contain several requests with one version, lost answers, changes of leader, snapshots and
+restarts, and few digests are remembered. Only the answers to callers and the current configuration are
+checked. An operator repeats a request whose answer was lost, so any request may be repeated at any time.
 """
 
 import asyncio
@@ -51,12 +51,12 @@
 from tests.consensus.virtual_time import VirtualTimeLoop
 
 MEMBERS = 3
-REMEMBERED = 3  # digests
-TURNS = 8  # of the loop, after which all calls that can go on have
+REMEMBERED_DIGESTS = 3
+LOOP_ITERATIONS = 8  # enough for every call that is not waiting for a commit to complete
 
 
 class Outcome(Enum):
-    """What the caller of an order knows by its answer."""
+    """What the answer to a request tells its caller."""
 
     ACCEPTED = auto()
     REJECTED = auto()
@@ -67,34 +67,34 @@
 
 
 @dataclass(frozen=True)
-class Order:
-    """An order of one operator. No two orders have the same document: it holds the base as well."""
+class ConfigurationRequest:
+    """A configuration request of an operator. No two have the same document: it contains the base."""
 
     base: int
     version: int
-    variant: int  # of the document under this number
+    variant: int  # number of the document, different for each request
     is_patch: bool = False
 
     def call(self) -> RelayedCall:
         notes = [{"name": "order", "variant": self.variant, "base": self.base}]
-        if self.is_patch:  # its service is there only if it is applied to the base that it names
-            removed = {"backends": [service_of(self.base)]}
-            added = {"backends": [{"name": service_of(self.version)}], "notes": notes}
+        if self.is_patch:  # deletes the service of its base, so it is valid only on that base
+            removed = {"backends": [service_only_in(self.base)]}
+            added = {"backends": [{"name": service_only_in(self.version)}], "notes": notes}
             body = orjson.dumps({"version": self.version, "upsert": added, "delete": removed})
             return RelayedCall("POST", UPDATE_PATH, str(self.base), body)
-        services = [*document()["backends"], {"name": service_of(self.version)}]
+        services = [*document()["backends"], {"name": service_only_in(self.version)}]
         body = encoded(version=self.version, notes=notes, backends=services)
         return RelayedCall("POST", REPLACE_PATH, str(self.base), body)
 
 
-def service_of(version: int) -> str:
-    """The service that stands in one version alone."""
+def service_only_in(version: int) -> str:
+    """The name of the service that exists only in one version."""
     return f"only-in-{version}"
 
 
 @dataclass
 class Member:
-    """The state of one member, and how much of the log it has applied."""
+    """The state of one member, and the number of log entries that it has applied."""
 
     state: ControlState
     applied: int = 0
@@ -102,14 +102,14 @@
 
 @dataclass
 class Proposal:
-    """A command in the leader's log that is not committed yet, and the call that waits for it."""
+    """An uncommitted command in the leader's log, and the future of the call that waits for it."""
 
     command: bytes
     outcome: asyncio.Future[Result]
 
 
 class Group:
-    """The log of the group: what is committed, and what only the leader has."""
+    """The log of the group: the committed commands, and the leader's uncommitted proposals."""
 
     def __init__(self) -> None:
         self.members = [Member(ControlState()) for _ in range(MEMBERS)]
@@ -140,7 +140,7 @@
         return self.members[self.leader].state
 
     def commit(self, count: int) -> None:
-        """The oldest proposals are committed and applied by the leader, and their callers answered."""
+        """Commits the oldest proposals, applies them at the leader and answers their callers."""
         for proposal in self.proposals[:count]:
             self.committed.append(proposal.command)
             result = self.catch_up(self.leader)
@@ -149,7 +149,7 @@
         del self.proposals[:count]
 
     def catch_up(self, number: int) -> Result | None:
-        """A member applies all that is committed; returns the last result."""
+        """Lets a member apply all committed commands; returns the last result."""
         member = self.members[number]
         result: Result | None = None
         for index, command in enumerate(self.committed[member.applied :], member.applied + 1):
@@ -158,7 +158,7 @@
         return result
 
     def elect(self, number: int, committed: int) -> None:
-        """Another leader commits some of the proposals; no caller gets a clear answer."""
+        """Elects a member, which commits some of the proposals; their callers learn no outcome."""
         self.committed += [proposal.command for proposal in self.proposals[:committed]]
         for proposal in self.proposals:
             proposal.outcome.set_exception(CommandOutcomeUnknownError())
@@ -167,7 +167,7 @@
         self.catch_up(number)
 
     def restore(self, number: int, source: int) -> None:
-        """A member begins anew with the snapshot of another, as far as that one is."""
+        """Restarts a member from the snapshot of another member."""
         snapshot = self.members[source].state.snapshot()
         member = Member(ControlState(), self.members[source].applied)
         member.state.restore(snapshot)
@@ -178,25 +178,27 @@
 
 @dataclass
 class History:
-    """What callers were answered."""
+    """The answers that callers got."""
 
-    accepted: dict[int, Order] = field(default_factory=dict)  # by version
-    rejected: set[Order] = field(default_factory=set)
-    bases: dict[int, Order] = field(default_factory=dict)  # of those accepted
+    accepted: dict[int, ConfigurationRequest] = field(default_factory=dict)  # accepted requests by version
+    rejected: set[ConfigurationRequest] = field(default_factory=set)
+    bases: dict[int, ConfigurationRequest] = field(default_factory=dict)  # accepted requests by base
 
-    def answered(self, order: Order, status: int) -> None:
+    def record_answer(self, request: ConfigurationRequest, status: int) -> None:
         outcome = OUTCOMES[status]
         if outcome is Outcome.ACCEPTED:
-            assert order not in self.rejected, "a loser was acknowledged"
-            assert self.accepted.setdefault(order.version, order) == order, "two documents under one number"
-            assert self.bases.setdefault(order.base, order) == order, "two changes on one version"
+            assert request not in self.rejected, "a rejected request was acknowledged"
+            assert self.accepted.setdefault(request.version, request) == request, (
+                "two documents with one version"
+            )
+            assert self.bases.setdefault(request.base, request) == request, "two changes of one base"
         elif outcome is Outcome.REJECTED:
-            assert self.accepted.get(order.version) != order, "an acknowledged order was refused"
-            self.rejected.add(order)
+            assert self.accepted.get(request.version) != request, "an acknowledged request was rejected"
+            self.rejected.add(request)
 
 
 class TwoOperators(RuleBasedStateMachine):
-    """Random orders, repeats and changes of the group."""
+    """Random requests, repetitions of requests, and changes of the group."""
 
     def __init__(
         self,
@@ -206,23 +208,23 @@
         super().__init__()
         self.patches = contextlib.ExitStack()
         history = "pewterring.control.configuration_history.REMEMBERED_VERSIONS"
-        self.patches.enter_context(mock.patch(history, REMEMBERED))
+        self.patches.enter_context(mock.patch(history, REMEMBERED_DIGESTS))
         self.patches.enter_context(mock.patch("pewterring.control.state.ConfigurationHistory", history_class))
         self.loop = VirtualTimeLoop()
         self.group = make_group()
         self.history = History()
-        self.sent: list[Order] = []
+        self.sent: list[ConfigurationRequest] = []
         self.in_force: list[int] = [0]
-        self.follower = ControlState()  # is never restored from a snapshot
-        self.versions: list[int] = [0]  # by how much of the log is applied
-        self.calls: dict[asyncio.Task[int], Order] = {}
+        self.follower = ControlState()  # applies the whole log, and is never restored from a snapshot
+        self.versions: list[int] = [0]  # current version by the number of applied commands
+        self.calls: dict[asyncio.Task[int], ConfigurationRequest] = {}
         self.variants = itertools.count()
 
     def teardown(self) -> None:
         self.patches.close()
         for call in self.calls:
             call.cancel()
-        self.turn()
+        self.run_calls()
         self.loop.close()
 
     # Calls
@@ -235,90 +237,92 @@
         return (await router.answer_relayed(call)).status
 
     async def _no_relay(self, *_: object) -> msgspec.Struct:
-        raise AssertionError("the leader passes nothing on")
+        raise AssertionError("the leader forwarded a call")
 
-    def send(self, order: Order) -> asyncio.Task[int]:
-        call = self.loop.create_task(self._answer(order.call()))
-        self.calls[call] = order
-        self.turn()
+    def send(self, request: ConfigurationRequest) -> asyncio.Task[int]:
+        call = self.loop.create_task(self._answer(request.call()))
+        self.calls[call] = request
+        self.run_calls()
         return call
 
-    def turn(self) -> None:
-        """Lets calls go on, and records what was answered."""
-        for _ in range(TURNS):
+    def run_calls(self) -> None:
+        """Runs the pending calls and records their answers."""
+        for _ in range(LOOP_ITERATIONS):
             self.loop.run_until_complete(asyncio.sleep(0))
         for call in [call for call in self.calls if call.done()]:
-            order = self.calls.pop(call)
+            request = self.calls.pop(call)
             if not call.cancelled():
-                self.history.answered(order, call.result())
+                self.history.record_answer(request, call.result())
 
     # Rules
 
     @rule(
-        back=st.integers(0, 3),
+        versions_back=st.integers(0, 3),
         steps=st.lists(st.integers(-1, 4), min_size=1, max_size=2),
         patches=st.integers(0, 3),
     )
-    def orders(self, back: int, steps: list[int], patches: int = 0) -> None:
-        """One operator or two send orders on the current version or an older one."""
-        base = self.in_force[max(0, len(self.in_force) - 1 - back)]
-        self._order(base, steps, patches)
+    def sends_requests(self, versions_back: int, steps: list[int], patches: int = 0) -> None:
+        """One or two operators send requests based on the current version or an older one."""
+        base = self.in_force[max(0, len(self.in_force) - 1 - versions_back)]
+        self._send_requests(base, steps, patches)
 
     @rule(step=st.integers(1, 2), patches=st.integers(0, 3))
-    def both_order_under_one_number(self, step: int, patches: int = 0) -> None:
-        self._order(self.in_force[-1], [step, step], patches)
+    def two_requests_with_one_version(self, step: int, patches: int = 0) -> None:
+        self._send_requests(self.in_force[-1], [step, step], patches)
 
-    def _order(self, base: int, steps: list[int], patches: int) -> None:
-        """`patches` says by its bits which of the orders are patches; the first configuration is complete."""
+    def _send_requests(self, base: int, steps: list[int], patches: int) -> None:
+        """Bit n of `patches` makes request n a patch; the first configuration is always a complete one."""
         for number, step in enumerate(steps):
             self._send_new(base, max(0, base + step), bool(patches >> number & 1))
 
     def _send_new(self, base: int, version: int, is_patch: bool) -> asyncio.Task[int]:
-        order = Order(base, version, next(self.variants), is_patch and base > 0)
-        self.sent.append(order)
-        return self.send(order)
+        request = ConfigurationRequest(base, version, next(self.variants), is_patch and base > 0)
+        self.sent.append(request)
+        return self.send(request)
 
     @rule()
     @precondition(lambda self: self.group.proposals)
-    def sends_a_patch_of_what_is_not_committed(self) -> None:
-        base = max(order.version for order in self.calls.values())
+    def sends_a_patch_on_an_uncommitted_base(self) -> None:
+        base = max(request.version for request in self.calls.values())
         self._send_new(base, base + 1, True)
 
-    @rule(number=st.integers(0, 1000), which=st.sampled_from(["any", "oldest accepted", "newest accepted"]))
+    @rule(
+        number=st.integers(0, 1000), selection=st.sampled_from(["any", "oldest accepted", "newest accepted"])
+    )
     @precondition(lambda self: self.sent)
-    def sends_again(self, number: int, which: str) -> None:
+    def sends_a_request_again(self, number: int, selection: str) -> None:
         accepted = self.history.accepted
-        if which == "any" or not accepted:
+        if selection == "any" or not accepted:
             self.send(self.sent[number % len(self.sent)])
         else:
-            self.send(accepted[min(accepted) if which == "oldest accepted" else max(accepted)])
+            self.send(accepted[min(accepted) if selection == "oldest accepted" else max(accepted)])
 
     @rule(is_patch=st.booleans())
     @precondition(lambda self: not self.group.proposals)
-    def a_proper_order_alone_is_accepted(self, is_patch: bool = False) -> None:
+    def a_valid_request_alone_is_accepted(self, is_patch: bool = False) -> None:
         base = self.in_force[-1]
         call = self._send_new(base, base + 1, is_patch)
         self.group.commit(1)
-        self.turn()
+        self.run_calls()
         assert call.result() == 200
 
     @rule(count=st.integers(1, 4))
     def commits(self, count: int) -> None:
         self.group.commit(count)
-        self.turn()
+        self.run_calls()
 
     @rule(number=st.integers(0, MEMBERS - 1), committed=st.integers(0, 3))
     def is_elected(self, number: int, committed: int) -> None:
         self.group.elect(number, committed)
-        self.turn()
+        self.run_calls()
 
     @rule(number=st.integers(0, MEMBERS - 1))
     def catches_up(self, number: int) -> None:
         self.group.catch_up(number)
 
     @rule(number=st.integers(0, MEMBERS - 1))
-    def gets_a_snapshot(self, number: int) -> None:
-        """A member that lags, or one that restarts, begins with the leader's snapshot."""
+    def loads_a_snapshot(self, number: int) -> None:
+        """A member that lags or restarts loads the leader's snapshot."""
         self.group.restore(number, self.group.leader)
 
     @rule(number=st.integers(0, MEMBERS - 1), committed=st.integers(0, 3))
@@ -326,39 +330,39 @@
         self.group.restore(number, number)
         self.is_elected(number, committed)
 
-    # Judgement
+    # Invariants
 
     @invariant()
-    def what_is_in_force_was_ordered_and_not_rejected(self) -> None:
+    def the_current_configuration_was_requested_and_not_rejected(self) -> None:
         state = self.group.state
-        assert state.version >= self.in_force[-1], "the leader went back"
+        assert state.version >= self.in_force[-1], "the current version decreased"
         if state.version > self.in_force[-1]:
             self.in_force.append(state.version)
         assert state.version >= max(self.history.accepted, default=0), "an acknowledged version was lost"
         if state.version:
-            order = self._order_of(bytes(state.document))
-            assert order.version == state.version
-            assert order not in self.history.rejected, "a loser is in force"
-            assert self.history.accepted.get(order.version, order) == order, (
-                "other than what was acknowledged"
+            request = self._request_of(bytes(state.document))
+            assert request.version == state.version
+            assert request not in self.history.rejected, "a rejected request is in force"
+            assert self.history.accepted.get(request.version, request) == request, (
+                "another configuration than the acknowledged one is in force"
             )
             self._check_content(orjson.loads(bytes(state.document)))
 
-    def _order_of(self, content: bytes) -> Order:
+    def _request_of(self, content: bytes) -> ConfigurationRequest:
         (item,) = orjson.loads(content)["notes"]
-        return next(order for order in self.sent if order.variant == item["variant"])
+        return next(request for request in self.sent if request.variant == item["variant"])
 
     def _check_content(self, content: dict[str, Any]) -> None:
-        """A patch that was applied to another base than its own leaves that one's service behind."""
+        """Checks the services: a patch applied to another base would leave the service of that base."""
         usual = [service["name"] for service in document()["backends"]]
         names = [service["name"] for service in content["backends"]]
-        assert names == [*usual, service_of(content["version"])], "a patch of another base"
+        assert names == [*usual, service_only_in(content["version"])], "a patch of another base"
         assert {key: content[key] for key in ("routes", "some_new_field")} == {
             key: document()[key] for key in ("routes", "some_new_field")
         }, "fields were lost"
 
     @invariant()
-    def members_applied_what_was_committed_in_this_order(self) -> None:
+    def members_applied_the_committed_commands_in_order(self) -> None:
         for command in self.group.committed[len(self.versions) - 1 :]:
             self.follower.apply(len(self.versions), command)
             self.versions.append(self.follower.version)
@@ -372,22 +376,22 @@
 TestTwoOperators = TwoOperators.TestCase
 
 
-# Deliberate breakages, which a scenario played on the model above must notice.
+# Deliberate faults, each of which a scenario on the model above must detect.
 
 
-class ForgetsDigestsAtASnapshot(ConfigurationHistory):
+class LosesDigestsInSnapshots(ConfigurationHistory):
     def restore(self, snapshot: Snapshot) -> None:
         super().restore(snapshot)
         self.accepted_digests.clear()
 
 
-class RejectsWhatItForgot(ConfigurationHistory):
+class RejectsForgottenVersions(ConfigurationHistory):
     def put(self, command: PutConfiguration) -> Result:
         self.newest_forgotten_version = 0
         return super().put(command)
 
 
-class ForgetsAtASnapshotThatItForgot(ConfigurationHistory):
+class LosesForgottenVersionInSnapshots(ConfigurationHistory):
     def restore(self, snapshot: Snapshot) -> None:
         super().restore(snapshot)
         self.newest_forgotten_version = 0
@@ -398,14 +402,14 @@
         return super().put(msgspec.structs.replace(command, base=self.version))
 
 
-class IdentifiesOrdersByVersionAlone(ConfigurationHistory):
+class IdentifiesRequestsByVersionOnly(ConfigurationHistory):
     def put(self, command: PutConfiguration) -> Result:
         if command.version in self.accepted_digests:
             return Accepted(repeated=True)
         return super().put(command)
 
 
-class ForgetsTheDigestOfTheLast(ConfigurationHistory):
+class ForgetsTheNewestDigest(ConfigurationHistory):
     def put(self, command: PutConfiguration) -> Result:
         result = super().put(command)
         if result == Accepted():
@@ -426,13 +430,13 @@
         return result
 
 
-class PatchesAgain(ConfigurationHistory):
+class AppliesRepeatedPatches(ConfigurationHistory):
     def has_accepted(self, version: int, digest: str) -> bool:
         return not digest.startswith(PATCH_DIGEST_PREFIX) and super().has_accepted(version, digest)
 
 
-class JudgedOnArrival(Group):
-    """Makes a complete configuration of each patch as it arrives, on what is in force then."""
+class ResolvesPatchesOnArrival(Group):
+    """Converts each patch on arrival into a complete configuration based on the current one."""
 
     async def propose(self, command: Command) -> Result:
         if isinstance(command, PatchConfiguration):
@@ -457,77 +461,78 @@
             return Accepted()
 
 
-def scenario_of_puts(model: TwoOperators) -> None:
-    """All that the rules above do, once and in a fixed order."""
+def put_scenario(model: TwoOperators) -> None:
+    """Does everything that the rules above do, once and in a fixed order."""
     steps: list[Callable[[], object]] = [
-        lambda: model.both_order_under_one_number(1),
+        lambda: model.two_requests_with_one_version(1),
         lambda: model.commits(2),
-        lambda: model.sends_again(0, "any"),
-        lambda: model.sends_again(1, "any"),
+        lambda: model.sends_a_request_again(0, "any"),
+        lambda: model.sends_a_request_again(1, "any"),
         lambda: model.commits(2),
-        lambda: model.orders(0, [1, 2]),  # no answer: the next leader has the first of them, not the second
+        lambda: model.sends_requests(0, [1, 2]),  # unanswered: the next leader has only the first
         lambda: model.is_elected(1, 1),
-        lambda: model.sends_again(2, "any"),
-        lambda: model.sends_again(3, "any"),
+        lambda: model.sends_a_request_again(2, "any"),
+        lambda: model.sends_a_request_again(3, "any"),
         lambda: model.commits(2),
-        lambda: model.orders(1, [4]),  # on a version that is no longer current
+        lambda: model.sends_requests(1, [4]),  # on a base that is no longer current
         lambda: model.commits(1),
-        lambda: model.sends_again(0, "oldest accepted"),
+        lambda: model.sends_a_request_again(0, "oldest accepted"),
         lambda: model.commits(1),
         lambda: model.is_elected_after_a_snapshot(2, 0),
-        lambda: model.sends_again(0, "newest accepted"),
-        lambda: model.sends_again(0, "oldest accepted"),
+        lambda: model.sends_a_request_again(0, "newest accepted"),
+        lambda: model.sends_a_request_again(0, "oldest accepted"),
         lambda: model.commits(2),
-        *[model.a_proper_order_alone_is_accepted] * REMEMBERED,
-        lambda: model.sends_again(0, "oldest accepted"),
+        *[model.a_valid_request_alone_is_accepted] * REMEMBERED_DIGESTS,
+        lambda: model.sends_a_request_again(0, "oldest accepted"),
         lambda: model.commits(1),
-        lambda: model.gets_a_snapshot(0),
+        lambda: model.loads_a_snapshot(0),
         lambda: model.is_elected(0, 0),
-        lambda: model.sends_again(0, "newest accepted"),
-        lambda: model.sends_again(0, "oldest accepted"),
+        lambda: model.sends_a_request_again(0, "newest accepted"),
+        lambda: model.sends_a_request_again(0, "oldest accepted"),
         lambda: model.commits(2),
     ]
     for step in steps:
         step()
-        model.what_is_in_force_was_ordered_and_not_rejected()
-        model.members_applied_what_was_committed_in_this_order()
+        model.the_current_configuration_was_requested_and_not_rejected()
+        model.members_applied_the_committed_commands_in_order()
 
 
-def scenario_of_patches(model: TwoOperators) -> None:
-    """Patches beside complete configurations.
+def patch_scenario(model: TwoOperators) -> None:
+    """Mixes patches and complete configurations.
 
-    On one base, sent again after others, on an older base, and one that arrives before its base is committed.
+    Patches share a base with another request, are repeated after others, have an older base, or arrive before
+    their base is committed.
     """
     steps: list[Callable[[], object]] = [
-        model.a_proper_order_alone_is_accepted,
-        lambda: model.both_order_under_one_number(1, 0b01),
+        model.a_valid_request_alone_is_accepted,
+        lambda: model.two_requests_with_one_version(1, 0b01),
         lambda: model.commits(2),
-        lambda: model.both_order_under_one_number(1, 0b10),
+        lambda: model.two_requests_with_one_version(1, 0b10),
         lambda: model.commits(2),
-        lambda: model.sends_again(1, "any"),  # the patch that was accepted, after another order
+        lambda: model.sends_a_request_again(1, "any"),  # the accepted patch, repeated after another request
         lambda: model.commits(1),
-        lambda: model.orders(1, [3], 0b1),  # a patch of a version that is no longer current
+        lambda: model.sends_requests(1, [3], 0b1),  # a patch on a base that is no longer current
         lambda: model.commits(1),
-        lambda: model.a_proper_order_alone_is_accepted(True),
-        lambda: model.sends_again(0, "newest accepted"),
+        lambda: model.a_valid_request_alone_is_accepted(True),
+        lambda: model.sends_a_request_again(0, "newest accepted"),
         lambda: model.commits(1),
-        lambda: model.orders(0, [1]),
-        model.sends_a_patch_of_what_is_not_committed,
+        lambda: model.sends_requests(0, [1]),
+        model.sends_a_patch_on_an_uncommitted_base,
         lambda: model.commits(2),
         lambda: model.is_elected_after_a_snapshot(1, 0),
-        lambda: model.sends_again(0, "newest accepted"),
+        lambda: model.sends_a_request_again(0, "newest accepted"),
         lambda: model.commits(1),
     ]
     for step in steps:
         step()
-        model.what_is_in_force_was_ordered_and_not_rejected()
-        model.members_applied_what_was_committed_in_this_order()
+        model.the_current_configuration_was_requested_and_not_rejected()
+        model.members_applied_the_committed_commands_in_order()
 
 
-def played(
+def run_scenario(
     history_class: type[ConfigurationHistory] = ConfigurationHistory,
     make_group: type[Group] = Group,
-    steps: Callable[[TwoOperators], None] = scenario_of_puts,
+    steps: Callable[[TwoOperators], None] = put_scenario,
 ) -> TwoOperators:
     model = TwoOperators(history_class, make_group)
     try:
@@ -537,31 +542,31 @@
     return model
 
 
-def test_the_scenario_of_puts_without_breakage() -> None:
-    model = played()
+def test_the_put_scenario_passes_without_faults() -> None:
+    model = run_scenario()
     assert sorted(model.history.accepted) == [1, 2, 3, 4, 5]
     assert len(model.history.rejected) == 3
 
 
 @pytest.mark.parametrize(
-    ("broken", "noticed"),
+    ("broken", "message"),
     [
-        (ForgetsDigestsAtASnapshot, "an acknowledged order was refused"),
-        (RejectsWhatItForgot, "an acknowledged order was refused"),
-        (ForgetsAtASnapshotThatItForgot, "an acknowledged order was refused"),
-        (ForgetsTheDigestOfTheLast, "an acknowledged order was refused"),
-        (IgnoresTheBase, "two changes on one version"),
-        (IdentifiesOrdersByVersionAlone, "two documents under one number"),
+        (LosesDigestsInSnapshots, "an acknowledged request was rejected"),
+        (RejectsForgottenVersions, "an acknowledged request was rejected"),
+        (LosesForgottenVersionInSnapshots, "an acknowledged request was rejected"),
+        (ForgetsTheNewestDigest, "an acknowledged request was rejected"),
+        (IgnoresTheBase, "two changes of one base"),
+        (IdentifiesRequestsByVersionOnly, "two documents with one version"),
     ],
 )
-def test_a_broken_state_is_noticed(broken: type[ConfigurationHistory], noticed: str) -> None:
-    with pytest.raises(AssertionError, match=noticed):
-        played(history_class=broken)
+def test_a_faulty_configuration_history_is_detected(broken: type[ConfigurationHistory], message: str) -> None:
+    with pytest.raises(AssertionError, match=message):
+        run_scenario(history_class=broken)
 
 
-def test_the_scenario_of_patches_without_breakage() -> None:
-    model = played(steps=scenario_of_patches)
-    assert [order.is_patch for _, order in sorted(model.history.accepted.items())] == [
+def test_the_patch_scenario_passes_without_faults() -> None:
+    model = run_scenario(steps=patch_scenario)
+    assert [request.is_patch for _, request in sorted(model.history.accepted.items())] == [
         False,
         True,
         False,
@@ -569,34 +574,34 @@
         False,
         True,
     ]
-    assert [order.is_patch for order in model.history.rejected].count(True) == 2
+    assert [request.is_patch for request in model.history.rejected].count(True) == 2
 
 
 @pytest.mark.parametrize(
-    ("broken", "noticed"),
+    ("broken", "message"),
     [
-        (PatchesAnyBase, "two changes on one version"),
-        (IdentifiesPatchesByTheirResult, "an acknowledged order was refused"),
-        (PatchesAgain, "an acknowledged order was refused"),
+        (PatchesAnyBase, "two changes of one base"),
+        (IdentifiesPatchesByTheirResult, "an acknowledged request was rejected"),
+        (AppliesRepeatedPatches, "an acknowledged request was rejected"),
     ],
 )
-def test_a_state_that_breaks_patches_is_noticed(broken: type[ConfigurationHistory], noticed: str) -> None:
-    with pytest.raises(AssertionError, match=noticed):
-        played(history_class=broken, steps=scenario_of_patches)
+def test_a_faulty_patch_implementation_is_detected(broken: type[ConfigurationHistory], message: str) -> None:
+    with pytest.raises(AssertionError, match=message):
+        run_scenario(history_class=broken, steps=patch_scenario)
 
 
-def test_patches_judged_on_arrival_are_noticed() -> None:
+def test_patches_resolved_on_arrival_are_detected() -> None:
     with pytest.raises(AssertionError, match="a patch of another base"):
-        played(make_group=JudgedOnArrival, steps=scenario_of_patches)
+        run_scenario(make_group=ResolvesPatchesOnArrival, steps=patch_scenario)
 
 
 @pytest.mark.parametrize(
-    ("broken", "noticed"),
+    ("broken", "message"),
     [
-        (RejectsUnknownOutcomes, "a loser is in force"),
-        (AcknowledgesUnknownOutcomes, "two changes on one version"),
+        (RejectsUnknownOutcomes, "a rejected request is in force"),
+        (AcknowledgesUnknownOutcomes, "two changes of one base"),
     ],
 )
-def test_a_wrong_answer_to_an_unknown_outcome_is_noticed(broken: type[Group], noticed: str) -> None:
-    with pytest.raises(AssertionError, match=noticed):
-        played(make_group=broken)
+def test_a_wrong_answer_for_an_unknown_outcome_is_detected(broken: type[Group], message: str) -> None:
+    with pytest.raises(AssertionError, match=message):
+        run_scenario(make_group=broken)
