--- a/tests/control/test_network_partition.py
+++ b/tests/control/test_network_partition.py
@@ -1,4 +1,8 @@
-"""A control machine is partitioned for twenty seconds, alone or not, on one side or both, and comes back."""
+"""Network partitions of control machines, in one direction or both, and pauses of processes, for 20 s.
+
+During a partition no machine may give an answer that the current state contradicts; after it, all machines
+agree, and calls that the partition delayed are not executed.
+"""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -38,39 +42,41 @@
 PARTITION_S = 20.0
 THREE = tuple(f"10.0.0.{number}" for number in range(1, 4))
 FIVE = tuple(f"10.0.0.{number}" for number in range(1, 6))
-FAR, NEAR, BESIDE = "10.1.0.1", "10.1.0.2", "10.1.0.3"  # gateways
-LEASE_S = 0.4  # longer than a lease
-CONFIG_S = 2.0  # bound of a deployment: how soon a configuration is everywhere
-BELIEF_S = 2.0  # longer than a leader without a majority goes on as one
-OFTEN_S, PROBE_S = (
-    0.05,
-    1.0,
-)  # between rounds of calls at the machine that is partitioned, before and after that
+FAR, NEAR, BESIDE = (
+    "10.1.0.1",
+    "10.1.0.2",
+    "10.1.0.3",
+)  # gateways that reach the majority, all machines, or the victims
+LEASE_S = 0.4  # longer than the leader's lease
+CONFIG_S = 2.0  # bound within which a configuration must reach every gateway
+BELIEF_S = 2.0  # longer than a leader without a majority considers itself the leader
+FAST_PROBE_S = 0.05  # between rounds of calls at the partitioned machines, during `BELIEF_S`
+PROBE_S = 1.0  # between rounds of calls after that
 
 
 @dataclass
 class Probes:
-    """Calls at the machines that are partitioned, with what they answered."""
+    """Calls at the partitioned machines, and the wrong answers among theirs."""
 
     cluster: ControlCluster
     victims: tuple[str, ...]
-    newest: int = 1  # version that was acknowledged
+    newest: int = 1  # newest acknowledged version
     partitioned_at: float = 0.0
     wrong: list[str] = field(default_factory=list)
     refused: int = 0
 
-    async def go_on(self) -> None:
-        """Calls until it is cancelled: often at first, while a partitioned leader believes it leads."""
+    async def run(self) -> None:
+        """Calls until cancelled; more often while a partitioned leader still considers itself the leader."""
         loop = asyncio.get_running_loop()
         async with asyncio.TaskGroup() as calls:
             while True:
                 for ip in self.victims:
-                    for name, call in self._proper_calls():
+                    for name, call in self._valid_calls():
                         calls.create_task(self._probe(ip, name, call))
-                await asyncio.sleep(PROBE_S if loop.time() - self.partitioned_at > BELIEF_S else OFTEN_S)
+                await asyncio.sleep(PROBE_S if loop.time() - self.partitioned_at > BELIEF_S else FAST_PROBE_S)
 
-    def _proper_calls(self) -> list[tuple[str, Call]]:
-        """Orders and reads that a machine which knows all would answer with 200."""
+    def _valid_calls(self) -> list[tuple[str, Call]]:
+        """Calls that a machine with the current state would answer with 200."""
         newest = self.newest
         return [
             ("read", read_call()),
@@ -87,18 +93,18 @@
         ]
 
     async def _probe(self, ip: str, name: str, call: Call) -> None:
-        began, newest = asyncio.get_running_loop().time(), self.newest
+        started_at, newest = asyncio.get_running_loop().time(), self.newest
         answer = await self.cluster.machines[ip].router.answer(call)
         if answer.status == 503:
             self.refused += 1
-        elif began - self.partitioned_at >= LEASE_S or not _is_true(name, answer, newest):
+        elif started_at - self.partitioned_at >= LEASE_S or not _is_correct(name, answer, newest):
             self.wrong.append(
-                f"{name} at {ip} {began - self.partitioned_at:.2f} s after the partition: {answer}"
+                f"{name} at {ip} {started_at - self.partitioned_at:.2f} s after the partition: {answer}"
             )
 
 
-def _is_true(name: str, answer: Answer, newest: int) -> bool:
-    """Whether an answer under a lease that holds yet is what the newest state says."""
+def _is_correct(name: str, answer: Answer, newest: int) -> bool:
+    """Whether an answer given under a lease that is still valid agrees with the newest state."""
     if name == "read":
         read: int = msgspec.json.decode(answer.body)["version"]
         return read >= newest
@@ -107,13 +113,13 @@
 
 @dataclass(frozen=True)
 class Case:
-    """Who is partitioned, and on which side."""
+    """The machines that are partitioned, and the directions in which their messages are lost."""
 
     ips: tuple[str, ...]
-    size: int  # of the side that is partitioned
-    has_leader: bool  # whether the leader is in it
-    hears: bool  # whether what the others send arrives there
-    is_heard: bool
+    size: int  # number of partitioned machines
+    has_leader: bool  # whether the leader is one of them
+    hears: bool  # whether they receive messages of the others
+    is_heard: bool  # whether the others receive their messages
 
     def __str__(self) -> str:
         who = "leader" if self.has_leader else "follower"
@@ -129,10 +135,10 @@
 ]
 
 
-async def prepared(
+async def start_cluster(
     ips: tuple[str, ...], leadership_class: type[GroupLeadership] = GroupLeadership
 ) -> tuple[ControlCluster, ControlMachine]:
-    """A cluster with a first configuration, workers, and stores of which one is being emptied."""
+    """A cluster with a configuration, workers, and stores, one of which is being decommissioned."""
     cluster = ControlCluster(ips, leadership_class=leadership_class)
     leader = await cluster.start()
     assert (await cluster.call(put_call(0, encoded(version=1)))).status == 200
@@ -150,7 +156,7 @@
 
 
 def isolate(cluster: ControlCluster, case: Case, victims: tuple[str, ...]) -> tuple[str, ...]:
-    """Partitions the victims from the other control machines; returns these."""
+    """Partitions the victims from the other control machines; returns the others."""
     others = tuple(ip for ip in case.ips if ip not in victims)
     if not case.hears:
         cluster.partition(others, victims)
@@ -159,12 +165,12 @@
     return others
 
 
-async def play(case: Case, leadership_class: type[GroupLeadership] = GroupLeadership) -> None:
-    cluster, leader = await prepared(case.ips, leadership_class)
+async def run_case(case: Case, leadership_class: type[GroupLeadership] = GroupLeadership) -> None:
+    cluster, leader = await start_cluster(case.ips, leadership_class)
     order = [leader.ip, *(ip for ip in case.ips if ip != leader.ip)]
     victims = tuple(order[: case.size] if case.has_leader else order[-case.size :])
-    near = FeedNode(cluster, NEAR, victims + case.ips)  # reaches all, and calls the victims too
-    far = FeedNode(cluster, FAR, case.ips)  # does not reach the victims
+    near = FeedNode(cluster, NEAR, victims + case.ips)  # reaches all machines, and tries the victims first
+    far = FeedNode(cluster, FAR, case.ips)  # cannot reach the victims
     for node in (near, far):
         await node.subscriber.start()
         assert await node.has_version(1, CONFIG_S)
@@ -172,20 +178,20 @@
     for senders, targets in ((victims, (FAR,)), ((FAR,), victims), (others, (BESIDE,)), ((BESIDE,), others)):
         cluster.partition(senders, targets)
     probes = Probes(cluster, victims, partitioned_at=asyncio.get_running_loop().time())
-    probing = cluster.in_background(probes.go_on())
+    probing = cluster.in_background(probes.run())
     await asyncio.sleep(LEASE_S)
-    beside = FeedNode(cluster, BESIDE, victims)  # starts now, and reaches only the victims
+    beside = FeedNode(cluster, BESIDE, victims)  # starts during the partition, and reaches only the victims
     await beside.subscriber.start()
-    missed = await majority_goes_on(cluster, others, probes, (near, far))
+    missed = await change_at_majority(cluster, others, probes, (near, far))
     assert missed == []
     assert beside.version == 0
     probing.cancel()
     assert probes.wrong == []
     assert probes.refused >= 8 * (PARTITION_S / PROBE_S - 1)
-    await asyncio.sleep(PROBE_S)  # what was passed on just before the partition ends may be begun
-    await comes_back(cluster, others, (near, far, beside))
+    await asyncio.sleep(PROBE_S)  # a call forwarded just before the partition ends may be executed
+    await heal_and_check(cluster, others, (near, far, beside))
     if not case.is_heard:
-        check_nothing_was_begun(await cluster.leader())
+        check_nothing_was_executed(await cluster.leader())
     for node in (near, far, beside):
         await node.subscriber.stop()
     await cluster.stop()
@@ -193,46 +199,46 @@
 
 @pytest.mark.parametrize("case", CASES, ids=str)
 def test_a_partition_of_twenty_seconds_gives_no_wrong_answer(case: Case) -> None:
-    run(play(case))
+    run(run_case(case))
 
 
 class NeverChecksLease(GroupLeadership):
-    """Takes itself for the leader until it hears otherwise."""
+    """Considers itself the leader until it is told of another one, whether or not its lease is valid."""
 
     @property
     def has_lease(self) -> bool:
         return self.ready
 
 
-class ReadsAtOnce(GroupLeadership):
-    """Answers reads out of what it has."""
+class ReadsWithoutBarrier(GroupLeadership):
+    """Answers reads from its own state without a read barrier."""
 
     async def read_barrier(self) -> None:
         if not self.ready:
             raise NotLeadingError
 
 
-class ReadsAnywhere(GroupLeadership):
-    """Answers reads at any machine, its leadership apart."""
+class ReadsAtAnyMember(GroupLeadership):
+    """Answers reads at any machine, even if it does not lead."""
 
     async def read_barrier(self) -> None:
         return
 
 
-@pytest.mark.parametrize("broken", [NeverChecksLease, ReadsAtOnce, ReadsAnywhere])
+@pytest.mark.parametrize("broken", [NeverChecksLease, ReadsWithoutBarrier, ReadsAtAnyMember])
 def test_a_leadership_without_its_check_is_caught(broken: type[GroupLeadership]) -> None:
     with pytest.raises(AssertionError, match=r"after the partition|has 1, not 2"):
-        run(play(CASES[0], broken))
+        run(run_case(CASES[0], broken))
 
 
-async def majority_goes_on(
+async def change_at_majority(
     cluster: ControlCluster, others: tuple[str, ...], probes: Probes, nodes: tuple[FeedNode, ...]
 ) -> list[str]:
-    """The other side takes changes for as long as the partition lasts; returns what its gateways miss."""
+    """The other side accepts changes during the partition; returns the versions that its gateways missed."""
     missed: list[str] = []
     await add_stores(await cluster.leader(others), 5)
-    began = asyncio.get_running_loop().time()
-    while asyncio.get_running_loop().time() - began < PARTITION_S:
+    started_at = asyncio.get_running_loop().time()
+    while asyncio.get_running_loop().time() - started_at < PARTITION_S:
         version = await put_next(cluster, others)
         probes.newest = version
         for node in nodes:
@@ -243,7 +249,7 @@
 
 
 async def put_next(cluster: ControlCluster, others: tuple[str, ...]) -> int:
-    """Puts the next version, also where an order whose sender got no clear answer came into force before."""
+    """Puts the next version, also if an earlier request with an unknown outcome was accepted before."""
     while True:
         read = await cluster.call(read_call(), others[0], others)
         current: int = msgspec.json.decode(read.body)["version"]
@@ -253,10 +259,12 @@
         assert answer.status == 412, answer
 
 
-async def comes_back(cluster: ControlCluster, others: tuple[str, ...], nodes: tuple[FeedNode, ...]) -> None:
-    """What was partitioned follows at once; the leader goes on, and what was delayed changes nothing."""
+async def heal_and_check(
+    cluster: ControlCluster, others: tuple[str, ...], nodes: tuple[FeedNode, ...]
+) -> None:
+    """Ends the partition: the victims follow the leader, which stays, and delayed calls change nothing."""
     leader = await cluster.leader(others)
-    newest = await put_next(cluster, others)  # what the partition delays builds on an older one
+    newest = await put_next(cluster, others)  # calls delayed by the partition have an older base
     term = leader.group.term
     cluster.heal()
     for _ in range(50):
@@ -272,49 +280,49 @@
         assert await node.has_version(newest, CONFIG_S), node.ip
 
 
-def check_nothing_was_begun(leader: ControlMachine) -> None:
-    """What the partition delayed was answered 503 long ago."""
-    begun = []
+def check_nothing_was_executed(leader: ControlMachine) -> None:
+    """Checks that no call was executed whose caller got a 503 during the partition."""
+    executed = []
     if "store-5" in leader.state.decommissionings:
-        begun.append("retirement")
+        executed.append("retirement")
     if "i-3" in leader.state.departed:
-        begun.append("deregistration")
+        executed.append("deregistration")
     if leader.state.workers["i-2"].state != "ready":
-        begun.append("drain")
-    assert begun == [], "begun after the partition"
+        executed.append("drain")
+    assert executed == [], "executed after the partition"
 
 
-class TakesAnyRound(GroupLeadership):
-    """Begins relayed calls however long they were on the way."""
+class AcceptsAnyRound(GroupLeadership):
+    """Executes relayed calls regardless of how long they were delayed."""
 
-    def check_round(self, term: int, number: int) -> None:  # noqa: ARG002 - it is what is broken
+    def check_round(self, term: int, number: int) -> None:  # noqa: ARG002 - the fault is to ignore it
         if not self.ready:
             raise NotLeadingError
 
 
-def test_a_leader_that_begins_what_a_partition_delayed_is_caught() -> None:
+def test_a_leader_that_executes_calls_delayed_by_a_partition_is_caught() -> None:
     unheard = next(case for case in CASES if not case.has_leader and case.hears)
-    with pytest.raises(AssertionError, match="begun after the partition"):
-        run(play(unheard, TakesAnyRound))
+    with pytest.raises(AssertionError, match="executed after the partition"):
+        run(run_case(unheard, AcceptsAnyRound))
 
 
-# A process that is paused between a check and what follows it.
+# A process that is paused between a check and the action that depends on it.
 
 
-FROZEN_CALLS = {
+PAUSED_CALLS = {
     "read": read_call(),
     "heartbeat": heartbeat_call("i-1", sequence=9),
     "retirement": Call("GET", f"{DECOMMISSION_STATUS_PATH}store-9"),
 }
 
 
-@pytest.mark.parametrize("name", FROZEN_CALLS)
-def test_a_leader_frozen_behind_its_check_says_nothing_of_what_was(name: str) -> None:
-    call = FROZEN_CALLS[name]
+@pytest.mark.parametrize("name", PAUSED_CALLS)
+def test_a_leader_paused_after_its_check_does_not_answer_from_stale_state(name: str) -> None:
+    call = PAUSED_CALLS[name]
 
     async def scenario(relayed: bool) -> None:
-        cluster, leader = await prepared(THREE)
-        freeze_behind_checks(leader)
+        cluster, leader = await start_cluster(THREE)
+        pause_after_checks(leader)
         if relayed:
             status = (await leader.router.answer_relayed(relayed_call(call, leader))).status
         else:
@@ -326,47 +334,47 @@
         run(scenario(relayed))
 
 
-def freeze_behind_checks(leader: ControlMachine) -> None:
+def pause_after_checks(leader: ControlMachine) -> None:
     loop = asyncio.get_running_loop()
     assert isinstance(loop, VirtualTimeLoop)
     check, barrier = leader.leadership.check_lease, leader.leadership.read_barrier
 
-    def check_and_freeze() -> None:
+    def check_and_pause() -> None:
         check()
         loop.pause_process(PARTITION_S)
 
-    async def read_and_freeze() -> None:
+    async def read_and_pause() -> None:
         await barrier()
         loop.pause_process(PARTITION_S)
 
-    leader.leadership.check_lease = check_and_freeze  # type: ignore[method-assign]  # of this object alone
-    leader.leadership.read_barrier = read_and_freeze  # type: ignore[method-assign]  # of this object alone
+    leader.leadership.check_lease = check_and_pause  # type: ignore[method-assign]  # replaced on this object only
+    leader.leadership.read_barrier = read_and_pause  # type: ignore[method-assign]  # replaced on this object only
 
 
-def test_a_gateway_frozen_while_it_starts_subscribes_again() -> None:
-    """The answer waits in its socket for twenty seconds, in which the configuration changes."""
+def test_a_gateway_paused_while_it_starts_subscribes_again() -> None:
+    """The answer waits in the gateway's socket for 20 s, and the configuration changes meanwhile."""
 
     async def scenario() -> None:
-        cluster, leader = await prepared(THREE)
+        cluster, leader = await start_cluster(THREE)
         node = FeedNode(cluster, FAR, (leader.ip,))
-        taken: list[int] = []
+        answered_versions: list[int] = []
         subscribe = leader.feed.subscribe
 
-        def answer_to_a_frozen_process(channel: Channel, message: Subscribe) -> CompleteTables | Redirect:
+        def answer_to_a_paused_process(channel: Channel, message: Subscribe) -> CompleteTables | Redirect:
             answer = subscribe(channel, message)
             assert isinstance(answer, CompleteTables)
-            taken.append(answer.versions.configuration)
-            if len(taken) == 1:
+            answered_versions.append(answer.versions.configuration)
+            if len(answered_versions) == 1:
                 node.paused_s = PARTITION_S
                 assert leader.state.apply(0, encode_command(put(1, 2))) is not None
             return answer
 
-        leader.feed.subscribe = answer_to_a_frozen_process  # type: ignore[method-assign]  # of this object alone
+        leader.feed.subscribe = answer_to_a_paused_process  # type: ignore[method-assign]  # replaced on this object only
         seen: list[int] = []
         node.on_tables = lambda _old, _new: seen.append(node.version)
         await node.subscriber.start()
         assert await node.has_version(2, CONFIG_S)
-        assert taken[:2] == [1, 2]
+        assert answered_versions[:2] == [1, 2]
         assert 1 not in seen
         await node.subscriber.stop()
         await cluster.stop()
@@ -374,11 +382,11 @@
     run(scenario())
 
 
-def test_a_change_that_comes_with_the_first_tables_is_not_missed() -> None:
-    """The leader takes a change while its answer is on the way: both arrive before the gateway goes on."""
+def test_a_change_that_arrives_with_the_first_tables_is_not_missed() -> None:
+    """The leader commits a change while its answer is in transit; both arrive at the same time."""
 
     async def scenario() -> None:
-        cluster, leader = await prepared(THREE)
+        cluster, leader = await start_cluster(THREE)
         node = FeedNode(cluster, FAR, (leader.ip,))
         subscribe = leader.feed.subscribe
 
@@ -388,7 +396,7 @@
                 leader.state.apply(0, encode_command(put(1, 2)))
             return answer
 
-        leader.feed.subscribe = answer_and_change  # type: ignore[method-assign]  # of this object alone
+        leader.feed.subscribe = answer_and_change  # type: ignore[method-assign]  # replaced on this object only
         await node.subscriber.start()
         assert await node.has_version(2, SEARCH_PAUSE_S * 1.5 + 0.05), (
             "subscribed again only with the next renewal"
@@ -399,7 +407,7 @@
     run(scenario())
 
 
-# Leaderships that are over.
+# Leaders of an earlier term.
 
 
 def tables_of(epoch: int, version: int) -> CompleteTables:
@@ -407,7 +415,7 @@
     return CompleteTables(TableVersions(epoch, version, 1, 1), document, (), (), (), (), ())
 
 
-def takes_an_old_leader(subscription: FeedSubscription) -> bool:
+def accepts_a_stale_leader(subscription: FeedSubscription) -> bool:
     subscription.replace_all(tables_of(3, 5), 0.0)
     try:
         subscription.replace_all(tables_of(2, 5), 1.0)
@@ -416,9 +424,9 @@
     return subscription.tables.versions.epoch == 2
 
 
-def test_tables_of_an_older_term_are_refused_by_an_incarnation() -> None:
+def test_a_subscription_rejects_tables_of_an_older_term() -> None:
     follower = FeedSubscription()
-    assert not takes_an_old_leader(follower)
+    assert not accepts_a_stale_leader(follower)
     assert follower.tables.versions.epoch == 3
     assert follower.confirmed_at == 0.0
     follower.replace_all(tables_of(3, 5), 2.0)
@@ -426,32 +434,32 @@
     assert follower.tables.versions.epoch == 4
 
 
-class TakesAnyLeader(FeedSubscription):
-    """Does not look at the epoch."""
+class AcceptsAnyLeader(FeedSubscription):
+    """Does not check the epoch."""
 
-    def _check_leadership(self, epoch: int) -> None:  # noqa: ARG002 - it is what is broken
+    def _check_leadership(self, epoch: int) -> None:  # noqa: ARG002 - the fault is to ignore it
         return
 
 
-def test_a_subscription_that_takes_any_leader_is_caught() -> None:
-    assert takes_an_old_leader(TakesAnyLeader())
+def test_a_subscription_that_accepts_any_leader_is_caught() -> None:
+    assert accepts_a_stale_leader(AcceptsAnyLeader())
 
 
-def test_a_gateway_goes_from_an_old_leader_to_another() -> None:
-    """One control machine hands out tables of a term that is over; the gateway goes on to the next."""
+def test_a_gateway_leaves_a_stale_leader_for_the_current_one() -> None:
+    """A control machine sends tables of an earlier term; the gateway tries the next machine."""
 
     async def scenario() -> None:
-        cluster, leader = await prepared(THREE)
+        cluster, leader = await start_cluster(THREE)
         node = FeedNode(cluster, FAR, THREE)
         await node.subscriber.start()
         assert await node.has_version(1, CONFIG_S)
-        liar = next(machine for machine in cluster.machines.values() if machine is not leader)
+        stale_machine = next(machine for machine in cluster.machines.values() if machine is not leader)
         epochs: list[int] = []
         node.on_tables = lambda _old, new: epochs.append(new.versions.epoch)
-        liar.feed.subscribe = lambda *_: tables_of(0, 1)  # type: ignore[method-assign]  # of this object alone
+        stale_machine.feed.subscribe = lambda *_: tables_of(0, 1)  # type: ignore[method-assign]  # replaced on this object only
         leader.feed.end_sessions()
         assert (await cluster.call(put_call(1, encoded(version=2)), leader.ip)).status == 200
-        node.subscriber._leader_ip = liar.ip  # noqa: SLF001 - no redirect leads to one that does not lead
+        node.subscriber._leader_ip = stale_machine.ip  # noqa: SLF001 - no redirect names a machine that does not lead
         assert await node.has_version(2, CONFIG_S)
         assert set(epochs) == {leader.group.term}
         await node.subscriber.stop()
