--- a/tests/control/api_machine.py
+++ b/tests/control/api_machine.py
@@ -1,4 +1,4 @@
-"""A control machine that is called by its HTTP API, without sockets, group and disk."""
+"""A control machine that is called through its HTTP API, without sockets, replicated group or disk."""
 
 import asyncio
 
@@ -25,7 +25,7 @@
 
 
 class Machine:
-    """One control machine; commands are committed at once unless `failure` says otherwise."""
+    """One control machine. Commands are committed immediately; with `failure` set, each raises that error."""
 
     def __init__(self, ip: str = "10.0.0.1") -> None:
         self.state = ControlState()
--- a/tests/control/cluster.py
+++ b/tests/control/cluster.py
@@ -1,8 +1,8 @@
-"""Three control machines in one event loop and in virtual time, with callers that retry.
+"""A simulated cluster of control machines in one event loop with virtual time, and callers that retry.
 
-Consensus messages and relayed calls take one turn of the loop. A machine that dies neither sends nor
-receives from that moment on; its disk stays. `at_point` has something happen at the n-th message from now.
-What is sent into a partition comes when it ends, as from the buffers of a connection.
+Consensus messages and relayed calls take one iteration of the loop. A machine that is killed neither sends
+nor receives afterwards; its disk is kept. `at_point` runs an action before the n-th message from now.
+Messages sent into a network partition are delivered when it ends, as from the buffers of a connection.
 """
 
 import asyncio
@@ -41,18 +41,18 @@
 
 IPS = ("10.0.0.1", "10.0.0.2", "10.0.0.3")
 FEED_CODEC = MessageCodec(FEED_MESSAGES)
-CALLER_S = 1.0  # a caller goes to another machine after so long
-GIVE_UP_S = 30.0
+CALLER_TIMEOUT_S = 1.0  # callers then try another machine
+GIVE_UP_S = 30.0  # the test fails if a call or election takes longer
 
 
 class ControlMachine:
-    """One process of control, without sockets."""
+    """One control process without sockets."""
 
     def __init__(self, cluster: "ControlCluster", ip: str, storage: MemoryStorage) -> None:
         clock = asyncio.get_running_loop().time
         self.ip = ip
         self.storage = storage
-        self.died = asyncio.get_running_loop().create_future()
+        self.killed = asyncio.get_running_loop().create_future()
         self.state = ControlState(on_change=lambda: self.feed.publish_soon())
         self.group = ReplicatedGroup(
             "control",
@@ -89,7 +89,7 @@
 
 
 class ControlCluster:
-    """The machines that are up, by IP. Made inside a running loop."""
+    """The running machines by IP. Must be created inside a running event loop."""
 
     def __init__(
         self,
@@ -101,7 +101,7 @@
         self.snapshot_after_bytes = snapshot_after_bytes
         self.leadership_class = leadership_class
         members = tuple(f"{ip}#seed" for ip in ips)
-        self.partitions: set[tuple[str, str]] = set()  # (sender, target), by IP
+        self.partitions: set[tuple[str, str]] = set()  # pairs of IPs: sender, target
         self._delayed: list[Callable[[], None]] = []
         self.machines = {ip: ControlMachine(self, ip, MemoryStorage(members)) for ip in ips}
         self._background: list[asyncio.Task[object]] = []
@@ -119,7 +119,7 @@
             await machine.group.stop()
 
     async def leader(self, among: Collection[str] | None = None) -> ControlMachine:
-        """The leader, once there is one with a lease."""
+        """Waits for a leader with a lease and returns it."""
         async with asyncio.timeout(GIVE_UP_S):
             while True:
                 for machine in self.machines.values():
@@ -127,10 +127,10 @@
                         return machine
                 await asyncio.sleep(0.01)
 
-    # Faults.
+    # Faults
 
     def at_point(self, number: int, action: Callable[[], None]) -> None:
-        """Has `action` done just before the message `number`, counted from 0, is sent."""
+        """Runs `action` just before message `number`, counted from 0, is sent."""
         self._points_left = number
         self._at_point = action
 
@@ -138,7 +138,7 @@
     def reached_point(self) -> bool:
         return self._at_point is None
 
-    def _pass_point(self) -> None:
+    def _reach_point(self) -> None:
         if self._at_point is None:
             return
         if self._points_left == 0:
@@ -147,50 +147,50 @@
         self._points_left -= 1
 
     def kill(self, ip: str) -> None:
-        """The process dies now."""
+        """Kills the process of a machine; its disk is kept."""
         machine = self.machines.pop(ip)
-        machine.died.set_result(None)
+        machine.killed.set_result(None)
         self.in_background(machine.group.stop())
 
     def partition(self, senders: Collection[str], targets: Collection[str]) -> None:
-        """Nothing passes from the ones to the others."""
+        """Delays all messages from the senders to the targets until `heal`."""
         self.partitions |= {(sender, target) for sender in senders for target in targets}
 
     def heal(self) -> None:
-        """The partitions end, and what they delayed comes."""
+        """Ends all partitions and delivers the delayed messages."""
         self.partitions.clear()
         delayed, self._delayed = self._delayed, []
         for action in delayed:
             asyncio.get_running_loop().call_soon(action)
 
-    def carry(self, sender: str, target: str, action: Callable[[], None]) -> None:
-        """Has `action` done at the target's side, once what is sent gets there."""
+    def deliver(self, sender: str, target: str, action: Callable[[], None]) -> None:
+        """Runs `action` when a message from the sender reaches the target."""
         if (sender, target) in self.partitions:
             self._delayed.append(action)
         else:
             asyncio.get_running_loop().call_soon(action)
 
     def in_background(self, work: Coroutine[Any, Any, object]) -> asyncio.Task[object]:
-        """Runs it beside what goes on."""
+        """Runs a coroutine as a background task."""
         task = asyncio.get_running_loop().create_task(work)
         self._background.append(task)
         return task
 
     async def restart(self, machine: ControlMachine) -> ControlMachine:
-        """The process comes back with its disk."""
-        again = ControlMachine(self, machine.ip, machine.storage)
-        self.machines[machine.ip] = again
-        await again.group.start()
-        self.in_background(again.pauses.run())
-        return again
+        """Starts a new process of a killed machine with the same disk."""
+        restarted = ControlMachine(self, machine.ip, machine.storage)
+        self.machines[machine.ip] = restarted
+        await restarted.group.start()
+        self.in_background(restarted.pauses.run())
+        return restarted
 
-    # Messages.
+    # Messages
 
     def send(self, message: ConsensusMessage) -> None:
-        self._pass_point()
+        self._reach_point()
         sender = address_of(message.sender)
         if sender in self.machines:
-            self.carry(sender, address_of(message.target), lambda: self._deliver(message))
+            self.deliver(sender, address_of(message.target), lambda: self._deliver(message))
 
     def _deliver(self, message: ConsensusMessage) -> None:
         machine = self.machines.get(address_of(message.target))
@@ -200,38 +200,38 @@
     async def request(
         self, origin: str, ip: str, message: msgspec.Struct, timeout_s: float
     ) -> msgspec.Struct:
-        self._pass_point()
+        self._reach_point()
         machine = self.machines.get(ip)
         if machine is None or not isinstance(message, RelayedCall):
             raise RequestNotSentError(f"no connection with {ip}")
         if (origin, ip) in self.partitions:
-            self.carry(origin, ip, lambda: self._answer_nobody(machine, message))
+            self.deliver(origin, ip, lambda: self._answer_without_caller(machine, message))
             await asyncio.sleep(timeout_s)
             raise RequestTimeoutError("no answer in time")
-        reply: msgspec.Struct | None = await self._unless_it_dies(
+        reply: msgspec.Struct | None = await self._answer_unless_killed(
             machine, machine.router.answer_relayed(message), timeout_s
         )
-        self._pass_point()
+        self._reach_point()
         if reply is None or ip not in self.machines or (ip, origin) in self.partitions:
             raise RequestTimeoutError("no answer in time")
         return reply
 
-    def _answer_nobody(self, machine: ControlMachine, message: RelayedCall) -> None:
-        """A call that a partition delayed is handled though nobody waits for its answer any more."""
+    def _answer_without_caller(self, machine: ControlMachine, message: RelayedCall) -> None:
+        """Handles a call that a partition delayed, although nobody waits for its answer any more."""
         self.in_background(machine.router.answer_relayed(message))
 
-    # Callers.
+    # Callers
 
     async def call(self, call: Call, first: str = IPS[0], among: Collection[str] | None = None) -> Answer:
-        """Calls `first`, then the others, until one gives a clear answer."""
+        """Calls `first`, then the others in turn, until one answers with a status below 500."""
         order = [first, *(ip for ip in among or self.ips if ip != first)]
         ip = order.pop(0)
         async with asyncio.timeout(GIVE_UP_S):
             while True:
                 machine = self.machines.get(ip)
                 if machine is not None:
-                    answer: Answer | None = await self._unless_it_dies(
-                        machine, machine.router.answer(call), CALLER_S
+                    answer: Answer | None = await self._answer_unless_killed(
+                        machine, machine.router.answer(call), CALLER_TIMEOUT_S
                     )
                     if answer is not None and answer.status < 500:
                         return answer
@@ -239,18 +239,18 @@
                 order.append(ip)
                 ip = order.pop(0)
 
-    async def _unless_it_dies(self, machine: ControlMachine, answer: Any, timeout_s: float) -> Any:
-        """What the machine answers, or None where it dies before or is silent for too long."""
+    async def _answer_unless_killed(self, machine: ControlMachine, answer: Any, timeout_s: float) -> Any:
+        """The machine's answer, or None if it is killed first or does not answer within `timeout_s`."""
         task = asyncio.ensure_future(answer)
-        await asyncio.wait([task, machine.died], timeout=timeout_s, return_when=asyncio.FIRST_COMPLETED)
-        if machine.died.done() or not task.done():
+        await asyncio.wait([task, machine.killed], timeout=timeout_s, return_when=asyncio.FIRST_COMPLETED)
+        if machine.killed.done() or not task.done():
             task.cancel()
             return None
         return task.result()
 
 
 def relayed_call(call: Call, leader: ControlMachine) -> RelayedCall:
-    """The call as a member passes it on that has just heard the leader."""
+    """The message with which a follower that knows the leader's newest round forwards a call."""
     return relay.relayed_call(call, leader.leadership.newest_round)
 
 
--- a/tests/control/group_stand_in.py
+++ b/tests/control/group_stand_in.py
@@ -1,4 +1,4 @@
-"""A replicated group whose calls end as a test says, and the leadership over it."""
+"""A test double of a replicated group, and the leadership based on it."""
 
 import asyncio
 from typing import cast
@@ -12,7 +12,7 @@
 
 
 class StandInGroup:
-    """A group whose calls end as the test says. With `hangs` none is ever confirmed."""
+    """A group whose calls raise `error` if it is set. With `hangs` no call is ever confirmed."""
 
     def __init__(self) -> None:
         self.error: Exception | None = None
@@ -58,7 +58,7 @@
 
 
 def leading_group() -> tuple[StandInGroup, GroupLeadership]:
-    """A group that this process leads, and its leadership."""
+    """Returns a group that this process leads, and its leadership."""
     group = StandInGroup()
     leadership = GroupLeadership(cast(ReplicatedGroup, group), lambda: 1.0)
     leadership.ready = True
--- a/tests/control/records.py
+++ b/tests/control/records.py
@@ -1,4 +1,4 @@
-"""Records and commands that the tests of control use."""
+"""Records and commands for the tests of the control program."""
 
 import msgspec
 
@@ -22,9 +22,11 @@
     return WorkerRecord(worker_id, "search", address, "a", 4, state)
 
 
-def store(number: int, zone: str = "", life: str = "x") -> NodeRecord:
+def store(number: int, zone: str = "", incarnation: str = "x") -> NodeRecord:
     ip = f"10.1.0.{number}"
-    return NodeRecord(f"store-{number}", "store", ip, zone or f"zone-{number}", life, f"{ip}#t{number}")
+    return NodeRecord(
+        f"store-{number}", "store", ip, zone or f"zone-{number}", incarnation, f"{ip}#t{number}"
+    )
 
 
 def gateway(number: int) -> NodeRecord:
--- a/tests/control/simulated_feed.py
+++ b/tests/control/simulated_feed.py
@@ -16,7 +16,7 @@
 
 
 class FeedEnd:
-    """One end of a connection. What it is used for decides which of the methods matter."""
+    """One end of a simulated connection, used as the channel of a node or of the leader's feed server."""
 
     def __init__(self, cluster: ControlCluster, ip: str, remote_ip: str) -> None:
         self.closed = False
@@ -27,23 +27,23 @@
         self._ip = ip
         self._remote_ip = remote_ip
 
-    def carry(self, action: Callable[["FeedEnd"], None]) -> None:
-        """Has `action` done at the other end, if that is open then."""
+    def run_at_peer(self, action: Callable[["FeedEnd"], None]) -> None:
+        """Runs `action` at the other end when the message arrives, if that end is still open."""
         peer = self.peer
         assert peer is not None
-        self._cluster.carry(self._ip, self._remote_ip, lambda: None if peer.closed else action(peer))
+        self._cluster.deliver(self._ip, self._remote_ip, lambda: None if peer.closed else action(peer))
 
     def send_line(self, line: bytes) -> bool:
         if self.closed:
             return False
         message = FEED_CODEC.decode(FEED_CODEC.decode_line(line.rstrip(b"\n")).body)
-        self.carry(lambda peer: peer.receive(message))
+        self.run_at_peer(lambda peer: peer.receive(message))
         return True
 
     def close(self) -> None:
         if not self.closed:
             self.closed = True
-            self.carry(lambda peer: peer.close())
+            self.run_at_peer(lambda peer: peer.close())
             for callback in self.on_close:
                 callback(self)
 
@@ -51,18 +51,18 @@
 
 
 class NodeEnd(FeedEnd):
-    """The node's end: sends requests, and waits for their answers."""
+    """The node's end, which sends requests and waits for their answers."""
 
     machine: ControlMachine
 
     async def request(self, message: msgspec.Struct, timeout_s: float) -> msgspec.Struct:
         reply: asyncio.Future[msgspec.Struct] = asyncio.get_running_loop().create_future()
 
-        def answered(answer: msgspec.Struct) -> None:
+        def complete(answer: msgspec.Struct) -> None:
             if not reply.done():
                 reply.set_result(answer)
 
-        def at_machine(end: FeedEnd) -> None:
+        def handle_at_machine(end: FeedEnd) -> None:
             feed = self.machine.feed
             channel = cast(Channel, end)
             answer: msgspec.Struct
@@ -71,9 +71,9 @@
             else:
                 assert isinstance(message, Renew)
                 answer = feed.renew(channel, message)
-            end.carry(lambda _node: answered(answer))
+            end.run_at_peer(lambda _node: complete(answer))
 
-        self.carry(at_machine)
+        self.run_at_peer(handle_at_machine)
         try:
             return await asyncio.wait_for(reply, timeout_s)
         except TimeoutError as error:
@@ -81,11 +81,11 @@
 
 
 class FeedNode:
-    """A gateway that follows the control leader, its seeds in the order given."""
+    """A gateway that subscribes to the control leader's feed and tries its seeds in the given order."""
 
     def __init__(self, cluster: ControlCluster, ip: str, seeds: tuple[str, ...]) -> None:
         self.ip = ip
-        self.paused_s = 0.0  # by how much its clock is ahead, since it was paused
+        self.paused_s = 0.0  # seconds by which its clock is ahead because it was paused
         self.on_tables: Callable[[Tables, Tables], None] = lambda _old, _new: None
         self._cluster = cluster
         self._loop = asyncio.get_running_loop()
@@ -102,12 +102,12 @@
 
     @property
     def version(self) -> int:
-        """Of the configuration that it serves; 0 while it is not ready."""
+        """The version of the configuration that it serves; 0 while it has none."""
         configuration = self.subscriber.tables.configuration
         return configuration.version if configuration is not None else 0
 
     async def has_version(self, version: int, limit_s: float) -> bool:
-        """Waits until it serves this version."""
+        """Waits at most `limit_s` until the node serves this version; returns whether it does."""
         end = self._loop.time() + limit_s
         while self.version != version:
             if self._loop.time() >= end:
