--- a/tests/control/test_decommissioning.py
+++ b/tests/control/test_decommissioning.py
@@ -1,4 +1,4 @@
-"""Decommissioning of stores: when one starts, how far it is, when it ends."""
+"""Decommissioning of stores: when one may start, its progress, and when it ends."""
 
 import asyncio
 
@@ -44,18 +44,18 @@
 
 
 class DecommissioningLeader:
-    """A leader of control whose commands are committed at once."""
+    """A leader of control whose commands are committed immediately, unless `commits` is cleared."""
 
     def __init__(self, *live: NodeRecord) -> None:
         self.state = ControlState()
         self.nodes = NodeTable()
         self.nodes.start(0.0, {})
         self.decommissioner = StoreDecommissioner(self.state, self.nodes, self, needed_stores=3)
-        self.commits = asyncio.Event()  # proposals wait for it
+        self.commits = asyncio.Event()  # proposals wait until it is set
         self.commits.set()
         self.proposed: list[Command] = []
         self.leads = True
-        self.failure: ControlError | None = None  # of each proposal
+        self.failure: ControlError | None = None  # raised by each proposal
         for node in live:
             self.nodes.observe(0.0, node)
         apply(self.state, PutNodes(live))
@@ -75,13 +75,13 @@
             raise NotLeadingError
 
     def observe_stores(self, begin: float, end: float) -> None:
-        """What the leader's tasks do again and again."""
+        """Observes the stores every `TICK_S`, as the leader's tasks do."""
         now = begin
         while now <= end:
             self.decommissioner.observe_stores(now)
             now += TICK_S
 
-    def lose(self, now: float, node: NodeRecord) -> None:
+    def remove_node(self, now: float, node: NodeRecord) -> None:
         self.nodes.start(now, {key: live for key, live in self.nodes.records.items() if live != node})
         self.decommissioner.observe_stores(now)
 
@@ -93,7 +93,7 @@
         return 200
 
 
-def test_a_store_is_decommissioned_where_enough_remain() -> None:
+def test_a_decommissioning_starts_if_enough_stores_remain() -> None:
     leader = DecommissioningLeader(*STORES, gateway(1))
     assert leader.start("store-9") == 404
     assert leader.start("edge-1") == 404
@@ -104,36 +104,38 @@
     assert leader.decommissioner.progress("store-2") is None
 
 
-def test_a_store_that_is_gone_can_still_be_named() -> None:
+def test_a_store_that_is_gone_can_still_be_decommissioned() -> None:
     leader = DecommissioningLeader(*STORES)
-    leader.lose(0.0, STORES[0])
+    leader.remove_node(0.0, STORES[0])
     assert leader.start("store-1") == 200
 
 
-def test_a_store_that_is_absent_for_a_moment_is_waited_for() -> None:
+def test_a_briefly_absent_store_counts_as_one_that_may_come_back() -> None:
     leader = DecommissioningLeader(*STORES)
-    leader.lose(10.0, STORES[3])
+    leader.remove_node(10.0, STORES[3])
     assert leader.start("store-1", 10.5) == 503
     leader.observe_stores(10.5, 10.0 + ABSENCE_CONFIRMED_S)
     assert leader.start("store-1", 10.0 + ABSENCE_CONFIRMED_S) == 409
 
 
-def test_a_leader_that_did_not_observe_for_a_while_refuses_nothing_at_first() -> None:
+def test_after_a_gap_in_observations_no_start_is_refused_finally_at_first() -> None:
     leader = DecommissioningLeader(*STORES)
-    leader.lose(10.0, STORES[3])
+    leader.remove_node(10.0, STORES[3])
     leader.observe_stores(10.0, 12.0)
-    assert leader.start("store-1", 20.0) == 503  # another led meanwhile: the store may just have been here
+    assert (
+        leader.start("store-1", 20.0) == 503
+    )  # during the gap another member may have led and the store may have been present
     leader.observe_stores(20.0, 20.0 + ABSENCE_CONFIRMED_S)
     assert leader.start("store-1", 20.0 + ABSENCE_CONFIRMED_S) == 409
 
 
-def test_a_new_leader_refuses_nothing_before_its_first_observation() -> None:
+def test_a_new_leader_refuses_no_start_finally_before_its_first_observation() -> None:
     leader = DecommissioningLeader(*STORES)
     leader.nodes.start(10.0, {store.node_id: store for store in STORES[:3]})
     assert leader.start("store-1", 10.0) == 503
 
 
-def test_a_repeat_is_acknowledged_for_a_store_that_only_its_decommissioning_names() -> None:
+def test_a_repeated_start_is_acknowledged_for_a_store_known_only_by_its_decommissioning() -> None:
     leader = DecommissioningLeader(*STORES[1:])
     apply(leader.state, StartDecommissioning("store-1", STORES[0].member))
     assert leader.start("store-1") == 200
@@ -142,10 +144,10 @@
     assert leader.proposed == []
 
 
-def test_a_repeat_is_acknowledged_where_too_few_would_remain_now() -> None:
+def test_a_repeated_start_is_acknowledged_even_if_too_few_stores_remain_now() -> None:
     leader = DecommissioningLeader(*STORES)
     assert leader.start("store-1") == 200
-    leader.lose(0.0, STORES[1])
+    leader.remove_node(0.0, STORES[1])
     leader.observe_stores(0.0, ABSENCE_CONFIRMED_S)
     assert leader.start("store-1", ABSENCE_CONFIRMED_S) == 200
     apply(leader.state, EndDecommissioning("store-1"))
@@ -153,14 +155,14 @@
     assert len(leader.proposed) == 1
 
 
-async def turns() -> None:
-    """Lets all that can go on do so."""
+async def run_pending_tasks() -> None:
+    """Runs the event loop until all tasks wait or are done."""
     for _ in range(20):
         await asyncio.sleep(0)
 
 
 @pytest.mark.parametrize("caller_is_cancelled", [False, True])
-def test_a_start_whose_outcome_is_unknown_is_waited_for_also_when_its_caller_was_cancelled(
+def test_later_starts_wait_for_a_pending_start_even_if_its_caller_was_cancelled(
     caller_is_cancelled: bool,
 ) -> None:
     leader = DecommissioningLeader(*STORES)
@@ -168,18 +170,18 @@
     async def scenario() -> None:
         leader.commits.clear()
         first = asyncio.create_task(leader.decommissioner.start(0.0, "store-1"))
-        await turns()
+        await run_pending_tasks()
         if caller_is_cancelled:
             first.cancel()
         second = asyncio.create_task(leader.decommissioner.start(0.0, "store-2"))
-        again = asyncio.create_task(leader.decommissioner.start(0.0, "store-1"))
-        await turns()
+        repeated = asyncio.create_task(leader.decommissioner.start(0.0, "store-1"))
+        await run_pending_tasks()
         assert not second.done()
-        assert not again.done()
+        assert not repeated.done()
         leader.commits.set()
         with pytest.raises(DecommissioningRefusedError, match="2 stores would remain"):
             await second
-        await again
+        await repeated
 
     asyncio.run(scenario())
     assert [command for command in leader.proposed if isinstance(command, StartDecommissioning)] == [
@@ -187,14 +189,14 @@
     ]
 
 
-def test_a_leader_that_is_deposed_while_a_start_waits_refuses_nothing() -> None:
+def test_a_start_that_waits_while_the_leadership_is_lost_is_not_refused() -> None:
     leader = DecommissioningLeader(*STORES)
 
     async def scenario() -> None:
         leader.commits.clear()
         first = asyncio.create_task(leader.decommissioner.start(0.0, "store-1"))
         second = asyncio.create_task(leader.decommissioner.start(0.0, "store-2"))
-        await turns()
+        await run_pending_tasks()
         leader.leads = False
         leader.commits.set()
         with pytest.raises(NotLeadingError):
@@ -213,7 +215,7 @@
             asyncio.run(leader.decommissioner.start(0.0, "store-1"))
 
 
-def test_the_progress_depends_on_the_committed_command_alone() -> None:
+def test_the_progress_depends_only_on_the_committed_command() -> None:
     leader = DecommissioningLeader()
     apply(leader.state, StartDecommissioning("store-1", "m"))
     assert leader.decommissioner.progress("store-1") == "running"
--- a/tests/control/test_faults.py
+++ b/tests/control/test_faults.py
@@ -1,4 +1,4 @@
-"""A control machine dies at each point of a call in turn: what was acknowledged holds, and reaches all."""
+"""Control machines are killed at each message of a call in turn: acknowledged changes are never lost."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -21,47 +21,47 @@
     relayed_call,
 )
 
-POINTS = 8  # messages of one call and a little more
+POINTS = 8  # more than the messages of one call
 Scenario = Callable[[ControlCluster], Coroutine[Any, Any, None]]
-VICTIMS = ("leader", "subscription", "all")
+VICTIMS = ("leader", "follower", "all")
 
 
-def victims(cluster: ControlCluster, leader: ControlMachine, which: str) -> list[ControlMachine]:
+def victims(cluster: ControlCluster, leader: ControlMachine, selection: str) -> list[ControlMachine]:
     others = [machine for machine in cluster.machines.values() if machine is not leader]
-    return {"leader": [leader], "subscription": others[:1], "all": [leader, *others]}[which]
+    return {"leader": [leader], "follower": others[:1], "all": [leader, *others]}[selection]
 
 
-def each_point(scenario: Scenario) -> None:
-    """Plays the scenario with each victim killed at each point, called at each machine."""
-    for which in VICTIMS:
+def run_at_each_point(scenario: Scenario) -> None:
+    """Runs the scenario with each kind of victim killed at each point."""
+    for selection in VICTIMS:
         for point in range(POINTS):
-            run(_at_point(scenario, which, point))
+            run(_run_at_point(scenario, selection, point))
 
 
-async def _at_point(scenario: Scenario, which: str, point: int) -> None:
+async def _run_at_point(scenario: Scenario, selection: str, point: int) -> None:
     cluster = ControlCluster()
     leader = await cluster.start()
     assert (await cluster.call(put_call(0, encoded(version=1)))).status == 200
-    lost = victims(cluster, leader, which)
+    killed = victims(cluster, leader, selection)
 
-    def strike() -> None:
-        for machine in lost:
+    def kill_victims() -> None:
+        for machine in killed:
             cluster.kill(machine.ip)
-        cluster.in_background(come_back())
+        cluster.in_background(restart_victims())
 
-    async def come_back() -> None:
+    async def restart_victims() -> None:
         await asyncio.sleep(0.9)
-        for machine in lost:
+        for machine in killed:
             await cluster.restart(machine)
 
-    cluster.at_point(point, strike)
+    cluster.at_point(point, kill_victims)
     await scenario(cluster)
     assert cluster.reached_point
     await cluster.stop()
 
 
-async def tables_from(machine: ControlMachine) -> FeedSubscription:
-    """A node that begins a session now."""
+async def subscribe_to(machine: ControlMachine) -> FeedSubscription:
+    """The subscription of a node that opens a session now."""
     machine.tables.publisher.take_state_changes()
     subscription = FeedSubscription()
     subscription.replace_all(machine.tables.publisher.open("node"), 0.0)
@@ -69,22 +69,24 @@
 
 
 @pytest.mark.parametrize("first", IPS)
-def test_a_configuration_is_accepted_once_and_outlasts_crashes(first: str) -> None:
+def test_a_configuration_is_accepted_once_and_survives_crashes(first: str) -> None:
     async def scenario(cluster: ControlCluster) -> None:
         document = encoded(version=2)
         assert (await cluster.call(put_call(1, document), first)).status == 200
         await asyncio.sleep(2.0)
         assert (await cluster.call(read_call(), first)).body == single_line(document)
-        assert (await cluster.call(put_call(1, document), first)).status == 200, "sent once more"
+        assert (await cluster.call(put_call(1, document), first)).status == 200, (
+            "a repeated request is acknowledged"
+        )
         assert (await cluster.call(put_call(1, encoded(version=3)), first)).status == 412
-        configuration = (await tables_from(await cluster.leader())).tables.configuration
+        configuration = (await subscribe_to(await cluster.leader())).tables.configuration
         assert configuration is not None
         assert configuration.version == 2
 
-    each_point(scenario)
+    run_at_each_point(scenario)
 
 
-def test_one_of_two_that_build_on_the_same_version_wins() -> None:
+def test_one_of_two_requests_with_the_same_base_is_accepted() -> None:
     async def scenario(cluster: ControlCluster) -> None:
         documents = [encoded(version=2, extra=name) for name in ("a", "b")]
         calls = [
@@ -96,7 +98,7 @@
         await asyncio.sleep(2.0)
         assert (await cluster.call(read_call())).body == single_line(winner)
 
-    each_point(scenario)
+    run_at_each_point(scenario)
 
 
 def test_an_acknowledged_drain_is_known_to_every_later_leader() -> None:
@@ -106,14 +108,14 @@
         assert (await cluster.call(drain)).status == 200
         late = await cluster.call(heartbeat_call("i-1", "ready", 1))
         assert late.status == 200
-        workers = (await tables_from(await cluster.leader())).tables.workers
+        workers = (await subscribe_to(await cluster.leader())).tables.workers
         assert workers["i-1"].state == "draining"
 
-    each_point(scenario)
+    run_at_each_point(scenario)
 
 
 def test_a_leadership_transfer_loses_no_call() -> None:
-    """The leader transfers its leadership at each point of a call, which is answered without a repeat."""
+    """The leader transfers its leadership at each message of a call, which succeeds at the first attempt."""
 
     async def at(point: int, first: str) -> None:
         cluster = ControlCluster()
@@ -137,7 +139,7 @@
             run(at(point, first))
 
 
-def test_a_minority_neither_acknowledges_nor_reads() -> None:
+def test_a_minority_neither_acknowledges_changes_nor_answers_reads() -> None:
     async def scenario() -> None:
         cluster = ControlCluster()
         leader = await cluster.start()
--- a/tests/control/test_feed.py
+++ b/tests/control/test_feed.py
@@ -1,4 +1,4 @@
-"""The leader's side of the feed: sessions that come, go, and do not read."""
+"""The leader's side of the feed: opening, renewing and ending sessions, and nodes that do not read."""
 
 import asyncio
 from collections.abc import Callable
@@ -31,7 +31,7 @@
 
 
 class StandInLeadership:
-    """What the feed needs of the leadership."""
+    """The attributes of the leadership that the feed server uses."""
 
     def __init__(self) -> None:
         self.ready = True
@@ -40,7 +40,7 @@
 
 
 class StandInChannel:
-    """A session's connection. A `full` one takes no more lines."""
+    """The connection of a session. A `full` channel accepts no more lines."""
 
     def __init__(self) -> None:
         self.full = False
@@ -66,7 +66,7 @@
 
 
 class Feed:
-    """A feed server, its state, and nodes that follow it."""
+    """A feed server with its state, and the sessions of nodes."""
 
     def __init__(self) -> None:
         self.leadership = StandInLeadership()
@@ -107,7 +107,7 @@
     assert feed.nodes.records == {}
 
 
-def test_a_leader_without_a_lease_redirects_to_nobody_and_confirms_nothing() -> None:
+def test_a_leader_without_a_lease_answers_with_an_empty_redirect() -> None:
     feed = Feed()
     channel, _ = feed.session()
     feed.leadership.has_lease = False
@@ -115,7 +115,7 @@
     assert feed.subscribe(StandInChannel(), gateway(2)) == Redirect("")
 
 
-def test_what_changed_before_a_session_reaches_those_that_were_there() -> None:
+def test_changes_pending_when_a_session_opens_reach_the_earlier_sessions() -> None:
     feed = Feed()
     early, subscription = feed.session(1)
     apply(feed.state, put(0, 5))
@@ -134,17 +134,17 @@
     answer = feed.renew(channel, Renew(gateway(1)))
     assert isinstance(answer, Renewed)
     assert len(channel.pushed) == 1
-    assert not subscription.confirm(answer, 1.0), "the change has not been taken yet"
+    assert not subscription.confirm(answer, 1.0), "the change has not been applied yet"
     subscription.apply_change(channel.pushed[0])
     assert subscription.confirm(answer, 1.0)
 
 
-def test_a_renewal_without_a_session_is_redirected_to_open_one() -> None:
+def test_a_renewal_without_a_session_is_redirected_to_the_leader() -> None:
     feed = Feed()
     assert feed.renew(StandInChannel(), Renew(gateway(1))) == Redirect(OTHER_LEADER)
 
 
-def test_a_session_that_does_not_read_is_ended_and_affects_no_other() -> None:
+def test_a_session_that_does_not_read_is_closed_without_affecting_others() -> None:
     feed = Feed()
     stuck, _ = feed.session(1)
     good, _ = feed.session(2)
@@ -156,7 +156,7 @@
     assert feed.publisher.sessions == {good}
 
 
-def test_commands_that_are_applied_together_are_pushed_once() -> None:
+def test_commands_applied_together_are_pushed_as_one_change() -> None:
     async def scenario() -> None:
         feed = Feed()
         channel, subscription = feed.session()
--- a/tests/control/test_late_calls.py
+++ b/tests/control/test_late_calls.py
@@ -1,4 +1,4 @@
-"""Calls that were delayed on their way to the leader, or in the sockets of a process that was paused."""
+"""Calls that were delayed on the way to the leader, or in sockets of a paused process, are not executed."""
 
 import asyncio
 import random
@@ -23,34 +23,34 @@
 TIMING = RaftTiming()
 PAUSE_S = 20.0
 MARGIN_S = 0.01
-GONE = heartbeat_call("i-9")  # of a worker that control does not know
+UNKNOWN_WORKER_CALL = heartbeat_call("i-9")  # executing it adds the worker to the state
 
 
 def follower_of(cluster: ControlCluster, leader: ControlMachine) -> ControlMachine:
     return next(machine for machine in cluster.machines.values() if machine is not leader)
 
 
-async def configured() -> tuple[ControlCluster, ControlMachine]:
+async def start_configured_cluster() -> tuple[ControlCluster, ControlMachine]:
     cluster = ControlCluster()
     leader = await cluster.start()
     assert (await cluster.call(put_call(0, encoded(version=1)))).status == 200
     return cluster, leader
 
 
-def until_next_round(leader: ControlMachine) -> float:
-    """How long it takes until the leader's next round."""
+def seconds_to_next_round(leader: ControlMachine) -> float:
+    """The time in seconds until the leader's next heartbeat round."""
     deadline = leader.group._driver.running().next_deadline()  # noqa: SLF001 - the timer of the core is not public
     assert deadline is not None
     return deadline - asyncio.get_running_loop().time()
 
 
 @pytest.mark.parametrize("late", [False, True])
-def test_a_call_is_begun_for_as_long_as_its_round_is_recent(late: bool) -> None:
+def test_a_call_is_executed_only_while_its_round_is_recent(late: bool) -> None:
     async def scenario() -> None:
-        cluster, leader = await configured()
-        await asyncio.sleep(until_next_round(leader))
+        cluster, leader = await start_configured_cluster()
+        await asyncio.sleep(seconds_to_next_round(leader))
         await asyncio.sleep(0)
-        call = relayed_call(GONE, leader)  # of a round that begins just now
+        call = relayed_call(UNKNOWN_WORKER_CALL, leader)  # dated by the round that begins now
         await asyncio.sleep(TIMING.election_max_s + (MARGIN_S if late else -MARGIN_S))
         answer = await leader.router.answer_relayed(call)
         assert answer.too_old == late
@@ -65,11 +65,13 @@
 
 def test_a_round_of_another_term_is_not_recent() -> None:
     async def scenario() -> None:
-        cluster, leader = await configured()
+        cluster, leader = await start_configured_cluster()
         term, number = leader.leadership.newest_round
         for other in ((term - 1, number), (term + 1, number), (term, number + 1), (term, 0), (0, 0)):
             answer = await leader.router.answer_relayed(
-                RelayedCall(GONE.method, GONE.path, "", GONE.body, *other)
+                RelayedCall(
+                    UNKNOWN_WORKER_CALL.method, UNKNOWN_WORKER_CALL.path, "", UNKNOWN_WORKER_CALL.body, *other
+                )
             )
             assert answer.too_old, other
         assert not leader.state.workers
@@ -78,14 +80,14 @@
     run(scenario())
 
 
-def test_a_leader_that_was_paused_begins_nothing_that_waited_in_it() -> None:
-    """It reads what waited before its timers tell it that it leads no longer."""
+def test_a_leader_that_was_paused_does_not_execute_calls_that_waited_meanwhile() -> None:
+    """It reads these calls before its timers end its leadership."""
 
     async def scenario() -> None:
-        cluster, leader = await configured()
+        cluster, leader = await start_configured_cluster()
         loop = asyncio.get_running_loop()
         assert isinstance(loop, VirtualTimeLoop)
-        call = relayed_call(GONE, leader)
+        call = relayed_call(UNKNOWN_WORKER_CALL, leader)
         loop.pause_process(PAUSE_S)
         answer = await leader.router.answer_relayed(call)
         assert answer.too_old
@@ -95,10 +97,10 @@
     run(scenario())
 
 
-def test_a_new_term_does_not_begin_what_was_meant_for_the_last() -> None:
+def test_a_new_leader_does_not_execute_calls_meant_for_the_previous_one() -> None:
     async def scenario() -> None:
-        cluster, leader = await configured()
-        call = relayed_call(GONE, leader)
+        cluster, leader = await start_configured_cluster()
+        call = relayed_call(UNKNOWN_WORKER_CALL, leader)
         cluster.kill(leader.ip)
         leader = await cluster.leader()
         answer = await leader.router.answer_relayed(call)
@@ -109,34 +111,34 @@
     run(scenario())
 
 
-def count_too_old(leader: ControlMachine) -> list[RelayedCall]:
-    """Notes the calls that the leader takes for too old."""
-    refused: list[RelayedCall] = []
+def record_too_old(leader: ControlMachine) -> list[RelayedCall]:
+    """Returns a list that collects the calls that the leader rejects as too old."""
+    rejected: list[RelayedCall] = []
     answer_relayed = leader.router.answer_relayed
 
-    async def counted(message: RelayedCall) -> object:
+    async def recording_answer(message: RelayedCall) -> object:
         answer = await answer_relayed(message)
         if answer.too_old:
-            refused.append(message)
+            rejected.append(message)
         return answer
 
-    leader.router.answer_relayed = counted  # type: ignore[assignment, method-assign]  # of this object alone
-    return refused
+    leader.router.answer_relayed = recording_answer  # type: ignore[assignment, method-assign]  # replaced on this object only
+    return rejected
 
 
-def test_no_call_that_comes_in_time_is_too_old() -> None:
-    """At any moment between two rounds, and from the moment at which a member knows the leader."""
+def test_no_call_that_arrives_in_time_is_rejected_as_too_old() -> None:
+    """Holds at any time between two rounds, and as soon as a member knows a new leader."""
 
     async def scenario() -> None:
-        cluster, leader = await configured()
+        cluster, leader = await start_configured_cluster()
         rng = random.Random(5)
         for _ in range(5):
-            refused = count_too_old(leader)
+            rejected = record_too_old(leader)
             follower = follower_of(cluster, leader)
             for _ in range(40):
                 assert (await follower.router.answer(read_call())).status == 200
                 await asyncio.sleep(rng.uniform(0.0, 2 * TIMING.heartbeat_s))
-            assert refused == []
+            assert rejected == []
             await leader.group.transfer_leadership()
             while not (leaders := [each for each in cluster.machines.values() if each.group.is_leader]):  # noqa: ASYNC110 - in virtual time, to see the leader at once
                 await asyncio.sleep(0.001)
@@ -146,56 +148,56 @@
     run(scenario())
 
 
-def test_a_member_that_knows_old_rounds_alone_sends_again_with_the_newest() -> None:
-    """Its heartbeats wait behind a snapshot, say."""
+def test_a_member_that_knows_only_old_rounds_retries_with_the_newest() -> None:
+    """This happens when heartbeats to the member are queued behind a snapshot."""
 
     async def scenario() -> None:
-        cluster, leader = await configured()
-        refused = count_too_old(leader)
+        cluster, leader = await start_configured_cluster()
+        rejected = record_too_old(leader)
         follower = follower_of(cluster, leader)
         await asyncio.sleep(PAUSE_S)
         follower.group._driver.running()._state.last_leader_round = 1  # noqa: SLF001 - no message brings an old round
-        assert (await follower.router.answer(GONE)).status == 200
-        assert [call.round for call in refused] == [1]
+        assert (await follower.router.answer(UNKNOWN_WORKER_CALL)).status == 200
+        assert [call.round for call in rejected] == [1]
         assert "i-9" in leader.state.workers
         await cluster.stop()
 
     run(scenario())
 
 
-# Calls that waited in the sockets of the machine that was called.
+# Calls that waited in the sockets of the machine that received them.
 
 
 async def read_after_a_pause(leads: bool) -> None:
-    cluster, leader = await configured()
+    cluster, leader = await start_configured_cluster()
     machine = leader if leads else follower_of(cluster, leader)
     loop = asyncio.get_running_loop()
     assert isinstance(loop, VirtualTimeLoop)
     loop.pause_process(PAUSE_S)
-    waited = [machine.router.answer(GONE) for _ in range(3)]  # read before any timer
-    assert [answer.status for answer in await asyncio.gather(*waited)] == [503] * 3
-    await asyncio.sleep(PAUSE_GRACE_S / 2)  # of a connection that was accepted only now
-    assert (await machine.router.answer(GONE)).status == 503
+    answers = [machine.router.answer(UNKNOWN_WORKER_CALL) for _ in range(3)]  # read before any timer
+    assert [answer.status for answer in await asyncio.gather(*answers)] == [503] * 3
+    await asyncio.sleep(PAUSE_GRACE_S / 2)  # a connection accepted only now may have waited too
+    assert (await machine.router.answer(UNKNOWN_WORKER_CALL)).status == 503
     await cluster.leader()
     assert all("i-9" not in each.state.workers for each in cluster.machines.values())
-    assert (await cluster.call(GONE, machine.ip)).status == 200
+    assert (await cluster.call(UNKNOWN_WORKER_CALL, machine.ip)).status == 200
     await cluster.stop()
 
 
 @pytest.mark.parametrize("leads", [False, True])
-def test_what_waited_in_a_paused_process_is_answered_503(leads: bool) -> None:
+def test_calls_that_waited_in_a_paused_process_are_answered_503(leads: bool) -> None:
     run(read_after_a_pause(leads))
 
 
 class DetectsNothing(PauseDetector):
-    """Takes all that it reads for new."""
+    """Never detects a pause."""
 
     def was_paused(self) -> bool:
         return False
 
 
 @pytest.mark.parametrize("leads", [False, True])
-def test_a_detector_that_detects_nothing_is_caught(leads: bool) -> None:
+def test_a_pause_detector_that_detects_nothing_fails_the_test(leads: bool) -> None:
     with (
         patch("tests.control.cluster.PauseDetector", DetectsNothing),
         pytest.raises(AssertionError, match="503"),
--- a/tests/control/test_leader_tasks.py
+++ b/tests/control/test_leader_tasks.py
@@ -1,4 +1,4 @@
-"""What the leader finds to be committed by itself."""
+"""The commands that the leader's periodic tasks find due."""
 
 from pewterring.consensus.messages import Membership
 from pewterring.control.commands import (
@@ -21,7 +21,7 @@
 
 
 class Leader:
-    """The tasks of a leader whose commands are committed at once, with the nodes that are there."""
+    """The tasks of a leader whose commands are committed immediately. `live` are the connected nodes."""
 
     def __init__(self, *live: NodeRecord) -> None:
         self.now = 0.0
@@ -42,7 +42,7 @@
         pass
 
     def run(self, seconds: float) -> list[Command]:
-        done: list[Command] = []
+        committed: list[Command] = []
         end = self.now + seconds
         while self.now < end:
             for node in self.live:
@@ -51,9 +51,9 @@
             commands = self.tasks.due_commands(self.now)
             for command in commands:
                 apply(self.state, command)
-            done += commands
+            committed += commands
             self.now += STEP_S
-        return done
+        return committed
 
 
 def placements(commands: list[Command]) -> list[CreateGroup]:
@@ -66,7 +66,7 @@
     assert placements(leader.run(5.0)) == []
 
 
-def test_stores_of_one_zone_are_placed_once_other_zones_were_waited_for() -> None:
+def test_stores_of_one_zone_are_placed_after_waiting_for_other_zones() -> None:
     leader = Leader(store(1, "a"), store(2, "a"), store(3, "a"))
     assert placements(leader.run(ZONE_WAIT_S)) == []
     assert len(placements(leader.run(STEP_S))) == 1
@@ -76,7 +76,7 @@
     assert placements(Leader(store(1), store(2)).run(5.0)) == []
 
 
-def test_nodes_are_committed_when_they_come_and_go() -> None:
+def test_nodes_are_committed_when_they_connect_and_disconnect() -> None:
     leader = Leader(store(1), store(2))
     leader.run(1.0)
     assert set(leader.state.nodes) == {"store-1", "store-2"}
@@ -105,7 +105,7 @@
     assert not leader.state.workers
 
 
-def test_a_decommissioning_ends_by_a_report_that_came_after_it() -> None:
+def test_a_decommissioning_ends_with_a_later_report() -> None:
     stores = [store(number) for number in (1, 2, 3, 4)]
     leader = Leader(*stores)
     leader.run(1.0)
@@ -120,8 +120,8 @@
     assert leader.run(1.0) == [EndDecommissioning("store-1")]
 
 
-def test_a_report_of_a_leader_that_may_not_know_of_the_decommissioning_does_not_end_it() -> None:
-    """A store that is spare is in no report. Its leader could still make a voter of it."""
+def test_a_report_does_not_end_a_decommissioning_that_its_sender_may_not_know() -> None:
+    """A spare store is in no report. A partition leader that does not know better could make it a voter."""
     stores = [store(number) for number in (1, 2, 3, 4)]
     leader = Leader(*stores)
     leader.run(1.0)
--- a/tests/control/test_program.py
+++ b/tests/control/test_program.py
@@ -1,4 +1,4 @@
-"""Three control programs over loopback: calls by HTTP, a node on the feed, stops and a lost disk."""
+"""Three control programs over loopback: HTTP calls, a node on the feed, planned stops and a lost disk."""
 
 import asyncio
 import contextlib
@@ -36,12 +36,12 @@
 
 IPS = (loopback_ip(21), loopback_ip(22), loopback_ip(23))
 NODE_IP = loopback_ip(24)
-CALL_S = 2.0  # a caller goes to another machine after so long
-TEST_S = 60.0
+CALL_TIMEOUT_S = 2.0  # callers then try another machine
+TEST_TIMEOUT_S = 60.0
 
 
 class Machines:
-    """The programs that run, by IP, and an operator who asks one after the other."""
+    """The running programs by IP, and an operator who tries one after the other."""
 
     def __init__(self, data_dir: Path) -> None:
         self.data_dir = data_dir
@@ -75,7 +75,7 @@
         await program.stop()
 
     async def leader(self) -> str:
-        """The IP of the leader, asked until there is one."""
+        """Waits until a program has the lease and returns its IP."""
         while True:
             for ip, program in self.programs.items():
                 if program.leadership.has_lease:
@@ -83,11 +83,11 @@
             await self.call("GET", "/v1/Config.Get")
 
     async def call(self, method: str, path: str, body: bytes = b"", **headers: str) -> tuple[int, bytes]:
-        """The first clear answer of any machine."""
+        """Calls the machines in turn; returns the first answer with a status below 500."""
         while True:
             for ip in tuple(self.programs):
                 with contextlib.suppress(OSError, asyncio.IncompleteReadError, ValueError):
-                    async with asyncio.timeout(CALL_S):
+                    async with asyncio.timeout(CALL_TIMEOUT_S):
                         status, answer = await self._call_one(ip, method, path, body, headers)
                     if status < 500:
                         return status, answer
@@ -118,7 +118,7 @@
 
 
 class Node:
-    """A gateway's side of the feed."""
+    """A gateway that subscribes to the feed."""
 
     def __init__(self, machines: Machines) -> None:
         self._changed = asyncio.Event()
@@ -147,7 +147,7 @@
 @contextlib.asynccontextmanager
 async def running(data_dir: Path) -> AsyncIterator[tuple[Machines, Node]]:
     machines = Machines(data_dir)
-    async with asyncio.timeout(TEST_S):
+    async with asyncio.timeout(TEST_TIMEOUT_S):
         for ip in IPS:
             await machines.start(ip)
         node = Node(machines)
@@ -158,7 +158,7 @@
             await machines.stop(ip)
 
 
-def test_configurations_outlast_a_planned_stop_of_the_leader_and_a_stop_of_all(tmp_path: Path) -> None:
+def test_configurations_survive_a_planned_stop_of_the_leader_and_of_all_programs(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with running(tmp_path) as (machines, node):
             await machines.put(0, 3)
@@ -174,7 +174,7 @@
             status, _ = await machines.call(
                 "POST", "/v1/Config.Replace", encoded(version=5), Base_Version="3"
             )
-            assert status == 200, "the same once more"
+            assert status == 200, "a repeated request is acknowledged"
             status, _ = await machines.call("POST", "/v1/Config.Replace", b"{", Base_Version="5")
             assert status == 400
 
@@ -189,18 +189,18 @@
             lost = next(ip for ip in IPS if ip != leader)
             await machines.stop(lost)
             shutil.rmtree(tmp_path / lost)
-            again = await machines.start(lost, bootstrap=False)
-            while not again.joining.is_voter:
+            restarted = await machines.start(lost, bootstrap=False)
+            while not restarted.joining.is_voter:
                 await machines.read()
-            assert again.group.member.startswith(lost)
-            assert not again.group.member.endswith("#seed")
+            assert restarted.group.member.startswith(lost)
+            assert not restarted.group.member.endswith("#seed")
             await machines.stop(leader)
             assert await machines.read() == single_line(encoded(version=3))
 
     asyncio.run(scenario())
 
 
-def test_a_worker_reaches_the_node_that_follows(tmp_path: Path) -> None:
+def test_a_worker_is_published_to_a_subscribed_node(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with running(tmp_path) as (machines, node):
             heartbeat = b'{"backend":"s","address":"10.9.0.1:80","capacity":4,"state":"%s","sequence":%d}'
@@ -218,7 +218,7 @@
     asyncio.run(scenario())
 
 
-def test_settings_without_a_data_folder_or_an_address_are_refused(tmp_path: Path) -> None:
+def test_settings_without_a_data_folder_or_an_address_are_rejected(tmp_path: Path) -> None:
     complete = Machines(tmp_path).settings(IPS[0])
     with pytest.raises(SettingsError, match=r"listen_addrs\.control"):
         ControlProgram(dataclasses.replace(complete, control=None))
@@ -226,25 +226,25 @@
         ControlProgram(dataclasses.replace(complete, data_dir=None))
 
 
-def test_a_seed_of_another_cluster_is_logged_once_and_nothing_of_it_is_taken(tmp_path: Path) -> None:
+def test_a_seed_of_another_cluster_is_logged_once_and_its_tables_are_ignored(tmp_path: Path) -> None:
     async def scenario() -> None:
         machines = Machines(tmp_path)
         node = Node(machines)
         tables = CompleteTables(TableVersions(1, 1), msgspec.Raw(encoded(version=1)), (), (), (), (), ())
-        stranger = LineServer(MessageCodec(FEED_MESSAGES, "two"), lambda _channel, _message: tables)
-        await stranger.start(IPS[0], machines.internal_port)
+        foreign_seed = LineServer(MessageCodec(FEED_MESSAGES, "two"), lambda _channel, _message: tables)
+        await foreign_seed.start(IPS[0], machines.internal_port)
         with warnings_logged() as warnings:
             for _ in range(5):
-                await node.subscriber._run_session(IPS[0])  # noqa: SLF001 - one session, without the pauses between
+                await node.subscriber._run_session(IPS[0])  # noqa: SLF001 - one session, without the pauses between sessions
         assert len(warnings) == 2
         assert all("cluster" in warning for warning in warnings)
         assert node.subscriber.tables.configuration is None
-        await stranger.stop()
+        await foreign_seed.stop()
 
     asyncio.run(scenario())
 
 
-def test_a_peer_of_another_cluster_is_disconnected_and_nothing_of_it_is_taken(
+def test_a_peer_of_another_cluster_is_disconnected_and_its_messages_are_ignored(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     requested: list[str] = []
@@ -260,13 +260,15 @@
         try:
             for cluster in ("one", "two", ""):
                 codec = MessageCodec(MESSAGES, cluster)
-                channel = await connect(ChannelSettings(codec), IPS[0], machines.internal_port, CALL_S)
+                channel = await connect(
+                    ChannelSettings(codec), IPS[0], machines.internal_port, CALL_TIMEOUT_S
+                )
                 channel.send(JoinGroup(f"{NODE_IP}#{cluster}"))
                 if cluster == "one":
-                    assert isinstance(await channel.request(subscribe, CALL_S), Redirect)
+                    assert isinstance(await channel.request(subscribe, CALL_TIMEOUT_S), Redirect)
                 else:
                     with pytest.raises(ChannelClosedError):
-                        await channel.request(subscribe, CALL_S)
+                        await channel.request(subscribe, CALL_TIMEOUT_S)
                 channel.close()
             assert requested == [f"{NODE_IP}#one"]
         finally:
--- a/tests/control/test_publisher.py
+++ b/tests/control/test_publisher.py
@@ -1,4 +1,4 @@
-"""The leader's side of the feed, followed by the node's side."""
+"""The publisher of the feed: sessions, table versions and changes, as applied by subscriptions."""
 
 import msgspec
 
@@ -13,7 +13,7 @@
 
 
 class Feed:
-    """A publisher whose changes reach all subscriptions at once."""
+    """A publisher whose changes are applied to all subscriptions immediately."""
 
     def __init__(self) -> None:
         self.state = ControlState()
@@ -66,7 +66,7 @@
         assert tables.versions.epoch == 3
 
 
-def test_nothing_is_published_where_nothing_changed() -> None:
+def test_nothing_is_published_without_a_change() -> None:
     feed = Feed()
     feed.open()
     versions = feed.publisher.versions
@@ -131,7 +131,7 @@
     assert subscription.tables.nodes[0].decommissioning
 
 
-def test_progress_of_a_partition_alone_is_not_published() -> None:
+def test_mere_progress_of_a_partition_is_not_published() -> None:
     feed = Feed()
     subscription = feed.open()
     stores = [store(1), store(2), store(3)]
@@ -159,7 +159,7 @@
     assert feed.open().tables.nodes == (store(1),)
 
 
-def test_a_changed_configuration_passes_the_codec() -> None:
+def test_a_changed_configuration_is_preserved_by_the_codec() -> None:
     feed = Feed()
     apply(feed.state, put(0, 5))
     (change,) = feed.publish()
--- a/tests/control/test_service.py
+++ b/tests/control/test_service.py
@@ -1,4 +1,4 @@
-"""Calls of the operator and the workers, without sockets."""
+"""Calls of operators and workers through the HTTP API, without sockets."""
 
 import asyncio
 
@@ -28,7 +28,7 @@
     assert machine.call("POST", "/v1/Instances.Heartbeat/i-1", b"{").status == 400
 
 
-def test_a_configuration_is_taken_read_and_taken_again() -> None:
+def test_a_configuration_is_accepted_read_and_acknowledged_again() -> None:
     machine = Machine()
     assert machine.call("GET", "/v1/Config.Get").status == 404
     order = encoded(version=5).replace(b",", b",\n")
@@ -44,7 +44,7 @@
     assert machine.state.version == 7
 
 
-def test_a_patch_is_taken_read_and_taken_again() -> None:
+def test_a_patch_is_accepted_read_and_acknowledged_again() -> None:
     machine = Machine()
     patch = b'{"version":9,"delete":{"routes":["r-1"]}}'
     assert machine.replace(0, encoded(version=7)) == 200
@@ -55,14 +55,16 @@
     assert machine.update(7, patch.replace(b",", b",\n ")) == 200
     assert machine.update(9, patch) == 400
     assert machine.update(7, patch.replace(b"9", b"10")) == 412
-    assert machine.replace(7, orjson.dumps(expected)) == 412  # the same result is another order
+    assert (
+        machine.replace(7, orjson.dumps(expected)) == 412
+    )  # the same result as a complete document is another request
     assert machine.replace(9, encoded(version=11)) == 200
     assert machine.update(7, patch) == 200
     assert machine.state.version == 11
     assert machine.proposals == 5
 
 
-def test_a_patch_is_refused_where_its_result_is_invalid() -> None:
+def test_a_patch_with_an_invalid_result_is_rejected() -> None:
     machine = Machine()
     assert machine.replace(0, encoded(version=7)) == 200
     assert machine.update(7, b'{"version":9,"delete":{"backends":["huvo11a"]}}') == 400
@@ -72,7 +74,7 @@
     assert machine.state.version == 7
 
 
-def test_a_repeat_writes_nothing_and_is_acknowledged_by_a_leader_alone() -> None:
+def test_a_repetition_is_not_logged_and_is_acknowledged_only_by_a_leader() -> None:
     machine = Machine()
     assert machine.replace(0, encoded(version=5)) == 200
     assert machine.replace(5, encoded(version=6)) == 200
@@ -81,37 +83,37 @@
         assert machine.replace(5, encoded(version=6)) == 200
     assert machine.proposals == 2
     machine.failure = NotLeadingError()
-    again = RelayedCall("POST", "/v1/Config.Replace", "5", encoded(version=6), 1, 1)
-    assert asyncio.run(machine.router.answer_relayed(again)) == RelayedAnswer(503, not_leading=True)
+    repeated = RelayedCall("POST", "/v1/Config.Replace", "5", encoded(version=6), 1, 1)
+    assert asyncio.run(machine.router.answer_relayed(repeated)) == RelayedAnswer(503, not_leading=True)
 
 
 @pytest.mark.parametrize(
     "body", [b"", encoded()[:-9], with_route(0, timeout_ms=0), with_route(1, backend="nobody")]
 )
-def test_an_invalid_configuration_is_refused(body: bytes) -> None:
+def test_an_invalid_configuration_is_rejected(body: bytes) -> None:
     machine = Machine()
     assert machine.replace(0, body) == 400
     assert machine.proposals == 0
 
 
 @pytest.mark.parametrize(
-    "more",
+    "suffix",
     [
-        b',"version":9}',  # two readers could take it for two versions
+        b',"version":9}',  # duplicate key: readers may disagree about the version
         b',"new":"a\nb"}',  # a line end inside a string
         b',"new":' + b"[" * 300 + b"]" * 300 + b"}",
     ],
 )
-def test_a_document_that_readers_could_understand_differently_is_refused(more: bytes) -> None:
+def test_an_ambiguous_document_is_rejected(suffix: bytes) -> None:
     machine = Machine()
-    assert machine.replace(0, encoded()[:-1] + more) == 400
+    assert machine.replace(0, encoded()[:-1] + suffix) == 400
     assert machine.proposals == 0
 
 
 @pytest.mark.parametrize(
     "text", ["", "-1", "+0", "0x0", "0.0", "1e0", "0 0", "0,0", "\u00b2", "None", "1" * 21]
 )
-def test_a_base_version_is_a_number(text: str) -> None:
+def test_a_base_version_must_be_a_number(text: str) -> None:
     machine = Machine()
     assert machine.call("POST", "/v1/Config.Replace", encoded()).status == 400
     body, headers = encoded(), {"base_version": text}
@@ -125,7 +127,7 @@
 
 
 @pytest.mark.parametrize("base", [7, 8, 2**63, 10**19, 10**20 - 1, "9" * 5000])
-def test_a_version_that_is_not_above_its_base_is_refused(base: object) -> None:
+def test_a_version_that_is_not_above_its_base_is_rejected(base: object) -> None:
     machine = Machine()
     assert machine.replace(0, encoded(version=7)) == 200
     assert (
@@ -135,7 +137,7 @@
     assert machine.replace(0, encoded(version=7)) == 200
 
 
-def test_an_order_too_old_to_be_remembered_gets_no_clear_answer(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_request_too_old_to_be_remembered_is_answered_503(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("pewterring.control.configuration_history.REMEMBERED_VERSIONS", 2)
     machine = Machine()
     for version in (1, 2, 3):
@@ -145,7 +147,7 @@
     assert machine.replace(0, encoded(version=2, limits={})) == 412
 
 
-def test_an_unknown_path_or_method_is_refused() -> None:
+def test_an_unknown_path_or_method_is_rejected() -> None:
     machine = Machine()
     assert machine.call("GET", "/v1/Other").status == 404
     assert machine.call("GET", "/v1/Config.Replace").status == 405
@@ -165,6 +167,6 @@
     assert machine.call("POST", "/v1/Retire.Start/store-9").status == 404
     assert machine.call("POST", "/v1/Retire.Start/store-2").status == 409
     apply(machine.state, EndDecommissioning("store-1"))
-    again = machine.call("POST", "/v1/Retire.Start/store-1")
-    assert again == Answer(200, b'{"state":"succeeded"}')
-    assert machine.call("GET", "/v1/Retire.Get/store-1") == again
+    repeated = machine.call("POST", "/v1/Retire.Start/store-1")
+    assert repeated == Answer(200, b'{"state":"succeeded"}')
+    assert machine.call("GET", "/v1/Retire.Get/store-1") == repeated
