--- a/tests/control/test_bad_input.py
+++ b/tests/control/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Commands and snapshots that do not decode, as of a later version: a clear end, nothing applied in part."""
+"""Commands and snapshots that cannot be decoded, for example of a later version, change no state."""
 
 import asyncio
 import random
@@ -62,7 +62,7 @@
 
 
 @pytest.mark.parametrize("data", NOT_COMMANDS, ids=range(len(NOT_COMMANDS)))
-def test_an_entry_that_is_no_command_changes_nothing_and_is_named(data: bytes) -> None:
+def test_an_entry_that_is_not_a_command_changes_nothing_and_is_named_in_the_error(data: bytes) -> None:
     state = complete_state()
     before = state.snapshot()
     with pytest.raises(InvalidCommandError, match="log entry 17") as caught:
@@ -72,7 +72,7 @@
 
 
 @pytest.mark.parametrize("command", ONE_OF_EACH, ids=lambda command: type(command).__name__)
-def test_a_field_of_a_later_version_is_not_ignored(command: Command) -> None:
+def test_an_unknown_field_of_a_command_is_not_ignored(command: Command) -> None:
     later = msgspec.json.decode(encode_command(command)) | {"later": 1}
     state = ControlState()
     with pytest.raises(InvalidCommandError):
@@ -80,7 +80,7 @@
     assert state.snapshot() == ControlState().snapshot()
 
 
-def changed(**changes: Any) -> bytes:
+def snapshot_with(**changes: Any) -> bytes:
     return msgspec.json.encode(msgspec.json.decode(complete_state().snapshot()) | changes)
 
 
@@ -91,10 +91,10 @@
         b"null",
         b"\xff",
         complete_state().snapshot()[:-1],
-        changed(later=1),
-        changed(version="5"),
-        changed(workers=[{"id": "i-1"}]),
-        changed(retirements=[{"node_id": "store-1", "member": "m", "later": 1}]),
+        snapshot_with(later=1),
+        snapshot_with(version="5"),
+        snapshot_with(workers=[{"id": "i-1"}]),
+        snapshot_with(retirements=[{"node_id": "store-1", "member": "m", "later": 1}]),
         complete_state().snapshot().replace(b"i-2", b"i-\xff"),
     ],
     ids=range(9),
@@ -126,7 +126,7 @@
     )
 
 
-def test_a_member_whose_log_is_of_a_later_version_stops_at_that_entry() -> None:
+def test_a_member_stops_at_a_log_entry_of_a_later_version() -> None:
     storage = MemoryStorage(("10.0.0.1#seed",))
     known = encode_command(put(0, 5))
     later = b'{"type":"FromTheFuture"}'
@@ -151,10 +151,10 @@
     assert state.version == 5
 
 
-def test_a_member_whose_snapshot_is_of_a_later_version_does_not_start() -> None:
+def test_a_member_with_a_snapshot_of_a_later_version_does_not_start() -> None:
     storage = MemoryStorage(("10.0.0.1#seed",))
     storage.snapshot_index = storage.snapshot_term = 1
-    storage.snapshot = changed(later=1)
+    storage.snapshot = snapshot_with(later=1)
 
     async def scenario() -> None:
         await member(storage, ControlState(), lambda _: None).start()
--- a/tests/control/test_configuration_history.py
+++ b/tests/control/test_configuration_history.py
@@ -1,4 +1,4 @@
-"""Which configurations come into force, and what a repeated one is answered."""
+"""Which configurations are accepted, and the results of repeated requests."""
 
 import pytest
 
@@ -7,7 +7,7 @@
 from tests.control.records import apply, put
 
 
-def test_configurations_build_on_the_current_one() -> None:
+def test_a_configuration_is_accepted_only_with_the_current_base_and_a_higher_version() -> None:
     state = ControlState()
     assert apply(state, put(0, 5)) == Accepted()
     assert apply(state, put(5, 7)) == Accepted()
@@ -18,7 +18,7 @@
     assert state.version == 7
 
 
-def test_of_two_changes_on_the_same_version_one_wins() -> None:
+def test_of_two_requests_with_the_same_base_one_is_accepted() -> None:
     state = ControlState()
     apply(state, put(0, 5))
     one = put(5, 7, limits={"max_header_bytes": 1000})
@@ -28,7 +28,7 @@
     assert bytes(state.document) == bytes(one.document)
 
 
-def test_a_configuration_that_was_accepted_is_acknowledged_again() -> None:
+def test_a_repeated_accepted_configuration_is_acknowledged() -> None:
     state = ControlState()
     first, second = put(0, 5), put(5, 7)
     apply(state, first)
@@ -46,16 +46,16 @@
 ) -> None:
     monkeypatch.setattr("pewterring.control.configuration_history.REMEMBERED_VERSIONS", 3)
     state = ControlState()
-    orders = [put(base, base + 2) for base in range(0, 10, 2)]
-    for order in orders:
-        assert apply(state, order) == Accepted()
+    commands = [put(base, base + 2) for base in range(0, 10, 2)]
+    for command in commands:
+        assert apply(state, command) == Accepted()
     restored = ControlState()
     restored.restore(state.snapshot())
     for each in (state, restored):
-        for order in orders[:2]:
-            assert apply(each, order) == OutcomeUnknown()
-        for order in orders[2:]:
-            assert apply(each, order) == Accepted(repeated=True)
+        for command in commands[:2]:
+            assert apply(each, command) == OutcomeUnknown()
+        for command in commands[2:]:
+            assert apply(each, command) == Accepted(repeated=True)
         assert apply(each, put(2, 4, limits={})) == OutcomeUnknown()
         assert apply(each, put(4, 5)) == Conflict(10)
         assert apply(each, put(10, 8, limits={})) == NotAbove(10)
--- a/tests/control/test_decommissioning.py
+++ b/tests/control/test_decommissioning.py
@@ -122,9 +122,7 @@
     leader = DecommissioningLeader(*STORES)
     leader.remove_node(10.0, STORES[3])
     leader.observe_stores(10.0, 12.0)
-    assert (
-        leader.start("store-1", 20.0) == 503
-    )  # during the gap another member may have led and the store may have been present
+    assert leader.start("store-1", 20.0) == 503  # another member may have led during the gap
     leader.observe_stores(20.0, 20.0 + ABSENCE_CONFIRMED_S)
     assert leader.start("store-1", 20.0 + ABSENCE_CONFIRMED_S) == 409
 
--- a/tests/control/test_http_server.py
+++ b/tests/control/test_http_server.py
@@ -1,4 +1,4 @@
-"""The HTTP server of control at its socket: what is handled, and whose answer is whose."""
+"""The HTTP server of control at its socket: only complete calls are handled, and answers keep their order."""
 
 import asyncio
 import contextlib
@@ -27,7 +27,7 @@
 
 
 class Control:
-    """Takes calls, and answers each with its own path and body."""
+    """Records calls, and answers each with its own path and body."""
 
     server: ApiServer
 
@@ -56,17 +56,17 @@
         await server.stop()
 
 
-def play(story: Callable[[Control], Awaitable[None]]) -> None:
+def run_scenario(scenario: Callable[[Control], Awaitable[None]]) -> None:
     async def run() -> None:
         async with asyncio.timeout(PATIENCE_S), serving() as control:
-            await story(control)
+            await scenario(control)
 
     asyncio.run(run())
 
 
 @pytest.mark.parametrize("raw", [FIRST, CHUNKED], ids=["length", "chunked"])
 def test_a_call_truncated_at_any_byte_is_not_handled(raw: bytes) -> None:
-    async def story(control: Control) -> None:
+    async def scenario(control: Control) -> None:
         for length in range(len(raw)):
             wire = await control.connect()
             wire.send(raw[:length])
@@ -84,11 +84,11 @@
         await wire.closed()
         assert len(control.calls) == 2
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_calls_of_one_connection_are_answered_in_their_order() -> None:
-    async def story(control: Control) -> None:
+    async def scenario(control: Control) -> None:
         wire = await control.connect()
         wire.send(FIRST + CHUNKED + LAST)
         answers = await wire.rest()
@@ -100,11 +100,11 @@
         assert offsets == sorted(offsets)
         assert [call.base_version for call in control.calls] == ["", "3", ""]
 
-    play(story)
+    run_scenario(scenario)
 
 
-def test_a_call_inside_a_body_that_is_too_long_is_never_one() -> None:
-    async def story(control: Control) -> None:
+def test_a_call_embedded_in_a_too_long_body_is_not_handled() -> None:
+    async def scenario(control: Control) -> None:
         for framing in (b"Content-Length: %d\r\n\r\n", b"Transfer-Encoding: chunked\r\n\r\n%x\r\n"):
             body = b"x" * (MAX_BODY_BYTES + 1)
             wire = await control.connect()
@@ -118,12 +118,12 @@
             await wire.closed()
         assert control.calls == []
 
-    play(story)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("raw", [b"", FIRST[:30], FIRST], ids=["at rest", "in a call", "after an answer"])
-def test_a_connection_that_its_caller_closes_is_released(raw: bytes) -> None:
-    async def story(control: Control) -> None:
+def test_a_connection_closed_by_its_caller_is_released(raw: bytes) -> None:
+    async def scenario(control: Control) -> None:
         for _ in range(20):
             wire = await control.connect()
             wire.send(raw)
@@ -133,10 +133,10 @@
         while control.server.open_connections:  # noqa: ASYNC110 - the server has no event for it
             await asyncio.sleep(0)
 
-    play(story)
+    run_scenario(scenario)
 
 
-def test_an_address_that_is_taken_is_bound_once_it_is_free(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_address_in_use_is_bound_once_it_is_free(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(http_server, "REBIND_INTERVAL_S", 0.0)
 
     async def run() -> None:
--- a/tests/control/test_join_protocol.py
+++ b/tests/control/test_join_protocol.py
@@ -1,4 +1,4 @@
-"""Requests to join: who makes them, who records them, and who forwards them."""
+"""Join requests: which members send them, and whether a receiver records or forwards them."""
 
 import asyncio
 from typing import cast
@@ -22,7 +22,7 @@
 
 
 class Links:
-    """Records what is sent."""
+    """Records sent messages."""
 
     def __init__(self) -> None:
         self.sent: list[tuple[str, msgspec.Struct]] = []
@@ -32,7 +32,7 @@
 
 
 class Joining:
-    """The protocol at one member of three."""
+    """The join protocol of one member of three."""
 
     def __init__(self, leader: str | None, leads: bool = False) -> None:
         self.group = StandInGroup()
@@ -60,8 +60,8 @@
     ("leader", "forwarded", "sent"),
     [
         (f"{LEADER_IP}#b", False, [(LEADER_IP, JoinGroup(OTHER, forwarded=True))]),
-        (f"{LEADER_IP}#b", True, []),  # once is enough: it would go in circles between old views
-        (f"{OWN_IP}#a", False, []),  # a leader that has not applied all yet
+        (f"{LEADER_IP}#b", True, []),  # members with stale views could otherwise forward it in a circle
+        (f"{OWN_IP}#a", False, []),  # a leader that has not applied all earlier entries yet
         (None, False, []),
     ],
 )
@@ -74,41 +74,41 @@
     assert joining.links.sent == sent
 
 
-def test_a_member_that_is_no_voter_sends_requests_to_all_known_machines() -> None:
+def test_a_member_that_is_not_a_voter_sends_requests_to_all_known_machines() -> None:
     async def scenario() -> None:
         joining = Joining(leader=f"{LEADER_IP}#b")
         joining.group.membership = Membership(("10.0.0.2#b", "10.0.0.3#c"))
-        run_forever = asyncio.create_task(joining.protocol.run())
+        running = asyncio.create_task(joining.protocol.run())
         await asyncio.sleep(1.5 * JOIN_INTERVAL_S)
         expected = [(ip, JoinGroup(joining.group.member)) for ip in (LEADER_IP, "10.0.0.3", SEED_IP)]
         assert joining.links.sent == 2 * expected
-        run_forever.cancel()
+        running.cancel()
 
     run(scenario())
 
 
 @pytest.mark.parametrize(("leader", "requests"), [(f"{LEADER_IP}#b", False), (None, True)])
-def test_a_voter_requests_nothing_while_it_hears_a_leader(leader: str | None, requests: bool) -> None:
+def test_a_voter_sends_no_requests_while_it_follows_a_leader(leader: str | None, requests: bool) -> None:
     async def scenario() -> None:
         joining = Joining(leader)
-        run_forever = asyncio.create_task(joining.protocol.run())
+        running = asyncio.create_task(joining.protocol.run())
         await asyncio.sleep(0)
         assert bool(joining.links.sent) == requests
         assert joining.protocol.is_voter != requests
-        run_forever.cancel()
+        running.cancel()
 
     run(scenario())
 
 
-def test_a_member_that_no_leader_has_let_in_asks_more_often() -> None:
-    """Before there is a leader requests are lost, and the group bears fewer losses until it is complete."""
+def test_a_member_that_knows_no_leader_sends_requests_more_often() -> None:
+    """Requests are lost while there is no leader, and an incomplete group tolerates fewer failures."""
 
     async def scenario() -> None:
         joining = Joining(leader=None)
-        run_forever = asyncio.create_task(joining.protocol.run())
+        running = asyncio.create_task(joining.protocol.run())
         await asyncio.sleep(2.5 * FIRST_JOIN_INTERVAL_S)
         targets = {ip for ip, _request in joining.links.sent}
         assert len(joining.links.sent) == 3 * len(targets)
-        run_forever.cancel()
+        running.cancel()
 
     run(scenario())
--- a/tests/control/test_leader_task_runner.py
+++ b/tests/control/test_leader_task_runner.py
@@ -1,4 +1,4 @@
-"""What is due is committed in order, one thing after the other, and found due again where that failed."""
+"""Due commands are committed in order, one at a time, and are found due again after a failure."""
 
 import asyncio
 from typing import cast
@@ -24,7 +24,7 @@
 
 
 class StandInTasks:
-    """Has the same commands due at each check."""
+    """Returns the same due commands at each check."""
 
     def __init__(self) -> None:
         self.due = list(COMMANDS)
@@ -38,7 +38,7 @@
 
 
 class StandInPlanner:
-    """Wants one change of membership."""
+    """Plans one membership change."""
 
     def plan(self, _now: float, group: PlannedGroup, _candidates: Candidates) -> Membership | None:
         return JOINED if group.membership == FIRST else None
@@ -56,7 +56,7 @@
     )
 
 
-def test_tasks_are_done_in_order_and_then_one_change_of_membership() -> None:
+def test_tasks_are_done_in_order_before_a_membership_change() -> None:
     group, leadership = leading_group()
     run(runner(group, leadership).run_once(1.0))
     assert group.proposed == [encode_command(command) for command in COMMANDS]
@@ -79,7 +79,7 @@
     assert group.changes == [JOINED]
 
 
-def test_a_check_begins_nothing_while_something_is_under_way() -> None:
+def test_a_check_starts_nothing_while_a_task_is_running() -> None:
     async def scenario() -> None:
         group, leadership = leading_group()
         group.hangs = True
@@ -96,13 +96,13 @@
         group.hangs = False
         running.check(1.6)
         await asyncio.sleep(0)
-        assert group.changes == [JOINED], "what was cancelled is found due again"
+        assert group.changes == [JOINED], "cancelled work is found due again"
 
     run(scenario())
 
 
 @pytest.mark.parametrize("has_lease", [False, True])
-def test_a_departure_begins_a_change_of_membership_only_under_a_lease(has_lease: bool) -> None:
+def test_a_departure_starts_a_membership_change_only_under_a_lease(has_lease: bool) -> None:
     async def scenario() -> None:
         group, leadership = leading_group()
         group.lease = has_lease
--- a/tests/control/test_leadership.py
+++ b/tests/control/test_leadership.py
@@ -19,7 +19,7 @@
 COMMAND = RemoveWorkers(("i-1",))
 
 
-def test_nothing_is_requested_of_the_group_before_this_process_leads() -> None:
+def test_the_group_is_not_called_before_this_process_leads() -> None:
     group, leadership = leading_group()
     leadership.ready = False
     assert not leadership.has_lease
@@ -29,7 +29,7 @@
     assert group.proposed == []
 
 
-def test_a_lease_that_has_run_out_answers_nothing() -> None:
+def test_an_expired_lease_is_rejected() -> None:
     group, leadership = leading_group()
     leadership.check_lease()
     group.lease = False
@@ -40,13 +40,13 @@
 @pytest.mark.parametrize(
     ("error", "expected"),
     [
-        (NotLeaderError("b"), NotLeadingError),  # nothing was done
-        (TooManyUncommittedError(1), NotLeadingError),  # nothing either
-        (OutcomeUnknownError("lost"), CommandOutcomeUnknownError),  # may come into force yet
+        (NotLeaderError("b"), NotLeadingError),  # the command was not appended
+        (TooManyUncommittedError(1), NotLeadingError),  # nor was this one
+        (OutcomeUnknownError("lost"), CommandOutcomeUnknownError),  # it may still be committed
         (GroupFailedError("disk"), CommandOutcomeUnknownError),
     ],
 )
-def test_errors_of_the_group_say_whether_the_command_may_come_into_force(
+def test_errors_of_the_group_tell_whether_the_command_may_still_take_effect(
     error: Exception, expected: type[Exception]
 ) -> None:
     group, leadership = leading_group()
@@ -55,14 +55,14 @@
         run(leadership.propose(COMMAND))
 
 
-def test_a_read_that_is_not_confirmed_ends_in_time() -> None:
+def test_an_unconfirmed_read_times_out() -> None:
     group, leadership = leading_group()
     group.hangs = True
 
     async def scenario() -> float:
-        began = asyncio.get_running_loop().time()
+        started_at = asyncio.get_running_loop().time()
         with pytest.raises(NotLeadingError):
             await leadership.read_barrier()
-        return asyncio.get_running_loop().time() - began
+        return asyncio.get_running_loop().time() - started_at
 
     assert run(scenario()) == pytest.approx(READ_BARRIER_TIMEOUT_S)
--- a/tests/control/test_nodes.py
+++ b/tests/control/test_nodes.py
@@ -7,7 +7,7 @@
 
 
 @pytest.mark.parametrize(("last_contact", "removed"), [(0.0, True), (1.0, False)])
-def test_a_node_is_removed_after_its_time_out(last_contact: float, removed: bool) -> None:
+def test_a_node_is_removed_after_its_timeout(last_contact: float, removed: bool) -> None:
     nodes = NodeTable()
     nodes.start(0.0, {})
     nodes.observe(0.0, gateway(1))
--- a/tests/control/test_pause_detector.py
+++ b/tests/control/test_pause_detector.py
@@ -1,4 +1,4 @@
-"""A pause of the process is seen at the next look at the clock, and counts for a grace behind it."""
+"""A pause of the process is detected at the next check, and counts for a grace period after it."""
 
 from pewterring.control.pause_detector import PAUSE_GRACE_S, PAUSE_THRESHOLD_S, PauseDetector
 
@@ -6,7 +6,7 @@
 PAUSE_S = 20.0
 
 
-def test_a_pause_is_detected_and_over_after_its_grace() -> None:
+def test_a_pause_is_detected_and_ends_after_the_grace_period() -> None:
     now = 5.0
     detector = PauseDetector(lambda: now)
     for step, was_paused in (
--- a/tests/control/test_relay.py
+++ b/tests/control/test_relay.py
@@ -1,4 +1,4 @@
-"""Calls that reach a follower, and what becomes of them where no leader answers."""
+"""Calls that reach a follower: forwarded to the leader, retried, or answered 503 if no leader answers."""
 
 import asyncio
 
@@ -21,7 +21,7 @@
     return follower
 
 
-def test_a_follower_answers_what_the_leader_says() -> None:
+def test_a_follower_returns_the_answer_of_the_leader() -> None:
     leader = Machine()
     follower = follower_of(leader)
     assert follower.replace(0, encoded(version=5)) == 200
@@ -59,21 +59,21 @@
     assert machine.replace(0, encoded()) == 503
 
 
-def test_a_relayed_call_is_not_passed_on_again() -> None:
+def test_a_relayed_call_is_not_forwarded_again() -> None:
     machine = Machine()
     machine.failure = NotLeadingError()
     answer = asyncio.run(machine.router.answer_relayed(RelayedCall("GET", "/v1/Config.Get")))
     assert answer == RelayedAnswer(503, not_leading=True)
 
 
-def test_a_leader_that_answers_with_another_message_has_not_answered(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_answer_of_another_message_type_counts_as_no_answer(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("pewterring.control.relay.ANSWER_TIMEOUT_S", 0.01)
     follower = follower_of(Machine())
 
-    async def answer_strangely(*_: object) -> msgspec.Struct:
+    async def answer_with_another_type(*_: object) -> msgspec.Struct:
         return JoinGroup("10.0.0.1#seed")
 
-    monkeypatch.setattr(follower.router, "_request", answer_strangely)
+    monkeypatch.setattr(follower.router, "_request", answer_with_another_type)
     with warnings_logged() as lines:
         assert follower.call("GET", "/v1/Config.Get").status == 503
     assert lines
--- a/tests/control/test_repeated_calls.py
+++ b/tests/control/test_repeated_calls.py
@@ -1,4 +1,4 @@
-"""Orders that come again: at a member that lagged, after snapshots, with a machine dying at each point."""
+"""Repeated calls get the same answer: at a member that lagged, after snapshots, and across crashes."""
 
 import asyncio
 
@@ -11,30 +11,30 @@
 from tests.control.cluster import IPS, ControlCluster, ControlMachine, decommission_call, put_call
 from tests.control.records import store
 
-ORDERS = 40
+REQUESTS = 40
 SNAPSHOT_AFTER_BYTES = 8_000  # a few configurations
-POINTS = 10  # messages of one call and a little more
+POINTS = 10  # more than the messages of one call
 STORES = tuple(store(number) for number in (1, 2, 3, 4))
 
 
 async def lead_with(cluster: ControlCluster, wanted: ControlMachine) -> None:
-    """Transfers the leadership until this machine has it."""
+    """Transfers the leadership until `wanted` has it."""
     for _ in range(20):
         leader = await cluster.leader()
         if leader is wanted:
             return
         await leader.group.transfer_leadership()
-    raise AssertionError("it was never elected")
+    raise AssertionError("the wanted machine was never elected")
 
 
-def test_every_order_is_known_to_a_member_that_was_absent_and_leads_after_a_snapshot() -> None:
+def test_a_leader_that_caught_up_by_a_snapshot_knows_every_earlier_request() -> None:
     async def scenario() -> None:
         cluster = ControlCluster(snapshot_after_bytes=SNAPSHOT_AFTER_BYTES)
         leader = await cluster.start()
         absent = next(machine for machine in cluster.machines.values() if machine is not leader)
         cluster.kill(absent.ip)
-        winners = [encoded(version=version) for version in range(1, ORDERS + 1)]
-        losers = [encoded(version=version, limits={}) for version in range(1, ORDERS + 1)]
+        winners = [encoded(version=version) for version in range(1, REQUESTS + 1)]
+        losers = [encoded(version=version, limits={}) for version in range(1, REQUESTS + 1)]
         for base, (winner, loser) in enumerate(zip(winners, losers, strict=True)):
             assert (await cluster.call(put_call(base, winner))).status == 200
             assert (await cluster.call(put_call(base, loser))).status == 412
@@ -46,13 +46,13 @@
             first = IPS[base % len(IPS)]
             assert (await cluster.call(put_call(base, winner), first)).status == 200
             assert (await cluster.call(put_call(base, loser), first)).status == 412
-        assert restarted.state.version == ORDERS
+        assert restarted.state.version == REQUESTS
         await cluster.stop()
 
     run(scenario())
 
 
-async def with_stores(cluster: ControlCluster) -> ControlMachine:
+async def start_with_stores(cluster: ControlCluster) -> ControlMachine:
     leader = await cluster.start()
     await leader.leadership.propose(PutNodes(STORES))
     for node in STORES:
@@ -61,26 +61,26 @@
 
 
 @pytest.mark.parametrize("victim", ["leader", "follower", "all"])
-def test_of_two_decommissionings_that_leave_too_few_stores_one_is_accepted_for_ever(victim: str) -> None:
-    """A machine dies at each point in turn; both operators call again until they get a clear answer."""
+def test_of_two_decommissionings_that_leave_too_few_stores_only_one_is_ever_accepted(victim: str) -> None:
+    """Machines are killed at each message in turn; both operators repeat their call until it is answered."""
 
-    async def at(point: int) -> None:
+    async def run_at_point(point: int) -> None:
         cluster = ControlCluster()
-        leader = await with_stores(cluster)
+        leader = await start_with_stores(cluster)
         followers = [machine for machine in cluster.machines.values() if machine is not leader]
-        lost = {"leader": [leader], "follower": followers[:1], "all": [leader, *followers]}[victim]
+        victims = {"leader": [leader], "follower": followers[:1], "all": [leader, *followers]}[victim]
 
-        async def come_back() -> None:
+        async def restart_victims() -> None:
             await asyncio.sleep(0.9)
-            for machine in lost:
+            for machine in victims:
                 await cluster.restart(machine)
 
-        def crash() -> None:
-            for machine in lost:
+        def kill_victims() -> None:
+            for machine in victims:
                 cluster.kill(machine.ip)
-            cluster.in_background(come_back())
+            cluster.in_background(restart_victims())
 
-        cluster.at_point(point, crash)
+        cluster.at_point(point, kill_victims)
         names = [node.node_id for node in STORES[:2]]
         answers: list[Answer] = await asyncio.gather(
             *(cluster.call(decommission_call(name), ip) for name, ip in zip(names, IPS[1:], strict=True))
@@ -95,4 +95,4 @@
         await cluster.stop()
 
     for point in range(POINTS):
-        run(at(point))
+        run(run_at_point(point))
--- a/tests/control/test_repeated_commands.py
+++ b/tests/control/test_repeated_commands.py
@@ -1,4 +1,4 @@
-"""Calls that are sent twice: what a repeated command changes, at any later moment."""
+"""A command that is committed a second time, at any later time, changes nothing."""
 
 import pytest
 
@@ -25,11 +25,11 @@
     "end of the decommissioning": EndDecommissioning(STORE.node_id),
     "next configuration": put(5, 7),
 }
-RESENT = [name for name in HISTORY if name != "store"]  # the others come of calls, or of retries
+REPEATABLE = [name for name in HISTORY if name != "store"]  # all others may be repeated by callers or retries
 
 
-@pytest.mark.parametrize("name", RESENT)
-def test_a_command_that_comes_again_later_changes_nothing(name: str) -> None:
+@pytest.mark.parametrize("name", REPEATABLE)
+def test_a_repeated_command_changes_nothing(name: str) -> None:
     commands = list(HISTORY.values())
     first = list(HISTORY).index(name)
     for length in range(first + 1, len(commands) + 1):
--- a/tests/control/test_snapshot.py
+++ b/tests/control/test_snapshot.py
@@ -1,4 +1,4 @@
-"""Snapshots of the control state: older ones, and damaged ones."""
+"""Snapshots of the control state: from earlier software versions, and damaged ones."""
 
 import msgspec
 import pytest
@@ -9,7 +9,7 @@
 from tests.control.records import apply, put
 
 
-def test_a_snapshot_of_before_versions_were_forgotten_is_read() -> None:
+def test_a_snapshot_without_the_newest_forgotten_version_is_read() -> None:
     state, restored = ControlState(), ControlState()
     apply(state, put(0, 5))
     older = msgspec.json.decode(state.snapshot())
@@ -19,6 +19,6 @@
     assert restored.snapshot() == state.snapshot()
 
 
-def test_a_damaged_snapshot_is_refused() -> None:
+def test_a_damaged_snapshot_is_rejected() -> None:
     with pytest.raises(InvalidSnapshotError):
         ControlState().restore(ControlState().snapshot()[:-5])
--- a/tests/control/test_state.py
+++ b/tests/control/test_state.py
@@ -31,7 +31,7 @@
     assert not changes.worker_ids
 
 
-def some_commands(rng: random.Random, count: int) -> list[Command]:
+def random_commands(rng: random.Random, count: int) -> list[Command]:
     choices = (
         lambda: PutWorker(
             worker(
@@ -50,14 +50,14 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_a_restored_state_goes_on_as_the_one_it_was_taken_from(seed: int) -> None:
+def test_a_restored_state_behaves_like_its_source(seed: int) -> None:
     rng = random.Random(seed)
     state, restored = ControlState(), ControlState()
-    for command in some_commands(rng, 100):
+    for command in random_commands(rng, 100):
         apply(state, command)
     apply(restored, PutWorker(worker("i-old", "10.9.9.9:1")))
     restored.restore(state.snapshot())
-    for command in some_commands(rng, 100):
+    for command in random_commands(rng, 100):
         assert apply(state, command) == apply(restored, command)
         assert state.snapshot() == restored.snapshot()
     addresses = [each.address for each in state.workers.values()]
--- a/tests/control/test_store_tables.py
+++ b/tests/control/test_store_tables.py
@@ -1,4 +1,4 @@
-"""Placements, and which stores are decommissioned."""
+"""Committed placements and decommissionings."""
 
 import msgspec
 
@@ -8,14 +8,14 @@
 from tests.control.records import apply, store
 
 
-def test_a_placement_is_made_once() -> None:
+def test_a_partition_is_placed_only_once() -> None:
     state = ControlState()
     apply(state, CreateGroup(PlacementRecord("batch-0", ("a",))))
     apply(state, CreateGroup(PlacementRecord("batch-0", ("b",))))
     assert state.placements["batch-0"].voters == ("a",)
 
 
-def test_a_store_that_comes_back_with_another_disk_is_decommissioned_until_the_end() -> None:
+def test_a_store_with_a_new_disk_is_decommissioning_only_until_the_end() -> None:
     state = ControlState()
     old = store(1)
     apply(state, PutNodes((old,)))
--- a/tests/control/test_worker_table.py
+++ b/tests/control/test_worker_table.py
@@ -1,4 +1,4 @@
-"""The committed workers: one at each address, and none that departed."""
+"""The committed workers: at most one per address, and none with a departed id."""
 
 import pytest
 
@@ -17,7 +17,7 @@
     assert not state.departed
 
 
-def test_a_worker_that_moved_leaves_its_old_address_to_others() -> None:
+def test_a_worker_that_moved_releases_its_old_address() -> None:
     state = ControlState()
     apply(state, PutWorker(worker("i-1", "10.0.0.1:80")))
     apply(state, PutWorker(worker("i-1", "10.0.0.2:80")))
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.parametrize(("state_of_worker", "permanent"), [("draining", False), ("ready", True)])
-def test_a_worker_that_departed_never_comes_back(state_of_worker: str, permanent: bool) -> None:
+def test_a_departed_worker_is_never_registered_again(state_of_worker: str, permanent: bool) -> None:
     state = ControlState()
     apply(state, PutWorker(worker("i-1", state=state_of_worker)))
     apply(state, RemoveWorkers(("i-1",), permanent))
@@ -41,7 +41,7 @@
     assert not state.workers
 
 
-def test_a_ready_worker_that_was_removed_may_come_back() -> None:
+def test_a_removed_ready_worker_may_register_again() -> None:
     state = ControlState()
     apply(state, PutWorker(worker("i-1")))
     apply(state, RemoveWorkers(("i-1",)))
--- a/tests/membership/instances.py
+++ b/tests/membership/instances.py
@@ -1,4 +1,4 @@
-"""Instances of the membership protocol, and messages that others send them."""
+"""Instances of the membership protocol, and messages from other members, for tests."""
 
 import random
 
@@ -14,7 +14,7 @@
 
 
 def ping(start_id: int, sequence: int, about: int) -> bytes:
-    """A ping of a sender that never had to refute anything."""
+    """A ping from a sender with incarnation 0."""
     return encode(Message(Kind.PING, 0, start_id, sequence, about))
 
 
--- a/tests/membership/test_explore.py
+++ b/tests/membership/test_explore.py
@@ -1,4 +1,4 @@
-"""All interleavings of three instances to a small depth; broken variants are refuted."""
+"""Explores all interleavings of three instances to a small depth, and detects faulty variants."""
 
 import pytest
 
@@ -8,18 +8,18 @@
 
 class NeverRefutes(MembershipProtocol):
     def refute(self, incarnation: int) -> None:
-        """Leaves what is said of it as it is."""
+        """Does not refute."""
 
 
 class RefutesTooLow(MembershipProtocol):
     def refute(self, incarnation: int) -> None:
-        self.identity.incarnation = incarnation  # not above what was said of it
+        self.identity.incarnation = incarnation  # not above that of the wrong update
 
 
-def variant(kind: type[MembershipProtocol]) -> Make:
+def variant(variant_class: type[MembershipProtocol]) -> Make:
     def make(number: int, size: int, start_id: int) -> MembershipProtocol:
-        plain = fresh(number, size, start_id)
-        return kind(number, size, start_id, plain.rng, plain.settings)
+        standard = fresh(number, size, start_id)
+        return variant_class(number, size, start_id, standard.rng, standard.settings)
 
     return make
 
@@ -30,8 +30,8 @@
     assert tried > states
 
 
-@pytest.mark.parametrize("kind", [NeverRefutes, RefutesTooLow])
-def test_broken_variants_are_refuted(kind: type[MembershipProtocol]) -> None:
+@pytest.mark.parametrize("variant_class", [NeverRefutes, RefutesTooLow])
+def test_faulty_variants_are_detected(variant_class: type[MembershipProtocol]) -> None:
     with pytest.raises(Found) as found:
-        explore(size=3, depth=2, crashes=1, make=variant(kind))
+        explore(size=3, depth=2, crashes=1, make=variant(variant_class))
     assert "cut off" in str(found.value)
--- a/tests/membership/test_fleet.py
+++ b/tests/membership/test_fleet.py
@@ -14,11 +14,11 @@
     assert fleet.declared(0) == 0
     sent = fleet.sent
     fleet.run(20)
-    assert (fleet.sent - sent) / 20 / 30 < 12  # messages a second and instance
+    assert (fleet.sent - sent) / 20 / 30 < 12  # messages per second and instance
     fleet.kill(7)
     fleet.run(60)
     assert fleet.wrong() == (0, 0)
-    fleet.start(7)  # it has forgotten everything
+    fleet.start(7)  # restarts without any state
     fleet.run(30)
     assert fleet.wrong() == (0, 0)
 
@@ -29,7 +29,7 @@
     for number in range(4):
         fleet.side[number] = 1
     fleet.run(60)
-    assert [len(view) for view in fleet.views()] == [4] * 4 + [8] * 8  # each side takes the other for dead
+    assert [len(view) for view in fleet.views()] == [4] * 4 + [8] * 8  # each side considers the other dead
     fleet.side = [0] * 12
     fleet.run(60)
     assert fleet.wrong() == (0, 0)
--- a/tests/membership/test_loss.py
+++ b/tests/membership/test_loss.py
@@ -1,4 +1,4 @@
-"""The measured loss, and how many probes it asks for."""
+"""The measured loss, and the number of probes derived from it."""
 
 import pytest
 
@@ -7,9 +7,9 @@
 
 
 def estimate(fraction: float) -> LossEstimate:
-    made = LossEstimate()
-    made.fraction = fraction
-    return made
+    loss = LossEstimate()
+    loss.fraction = fraction
+    return loss
 
 
 @pytest.mark.parametrize(("fraction", "probes"), [(0.0, 1), (0.005, 1), (0.1, 2), (0.3, 4), (1.0, 4)])
@@ -17,7 +17,7 @@
     assert estimate(fraction).probes_per_period(ProtocolSettings()) == probes
 
 
-def test_the_estimate_moves_towards_what_is_recorded() -> None:
+def test_the_estimate_moves_towards_the_recorded_loss() -> None:
     loss = estimate(0.0)
     loss.record(1.0)
     assert loss.fraction == pytest.approx(0.1)
--- a/tests/membership/test_messages.py
+++ b/tests/membership/test_messages.py
@@ -1,4 +1,4 @@
-"""The bytes of messages: they come back as they were, and what is truncated or hostile is not believed."""
+"""Encoding of messages: round trips, and rejection of truncated or hostile datagrams."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -26,14 +26,14 @@
 
 
 @given(messages)
-def test_messages_come_back_as_they_were_and_fit(message: Message) -> None:
+def test_messages_survive_a_round_trip_and_fit(message: Message) -> None:
     data = encode(message)
     assert len(data) <= MAX_DATAGRAM_BYTES
     assert decode(data) == message
 
 
 @given(messages, st.data())
-def test_a_truncated_message_is_not_believed_partially(message: Message, data: st.DataObject) -> None:
+def test_a_truncated_message_is_not_applied_partially(message: Message, data: st.DataObject) -> None:
     complete = encode(message)
     truncated = complete[: data.draw(st.integers(0, len(complete) - 1))]
     receiver = instance()
@@ -42,7 +42,7 @@
     if found is None:
         assert receiver.receive(1.0, 1, truncated) == []
         assert receiver.members.by_number == before
-    else:  # truncated between two updates: a message of its own
+    else:  # truncated between two updates: a valid shorter message
         assert found.updates == message.updates[: len(found.updates)]
 
 
--- a/tests/membership/test_protocol.py
+++ b/tests/membership/test_protocol.py
@@ -1,4 +1,4 @@
-"""The membership protocol of one instance: what each message and each time-out does."""
+"""The membership protocol of one instance: the effect of each message and timeout."""
 
 from pewterring.membership.messages import Kind, MemberUpdate, Message, State, encode
 from tests.membership.instances import decoded, instance, ping
@@ -46,7 +46,7 @@
     assert observer.members.by_number[1].incarnation == 1
 
 
-def test_old_updates_do_not_revive_the_dead() -> None:
+def test_stale_updates_do_not_revive_dead_members() -> None:
     observer = instance()
     observer.members.apply(0.0, MemberUpdate(1, 4, 9, State.DEAD))
     for incarnation, state in ((3, State.ALIVE), (4, State.ALIVE), (4, State.SUSPECT), (2, State.LEFT)):
@@ -56,9 +56,9 @@
     assert observer.state(1) == State.ALIVE
 
 
-def test_a_restart_that_has_forgotten_all_takes_its_number_again() -> None:
+def test_a_restarted_instance_without_state_takes_over_its_number() -> None:
     observer, restarted = instance(0), instance(1, start_id=99)
-    observer.members.apply(0.0, MemberUpdate(1, 6, 9, State.ALIVE))  # its earlier start, in good standing
+    observer.members.apply(0.0, MemberUpdate(1, 6, 9, State.ALIVE))  # its earlier start, known as alive
     ((_, ack),) = observer.receive(1.0, 1, ping(99, 1, 0))
     assert observer.members.by_number[1].start_id == 9  # old incarnations override nothing
     restarted.receive(1.1, 0, ack)
@@ -69,16 +69,16 @@
     assert (observer.members.by_number[1].start_id, observer.state(1)) == (99, State.ALIVE)
 
 
-def test_two_instances_under_one_number_are_noticed() -> None:
+def test_two_instances_with_one_number_are_detected() -> None:
     later = instance(1, start_id=10)
     later.apply(0.0, MemberUpdate(1, 0, 20, State.ALIVE))
-    assert later.conflicts == 0  # an earlier start, perhaps
-    later.apply(1.0, MemberUpdate(1, 2, 20, State.ALIVE))  # which speaks anew
+    assert later.conflicts == 0  # may be an earlier start
+    later.apply(1.0, MemberUpdate(1, 2, 20, State.ALIVE))  # an earlier start cannot raise its incarnation
     assert later.conflicts == 1
     assert later.identity.incarnation == 3
 
 
-def test_an_instance_that_leaves_is_dropped_at_once_and_sends_no_more() -> None:
+def test_an_instance_that_leaves_is_removed_at_once_and_stops_sending() -> None:
     observer, leaving = instance(0), instance(1)
     observer.receive(0.0, 1, ping(7, 1, 0))
     leaving.receive(0.0, 0, ping(7, 1, 1))
@@ -91,11 +91,11 @@
     assert leaving.receive(2.0, 0, ping(7, 3, 1)) == []
 
 
-def test_a_clock_that_steps_does_no_harm() -> None:
+def test_a_clock_step_kills_no_member() -> None:
     observer = instance()
     observer.receive(100.0, 1, ping(1, 1, 0))
     observer.tick(100.0)
     observer.tick(3.0)  # back
     observer.receive(4.0, 1, ping(1, 2, 0))
-    observer.tick(10_000.0)  # forward: at worst a suspicion, which the next contact lets it refute
+    observer.tick(10_000.0)  # forward: at worst a suspicion, which can be refuted
     assert observer.state(1) in (State.ALIVE, State.SUSPECT)
--- a/tests/membership/test_settings.py
+++ b/tests/membership/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings that make no fleet are refused and named."""
+"""Invalid settings are rejected, and the error names them."""
 
 import pytest
 
@@ -7,7 +7,7 @@
 from tests.membership.instances import instance
 
 
-def test_wrong_figures_are_named() -> None:
+def test_invalid_settings_are_named() -> None:
     with pytest.raises(MembershipError, match="period_s must be above 0"):
         ProtocolSettings(period_s=0.0)
     with pytest.raises(MembershipError, match="member 4 of 4"):
