--- a/tests/golden/control_calls.py
+++ b/tests/golden/control_calls.py
@@ -1,4 +1,4 @@
-"""Bodies of the HTTP API of control: heartbeats of workers, the status of the tier, and refusals."""
+"""Bodies of the HTTP API of control: worker heartbeats, the status of the tier, and answers."""
 
 import asyncio
 from collections.abc import Callable
@@ -47,15 +47,15 @@
 
 
 def control_state() -> ControlState:
-    """The state behind the golden log of control."""
+    """The control state after all commands of the golden log."""
     state = ControlState()
     for index, (_, command) in enumerate(COMMANDS, start=1):
         state.apply(index, encode_command(command))
     return state
 
 
-class _SureLeader:
-    """The leadership of a control machine that is alone; it commits nothing."""
+class _ReadOnlyLeader:
+    """The leadership of a leader that answers reads but commits nothing."""
 
     async def propose(self, command: Command) -> Result:
         raise NotLeadingError(f"commits no {command}")
@@ -68,9 +68,9 @@
 
 
 def _answer(path: str) -> Answer:
-    """What the leader with the golden state answers to a GET."""
+    """The answer of a leader with the golden state to a GET."""
     state = control_state()
-    leader = _SureLeader()
+    leader = _ReadOnlyLeader()
     tables = LeaderState.of(state, leader, needed_stores=3, heartbeat_s=1.0)
     service = ControlService(tables, leader, lambda: 0.0)
     return asyncio.run(service.handle(Call("GET", path)))
--- a/tests/golden/control_commands.py
+++ b/tests/golden/control_commands.py
@@ -1,4 +1,4 @@
-"""Commands that stand in entries of the control group's log."""
+"""Commands in log entries of the control group."""
 
 from typing import get_args
 
@@ -32,7 +32,7 @@
 )
 from tests.golden.rows import Family, Row
 
-# In this order they are the log of the stored data as well.
+# The log in the stored golden data holds them in this order too.
 COMMANDS: tuple[tuple[str, Command], ...] = (
     ("PutConfiguration-first", PutConfiguration(0, 7, DOCUMENT_DIGEST, raw(DOCUMENT))),
     ("PatchConfiguration-full", PatchConfiguration(7, 8, PATCH_DIGEST, raw(PATCH))),
@@ -48,7 +48,7 @@
     ("SetRetiring-full", StartDecommissioning(node_id="store-1", member="10.0.1.1#a1")),
     ("EndRetirement-full", EndDecommissioning(node_id="store-1")),
     ("SetRetiring-other", StartDecommissioning(node_id="store-2", member="10.0.1.2#b2")),
-    # Refused when it is applied: it builds on another version than the current one.
+    # Rejected when it is applied, because its base is not the current version.
     (
         "PutConfiguration-full",
         PutConfiguration(base=6, version=9, digest=DOCUMENT_DIGEST, document=raw(DOCUMENT)),
--- a/tests/golden/control_http_cases.py
+++ b/tests/golden/control_http_cases.py
@@ -1,6 +1,6 @@
-"""HTTP calls of operators and workers at control, and the answers; all without sockets.
+"""HTTP calls of operators and workers to control, and the answers, without sockets.
 
-This is the one place where control is built: one machine that leads and commits at once.
+The control machine is built only here: one machine that leads and commits immediately.
 """
 
 import asyncio
@@ -37,7 +37,7 @@
     return f"{line} HTTP/1.1\r\nHost: h\r\n{headers}{length}\r\n".encode() + body
 
 
-# Each conversation by name: its calls in order, all at the same machine.
+# Conversations by name: the calls of each in order, all sent to the same machine.
 CASES: dict[str, tuple[bytes, ...]] = {
     "configuration": (
         _call("GET /v1/Config.Get"),
@@ -83,13 +83,13 @@
 
 async def _answer(machine: Machine, call: bytes) -> bytes:
     request = RequestReader(LIMITS, 0.0).feed(call)
-    assert request is not None, "not a whole request"
-    taker = AnswerTaker()
-    await ControlApi(machine.router.answer)(request, Responder(taker, request))
-    return taker.answer
+    assert request is not None, "not a complete request"
+    recorder = AnswerTaker()
+    await ControlApi(machine.router.answer)(request, Responder(recorder, request))
+    return recorder.answer
 
 
-async def _play(calls: tuple[bytes, ...]) -> str:
+async def _record(calls: tuple[bytes, ...]) -> str:
     machine, transcript = _machine(), Transcript()
     for call in calls:
         transcript.add("request", call)
@@ -98,12 +98,12 @@
 
 
 def transcript(name: str) -> str:
-    """One conversation."""
-    return asyncio.run(_play(CASES[name]))
+    """Plays the conversation of that name and returns its transcript."""
+    return asyncio.run(_record(CASES[name]))
 
 
 def ended_retirement() -> str:
-    """What is answered after a retirement has ended."""
+    """The transcript of a status call after a decommissioning has ended."""
     machine = _machine()
     call = _call("GET /v1/Retire.Get/store-1")
     asyncio.run(_answer(machine, _call("POST /v1/Retire.Start/store-1")))
--- a/tests/golden/member_messages.py
+++ b/tests/golden/member_messages.py
@@ -96,7 +96,7 @@
 
 
 def _rows() -> tuple[Row, ...]:
-    """Members send these messages without asking for a reply, so the envelopes have no ids."""
+    """One row per message. Members send them without requesting a reply, so envelopes have no ids."""
     return tuple(message_row(CODEC, name, message) for name, message in _MESSAGES)
 
 
--- a/tests/golden/test_control_calls.py
+++ b/tests/golden/test_control_calls.py
@@ -35,13 +35,13 @@
 
 
 @pytest.mark.parametrize(("method", "path"), CALLS)
-def test_the_paths_that_are_called(method: str, path: str) -> None:
+def test_each_path_has_its_method(method: str, path: str) -> None:
     endpoint = endpoint_at(path)
     assert endpoint is not None
     assert endpoint.method == method
 
 
-def test_the_header_with_the_base_version() -> None:
+def test_the_base_version_is_read_from_its_header() -> None:
     request = ServerRequest(
         method="POST",
         target="/v1/Config.Replace?by=hand",
--- a/tests/golden/test_control_commands.py
+++ b/tests/golden/test_control_commands.py
@@ -1,4 +1,4 @@
-"""Commands in the log of the control group have the bytes that data folders hold."""
+"""Commands in the log of the control group have the same bytes as in existing data folders."""
 
 import pytest
 
--- a/tests/golden/test_member_messages.py
+++ b/tests/golden/test_member_messages.py
@@ -1,4 +1,4 @@
-"""Messages between members of a replicated group have the bytes that running clusters know."""
+"""Messages between members of a replicated group have the same bytes as in running clusters."""
 
 import pytest
 
