--- a/pewterring/control/commands.py
+++ b/pewterring/control/commands.py
@@ -13,11 +13,11 @@
 from pewterring.distribution.messages import NodeRecord, PlacementRecord, WorkerRecord
 
 # Errors raised by msgspec's decoder: its own, ValueError for invalid UTF-8, RecursionError for deep nesting.
-UNDECODABLE = (msgspec.MsgspecError, ValueError, RecursionError)
+DECODE_ERRORS = (msgspec.MsgspecError, ValueError, RecursionError)
 
 
 class _Command(msgspec.Struct, frozen=True, tag=True, forbid_unknown_fields=True):
-    """Base of all commands: tagged with the class name, unknown fields are rejected."""
+    """Base of all commands: a tagged struct that rejects unknown fields."""
 
 
 class PutConfiguration(_Command, frozen=True):
@@ -113,7 +113,7 @@
     """
     try:
         return _decoder.decode(data)
-    except UNDECODABLE as error:
+    except DECODE_ERRORS as error:
         raise InvalidCommandError(
             f"log entry {index} is not a command known to this version: {error}"
         ) from error
--- a/pewterring/control/program.py
+++ b/pewterring/control/program.py
@@ -64,7 +64,7 @@
     """
 
     def __init__(self, settings: NodeSettings, on_failure: Callable[[Exception], None] | None = None) -> None:
-        data_dir, api_address = _required(settings)
+        data_dir, api_address = _required_settings(settings)
         self._settings = settings
         self._on_failure = on_failure
         self._clock = time.monotonic
@@ -227,7 +227,7 @@
                 self._feed.publish_nodes()
 
 
-def _required(settings: NodeSettings) -> tuple[Path, Address]:
+def _required_settings(settings: NodeSettings) -> tuple[Path, Address]:
     """Returns the data folder and the address of the API, which are optional for other programs.
 
     Raises `SettingsError` if one of them is missing.
--- a/pewterring/control/publisher.py
+++ b/pewterring/control/publisher.py
@@ -31,7 +31,7 @@
     removed_ids: tuple[str, ...] = ()
 
 
-class GroupLeader(NamedTuple):
+class PublishedGroup(NamedTuple):
     """The fields of a partition's report whose change is published; its log progress is not among them."""
 
     group: str
@@ -180,8 +180,8 @@
     def _take_new_groups(self) -> tuple[GroupStatus, ...] | None:
         """All reports if the leader or a member of any partition changed, else None."""
         current = self._reports.all()
-        if [_leader_of(status) for status in current] == [
-            _leader_of(status) for status in self._published_groups
+        if [_published_group(status) for status in current] == [
+            _published_group(status) for status in self._published_groups
         ]:
             return None
         self._published_groups = current
@@ -195,5 +195,5 @@
         return self._control_ips
 
 
-def _leader_of(status: GroupStatus) -> GroupLeader:
-    return GroupLeader(status.group, status.term, status.leader, status.voters, status.learners)
+def _published_group(status: GroupStatus) -> PublishedGroup:
+    return PublishedGroup(status.group, status.term, status.leader, status.voters, status.learners)
--- a/pewterring/control/recovery.py
+++ b/pewterring/control/recovery.py
@@ -61,7 +61,7 @@
         save = plan_recovery(survivor)
         if confirmation != confirmation_of(survivor):
             raise RecoveryRefusedError(
-                f"{confirmation} is not what is on the disk now: {confirmation_of(survivor)}"
+                f"{confirmation} does not match the data on the disk: {confirmation_of(survivor)}"
             )
         record = RecoveryRecord(
             at=now.isoformat(timespec="seconds"),
--- a/pewterring/control/snapshot.py
+++ b/pewterring/control/snapshot.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from pewterring.control.commands import UNDECODABLE
+from pewterring.control.commands import DECODE_ERRORS
 from pewterring.control.errors import InvalidSnapshotError
 from pewterring.distribution.messages import NodeRecord, PlacementRecord, WorkerRecord
 
@@ -53,5 +53,5 @@
     """
     try:
         return _decoder.decode(data)
-    except UNDECODABLE as error:
+    except DECODE_ERRORS as error:
         raise InvalidSnapshotError(f"not a snapshot known to this version: {error}") from error
--- a/pewterring/membership/prober.py
+++ b/pewterring/membership/prober.py
@@ -37,7 +37,7 @@
 
     requester: int
     sequence: int  # of the requester's own probe
-    until: float  # time at which the relay expires
+    expires_at: float
 
 
 class Prober:
@@ -139,13 +139,13 @@
     def relay(self, now: float, requester: int, request: Message) -> Datagram:
         """Builds a ping on behalf of another member, and remembers to forward its ack."""
         self._sequence += 1
-        until = now + self._settings.period_s
-        self._relays[self._sequence] = Relay(requester, request.sequence, until)
+        expires_at = now + self._settings.period_s
+        self._relays[self._sequence] = Relay(requester, request.sequence, expires_at)
         return self._builder.build(Kind.PING, self._sequence, request.about, request.about, request.about)
 
     def expire_relays(self, now: float) -> None:
         """Drops relays whose requester no longer waits for the ack."""
-        self._relays = {sequence: relay for sequence, relay in self._relays.items() if now < relay.until}
+        self._relays = {sequence: relay for sequence, relay in self._relays.items() if now < relay.expires_at}
 
     def acknowledged(self, ack: Message) -> list[Datagram]:
         """Forwards an ack to the member that requested the ping, or completes this instance's own probe."""
--- a/pewterring/membership/protocol.py
+++ b/pewterring/membership/protocol.py
@@ -63,7 +63,7 @@
         others = [other for other in range(size) if other != number]
         self.prober = Prober(instance, others, self._builder, rng)
         self._next_period_at = -math.inf
-        self._former_starts: dict[
+        self._other_starts: dict[
             int, int
         ] = {}  # latest known incarnation of other start ids with this number
 
@@ -160,20 +160,20 @@
             self.members.apply(now, update)
         elif update.member == self.identity.number and update.incarnation >= self.identity.incarnation:
             if update.start_id != self.identity.start_id:
-                self._notice_other_start(update)
+                self._record_other_start(update)
                 self.refute(update.incarnation)
             elif update.state != State.ALIVE:
                 self.refute(update.incarnation)
 
-    def _notice_other_start(self, update: MemberUpdate) -> None:
+    def _record_other_start(self, update: MemberUpdate) -> None:
         """Distinguishes an earlier start of this instance from another instance with the same number.
 
         An earlier start no longer sends anything: if its incarnation still rises, it is another instance.
         """
-        latest = self._former_starts.get(update.start_id)
+        latest = self._other_starts.get(update.start_id)
         if latest is not None and update.state == State.ALIVE and update.incarnation > latest:
             self.conflicts += 1
-        self._former_starts[update.start_id] = max(update.incarnation, latest or 0)
+        self._other_starts[update.start_id] = max(update.incarnation, latest or 0)
 
     def refute(self, incarnation: int) -> None:
         """Raises the own incarnation above that of a wrong update and disseminates it."""
--- a/tests/control/test_decommissioning.py
+++ b/tests/control/test_decommissioning.py
@@ -118,7 +118,7 @@
     assert leader.start("store-1", 10.0 + ABSENCE_CONFIRMED_S) == 409
 
 
-def test_after_a_gap_in_observations_no_start_is_refused_finally_at_first() -> None:
+def test_after_a_gap_in_observations_absent_stores_may_come_back() -> None:
     leader = DecommissioningLeader(*STORES)
     leader.remove_node(10.0, STORES[3])
     leader.observe_stores(10.0, 12.0)
@@ -127,7 +127,7 @@
     assert leader.start("store-1", 20.0 + ABSENCE_CONFIRMED_S) == 409
 
 
-def test_a_new_leader_refuses_no_start_finally_before_its_first_observation() -> None:
+def test_before_the_first_observation_absent_stores_may_come_back() -> None:
     leader = DecommissioningLeader(*STORES)
     leader.nodes.start(10.0, {store.node_id: store for store in STORES[:3]})
     assert leader.start("store-1", 10.0) == 503
