--- a/pewterring/standalone/peer_messages.py
+++ b/pewterring/standalone/peer_messages.py
@@ -1,7 +1,8 @@
-"""Encoding and decoding of the messages that gatekeepers send each other.
+"""Encoding and decoding of the messages that standalone gateways send each other.
 
-Heartbeats, with the use of quotas behind them, and the questions to the keeper of an account: the member of a
-customer's set that holds the account's state for all of them. Nothing decides here.
+The first byte distinguishes four kinds: heartbeats, which quota usage may follow, and the quota requests,
+grants and releases that gateways exchange with the owner of an account. Each customer is served by
+a set of gateways; the owner is the one of them that holds the customer's account for the whole set.
 """
 
 import math
@@ -11,133 +12,147 @@
 from typing import NamedTuple
 
 BEAT_FORM = struct.Struct(">cIIfIff")
-NEWS_FORM = struct.Struct(">QHHHhh")
-ASK_FORM, GRANT_FORM = struct.Struct(">cHQHHHeeee"), struct.Struct(">cH??ee")
-BACK_FORM, HALF_MOST = struct.Struct(">cHQe"), 65504.0  # the largest number of two bytes
-# How a message begins: a heartbeat, a question to the keeper of an account, its answer, the end of what it
-# granted.
-BEAT, ASK, GRANT, BACK = b"B", b"A", b"G", b"R"
-MESSAGE_BYTES, NEWS_SCALE = (
-    256,
-    1000,
-)  # demand and spending travel in thousandths of the plan's quota and burst
-NEWS_MOST = 32767  # what fits; below nothing is what a true size gave back of a guessed one
-NEWS_ROOM = (MESSAGE_BYTES - BEAT_FORM.size) // NEWS_FORM.size  # news that fit behind a heartbeat
-
-
-def number(plan: str) -> int:
-    """The number of a plan on the wire: a hash of its name, as its place in the settings may change."""
+USAGE_FORMAT = struct.Struct(">QHHHhh")
+REQUEST_FORMAT = struct.Struct(">cHQHHHeeee")
+GRANT_FORMAT = struct.Struct(">cH??ee")
+RELEASE_FORMAT = struct.Struct(">cHQe")
+MAX_HALF_FLOAT = 65504.0  # the largest finite 16-bit float
+# The first byte of each kind of message.
+HEARTBEAT_TAG, REQUEST_TAG, GRANT_TAG, RELEASE_TAG = b"B", b"A", b"G", b"R"
+MAX_MESSAGE_BYTES = 256
+# Demand and spent units are sent in thousandths of the plan's refill rate and burst size, in 16-bit integers.
+USAGE_SCALE = 1000
+# Spent units are negative where a request was smaller than estimated and the difference was credited to a
+# quota of which nothing was spent.
+MAX_SCALED_USAGE = 32767
+MAX_USAGE_ENTRIES = (MAX_MESSAGE_BYTES - BEAT_FORM.size) // USAGE_FORMAT.size  # after a heartbeat
+
+
+def plan_number(plan: str) -> int:
+    """The number of a plan on the wire: a hash of its name, as its position in the settings may change."""
     return zlib.crc32(plan.encode()) & 0xFFFF
 
 
 class Beat(NamedTuple):
-    """One atomic snapshot of a gatekeeper: what it holds and wants."""
+    """A heartbeat: one gateway's concurrency limit, attempts in flight, quota share and demand."""
 
     incarnation: int
     sequence: int
     limit: float
-    out: int
+    out: int  # attempts in flight
     share: float
-    demand: float
+    demand: float  # requests a second
 
 
 class News(NamedTuple):
-    """Use of one customer's quota, in parts of quota and burst; its plan and first by their numbers."""
+    """Usage of one customer's quota at the sender.
+
+    `plan` is a `plan_number`; the customer's set is `size` gateways from number `first` on.
+    """
 
     customer: int
     plan: int
     size: int
     first: int
-    demand: float
-    spent: float
+    demand: float  # units a second, as a fraction of the plan's refill rate
+    spent: float  # units, as a fraction of the plan's burst size
 
 
 class Ask(NamedTuple):
-    """May a request of this customer be sent on? Its plan by number; the token is the asker's own."""
+    """A quota request: asks the owner of an account whether a request of its customer may be forwarded.
 
-    token: int
+    `plan` is a `plan_number`; the customer's set is `size` gateways from number `first` on.
+    """
+
+    token: int  # chosen by the sender to match the answer
     customer: int
     plan: int
     size: int
     first: int
     units: float
-    demand: float  # units asked of the asker since its last question
-    spent: float  # what of the burst the asker takes for spent
-    unasked: float  # what of it the asker has spent without leave since the keeper's last answer
+    demand: float  # units that arrived at the sender since its last quota request
+    spent: float  # fraction of the burst that is spent, as the sender knows it
+    ungranted: (
+        float  # fraction of the burst that the sender spent without a grant since the owner's last answer
+    )
 
 
 class Grant(NamedTuple):
-    """The keeper's answer to an `Ask`."""
+    """The owner's answer to a quota request; `demand` and `spent` are those of the whole set."""
 
     token: int
     granted: bool
-    pooled: bool  # its units of the hard ceiling came from the keeper's half
-    demand: float  # of the whole set, in parts of quota and burst
-    spent: float
+    pooled: bool  # whether its units of the hard limit came from the owner's half
+    demand: float  # as a fraction of the plan's refill rate
+    spent: float  # as a fraction of the plan's burst size
 
 
 class Back(NamedTuple):
-    """What the token was granted for is over; it took so many units more than it was granted for."""
+    """A quota release: the request that a token was granted for has ended."""
 
     token: int
     customer: int
-    extra: float
+    extra: float  # units used beyond those granted; negative where fewer were used
 
 
-FORMS: dict[bytes, tuple[struct.Struct, type[Ask] | type[Grant] | type[Back]]] = {
-    ASK: (ASK_FORM, Ask),
-    GRANT: (GRANT_FORM, Grant),
-    BACK: (BACK_FORM, Back),
+FORMATS: dict[bytes, tuple[struct.Struct, type[Ask] | type[Grant] | type[Back]]] = {
+    REQUEST_TAG: (REQUEST_FORMAT, Ask),
+    GRANT_TAG: (GRANT_FORMAT, Grant),
+    RELEASE_TAG: (RELEASE_FORMAT, Back),
 }
-KINDS = {kind: first for first, (_, kind) in FORMS.items()}
+TAGS = {kind: tag for tag, (_, kind) in FORMATS.items()}
 
 
-def halves(said: tuple[float, ...]) -> tuple[float, ...]:
+def clamp_to_half_floats(values: tuple[float, ...]) -> tuple[float, ...]:
     """The fields with each float clamped to the range of a half-precision number."""
-    return tuple(max(-HALF_MOST, min(HALF_MOST, x)) if isinstance(x, float) else x for x in said)
+    return tuple(max(-MAX_HALF_FLOAT, min(MAX_HALF_FLOAT, x)) if isinstance(x, float) else x for x in values)
 
 
-def write_ask(said: Ask | Grant | Back) -> bytes:
-    """Encodes a question to a keeper, its answer, or the end of what it granted."""
-    first = KINDS[type(said)]
-    return FORMS[first][0].pack(first, *halves(said))
+def write_ask(message: Ask | Grant | Back) -> bytes:
+    """Encodes a quota request, grant or release; floats beyond the range of 16 bits are clamped to it."""
+    tag = TAGS[type(message)]
+    return FORMATS[tag][0].pack(tag, *clamp_to_half_floats(message))
 
 
 def read_ask(data: bytes) -> Ask | Grant | Back | None:
-    """Decodes what `write_ask` encodes; None where the bytes are none of these."""
-    form, kind = FORMS.get(data[:1], (None, None))
-    if form is None or kind is None or len(data) != form.size:
+    """Decodes a quota request, grant or release; None where the bytes are none of these or malformed."""
+    layout, kind = FORMATS.get(data[:1], (None, None))
+    if layout is None or kind is None or len(data) != layout.size:
         return None
-    said = kind(*form.unpack(data)[1:])
-    if not all(math.isfinite(x) for x in said) or (isinstance(said, Ask) and said.units < 0):
+    message = kind(*layout.unpack(data)[1:])
+    if not all(math.isfinite(x) for x in message) or (isinstance(message, Ask) and message.units < 0):
         return None
-    return said
+    return message
 
 
-def write_beat(beat: Beat) -> bytes:
+def write_beat(heartbeat: Beat) -> bytes:
     """Encodes a heartbeat."""
-    return BEAT_FORM.pack(BEAT, *beat)
+    return BEAT_FORM.pack(HEARTBEAT_TAG, *heartbeat)
 
 
 def read_beat(data: bytes) -> Beat | None:
     """Decodes the heartbeat at the beginning of a message; None where the bytes are no heartbeat."""
-    if data[:1] != BEAT or len(data) < BEAT_FORM.size:
+    if data[:1] != HEARTBEAT_TAG or len(data) < BEAT_FORM.size:
         return None
-    beat = Beat(*BEAT_FORM.unpack_from(data)[1:])
-    return beat if all(math.isfinite(x) and x >= 0 for x in beat) else None
+    heartbeat = Beat(*BEAT_FORM.unpack_from(data)[1:])
+    return heartbeat if all(math.isfinite(x) and x >= 0 for x in heartbeat) else None
 
 
-def write_news(news: Sequence[News]) -> bytes:
-    """Encodes the use of quotas, to be put behind a heartbeat."""
+def write_news(entries: Sequence[News]) -> bytes:
+    """Encodes quota usage, to be appended to a heartbeat."""
     scaled = (
-        (*n[:4], *(max(-NEWS_MOST, min(NEWS_MOST, round(x * NEWS_SCALE))) for x in n[4:])) for n in news
+        (
+            *entry[:4],
+            *(max(-MAX_SCALED_USAGE, min(MAX_SCALED_USAGE, round(x * USAGE_SCALE))) for x in entry[4:]),
+        )
+        for entry in entries
     )
-    return b"".join(NEWS_FORM.pack(*entry) for entry in scaled)
+    return b"".join(USAGE_FORMAT.pack(*entry) for entry in scaled)
 
 
 def read_news(data: bytes) -> Iterator[News]:
-    """Decodes the news behind a heartbeat; yields none where they are cut."""
-    behind = data[BEAT_FORM.size :]
-    if len(behind) % NEWS_FORM.size == 0:
-        for customer, plan, size, first, demand, spent in NEWS_FORM.iter_unpack(behind):
-            yield News(customer, plan, size, first, demand / NEWS_SCALE, spent / NEWS_SCALE)
+    """Decodes the quota usage after a heartbeat; yields nothing where the message is truncated."""
+    usage = data[BEAT_FORM.size :]
+    if len(usage) % USAGE_FORMAT.size == 0:
+        for customer, plan, size, first, demand, spent in USAGE_FORMAT.iter_unpack(usage):
+            yield News(customer, plan, size, first, demand / USAGE_SCALE, spent / USAGE_SCALE)
--- a/pewterring/standalone/policy/decisions.py
+++ b/pewterring/standalone/policy/decisions.py
@@ -1,643 +1,642 @@
-"""Every decision of a standalone gateway. Types, events and actions are in `interface`, what is remembered
-in `state`, the bytes told to peers in `pewterring.standalone.peer_messages`.
+"""The policy of a gateway, see docs/design.md. A request needs quota (Quota), a slot below both the
+gateway's share and the concurrency limit (Shares, Ceiling), and a server (Fleet). Nothing is queued."""
 
-The ordinary path is docs/design.md's: a customer's quota (Quota), a slot below min(share, local limit) of the
-inferred ceiling (Ceiling, Shares), then the server with the least expected wait (Fleet). Nothing queues here.
-"""
-
-import math
+import math  # isort: skip_file
 import random
 
 from pewterring.admission.ceiling import Ceiling
 from pewterring.admission.shares import BEAT_S, Shares
-from pewterring.standalone import peer_messages as mail
-from pewterring.standalone.peer_messages import Ask, Back, Grant
-from pewterring.standalone.policy import interface as i
-from pewterring.standalone.policy.state import Account, Health, Held, Node, Use
-
-TICK, LOOK, ASK, WAIT = 1, 2, 3, 4  # labels of the timers
-NEWS_S = 0.1  # news of quotas between heartbeats come no closer than this, and farther where mail is scarce
-LOOKS = 12  # looks for silent servers within the shortest aim
-# How far an outcome speaks against its server. Being turned away unseen costs a round trip and no work: taken
-# for a fault it would drive all traffic to the servers that still accept, and jam them.
-FAULTS = {i.Code.INTERNAL: 1.0, i.Code.ABORTED: 1.0, i.Code.UNAVAILABLE: 1.0, i.Code.RESOURCE_EXHAUSTED: 0.25}
-SPARSE = 0.3  # of the mail that beats to all may take; at an intake of 100 a second up to 13 gatekeepers
+from pewterring.standalone.peer_messages import (MAX_USAGE_ENTRIES, Grant, Back, Ask,
+    News, read_ask, read_news, write_ask, write_news, plan_number)  # fmt: skip
+from pewterring.standalone.policy.interface import (
+    NEVER_RAN, Action, Cancel, Code, Effect, Event, Expired, Fail, Group, ListForm, Mode, Outcome, PeerMail,
+    Plan, Probe, ProbeResult, Refuse, Request, RequestClass, Send, ServerList, SetTimer, Settings,
+    StreamStarted, Subscribe, Tell, TimerDue)  # fmt: skip
+from pewterring.standalone.policy.state import Account, Health, PendingRequest, ServerState, Usage
+
+TICK, HEALTH_TICK, LIST_RETRY, ANSWER_TIMEOUT = 1, 2, 3, 4  # labels of timers
+UPDATE_INTERVAL_S = 0.1  # the shortest between usage updates; longer where peers can receive few messages
+CHECKS_PER_TARGET = 12  # checks for unresponsive servers within the shortest latency target
+# A rejection costs a round trip and no work: weighted as an error it would overload the servers that accept.
+ERROR_WEIGHTS = {Code.INTERNAL: 1.0, Code.ABORTED: 1.0, Code.UNAVAILABLE: 1.0, Code.RESOURCE_EXHAUSTED: 0.25}
+HEARTBEAT_SHARE = 0.3  # of the messages received, for heartbeats of all peers: 13 gateways at 100 messages/s
 
 
 class Customer(Account):
-    """Its use here, and as peers told it."""
+    """An account with the usage of the whole set, as far as it is known here."""
 
     def demand(self) -> float:
-        return self.own.demand + sum(u.demand for u in self.told.values())
+        return self.own.demand + sum(u.demand for u in self.reported.values())
 
     def spent(self) -> float:
-        return self.own.spent + sum(u.spent for u in self.told.values())
+        return self.own.spent + sum(u.spent for u in self.reported.values())
 
-    def take(self, units: float) -> bool:
-        taken = min(units, max(0.0, self.plan.depth - self.spent()))  # a try beyond the quota takes nothing
-        self.own.spent, self.unasked = self.own.spent + taken, self.unasked + taken
-        return taken > 0
+    def spend(self, units: float) -> bool:
+        spent = min(units, max(0.0, self.plan.depth - self.spent()))  # use beyond the quota is not charged
+        self.own.spent, self.ungranted = self.own.spent + spent, self.ungranted + spent
+        return spent > 0
 
     def pass_time(self, now: float) -> None:
-        if (past := now - self.at) <= 0:
+        if (elapsed := now - self.updated_at) <= 0:
             return
-        # The refill goes where the burst was spent, the own part as peers know it: else all refill too much.
-        fade, refill = math.exp(-past / self.window), past * self.plan.refill
+        # The refill is divided by what each gateway spent, as its peers know it: else all refill too much.
+        decay, refill = math.exp(-elapsed / self.window), elapsed * self.plan.refill
         sent = list(self.sent.values()) or [self.own]
-        known, told = max(use.spent for use in sent), sum(use.spent for use in self.told.values())
-        part = min(1.0, refill / (known + told)) if known + told > 0 else 1.0
-        own = self.own.spent - (known * part if part < 1 else refill)
-        for use in (self.own, *self.sent.values(), *(self.told.values() if now >= self.stands else ())):
-            use.demand *= fade
-            use.spent *= 1 - part
+        known, reported = max(u.spent for u in sent), sum(u.spent for u in self.reported.values())
+        fraction = min(1.0, refill / (known + reported)) if known + reported > 0 else 1.0
+        own = self.own.spent - (known * fraction if fraction < 1 else refill)
+        for u in (self.own, *self.sent.values(), *(self.reported.values() if now >= self.valid_to else ())):
+            u.demand *= decay
+            u.spent *= 1 - fraction
         self.own.spent = max(0.0, own)
-        part = past * self.plan.cap_rate / 2
-        self.cap = min(self.plan.cap_depth / 2 / self.size, self.cap + part / self.size)
-        self.pool = min(self.plan.cap_depth / 2, self.pool + part)
-        self.at = now
+        half = elapsed * self.plan.cap_rate / 2
+        self.cap = min(self.plan.cap_depth / 2 / self.size, self.cap + half / self.size)
+        self.pool = min(self.plan.cap_depth / 2, self.pool + half)
+        self.updated_at = now
 
 
 class Quota:
-    """Summed-demand refusal beyond a local share of the burst, and the hard limits of a plan.
-
-    A small fleet tells its use to the whole set. In a sparse one a keeper among them deals the same chance.
-    """
+    """Admission by quotas and hard limits. Past a local share of the burst total demand decides, from usage
+    that gateways report to each other; in a sparse fleet the owner of the account decides."""
 
-    PULL = 10.0  # the quota rises and falls by so many refills for a whole burst left or overdrawn; kept back
-    # is so much as makes it nought at an empty store: a try sent on too early only costs
-    SAID_S, MISSED = 2.0, 2.0  # an answer is remembered so long; so many left unanswered count at the most
-    HELD = 4.0  # usual latencies that a keeper counts a slot as out when its end is not told
+    # The quota varies by GAIN refill rates per burst left or overdrawn; 1 / GAIN of a burst is kept back, so
+    GAIN = 10.0  # that it is zero when nothing is left: use beyond it costs and gains nothing
+    ANSWER_TTL_S, MAX_MISSED = 2.0, 2.0  # validity of an owner's answer; most missed answers that are counted
+    GRANT_TTL = 4.0  # typical latencies after which an owner frees a slot whose release did not arrive
 
-    def __init__(self, settings: i.Settings, rng: random.Random, sparse: bool = False) -> None:
+    def __init__(self, settings: Settings, rng: random.Random, sparse: bool = False) -> None:
         self.s, self.rng, self.began, self.sparse = settings, rng, 0.0, sparse
-        self.customers, self.lives = dict[int, Customer](), dict[int, int]()  # lives: peers' incarnations
-        self.fresh: dict[int, Customer] = {}  # those with use that is not told yet
-        self.said: dict[tuple[int, int, int], tuple[float, Grant]] = {}  # answers lately given, as keeper
-        self.plans = {mail.number(name): plan for name, plan in settings.plans.items()}
-
-    def customer(self, now: float, id: int, plan: i.Plan, size: int, first: int) -> Customer:
-        c, size = self.customers.get(id), max(1, size)
-        keeper = (first + id % size) % self.s.fleet_size
-        if c and (c.size, c.first, c.keeper) != (size, first, keeper):  # its set has changed
-            c.size, c.first, c.keeper, c.pool = size, first, keeper, 0.0
-        if c is None:
-            c = self.customers[id] = Customer(now, plan, size, first, keeper)
-            # Half of a hard ceiling lies in even parts, half with the keeper. Both grow from the start here,
-            # and a keeper's first asker says what of the burst is spent: a restart grants nothing anew.
-            c.pool = min(plan.cap_depth, (now - self.began) * plan.cap_rate) / 2
-            c.cap, c.dealt = c.pool / size, self.rng.random()
-        c.pass_time(now)
-        return c
-
-    def admits(self, c: Customer, units: float, kept: float = 1 / PULL) -> bool:
-        plan = c.plan
-        spare = plan.depth - c.spent() - min(plan.depth, units + plan.depth * kept)  # a full store gives all
-        whole = self.sparse and c.keeper == self.s.me
-        if not plan.refill or (spare >= 0 and c.own.spent + units <= plan.depth / (1 if whole else c.size)):
-            return True
-        # Past the local share the quota follows what the told spending leaves of the burst, or overdraws.
-        quota, demand = max(0.0, plan.refill * (1 + self.PULL * spare / plan.depth)), c.demand()
+        self.customers, self.incarnations = dict[int, Customer](), dict[int, int]()  # by peer
+        self.unsent: dict[int, Customer] = {}  # those with usage not yet sent to peers
+        self.answers: dict[tuple[int, int, int], tuple[float, Grant]] = {}  # given recently, as owner
+        self.plans = {plan_number(name): plan for name, plan in settings.plans.items()}
+
+    def get_account(self, now: float, id: int, plan: Plan, size: int, first: int) -> Customer:
+        account, size = self.customers.get(id), max(1, size)
+        owner = (first + id % size) % self.s.fleet_size
+        if account and (account.size, account.first, account.keeper) != (size, first, owner):
+            account.size, account.first, account.keeper, account.pool = size, first, owner, 0.0
+        if account is None:
+            account = self.customers[id] = Customer(now, plan, size, first, owner)
+            # Half of a hard limit is divided evenly, half is held by the owner. Both fill from this gateway's
+            # start, and an owner's first request says how much is spent: a restart grants nothing twice.
+            account.pool = min(plan.cap_depth, (now - self.began) * plan.cap_rate) / 2
+            account.cap, account.credit = account.pool / size, self.rng.random()
+        account.pass_time(now)
+        return account
+
+    def admits(self, account: Customer, units: float, reserve: float = 1 / GAIN) -> bool:
+        plan = account.plan  # from a full burst nothing is kept back
+        spare = plan.depth - account.spent() - min(plan.depth, units + plan.depth * reserve)
+        is_owner = self.sparse and account.keeper == self.s.me
+        if not plan.refill or (spare >= 0 and account.own.spent + units
+                               <= plan.depth / (1 if is_owner else account.size)):  # fmt: skip
+            return True  # beyond the local share the demand and what is left of the burst decide
+        quota, demand = max(0.0, plan.refill * (1 + self.GAIN * spare / plan.depth)), account.demand()
         if demand > quota:
-            # Dealt evenly from a random start: draws would empty and waste a small store in turn.
-            c.dealt += units * quota / demand
-            if c.dealt < units:
+            # Evenly spaced from a random start: random draws would empty and waste a small burst by turns.
+            account.credit += units * quota / demand
+            if account.credit < units:
                 return False
-            c.dealt -= units
+            account.credit -= units
         return True
 
-    def asks(self, c: Customer, units: float) -> bool:
-        # Uneven entry uses up one part of a ceiling while others are full.
-        common = (self.sparse and c.plan.refill) or c.plan.parallel or (c.plan.cap_rate and c.cap < units)
-        return bool(common) and c.size > 1 and self.s.limits.peers
+    def needs_owner(self, account: Customer, units: float) -> bool:
+        shared = ((self.sparse and account.plan.refill)  # uneven arrivals use up one part of a hard limit
+                 or account.plan.parallel or (account.plan.cap_rate and account.cap < units))  # fmt: skip
+        return bool(shared) and account.size > 1 and self.s.limits.peers
 
-    def grant(self, now: float, peer: int, ask: Ask, usual: float) -> Grant:
-        """The keeper's answer, the same to a repeated question. Used at once or lost, no two can hold it."""
-        if (known := self.said.get((peer, ask.token, ask.customer))) and peer != self.s.me:
+    def grant(self, now: float, peer: int, request: Ask, typical: float) -> Grant:
+        """The owner's answer, the same to a repeated request. Used at once or lost, it has one holder."""
+        if (known := self.answers.get((peer, request.token, request.customer))) and peer != self.s.me:
             return known[1]
-        plan = self.plans[ask.plan]
-        new, away = ask.customer not in self.customers, self.sparse and peer != self.s.me
-        c = self.customer(now, ask.customer, plan, ask.size, ask.first)
-        c.take((ask.spent if new else ask.unasked * away) * plan.depth)
-        # Of those that are older the end was lost.
-        c.grants = {key: at for key, at in c.grants.items() if now - at <= self.HELD * usual}
-        c.own.demand += ask.demand / c.window * away
-        granted = not self.sparse or self.admits(c, ask.units)
-        granted = granted and not (plan.parallel and len(c.grants) >= plan.parallel)
-        pooled = granted and plan.cap_rate > 0 and c.pool >= ask.units
-        c.pool -= ask.units * pooled
+        plan = self.plans[request.plan]
+        is_new, remote = request.customer not in self.customers, self.sparse and peer != self.s.me
+        account = self.get_account(now, request.customer, plan, request.size, request.first)
+        account.spend((request.spent if is_new else request.ungranted * remote) * plan.depth)
+        account.grants = {k: at for k, at in account.grants.items() if now - at <= self.GRANT_TTL * typical}
+        account.own.demand += request.demand / account.window * remote
+        granted = not self.sparse or self.admits(account, request.units)
+        granted = granted and not (plan.parallel and len(account.grants) >= plan.parallel)
+        pooled = granted and plan.cap_rate > 0 and account.pool >= request.units
+        account.pool -= request.units * pooled
         if granted and plan.parallel:
-            c.grants[peer, ask.token] = now
+            account.grants[peer, request.token] = now
         if granted and self.sparse:
-            c.take(ask.units)
-        parts = c.demand() / max(plan.refill, 1e-9), c.spent() / max(plan.depth, 1e-9)
-        grant = Grant(ask.token, granted, pooled, *parts)
-        self.said[peer, ask.token, ask.customer] = now, grant
+            account.spend(request.units)
+        fractions = account.demand() / max(plan.refill, 1e-9), account.spent() / max(plan.depth, 1e-9)
+        grant = Grant(request.token, granted, pooled, *fractions)
+        self.answers[peer, request.token, request.customer] = now, grant
         return grant
 
-    def back(self, peer: int, back: Back) -> None:
-        """What was granted is over: it took so many units more than it was granted for, or fewer."""
-        if c := self.customers.get(back.customer):
-            c.grants.pop((peer, back.token), None)
+    def release(self, peer: int, release: Back) -> None:  # frees a slot, corrects the units
+        if account := self.customers.get(release.customer):
+            account.grants.pop((peer, release.token), None)
             if self.sparse or peer == self.s.me:
-                c.own.spent += back.extra
-                c.own.demand += back.extra / c.window
-
-    def sweep(self, now: float) -> None:
-        for id in [id for id, c in self.customers.items() if now - c.at > c.idle]:
-            del self.customers[id]  # its burst and ceiling are full again
-            self.fresh.pop(id, None)
-        self.said = {key: said for key, said in self.said.items() if now - said[0] < self.SAID_S}
-
-    def news(self, now: float) -> dict[int, bytes]:
-        """New use, for the peers that would misjudge it without; the largest errors first."""
-        due: dict[int, list[tuple[float, int, Use]]] = {}
-        fresh, self.fresh = self.fresh, {}
-        for id, c in fresh.items():
-            c.pass_time(now)
-            for peer in (n % self.s.fleet_size for n in range(c.first, c.first + c.size)):
-                known = c.sent.get(peer, Use())
-                error = abs(c.own.demand - known.demand) / c.plan.refill
-                error += abs(c.own.spent - known.spent) / c.plan.depth
-                if error * c.size > 0.04:
-                    due.setdefault(peer, []).append((error, id, c.own))
-        due.pop(self.s.me, None)
-        return {peer: self.pack(peer, entries) for peer, entries in due.items()}
-
-    def pack(self, peer: int, entries: list[tuple[float, int, Use]]) -> bytes:
-        entries.sort(key=lambda entry: entry[:2], reverse=True)
-        self.fresh.update({id: self.customers[id] for _, id, _ in entries[mail.NEWS_ROOM :]})
-        news = []
-        for _, id, use in entries[: mail.NEWS_ROOM]:
-            c = self.customers[id]
-            c.sent[peer] = Use(use.demand, use.spent)
-            shown = (use.demand / c.plan.refill, use.spent / c.plan.depth)
-            news.append(mail.News(id, mail.number(c.plan.name), c.size, c.first, *shown))
-        return mail.write_news(news)
-
-    def hear(self, now: float, peer: int, life: int, data: bytes) -> None:
-        if self.lives.setdefault(peer, life) != life:  # a new life knows nothing: all anew
-            self.lives[peer] = life
-            self.fresh.update({id: c for id, c in self.customers.items() if c.sent.pop(peer, None)})
-        for n in mail.read_news(data):
-            if n.plan in self.plans and 0 < n.size <= self.s.fleet_size:
-                plan = self.plans[n.plan]
-                told = Use(n.demand * plan.refill, n.spent * plan.depth)
-                c = self.customer(now, n.customer, plan, n.size, n.first)
-                # Lives whose use is refilled are let go of.
-                c.told = {k: u for k, u in c.told.items() if u.spent or u.demand > 0.01} | {life: told}
+                account.own.spent += release.extra
+                account.own.demand += release.extra / account.window
+
+    def expire(self, now: float) -> None:
+        for id in [id for id, a in self.customers.items() if now - a.updated_at > a.idle]:
+            del self.customers[id]  # its burst and hard limit are full again
+            self.unsent.pop(id, None)
+        self.answers = {k: given for k, given in self.answers.items() if now - given[0] < self.ANSWER_TTL_S}
+
+    def usage_updates(self, now: float) -> dict[int, bytes]:  # by peer, where its view is too inaccurate
+        updates: dict[int, list[tuple[float, int, Usage]]] = {}
+        unsent, self.unsent = self.unsent, {}
+        for id, account in unsent.items():
+            account.pass_time(now)
+            for peer in (n % self.s.fleet_size
+                         for n in range(account.first, account.first + account.size)):  # fmt: skip
+                known = account.sent.get(peer, Usage())
+                error = abs(account.own.demand - known.demand) / account.plan.refill
+                error += abs(account.own.spent - known.spent) / account.plan.depth
+                if error * account.size > 0.04:
+                    updates.setdefault(peer, []).append((error, id, account.own))
+        updates.pop(self.s.me, None)
+        return {peer: self.encode_updates(peer, entries) for peer, entries in updates.items()}
+
+    def encode_updates(self, peer: int, entries: list[tuple[float, int, Usage]]) -> bytes:
+        entries.sort(key=lambda entry: entry[:2], reverse=True)  # the largest errors first
+        self.unsent.update({id: self.customers[id] for _, id, _ in entries[MAX_USAGE_ENTRIES:]})
+        usages = []
+        for _, id, usage in entries[:MAX_USAGE_ENTRIES]:
+            account = self.customers[id]
+            account.sent[peer] = Usage(usage.demand, usage.spent)
+            shown = (usage.demand / account.plan.refill, usage.spent / account.plan.depth)
+            usages.append(News(id, plan_number(account.plan.name), account.size, account.first, *shown))
+        return write_news(usages)
+
+    def receive(self, now: float, peer: int, incarnation: int, data: bytes) -> None:
+        if self.incarnations.setdefault(peer, incarnation) != incarnation:  # restarted: it needs all
+            self.incarnations[peer] = incarnation
+            self.unsent.update({id: a for id, a in self.customers.items() if a.sent.pop(peer, None)})
+        for entry in read_news(data):
+            if entry.plan in self.plans and 0 < entry.size <= self.s.fleet_size:
+                plan = self.plans[entry.plan]
+                reported = Usage(entry.demand * plan.refill, entry.spent * plan.depth)
+                account = self.get_account(now, entry.customer, plan, entry.size, entry.first)
+                account.reported = {  # without former incarnations whose usage has been refilled
+                    k: u for k, u in account.reported.items() if u.spent or u.demand > 0.01
+                } | {incarnation: reported}
 
 
 class Fleet:
-    """The servers: list, symptoms, cold budget and the least expected wait."""
-
-    SILENCE = 8.0  # if waits are exponential, a healthy server says nothing for so long once in e^8 times
-    UNHEARD = 0.5  # how far a silence speaks against the server for its class: it may be one lost answer
-    FORGET_S = 5.0  # symptoms fade by 1/e in this time, so that real traffic tests the server again
-    SAMPLE = 0.1  # weight of one outcome; where outcomes are few each weighs thrice, and is kept for as long
-    FEW = 4  # about so many gatekeepers may send to a cold server at once
-    NEAR = 12  # servers that each of a sparse fleet keeps to, so that connections stay open
-
-    def __init__(self, settings: i.Settings, rng: random.Random, sparse: bool = False) -> None:
-        self.s, self.rng, self.nodes, self.serving = settings, rng, dict[int, Node](), list[Node]()
-        # How little own attempts tell of a server's load: many always find a warm one that looks idle.
-        self.unseen, self.sparse = max(0.0, 1 - self.FEW / settings.fleet_size), sparse
-        few = 1 + 2 * self.unseen
-        self.sample, self.forget_s = few * self.SAMPLE, few * self.FORGET_S
-        self.near, self.pace, self.rating = set[int](), 0.0, 0.0
-
-    def update(self, now: float, event: i.ServerList) -> None:
-        for node in self.nodes.values() if event.form in (i.ListForm.WHOLE, i.ListForm.REMEMBERED) else ():
-            node.listed = False
+    """The servers: their list, health and slow start, and the choice of the least expected wait."""
+
+    SILENCE_LIMIT = 8.0  # mean latencies; if exponential, a healthy server exceeds it once in e^8 times
+    SILENCE_WEIGHT = 0.5  # of silence in a server's error rate: it may be due to a single lost answer
+    SYMPTOM_DECAY_S = 5.0  # slowness and errors decay by 1/e within it, so that traffic tests servers again
+    OUTCOME_WEIGHT = 0.1  # of one outcome; up to threefold, and kept for as long, where each gateway sees few
+    COLD_SENDERS = 4  # gateways, approximately, that may send to a cold server at once
+    SUBSET = 12  # servers that each gateway of a sparse fleet prefers, so that connections stay open
+
+    def __init__(self, settings: Settings, rng: random.Random, sparse: bool = False) -> None:
+        self.s, self.rng = settings, rng
+        self.nodes, self.serving = dict[int, ServerState](), list[ServerState]()
+        # The fraction of a server's load not seen here: in a large fleet some warm server always looks idle.
+        self.unseen, self.sparse = max(0.0, 1 - self.COLD_SENDERS / settings.fleet_size), sparse
+        scale = 1 + 2 * self.unseen
+        self.sample, self.forget_s = scale * self.OUTCOME_WEIGHT, scale * self.SYMPTOM_DECAY_S
+        self.subset, self.pace, self.rating = set[int](), 0.0, 0.0
+
+    def update(self, now: float, event: ServerList) -> None:
+        for server in self.nodes.values() if event.form in (ListForm.WHOLE, ListForm.REMEMBERED) else ():
+            server.listed = False
         for entry in event.servers:
-            node = self.nodes.setdefault(entry.id, Node(entry))
-            if entry.came_up > node.came_up:
-                for h in node.health.values():
-                    h.slow, h.errors = 1.0, 0.0
-                self.started(node, entry.came_up, now)
-            node.entry, node.listed = entry, entry.mode != i.Mode.DELETED
-        for id in [id for id, n in self.nodes.items() if not n.listed and not n.out]:
+            server = self.nodes.setdefault(entry.id, ServerState(entry))
+            if entry.came_up > server.came_up:
+                for health in server.health.values():
+                    health.slowness, health.error_rate = 1.0, 0.0
+                self.begin_slow_start(server, entry.came_up, now)
+            server.entry, server.listed = entry, entry.mode != Mode.DELETED
+        for id in [id for id, s in self.nodes.items() if not s.listed and not s.in_flight]:
             del self.nodes[id]
-        self.serving = [n for n in self.nodes.values() if n.listed and n.entry.mode == i.Mode.SERVING]
-        # All know one order, and each keeps to an arc of it: each server is near to as many as any other.
-        order = sorted(self.serving, key=lambda n: (n.entry.common or n.entry.id) * 2654435761 % 2**32)
-        start = len(order) * self.s.me // self.s.fleet_size
-        self.near = {n.entry.id for n in ((order * 2)[start : start + self.NEAR] if self.sparse else order)}
-        self.rating = sum(1.0 if self.s.live_ratings else n.entry.rating for n in self.serving)
-
-    def warmth(self, node: Node, now: float) -> float:
-        rules, age = self.s.rules, now - node.came_up
-        if not node.came_up or age >= rules.cold:
+        self.serving = [s for s in self.nodes.values() if s.listed and s.entry.mode == Mode.SERVING]
+        order = sorted(self.serving, key=lambda s: (s.entry.common or s.entry.id) * 2654435761 % 2**32)
+        pos = len(order) * self.s.me // self.s.fleet_size  # every gateway uses this order
+        self.subset = {s.entry.id for s in ((order * 2)[pos : pos + self.SUBSET] if self.sparse else order)}
+        self.rating = sum(1.0 if self.s.live_ratings else s.entry.rating for s in self.serving)
+
+    def warmth(self, server: ServerState, now: float) -> float:  # fraction of its full capacity
+        rules, age = self.s.rules, now - server.came_up
+        if not server.came_up or age >= rules.cold:
             return 1.0
         return rules.cold_share + (1 - rules.cold_share) * max(0.0, age) / rules.cold
 
-    def started(self, node: Node, came_up: float, now: float) -> None:
-        # Only a few of those that keep to it may send at once, the others when their budget has grown.
-        node.came_up, node.token_at = came_up, now
-        part = self.NEAR / max(1, len(self.serving)) if self.sparse else 1.0
+    def begin_slow_start(self, server: ServerState, came_up: float, now: float) -> None:
+        server.came_up, server.filled_at = came_up, now  # a few gateways may send at once, others later
+        part = self.SUBSET / max(1, len(self.serving)) if self.sparse else 1.0
         senders = self.s.fleet_size * min(1.0, part)
-        node.tokens = min(1.0, self.rng.random() + self.FEW / senders)
+        server.tokens = min(1.0, self.rng.random() + self.COLD_SENDERS / senders)
 
-    def take_pace(self, now: float, flow: float) -> None:
-        """What a warm server takes of this gatekeeper's flow, by rating: the measure for cold ones."""
-        warm = sum(n.entry.rating * self.warmth(n, now) for n in self.serving if n.entry.id in self.near)
+    def measure_rate(self, now: float, flow: float) -> None:  # sent to warm servers, per unit of rating
+        warm = sum(s.entry.rating * self.warmth(s, now) for s in self.serving if s.entry.id in self.subset)
         self.pace = flow / warm if warm > 0 else 0.0
 
-    def may_take(self, node: Node, now: float) -> bool:
-        """A cold server gets no more than its part of what a warm one gets: far below what tips it over."""
-        warmth = self.warmth(node, now)
-        if warmth >= 1.0:
+    def has_tokens(self, server: ServerState, now: float) -> bool:
+        """Whether slow start admits an attempt: at a fraction of a warm server's rate, far below overload."""
+        warm = self.warmth(server, now)
+        if warm >= 1.0:
             return True
         rules = self.s.rules
-        rate = warmth * node.entry.rating * self.pace * min(1.25 - self.unseen / 4, rules.fall_multiple / 2)
-        rate = max(rate, 1 / (rules.tip_after * self.s.fleet_size))  # where all are cold there is no pace yet
-        node.tokens = min(1.0 + rate * rules.tip_after / 2, node.tokens + rate * (now - node.token_at))
-        node.token_at = now
-        return node.tokens >= 1.0
-
-    def symptoms(self, h: Health, now: float) -> tuple[float, float]:  # slowness, errors; faded
-        fade = math.exp((h.judged - now) / self.forget_s)
-        return 1.0 + (h.slow - 1.0) * fade, h.errors * fade
-
-    def wait(self, node: Node, now: float, cls: str) -> float:
-        """Expected wait: attempts out over present rating, stretched by what the class met there."""
-        h = node.of(cls)
-        slow, errors = self.symptoms(h, now)
-        # Chance stands for what peers have out there: who has little out chooses in proportion to rating.
-        # A cold one's part is dealt by its budget: dealt by chance once more it would be halved.
-        warmth, chance = self.warmth(node, now), self.rng.expovariate(1.0)
-        ahead = 0.0 if warmth < 1.0 and self.unseen else 1 + self.unseen * (chance - 1)
-        wait = (node.out + ahead) / max(node.entry.rating * warmth, 1e-9)
-        wait *= max(1.0, slow) / max(0.05, 1.0 - errors) ** 4
-        if h.silent_since:
+        rate = warm * server.entry.rating * self.pace * min(1.25 - self.unseen / 4, rules.fall_multiple / 2)
+        rate = max(rate, 1 / (rules.tip_after * self.s.fleet_size))  # no pace while all are cold
+        server.tokens = min(1.0 + rate * rules.tip_after / 2, server.tokens + rate * (now - server.filled_at))
+        server.filled_at = now
+        return server.tokens >= 1.0
+
+    def symptoms(self, health: Health, now: float) -> tuple[float, float]:  # decayed slowness and errors
+        decay = math.exp((health.updated_at - now) / self.forget_s)
+        return 1.0 + (health.slowness - 1.0) * decay, health.error_rate * decay
+
+    def cost(self, server: ServerState, now: float, cls: str) -> float:
+        """Expected wait: attempts in flight by present capacity, scaled by slowness and errors."""
+        health = server.health_of(cls)
+        slowness, error_rate = self.symptoms(health, now)
+        # The random load stands for other gateways' attempts: with few of its own one chooses by rating.
+        # Tokens limit the share of a cold server: a random load on top would halve it.
+        warmth, random_load = self.warmth(server, now), self.rng.expovariate(1.0)
+        ahead = 0.0 if warmth < 1.0 and self.unseen else 1 + self.unseen * (random_load - 1)
+        wait = (server.in_flight + ahead) / max(server.entry.rating * warmth, 1e-9)
+        wait *= max(1.0, slowness) / max(0.05, 1.0 - error_rate) ** 4
+        if health.unresponsive_since:
             wait *= 1000.0
-        if node.entry.zone != self.s.zone:
+        if server.entry.zone != self.s.zone:
             wait *= 1.0 + self.s.price_cross_zone * 10
         return wait
 
-    def choose(self, now: float, among: list[Node], held: Held) -> Node | None:
-        among = [n for n in among if n.entry.id in self.near] or among
-        nodes = [n for n in among if self.may_take(n, now)]
-        fresh = [n for n in nodes if n not in [tried for tried, _ in held.attempts]] or nodes
-        return min(fresh, key=lambda n: (self.wait(n, now, held.cls.name), self.rng.random()), default=None)
-
-    def judge(self, node: Node, mine: Health, now: float, expected: float, o: i.Outcome) -> None:
-        mine.pending.pop((o.id, o.attempt), None)
-        if o.code in (i.Code.OK, i.Code.INTERNAL, i.Code.RESOURCE_EXHAUSTED):
-            self.answers(node, now, mine)
-        # It speaks for classes too of which nothing came back lately: one may go unanswered, others served.
-        for h in node.health.values():
-            if h is not mine and now - h.met < self.forget_s:
+    def choose(self, now: float, candidates: list[ServerState], call: PendingRequest) -> ServerState | None:
+        candidates = [s for s in candidates if s.entry.id in self.subset] or candidates
+        ready = [s for s in candidates if self.has_tokens(s, now)]
+        untried = [s for s in ready if s not in [tried for tried, _ in call.attempts]] or ready
+        return min(untried, key=lambda s: (self.cost(s, now, call.cls.name), self.rng.random()), default=None)
+
+    def record(self, server: ServerState, health: Health, now: float, mean: float, outcome: Outcome) -> None:
+        health.in_flight.pop((outcome.id, outcome.attempt), None)
+        if outcome.code in (Code.OK, Code.INTERNAL, Code.RESOURCE_EXHAUSTED):
+            self.mark_responsive(server, now, health)
+        # It counts for classes without a recent outcome too, not for all: one may be unserved, others served.
+        for each in server.health.values():
+            if each is not health and now - each.last_outcome < self.forget_s:
                 continue
-            (h.slow, h.errors), h.judged = self.symptoms(h, now), now
-            if o.code == i.Code.OK:
-                h.slow += (min(10.0, o.took / max(expected, 1e-9)) - h.slow) * self.sample
-                h.errors -= h.errors * self.sample
-            elif o.code in FAULTS:
-                h.errors += (FAULTS[o.code] - h.errors) * self.sample
-        if o.code == i.Code.OK or o.code in FAULTS:
-            mine.met = now
-
-    def answers(self, node: Node, now: float, mine: Health | None = None) -> None:
-        """Back from silence: it may have restarted, so until a list says otherwise it counts as cold."""
-        for h in [mine] if mine else node.health.values():
-            h.answered = now
-            if h.silent_since and now - max(h.silent_since, node.answered) > self.s.rules.tip_after:
-                self.started(node, now, now)
-            h.silent_since = 0.0
-        node.answered = now
-
-    def look(self, now: float, expected: dict[str, float], usual: float) -> None:
-        """Finds where a class has just gone unanswered; `expected` is its usual latency."""
-        for node in self.nodes.values():
-            for cls, h in node.health.items():
-                if h.silent_since or not h.pending:
+            (each.slowness, each.error_rate), each.updated_at = self.symptoms(each, now), now
+            if outcome.code == Code.OK:
+                each.slowness += (min(10.0, outcome.took / max(mean, 1e-9)) - each.slowness) * self.sample
+                each.error_rate -= each.error_rate * self.sample
+            elif outcome.code in ERROR_WEIGHTS:
+                each.error_rate += (ERROR_WEIGHTS[outcome.code] - each.error_rate) * self.sample
+        if outcome.code == Code.OK or outcome.code in ERROR_WEIGHTS:
+            health.last_outcome = now
+
+    def mark_responsive(self, server: ServerState, now: float, only: Health | None = None) -> None:
+        for health in [only] if only else server.health.values():
+            health.last_answer = now
+            if health.unresponsive_since and (now - max(health.unresponsive_since, server.last_answer)
+                                              > self.s.rules.tip_after):  # fmt: skip
+                self.begin_slow_start(server, now, now)  # may have restarted: cold unless a list says not
+            health.unresponsive_since = 0.0
+        server.last_answer = now
+
+    def check_silence(self, now: float, means: dict[str, float], typical: float) -> None:  # of latency
+        for server in self.nodes.values():
+            for cls, health in server.health.items():
+                if health.unresponsive_since or not health.in_flight:
                     continue
-                waits = sum(max(0.0, now - max(sent, h.answered)) for sent in h.pending.values())
-                if waits > self.SILENCE * max(1.0, h.slow) * max(expected.get(cls, usual), 1e-3):
-                    (h.slow, h.errors), h.judged = self.symptoms(h, now), now
-                    h.errors += (1.0 - h.errors) * self.UNHEARD
-                    h.silent_since = h.met = now
+                wait = sum(max(0.0, now - max(at, health.last_answer)) for at in health.in_flight.values())
+                if wait > self.SILENCE_LIMIT * max(1.0, health.slowness) * max(means.get(cls, typical), 1e-3):
+                    (health.slowness, health.error_rate), health.updated_at = self.symptoms(health, now), now
+                    health.error_rate += (1.0 - health.error_rate) * self.SILENCE_WEIGHT
+                    health.unresponsive_since = health.last_outcome = now
 
 
 class Gatekeeper:
-    LOST = 8.0  # usual latencies after which an attempt is taken for lost: one in 3,000 if waits are even
-    IDLE = 0.5  # a share of which less than this is out is idle
-    WAIT, ASKED = 0.2, 3  # of the shortest aim: how long a keeper's answer is waited for; times it is asked
-    MINDS = 1 / 32  # weight of one answer, or of silence, in the echo
-    FAINT = 0.75  # where fewer questions are answered, asking again overruns peers
-    EXTRA, UNRUN = 0.2, 0.25  # further attempts per first attempt; what one after a proven non-run counts
-
-    def __init__(self, settings: i.Settings, seed: int) -> None:
+    """Turns each event into actions, with the state kept between events."""
+
+    LOST = 8.0  # typical latencies after which an attempt counts as lost: one in 3,000 if exponential
+    IDLE_FRACTION = 0.5  # of this gateway's share: below it in flight, the share counts as idle
+    OWNER_WAIT, MAX_ASKED = 0.2, 3  # for an owner's answer, in shortest latency targets; requests sent to it
+    ANSWER_WEIGHT = 1 / 32  # of one quota request, answered or not, in the answer rate
+    MIN_ANSWER_RATE = 0.75  # below it quota requests are not repeated: that would overload peers
+    EXTRA, UNRUN_COST = 0.2, 0.25  # retries per first attempt; what one counts if none was executed before
+
+    def __init__(self, settings: Settings, seed: int) -> None:
         self.s, self.rng = settings, random.Random(seed)
         self.ceiling = Ceiling(settings.fleet_size)
-        # Sparse: so many that beats to all would cost more than they are worth, long before they overrun it.
-        self.mail, others = 0.8 * settings.mail_per_s, settings.fleet_size - 1
-        self.sparse = settings.limits.peers and 0.0 < SPARSE * self.mail * BEAT_S < others
+        # In a sparse fleet heartbeats to all cost more than they are worth, long before they overload peers.
+        self.mail, others = 0.8 * settings.mail_per_s, settings.fleet_size - 1  # messages/s to use
+        self.sparse = settings.limits.peers and 0.0 < HEARTBEAT_SHARE * self.mail * BEAT_S < others
         self.shares = Shares(settings.fleet_size, self.rng.getrandbits(32), self.sparse)
         self.fleet = Fleet(settings, self.rng, self.sparse)
         self.quota = Quota(settings, self.rng, self.sparse)
-        self.held: dict[int, Held] = {}
-        self.flying: dict[tuple[int, int], Held] = {}  # attempts out, also after their request's end
-        self.actions: list[i.Action] = []
-        self.lost, self.spare, self.tokens, self.echo = 0, 1.0, 0, 1.0  # echo: of questions answered
-        self.asking: dict[int, Held] = {}  # by token: requests that wait for the keeper of their account
-        self.tick_s = BEAT_S / 2 if self.sparse else max(NEWS_S, others / max(self.mail, 1.0))
-        self.ticked, self.beaten = 0.0, dict[int, float]()
-        self.look_s = min((c.aim for c in settings.classes.values()), default=1.0) / LOOKS
-        self.wait_s = self.look_s * LOOKS * self.WAIT
+        self.held: dict[int, PendingRequest] = {}
+        self.flying: dict[tuple[int, int], PendingRequest] = {}  # in flight, even past their request's end
+        self.actions: list[Action] = []
+        self.lost, self.retry_budget, self.last_token, self.answer_rate = 0, 1.0, 0, 1.0
+        self.asking: dict[int, PendingRequest] = {}  # by token of the quota request
+        self.tick_s = BEAT_S / 2 if self.sparse else max(UPDATE_INTERVAL_S, others / max(self.mail, 1.0))
+        self.last_tick, self.last_heartbeats = 0.0, dict[int, float]()
+        self.look_s = min((c.aim for c in settings.classes.values()), default=1.0) / CHECKS_PER_TARGET
+        self.wait_s = self.look_s * CHECKS_PER_TARGET * self.OWNER_WAIT
 
     @property
     def out(self) -> int:
         return max(0, len(self.flying) - self.lost)
 
-    def full(self) -> bool:
+    def is_full(self) -> bool:
         return self.out >= min(self.shares.room(self.out), self.ceiling.limit)
 
-    def usual(self) -> float:  # the latency of the slowest class; the shortest aim while none is known
-        return max(self.ceiling.mean.values(), default=self.look_s * LOOKS)
+    def usual(self) -> float:  # mean of the slowest class; the shortest latency target while none is known
+        return max(self.ceiling.mean.values(), default=self.look_s * CHECKS_PER_TARGET)
 
-    def handle(self, now: float, event: i.Event) -> list[i.Action]:
+    def handle(self, now: float, event: Event) -> list[Action]:
         self.actions = []
-        if isinstance(event, i.ServerList):
+        if isinstance(event, ServerList):
             self.fleet.update(now, event)
             self.ceiling.rescale(self.fleet.rating, len(self.fleet.serving))
         if self.shares.began == -math.inf:
-            self.begin(now)
+            self.start(now)
         match event:
-            case i.Request():
-                self.arrive(now, event)
-            case i.Outcome():
-                self.ended(now, event)
-            case i.ServerList(i.ListForm.FAILED) if self.s.ask_discovery:
-                self.actions.append(i.SetTimer(self.s.rules.ask_within * self.rng.uniform(0.1, 0.4), ASK))
-            case i.TimerDue():
-                self.timer(now, event.label)
-            case i.PeerMail(peer, data) if peer != self.s.me and 0 <= peer < self.s.fleet_size:
-                if said := mail.read_ask(data):
-                    self.answer(now, peer, said)
+            case Request():
+                self.on_request(now, event)
+            case Outcome():
+                self.on_outcome(now, event)
+            case ServerList(ListForm.FAILED) if self.s.ask_discovery:
+                self.actions.append(SetTimer(
+                    self.s.rules.ask_within * self.rng.uniform(0.1, 0.4), LIST_RETRY))  # fmt: skip
+            case TimerDue():
+                self.on_timer(now, event.label)
+            case PeerMail(peer, data) if peer != self.s.me and 0 <= peer < self.s.fleet_size:
+                if message := read_ask(data):
+                    self.on_message(now, peer, message)
                 elif self.shares.hear(now, peer, data, self.ceiling.limit):
-                    self.quota.hear(now, peer, self.shares.peers[peer].beat.incarnation, data)
-            case i.ProbeResult(server, i.Code.OK) if server in self.fleet.nodes:
-                self.fleet.answers(self.fleet.nodes[server], now)
-            case i.StreamStarted() if event.id in self.held:
-                held = self.held[event.id]
-                held.streaming = True
-                self.ceiling.observe(held.cls, event.took, self.shares.elsewhere + self.out)
-                if node := self.fleet.nodes.get(event.server):
-                    # However long the stream lasts, it is no evidence of silence.
-                    self.fleet.answers(node, now, node.of(held.cls.name))
-                    node.of(held.cls.name).pending[event.id, event.attempt] = math.inf
-                self.cancel(held.r.id, held.out - {event.attempt})
-            case i.Expired() if event.id in self.held:
-                self.end(self.held[event.id])
+                    self.quota.receive(now, peer, self.shares.peers[peer].beat.incarnation, data)
+            case ProbeResult(id, Code.OK) if id in self.fleet.nodes:
+                self.fleet.mark_responsive(self.fleet.nodes[id], now)
+            case StreamStarted() if event.id in self.held:
+                call = self.held[event.id]
+                call.streaming = True
+                self.ceiling.observe(call.cls, event.took, self.shares.elsewhere + self.out)
+                if server := self.fleet.nodes.get(event.server):
+                    self.fleet.mark_responsive(server, now, server.health_of(call.cls.name))
+                    server.health_of(call.cls.name).in_flight[event.id, event.attempt] = math.inf
+                self.cancel(call.request.id, call.in_flight - {event.attempt})
+            case Expired() if event.id in self.held:
+                self.finish(self.held[event.id])
         return self.actions
 
-    def begin(self, now: float) -> None:
-        self.shares.began = self.quota.began = self.ticked = now
+    def start(self, now: float) -> None:
+        self.shares.began = self.quota.began = self.last_tick = now
         self.shares.divide(now, self.ceiling.limit)
-        self.actions += [i.SetTimer(self.tick_s * self.rng.random(), TICK), i.SetTimer(self.look_s, LOOK)]
+        self.actions += [SetTimer(self.tick_s * self.rng.random(), TICK), SetTimer(self.look_s, HEALTH_TICK)]
         if self.s.ask_discovery:
-            self.actions.append(i.Subscribe())
-
-    def timer(self, now: float, label: int) -> None:
-        if label == ASK:
-            return self.actions.append(i.Subscribe())
-        if label == WAIT:
-            for token, held in [(t, h) for t, h in self.asking.items() if now >= h.until]:
-                c = self.quota.customers.get(held.r.customer)
-                if c and held.ask and held.asked < self.ASKED:
-                    self.question(now, held, c.keeper, held.ask)
+            self.actions.append(Subscribe())
+
+    def on_timer(self, now: float, label: int) -> None:
+        if label == LIST_RETRY:
+            return self.actions.append(Subscribe())
+        if label == ANSWER_TIMEOUT:
+            for token, call in [(t, c) for t, c in self.asking.items() if now >= c.answer_due]:
+                account = self.quota.customers.get(call.request.customer)
+                if account and call.query and call.times_asked < self.MAX_ASKED:
+                    self.ask_owner(now, call, account.keeper, call.query)
                 else:
                     del self.asking[token]
-                    self.echo -= self.echo * self.MINDS
-                    self.proceed(now, held, None)
+                    self.answer_rate -= self.answer_rate * self.ANSWER_WEIGHT
+                    self.admit(now, call, None)
             return None
-        self.tick(now) if label == TICK else self.look(now, self.usual())
-        self.actions.append(i.SetTimer(self.tick_s if label == TICK else self.look_s, label))
-
-    def look(self, now: float, usual: float) -> None:
-        # Attempts that never end hold no slot: a few would shut an idle fleet. In a jam `usual` grows too.
-        self.lost = sum(now - h.attempts[n][1] > self.LOST * usual for (_, n), h in self.flying.items())
-        self.fleet.look(now, self.ceiling.mean, usual)
-        for node in self.fleet.nodes.values():
-            for h in [h for h in node.health.values() if h.silent_since]:
-                for id, attempt in list(h.pending):
-                    if (held := self.held.get(id)) and held.out == {attempt} and not held.streaming:
-                        self.rescue(now, held, attempt)
-            if node.silent and self.s.limits.probing and node.listed and now - node.probed > 1.0:
-                node.probed = now
-                self.actions.append(i.Probe(node.entry.id))
-
-    def rescue(self, now: float, held: Held, attempt: int) -> None:
-        """A second copy, or taken back and sent elsewhere; what must not run twice fails past its aim."""
-        if held.cls.effect == i.Effect.SIDE_EFFECT:
-            if held.cls.late_worth == 0 and now - held.attempts[attempt][1] >= held.cls.aim:
-                self.cancel(held.r.id, {attempt})
+        self.tick(now) if label == TICK else self.check_silence(now, self.usual())
+        self.actions.append(SetTimer(self.tick_s if label == TICK else self.look_s, label))
+
+    def check_silence(self, now: float, typical: float) -> None:
+        # Attempts that never end hold no slot: a few would block an idle fleet. Overload raises latency too.
+        self.lost = sum(now - c.attempts[n][1] > self.LOST * typical for (_, n), c in self.flying.items())
+        self.fleet.check_silence(now, self.ceiling.mean, typical)
+        for server in self.fleet.nodes.values():
+            for health in [h for h in server.health.values() if h.unresponsive_since]:
+                for id, attempt in list(health.in_flight):
+                    if (call := self.held.get(id)) and call.in_flight == {attempt} and not call.streaming:
+                        self.recover_unanswered(now, call, attempt)
+            if (server.unresponsive and self.s.limits.probing and server.listed
+                    and now - server.probed > 1.0):  # fmt: skip
+                server.probed = now
+                self.actions.append(Probe(server.entry.id))
+
+    def recover_unanswered(self, now: float, call: PendingRequest, attempt: int) -> None:
+        """Duplicates an attempt, or cancels it for a retry; what must not run twice fails past its target."""
+        if call.cls.effect == Effect.SIDE_EFFECT:
+            if call.cls.late_worth == 0 and now - call.attempts[attempt][1] >= call.cls.aim:
+                self.cancel(call.request.id, {attempt})
         elif self.s.limits.may_duplicate:
-            self.again(now, held)
-        elif self.spare >= 1.0 and not self.full() and self.allowed(now, held):
-            self.cancel(held.r.id, {attempt})
+            self.retry(now, call)
+        elif self.retry_budget >= 1.0 and not self.is_full() and self.allowed_servers(now, call):
+            self.cancel(call.request.id, {attempt})
 
     def tick(self, now: float) -> None:
-        past, self.ticked = max(1e-3, now - self.ticked), now
-        self.shares.settle(now, past, self.ceiling.limit)
-        self.fleet.take_pace(now, self.shares.flow)
-        self.quota.sweep(now)
+        elapsed, self.last_tick = max(1e-3, now - self.last_tick), now
+        self.shares.settle(now, elapsed, self.ceiling.limit)
+        self.fleet.measure_rate(now, self.shares.flow)
+        self.quota.expire(now)
         if not self.s.limits.peers or self.s.fleet_size < 2:
             return
-        beat = self.shares.beat(self.ceiling.limit, self.out)
-        if self.sparse:  # to a peer picked by chance, apart from news: who has those is busier than the rest
-            other = (self.s.me + self.rng.randrange(1, self.s.fleet_size)) % self.s.fleet_size
-            return self.actions.append(i.Tell(other, beat))
-        news = self.quota.news(now)
+        heartbeat = self.shares.beat(self.ceiling.limit, self.out)
+        if self.sparse:  # to a random peer, without updates: senders of updates are busier than the rest
+            peer = ((self.s.me + self.rng.randrange(1, self.s.fleet_size))
+                    % self.s.fleet_size)  # fmt: skip
+            return self.actions.append(Tell(peer, heartbeat))
+        updates = self.quota.usage_updates(now)
         for peer in [n for n in range(self.s.fleet_size) if n != self.s.me]:
-            if peer in news or now + self.tick_s / 2 - self.beaten.get(peer, -math.inf) > BEAT_S:
-                self.beaten[peer] = now
-                self.actions.append(i.Tell(peer, beat + news.get(peer, b"")))
-
-    def arrive(self, now: float, r: i.Request) -> None:
-        # Nothing is known of a class that the settings don't name: it is held to the strictest rule.
-        left = r.not_after - now
-        cls = self.s.classes.get(r.cls) or i.RequestClass(r.cls, left, left, i.Effect.SIDE_EFFECT)
-        plan = self.s.plans.get(r.plan, i.Plan(r.plan))
-        c = self.quota.customer(now, r.customer, plan, r.set_size, r.set_from)
-        held = self.held[r.id] = Held(r, cls, c.plan)
-        c.own.demand += r.units / c.window
-        c.unsaid += r.units
-        if c.plan.refill and not self.sparse:
-            self.quota.fresh[r.customer] = c
-        # Who asks lets through twice the quota by the sums last heard: the keeper deals the rest.
-        asks = self.quota.asks(c, r.units)
-        whole = asks and self.sparse and c.keeper == self.s.me
-        kept = -1 / Quota.PULL if asks and self.sparse else 1 / Quota.PULL
-        if not (whole or self.quota.admits(c, r.units, kept) or self.pays(held)):
-            return self.refuse(held, "quota")
-        if not asks:
-            return self.proceed(now, held, None)
-        self.tokens = self.tokens % 65535 + 1
-        account, depth = (r.customer, mail.number(c.plan.name), c.size, c.first), max(c.plan.depth, 1e-9)
-        held.ask = Ask(self.tokens, *account, r.units, c.unsaid, c.spent() / depth, c.unasked / depth)
-        c.unsaid = 0.0
-        if c.keeper == self.s.me:
-            return self.proceed(now, held, self.quota.grant(now, self.s.me, held.ask, self.usual()))
-        self.asking[self.tokens] = held
-        self.question(now, held, c.keeper, held.ask)
-
-    def question(self, now: float, held: Held, keeper: int, ask: Ask) -> None:
-        # A client's last try may have less left than the answer is waited for.
-        wait = min(self.wait_s, (held.r.not_after - now) / 2) / self.ASKED
-        held.until, held.asked = now + wait - 1e-6, held.asked + 1
-        told = [i.Tell(keeper, mail.write_ask(ask))] if held.asked == 1 or self.echo > self.FAINT else []
-        self.actions += [*told, i.SetTimer(wait, WAIT)]
-
-    def answer(self, now: float, peer: int, said: Ask | Grant | Back) -> None:
-        match said:
-            case Ask() if said.plan in self.quota.plans and 0 < said.size <= self.s.fleet_size:
-                grant = self.quota.grant(now, peer, said, self.usual())
-                self.actions.append(i.Tell(peer, mail.write_ask(grant)))
+            if peer in updates or now + self.tick_s / 2 - self.last_heartbeats.get(peer, -math.inf) > BEAT_S:
+                self.last_heartbeats[peer] = now
+                self.actions.append(Tell(peer, heartbeat + updates.get(peer, b"")))
+
+    def on_request(self, now: float, request: Request) -> None:
+        ttl = request.not_after - now  # a class that the settings don't name falls under the strictest rules
+        cls = (self.s.classes.get(request.cls)
+               or RequestClass(request.cls, ttl, ttl, Effect.SIDE_EFFECT))  # fmt: skip
+        plan = self.s.plans.get(request.plan, Plan(request.plan))
+        account = self.quota.get_account(now, request.customer, plan, request.set_size, request.set_from)
+        call = self.held[request.id] = PendingRequest(request, cls, account.plan)
+        account.own.demand += request.units / account.window
+        account.unreported += request.units
+        if account.plan.refill and not self.sparse:
+            self.quota.unsent[request.customer] = account
+        # Up to twice the quota, by the totals last reported, is passed on to the owner, which decides.
+        needs_owner = self.quota.needs_owner(account, request.units)
+        is_owner = needs_owner and self.sparse and account.keeper == self.s.me
+        reserve = -1 / Quota.GAIN if needs_owner and self.sparse else 1 / Quota.GAIN
+        if not (is_owner or self.quota.admits(account, request.units, reserve) or self.may_exceed(call)):
+            return self.refuse(call, "quota")
+        if not needs_owner:
+            return self.admit(now, call, None)
+        self.last_token = self.last_token % 65535 + 1
+        identity = (request.customer, plan_number(account.plan.name), account.size, account.first)
+        depth = max(account.plan.depth, 1e-9)
+        call.query = Ask(self.last_token, *identity, request.units, account.unreported,
+                                  account.spent() / depth, account.ungranted / depth)  # fmt: skip
+        account.unreported = 0.0
+        if account.keeper == self.s.me:
+            return self.admit(now, call, self.quota.grant(now, self.s.me, call.query, self.usual()))
+        self.asking[self.last_token] = call
+        self.ask_owner(now, call, account.keeper, call.query)
+
+    def ask_owner(self, now: float, call: PendingRequest, owner: int, query: Ask) -> None:
+        wait = min(self.wait_s, (call.request.not_after - now) / 2) / self.MAX_ASKED  # deadlines may be near
+        call.answer_due, call.times_asked = now + wait - 1e-6, call.times_asked + 1
+        messages = ([Tell(owner, write_ask(query))]
+                    if call.times_asked == 1 or self.answer_rate > self.MIN_ANSWER_RATE else [])  # fmt: skip
+        self.actions += [*messages, SetTimer(wait, ANSWER_TIMEOUT)]
+
+    def on_message(self, now: float, peer: int, message: Ask | Grant | Back) -> None:
+        match message:
+            case Ask() if (message.plan in self.quota.plans
+                                    and 0 < message.size <= self.s.fleet_size):  # fmt: skip
+                grant = self.quota.grant(now, peer, message, self.usual())
+                self.actions.append(Tell(peer, write_ask(grant)))
             case Back():
-                self.quota.back(peer, said)
-            case Grant() if held := self.asking.pop(said.token, None):
-                self.echo += (1.0 - self.echo) * self.MINDS
-                self.proceed(now, held, said)
-
-    def pays(self, held: Held) -> bool:
-        """A plan that pays for use beyond its quota may have what else would lie idle."""
-        sold = held.plan.over_worth > held.plan.over_cost and not held.plan.parallel
-        return sold and self.out < self.IDLE * self.shares.share
-
-    def proceed(self, now: float, held: Held, said: Grant | None) -> None:
-        """Sends a request on where its account allows it; by its own view where no keeper said anything."""
-        r, plan = held.r, held.plan
-        c = self.quota.customer(now, r.customer, plan, r.set_size, r.set_from)
-        held.until, pooled = 0.0, said is not None and said.pooled
-        c.busy = now + Quota.SAID_S * (not said.granted) if said else c.busy
-        if held.ask and not said:
-            c.unsaid, c.missed = c.unsaid + held.ask.demand, min(Quota.MISSED, c.missed + 1)
-        if said and self.sparse:
-            allowed, held.inside = said.granted or self.pays(held), said.granted
-            if c.keeper != self.s.me:
-                c.stands, c.missed, c.unasked = now + (1 + c.missed) * Quota.SAID_S, c.missed / 2, 0.0
-                c.own, c.told = Use(), {0: Use(said.demand * plan.refill, said.spent * plan.depth)}
+                self.quota.release(peer, message)
+            case Grant() if call := self.asking.pop(message.token, None):
+                self.answer_rate += (1.0 - self.answer_rate) * self.ANSWER_WEIGHT
+                self.admit(now, call, message)
+
+    def may_exceed(self, call: PendingRequest) -> bool:  # the quota, if capacity is idle and it pays
+        profitable = call.plan.over_worth > call.plan.over_cost and not call.plan.parallel
+        return profitable and self.out < self.IDLE_FRACTION * self.shares.share
+
+    def admit(self, now: float, call: PendingRequest, answer: Grant | None) -> None:
+        """Forwards a request if its account allows it, by the owner's answer or else by local figures."""
+        request, plan = call.request, call.plan
+        account = self.quota.get_account(now, request.customer, plan, request.set_size, request.set_from)
+        call.answer_due, pooled = 0.0, answer is not None and answer.pooled
+        account.full_until = now + Quota.ANSWER_TTL_S * (not answer.granted) if answer else account.full_until
+        if call.query and not answer:
+            account.unreported = account.unreported + call.query.demand
+            account.missed = min(Quota.MAX_MISSED, account.missed + 1)
+        if answer and self.sparse:
+            allowed, call.charged = answer.granted or self.may_exceed(call), answer.granted
+            if account.keeper != self.s.me:
+                account.valid_to = now + (1 + account.missed) * Quota.ANSWER_TTL_S
+                account.missed, account.ungranted = account.missed / 2, 0.0
+                account.own = Usage()
+                account.reported = {0: Usage(answer.demand * plan.refill, answer.spent * plan.depth)}
         else:
-            allowed = held.ask is None or not self.sparse or self.quota.admits(c, r.units) or self.pays(held)
-        if not allowed or now >= r.not_after:
-            return self.refuse(held, "quota")
-        # The parts held here, whatever peers say: of the hard ceiling, and of the slots.
-        slot = said.granted if said else now >= c.busy and c.open < max(1, plan.parallel // c.size)
-        if (plan.parallel and not slot) or (plan.cap_rate and not pooled and c.cap < r.units):
-            return self.refuse(held, "limit")
+            allowed = (call.query is None or not self.sparse
+                       or self.quota.admits(account, request.units) or self.may_exceed(call))  # fmt: skip
+        if not allowed or now >= request.not_after:
+            return self.refuse(call, "quota")
+        # Without a grant only this gateway's own parts of the slots and of the hard limit may be used.
+        slot = (answer.granted if answer else now >= account.full_until
+                and account.open < max(1, plan.parallel // account.size))  # fmt: skip
+        if (plan.parallel and not slot) or (plan.cap_rate and not pooled and account.cap < request.units):
+            return self.refuse(call, "limit")
         self.shares.wanted += 1
-        if self.full():
-            return self.refuse(held, "ceiling")
-        if (node := self.fleet.choose(now, self.fleet.serving, held)) is None:
-            return self.refuse(held, "workers")
+        if self.is_full():
+            return self.refuse(call, "ceiling")
+        if (server := self.fleet.choose(now, self.fleet.serving, call)) is None:
+            return self.refuse(call, "workers")
         self.shares.passed += 1
-        c.cap -= 0.0 if pooled or not plan.cap_rate else r.units
-        if not (said and self.sparse):
-            held.inside = c.take(r.units)
-        self.spare = min(10.0 + self.out / 2, self.spare + self.EXTRA)
-        self.send(now, held, node)
-
-    def send(self, now: float, held: Held, node: Node) -> None:
-        key = (held.r.id, len(held.attempts))
-        held.out.add(key[1])
-        held.attempts.append((node, now))
-        self.flying[key] = held
-        if customer := self.quota.customers.get(held.r.customer):
-            customer.open += 1
-        node.of(held.cls.name).pending[key] = now
-        node.tokens -= 1.0
-        self.actions.append(i.Send(held.r.id, node.entry.id))
-
-    def ended(self, now: float, o: i.Outcome) -> None:
-        if (held := self.flying.pop((o.id, o.attempt), None)) is None:
+        account.cap -= 0.0 if pooled or not plan.cap_rate else request.units
+        if not (answer and self.sparse):
+            call.charged = account.spend(request.units)
+        self.retry_budget = min(10.0 + self.out / 2, self.retry_budget + self.EXTRA)
+        self.send(now, call, server)
+
+    def send(self, now: float, call: PendingRequest, server: ServerState) -> None:
+        key = (call.request.id, len(call.attempts))
+        call.in_flight.add(key[1])
+        call.attempts.append((server, now))
+        self.flying[key] = call
+        if account := self.quota.customers.get(call.request.customer):
+            account.open += 1
+        server.health_of(call.cls.name).in_flight[key] = now
+        server.tokens -= 1.0
+        self.actions.append(Send(call.request.id, server.entry.id))
+
+    def on_outcome(self, now: float, result: Outcome) -> None:
+        if (call := self.flying.pop((result.id, result.attempt), None)) is None:
             return
-        held.out.discard(o.attempt)
-        held.drawn = held.drawn or o.code != i.Code.TOO_LATE  # what was never issued takes no units
-        if node := self.fleet.nodes.get(o.server):
-            expected = self.ceiling.mean.get(held.cls.name, o.took)
-            self.fleet.judge(node, node.of(held.cls.name), now, expected, o)
-        # Cancelled as its copy came first, it would have taken longer still. Left out, the usual latency
-        # falls, more look silent and get copies, whose cancels make it fall: a fleet stayed so.
-        late = o.code == i.Code.CANCELLED and o.took > self.ceiling.mean.get(held.cls.name, math.inf)
-        if (o.code == i.Code.OK or late) and not held.streaming:
-            self.ceiling.observe(held.cls, o.took, self.shares.elsewhere + self.out + 1)
-        if customer := self.quota.customers.get(held.r.customer):
-            customer.open = max(0, customer.open - 1)
-        if o.actual > 0 and held.inside:
-            held.extra = o.actual - held.r.units
-        if held.r.id not in self.held:
-            return None if held.out else self.give_back(held)
-        if o.no_more:
-            return self.end(held)
-        if o.code not in i.NEVER_RAN:
-            held.ran.append(o.attempt)
-        if not held.out and not self.again(now, held):
-            self.give_up(now, held)
-
-    def allowed(self, now: float, held: Held) -> list[Node]:
-        """Where a further attempt may go without a second effect."""
-        nodes, cls = self.fleet.serving, held.cls
-        may_have_run = [held.attempts[n] for n in sorted({*held.ran, *held.out})]
-        if not may_have_run or cls.effect == i.Effect.PURE:
-            return nodes
-        if cls.effect == i.Effect.SIDE_EFFECT or now >= may_have_run[0][1] + cls.repeat_window:
+        call.in_flight.discard(result.attempt)
+        call.issued = call.issued or result.code != Code.TOO_LATE  # if none was, no units are charged
+        if server := self.fleet.nodes.get(result.server):
+            expected = self.ceiling.mean.get(call.cls.name, result.took)
+            self.fleet.record(server, server.health_of(call.cls.name), now, expected, result)
+        # An attempt cancelled for its duplicate would have taken longer still. If left out, the mean falls,
+        # more servers look unresponsive, more attempts are duplicated and cancelled, and the mean stays low.
+        slow = result.code == Code.CANCELLED and result.took > self.ceiling.mean.get(call.cls.name, math.inf)
+        if (result.code == Code.OK or slow) and not call.streaming:
+            self.ceiling.observe(call.cls, result.took, self.shares.elsewhere + self.out + 1)
+        if account := self.quota.customers.get(call.request.customer):
+            account.open = max(0, account.open - 1)
+        if result.actual > 0 and call.charged:
+            call.extra = result.actual - call.request.units
+        if call.request.id not in self.held:
+            return None if call.in_flight else self.release_quota(call)
+        if result.no_more:
+            return self.finish(call)
+        if result.code not in NEVER_RAN:
+            call.may_have_run.append(result.attempt)
+        if not call.in_flight and not self.retry(now, call):
+            self.refuse_or_fail(now, call)
+
+    def allowed_servers(self, now: float, call: PendingRequest) -> list[ServerState]:  # where a retry is safe
+        servers, cls = self.fleet.serving, call.cls
+        may_have_run = [call.attempts[n] for n in sorted({*call.may_have_run, *call.in_flight})]
+        if not may_have_run or cls.effect == Effect.PURE:
+            return servers
+        if cls.effect == Effect.SIDE_EFFECT or now >= may_have_run[0][1] + cls.repeat_window:
             return []
         for first, _ in may_have_run:
-            if cls.group == i.Group.ZONE:
-                nodes = [n for n in nodes if n.entry.zone == first.entry.zone]
-            elif cls.group == i.Group.CELL:
-                nodes = [n for n in nodes if n.entry.cell == first.entry.cell]
-        return nodes
-
-    def again(self, now: float, held: Held) -> bool:
-        """One more attempt, if rules, deadline and budget let it and it holds a slot of its own."""
-        price = 1.0 if held.ran or held.out else self.UNRUN
-        spent = len(held.attempts) >= self.s.limits.max_attempts or self.spare < price
-        if spent or held.streaming or now >= held.r.not_after or self.full():
+            if cls.group == Group.ZONE:
+                servers = [s for s in servers if s.entry.zone == first.entry.zone]
+            elif cls.group == Group.CELL:
+                servers = [s for s in servers if s.entry.cell == first.entry.cell]
+        return servers
+
+    def retry(self, now: float, call: PendingRequest) -> bool:  # if limits, deadline, budget and slots allow
+        cost = 1.0 if call.may_have_run or call.in_flight else self.UNRUN_COST
+        exhausted = len(call.attempts) >= self.s.limits.max_attempts or self.retry_budget < cost
+        if exhausted or call.streaming or now >= call.request.not_after or self.is_full():
             return False
-        if node := self.fleet.choose(now, self.allowed(now, held), held):
-            self.spare -= price
-            self.send(now, held, node)
-        return node is not None
-
-    def give_up(self, now: float, held: Held) -> None:
-        everywhere = (held.cls.effect, held.cls.group) == (i.Effect.TOKEN, i.Group.ALL)
-        harmless = everywhere or held.cls.effect == i.Effect.PURE or not held.ran
-        if harmless and now < held.r.not_after:
-            return self.refuse(held, "tries")
-        self.actions.append(i.Fail(held.r.id))
-        self.end(held)
-
-    def refuse(self, held: Held, why: str) -> None:
-        refill, slot = held.plan.refill, BEAT_S if why == "tries" else self.usual()
-        after = held.r.units / refill if why == "quota" and refill else slot
+        if server := self.fleet.choose(now, self.allowed_servers(now, call), call):
+            self.retry_budget -= cost
+            self.send(now, call, server)
+        return server is not None
+
+    def refuse_or_fail(self, now: float, call: PendingRequest) -> None:
+        everywhere = (call.cls.effect, call.cls.group) == (Effect.TOKEN, Group.ALL)
+        harmless = everywhere or call.cls.effect == Effect.PURE or not call.may_have_run
+        if harmless and now < call.request.not_after:
+            return self.refuse(call, "tries")
+        self.actions.append(Fail(call.request.id))
+        self.finish(call)
+
+    def refuse(self, call: PendingRequest, reason: str) -> None:
+        refill, slot = call.plan.refill, BEAT_S if reason == "tries" else self.usual()
+        after = call.request.units / refill if reason == "quota" and refill else slot
         advice = min(after, self.s.limits.max_retry_after) if self.s.limits.retry_after else 0.0
-        self.actions.append(i.Refuse(held.r.id, advice, why))
-        self.end(held)
-
-    def end(self, held: Held) -> None:
-        del self.held[held.r.id]
-        if held.until:
-            self.asking = {token: h for token, h in self.asking.items() if h is not held}
-        self.cancel(held.r.id, held.out)
-        if not held.out:
-            self.give_back(held)
-
-    def give_back(self, held: Held) -> None:
-        """Tells the account, once nothing of it is out, of the free slot and the true units."""
-        extra = held.extra if held.drawn else -held.r.units * held.inside
-        back = Back(held.ask.token if held.ask else 0, held.r.customer, extra)
-        c = self.quota.customers.get(held.r.customer)
-        away = c is not None and held.ask is not None and c.keeper != self.s.me
-        if c and away and (held.plan.parallel or extra):
-            # Twice where that is harmless: a slot whose end is lost stays taken for some latencies.
-            times = 1 if extra or held.plan.refill else 2
-            self.actions += [i.Tell(c.keeper, mail.write_ask(back))] * times
-        if not (self.sparse and away):
-            self.quota.back(self.s.me, back)
+        self.actions.append(Refuse(call.request.id, advice, reason))
+        self.finish(call)
+
+    def finish(self, call: PendingRequest) -> None:
+        del self.held[call.request.id]
+        if call.answer_due:
+            self.asking = {token: c for token, c in self.asking.items() if c is not call}
+        self.cancel(call.request.id, call.in_flight)
+        if not call.in_flight:
+            self.release_quota(call)
+
+    def release_quota(self, call: PendingRequest) -> None:  # frees its slot, corrects the units
+        extra = call.extra if call.issued else -call.request.units * call.charged
+        release = Back(call.query.token if call.query else 0, call.request.customer, extra)
+        account = self.quota.customers.get(call.request.customer)
+        remote = account is not None and call.query is not None and account.keeper != self.s.me
+        if account and remote and (call.plan.parallel or extra):
+            times = 1 if extra or call.plan.refill else 2  # twice if harmless: a lost release blocks a slot
+            self.actions += [Tell(account.keeper, write_ask(release))] * times
+        if not (self.sparse and remote):
+            self.quota.release(self.s.me, release)
 
     def cancel(self, id: int, attempts: set[int]) -> None:
         if self.s.limits.cancel:
-            self.actions += [i.Cancel(id, n) for n in sorted(attempts)]
+            self.actions += [Cancel(id, n) for n in sorted(attempts)]
--- a/pewterring/standalone/policy/state.py
+++ b/pewterring/standalone/policy/state.py
@@ -1,100 +1,115 @@
-"""What a gatekeeper remembers of peers, servers and requests. Plain state: nothing here decides anything."""
+"""State that a gateway's policy keeps of peers, accounts, servers and requests. It makes no decisions."""
 
 import math
 from dataclasses import dataclass, field
 
 from pewterring.standalone.peer_messages import Ask, Beat
-from pewterring.standalone.policy import interface as i
+from pewterring.standalone.policy.interface import Plan, Request, RequestClass, Server
 
 
 @dataclass(slots=True)
 class Peer:
-    """What one peer's heartbeats said last."""
+    """The last heartbeat of a peer and when it arrived."""
 
     beat: Beat
     heard: float
-    before: int = -1  # its incarnation before this one
+    before: int = -1  # the peer's incarnation before this one
 
 
 @dataclass(slots=True)
-class Use:
-    """Use of one customer's quota: recent demand, and what of the burst is spent."""
+class Usage:
+    """Usage of one customer's quota: recent demand in units a second, and spent units of the burst."""
 
     demand: float = 0.0
     spent: float = 0.0
 
 
 class Account:
-    """A customer's quota and limits as this gatekeeper keeps them, and what it was told of them."""
+    """A customer's quota and limits at this gateway, with the usage that peers and its owner reported.
 
-    def __init__(self, now: float, plan: i.Plan, size: int, first: int, keeper: int) -> None:
+    The customer's set is `size` gateways from number `first` on. `keeper` is the number of the one that
+    owns the account: it holds its state for the whole set.
+    """
+
+    def __init__(self, now: float, plan: Plan, size: int, first: int, keeper: int) -> None:
         self.plan, self.size, self.first = plan, size, first
-        self.window = max(1.0, plan.depth / plan.refill) if plan.refill else 1.0  # the store's own memory
+        # Demand decays by 1/e within the window, which an empty quota takes to refill.
+        self.window = max(1.0, plan.depth / plan.refill) if plan.refill else 1.0
         self.idle = 2 * max(self.window, plan.cap_depth / plan.cap_rate if plan.cap_rate else 0.0) + 10.0
-        self.at, self.keeper = now, keeper  # keeper: who of the set keeps the account
-        self.own = Use()  # all own use; at the keeper in a sparse fleet that of the whole set
-        # By incarnation, so that a restart leaves former use counted; what each peer knows of the own use.
-        self.told, self.sent = dict[int, Use](), dict[int, Use]()
-        self.dealt, self.cap, self.open = 0.0, 0.0, 0
-        self.unsaid = self.unasked = 0.0  # demand, and use without its leave, that the keeper was not told
-        # Until when it counts as full, and others go on as it said; questions that it left unanswered lately.
-        self.busy = self.stands = self.missed = 0.0
-        # At the keeper: what of the hard ceiling it gives out, and the slots that are out by its leave.
+        self.updated_at, self.keeper = now, keeper
+        self.own = Usage()  # this gateway's usage; at the owner in a sparse fleet that of the whole set
+        # Usage that peers reported, by incarnation, so that usage before a peer's restart still counts, and
+        # this gateway's usage as last sent to each peer, by the peer's number.
+        self.reported, self.sent = dict[int, Usage](), dict[int, Usage]()
+        # Units of credit for admission beyond the local share, units left in this gateway's part of the hard
+        # limit, and the customer's attempts in flight.
+        self.credit, self.cap, self.open = 0.0, 0.0, 0
+        # Units of demand, and units spent without a grant, that were not reported to the owner yet.
+        self.unreported = self.ungranted = 0.0
+        # Until when the slots count as taken after a rejection by the owner, until when reported usage does
+        # not decay, and how many quota requests the owner recently left unanswered.
+        self.full_until = self.valid_to = self.missed = 0.0
+        # At the owner: units left in its half of the hard limit; times of granted slots by peer and token.
         self.pool, self.grants = 0.0, dict[tuple[int, int], float]()
 
 
 @dataclass(slots=True, eq=False)
 class Health:
-    """What the requests of one class meet at a server."""
+    """How a server answers the requests of one class."""
 
-    pending: dict[tuple[int, int], float] = field(default_factory=dict)  # attempts out: when sent
-    answered: float = -math.inf
-    slow: float = 1.0
-    errors: float = 0.0
-    judged: float = 0.0
-    met: float = -math.inf  # when an attempt of the class itself ended last
-    silent_since: float = 0.0  # 0: it answers
+    # When each attempt in flight was sent, by request and attempt. A stream that has started counts as sent
+    # at infinity: however long it lasts, it is no sign of an unresponsive server.
+    in_flight: dict[tuple[int, int], float] = field(default_factory=dict)
+    last_answer: float = -math.inf
+    slowness: float = 1.0  # latency relative to the class's mean
+    error_rate: float = 0.0
+    updated_at: float = 0.0  # of slowness and error rate
+    last_outcome: float = -math.inf  # when an attempt of the class itself last ended
+    unresponsive_since: float = 0.0  # 0: it responds
 
 
 @dataclass(slots=True, eq=False)
-class Node:
-    """One server as this gatekeeper knows it."""
+class ServerState:
+    """A server's entry in the list, its health by class and its slow start."""
 
-    entry: i.Server
+    entry: Server
     listed: bool = False
-    health: dict[str, Health] = field(default_factory=dict)  # by class
-    answered: float = -math.inf
-    probed: float = 0.0
-    came_up: float = 0.0  # 0: long ago
-    tokens: float = 1.0
-    token_at: float = 0.0
+    health: dict[str, Health] = field(default_factory=dict)
+    last_answer: float = -math.inf
+    probed: float = 0.0  # when it was last probed
+    came_up: float = 0.0  # start time; 0: unknown, long ago
+    tokens: float = 1.0  # attempts that it may be sent during slow start
+    filled_at: float = 0.0  # when tokens were last added
 
     @property
-    def out(self) -> int:
-        return sum(len(h.pending) for h in self.health.values())
+    def in_flight(self) -> int:
+        """Attempts in flight at this server."""
+        return sum(len(health.in_flight) for health in self.health.values())
 
     @property
-    def silent(self) -> bool:
-        return any(h.silent_since for h in self.health.values())
+    def unresponsive(self) -> bool:
+        """Whether the requests of any class go unanswered."""
+        return any(health.unresponsive_since for health in self.health.values())
 
-    def of(self, cls: str) -> Health:
+    def health_of(self, cls: str) -> Health:
+        """The server's health for a class of requests."""
         return self.health.setdefault(cls, Health())
 
 
 @dataclass(slots=True, eq=False)
-class Held:
-    """A request this gatekeeper owes an answer for."""
-
-    r: i.Request
-    cls: i.RequestClass
-    plan: i.Plan
-    attempts: list[tuple[Node, float]] = field(default_factory=list)  # where each was sent, when
-    out: set[int] = field(default_factory=set)
-    ran: list[int] = field(default_factory=list)  # attempts that ended and may have run
+class PendingRequest:
+    """A request that has not been answered yet, and its attempts."""
+
+    request: Request
+    cls: RequestClass
+    plan: Plan
+    attempts: list[tuple[ServerState, float]] = field(default_factory=list)  # server and time sent
+    in_flight: set[int] = field(default_factory=set)
+    may_have_run: list[int] = field(default_factory=list)  # attempts that ended and may have been executed
     streaming: bool = False
-    ask: Ask | None = None  # the question to the keeper of its account
-    asked: int = 0  # times that it was asked
-    until: float = 0.0  # how long the answer is waited for; 0: it isn't
-    drawn: bool = False  # an attempt of it was issued
-    inside: bool = False  # its units were taken from the quota's store
-    extra: float = 0.0  # so many more than the guess were its true units
+    query: Ask | None = None  # the quota request to the owner of its account
+    times_asked: int = 0  # how often the quota request was sent
+    answer_due: float = 0.0  # until when the owner's answer is awaited; 0: it is not
+    issued: bool = False  # an attempt was issued
+    charged: bool = False  # its units were taken from the quota
+    extra: float = 0.0  # units used beyond the estimate that was charged
--- a/tests/standalone/test_accounts.py
+++ b/tests/standalone/test_accounts.py
@@ -8,7 +8,7 @@
 
 from pewterring.standalone.peer_messages import Ask, Back, Grant, read_ask
 from pewterring.standalone.policy import interface as i
-from pewterring.standalone.policy.decisions import TICK, WAIT
+from pewterring.standalone.policy.decisions import ANSWER_TIMEOUT, TICK
 from tests.standalone.helpers import DEADLINE, PLANS, Drive, finals, settings
 
 FLEET, SIZE = 40, 30  # of gatekeepers; of the customer's set, from number 0 on
@@ -37,7 +37,7 @@
             match a:
                 case i.Tell() if not self.lost():
                     self.mail.append((n, a))
-                case i.SetTimer(delay, label) if label == WAIT:
+                case i.SetTimer(delay, label) if label == ANSWER_TIMEOUT:
                     self.timers.append((self.now + delay, n, label))
                 case i.Send():
                     self.sent.append((n, a))
@@ -134,7 +134,7 @@
     net.do(1, i.Expired(id))
     net.deliver()
     assert not net.sent
-    assert not finals(net.all[1].do(i.TimerDue(WAIT)))
+    assert not finals(net.all[1].do(i.TimerDue(ANSWER_TIMEOUT)))
 
 
 def test_a_sparse_fleet_sends_on_what_the_quota_holds_wherever_it_comes_in() -> None:
@@ -352,11 +352,11 @@
 def test_a_keeper_whose_answers_are_slow_is_waited_for_though_not_asked_again() -> None:
     """Given up on after a third of the wait, slow answers came for nobody (calm+mass, a price of 0.16)."""
     net = Net()
-    net.all[1].gatekeeper.echo = 0.1
+    net.all[1].gatekeeper.answer_rate = 0.1
     net.ask(1, "narrow")
     net.all[1].now = net.now = net.now + 0.15  # two thirds of a fifth of the aim
     for _ in range(2):
-        net.do(1, i.TimerDue(WAIT))
+        net.do(1, i.TimerDue(ANSWER_TIMEOUT))
     assert not net.sent
     assert len(net.mail) == 1
     net.deliver()
--- a/tests/standalone/test_belief.py
+++ b/tests/standalone/test_belief.py
@@ -57,7 +57,7 @@
 
 def believed(rig: Rig) -> dict[int, int]:
     """Attempts out at each worker by its number, as the module counts them."""
-    return {id: node.out for id, node in gatekeeper_of(rig).fleet.nodes.items()}
+    return {id: node.in_flight for id, node in gatekeeper_of(rig).fleet.nodes.items()}
 
 
 def test_attempts_out_are_those_on_the_sockets_whatever_ends_them() -> None:
@@ -123,12 +123,12 @@
             caller.write(asking())
             await until(lambda: one.out() == 1)
             (node,) = gatekeeper.fleet.nodes.values()
-            node.of("pure").silent_since = rig.gateway.loop.time()
+            node.health_of("pure").unresponsive_since = rig.gateway.loop.time()
             one.end(answer)
             assert (await caller.answer()).status == 200
-            await until(lambda: not node.silent)
-            assert not node.out
-            assert node.answered > 0
+            await until(lambda: not node.unresponsive)
+            assert not node.in_flight
+            assert node.last_answer > 0
 
     run(test)
 
--- a/tests/standalone/test_fleet.py
+++ b/tests/standalone/test_fleet.py
@@ -152,7 +152,7 @@
     first, _ = silence(d)
     d.do(i.ProbeResult(first.server, i.Code.OK, 0.01))
     node = d.gatekeeper.fleet.nodes[first.server]
-    assert not node.silent
+    assert not node.unresponsive
     assert d.gatekeeper.fleet.warmth(node, d.now) < 0.5
 
 
@@ -160,7 +160,7 @@
     d = Drive()
     first, _ = silence(d)
     node = d.gatekeeper.fleet.nodes[first.server]
-    node.of("pure").silent_since = d.now - RULES.tip_after / 2
+    node.health_of("pure").unresponsive_since = d.now - RULES.tip_after / 2
     d.end(first, i.Code.OK)
     assert d.gatekeeper.fleet.warmth(node, d.now) == 1.0
 
@@ -206,7 +206,7 @@
     )
     d = Drive(costly)
     d.serve(50)
-    used = {id for id, node in d.gatekeeper.fleet.nodes.items() if node.answered > 0}
+    used = {id for id, node in d.gatekeeper.fleet.nodes.items() if node.last_answer > 0}
     assert used == {0, 2, 4, 6}
 
 
@@ -217,7 +217,7 @@
     d.do(i.StreamStarted(first.id, 0, first.server, 0.1))
     d.now += 100.0
     d.do(i.TimerDue(2))
-    assert not d.gatekeeper.fleet.nodes[first.server].silent
+    assert not d.gatekeeper.fleet.nodes[first.server].unresponsive
     assert d.end(first, i.Code.OK) == []
 
 
--- a/tests/standalone/test_health.py
+++ b/tests/standalone/test_health.py
@@ -5,7 +5,7 @@
 import pytest
 
 from pewterring.standalone.policy import interface as i
-from pewterring.standalone.policy.decisions import LOOK
+from pewterring.standalone.policy.decisions import HEALTH_TICK
 from tests.standalone.helpers import LIMITS, Drive, sends, server, settings
 
 ONE = (server(1), server(3))
@@ -27,7 +27,7 @@
         d.now += 0.1
         for send in sends(d.ask(other)):
             d.end(send, i.Code.OK)
-        done += d.do(i.TimerDue(LOOK))
+        done += d.do(i.TimerDue(HEALTH_TICK))
     return first, done
 
 
@@ -100,4 +100,4 @@
         send = d.sent("pure")
         d.end(send, i.Code.INTERNAL if send.server == 1 else i.Code.OK, last=True)
     node = d.gatekeeper.fleet.nodes[1]
-    assert d.gatekeeper.fleet.symptoms(node.of("once"), d.now)[1] > 0.05
+    assert d.gatekeeper.fleet.symptoms(node.health_of("once"), d.now)[1] > 0.05
--- a/tests/standalone/test_quota.py
+++ b/tests/standalone/test_quota.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from pewterring.standalone.peer_messages import BEAT_FORM, NEWS_FORM, number
+from pewterring.standalone.peer_messages import BEAT_FORM, USAGE_FORMAT, plan_number
 from pewterring.standalone.policy import interface as i
 from pewterring.standalone.policy.decisions import Quota
 from tests.standalone.helpers import LIMITS, PLANS, Drive, sends, settings
@@ -92,13 +92,13 @@
     fleet.admitted({0: 20}, 10.0)
     fleet.pass_time(5 * 0.1)
     knows = fleet.all[0].gatekeeper
-    assert not knows.quota.fresh
+    assert not knows.quota.unsent
     fleet.all[1] = Drive(settings(me=1), seed=99)
     fleet.all[1].now = fleet.all[0].now
     for _ in range(12):
         fleet.pass_time(0.1)
     (customer,) = fleet.all[1].gatekeeper.quota.customers.values()
-    (told,) = customer.told.values()
+    (told,) = customer.reported.values()
     assert told.spent == pytest.approx(knows.quota.customers[1].own.spent, abs=0.2)
     assert told.spent > 1.0
 
@@ -111,7 +111,7 @@
         fleet.admitted({1: 20}, 2.0)
         fleet.pass_time(8.0)
     fleet.admitted({0: 1, 1: 20}, 1.0)
-    assert len(fleet.all[0].gatekeeper.quota.customers[1].told) <= 2
+    assert len(fleet.all[0].gatekeeper.quota.customers[1].reported) <= 2
 
 
 def test_lost_mail_costs_no_more_than_a_share_each() -> None:
@@ -138,13 +138,13 @@
         for t in d.tick(0.1):
             assert len(t.data) <= 256
             if t.peer == 1:
-                told |= {item[0] for item in NEWS_FORM.iter_unpack(t.data[BEAT_FORM.size :])}
+                told |= {item[0] for item in USAGE_FORMAT.iter_unpack(t.data[BEAT_FORM.size :])}
     assert told == set(range(50))
 
 
 def test_news_of_a_stranger_count_when_it_comes() -> None:
     d = Drive(settings(me=0))
-    news = NEWS_FORM.pack(5, number("small"), 3, 0, 20_000, 1000)
+    news = USAGE_FORMAT.pack(5, plan_number("small"), 3, 0, 20_000, 1000)
     beat = BEAT_FORM.pack(b"B", 9, 1, 30.0, 0, 1.0, 1.0)
     d.do(i.PeerMail(1, beat + news))
     assert not sends([a for _ in range(3) for a in d.ask(plan="small", customer=5)])
@@ -153,8 +153,8 @@
 def test_wrong_news_are_dropped() -> None:
     d = Drive(settings(me=0))
     beat = BEAT_FORM.pack(b"B", 9, 1, 30.0, 0, 1.0, 1.0)
-    d.do(i.PeerMail(1, beat + NEWS_FORM.pack(5, 200, 3, 0, 1, 1)))
-    d.do(i.PeerMail(2, beat + NEWS_FORM.pack(5, number("small"), 77, 0, 1, 1) + b"x"))
+    d.do(i.PeerMail(1, beat + USAGE_FORMAT.pack(5, 200, 3, 0, 1, 1)))
+    d.do(i.PeerMail(2, beat + USAGE_FORMAT.pack(5, plan_number("small"), 77, 0, 1, 1) + b"x"))
     assert d.gatekeeper.quota.customers == {}
 
 
@@ -214,10 +214,10 @@
     q = Quota(settings(me=0, fleet=1), random.Random(1))
     times = []
     for n in range(2000):
-        c = q.customer(n * 0.1, 1, SMALL, 1, 0)
+        c = q.get_account(n * 0.1, 1, SMALL, 1, 0)
         c.own.demand += 1.0 / c.window
         if q.admits(c, 1.0):
-            c.take(1.0)
+            c.spend(1.0)
             times.append(n * 0.1)
     gaps = [b - a for a, b in itertools.pairwise(times[20:])]
     assert max(gaps) <= 3 * sum(gaps) / len(gaps)
--- a/tests/standalone/test_rules.py
+++ b/tests/standalone/test_rules.py
@@ -6,7 +6,7 @@
 import pytest
 
 from pewterring.standalone.policy import interface as i
-from pewterring.standalone.policy.decisions import WAIT, Gatekeeper
+from pewterring.standalone.policy.decisions import ANSWER_TIMEOUT, Gatekeeper
 from tests.standalone.helpers import CLASSES, DEADLINE, LIMITS, PLANS, SERVERS, server, settings
 
 CODES = list(i.Code)
@@ -163,10 +163,10 @@
     w.do(i.ServerList(i.ListForm.REMEMBERED, SERVERS))
     for _ in range(1500):
         w.step()
-    for _ in range(Gatekeeper.ASKED):
+    for _ in range(Gatekeeper.MAX_ASKED):
         w.now += STEP
         w.overdue()
-        w.do(i.TimerDue(WAIT))
+        w.do(i.TimerDue(ANSWER_TIMEOUT))
     while w.out:
         id, n = min(w.out, key=lambda out: (w.requests[out[0]].not_after, out))
         w.now = max(w.now, w.requests[id].not_after)
@@ -174,7 +174,7 @@
     assert not w.owed
     assert not w.gatekeeper.held
     assert w.gatekeeper.out == 0
-    assert not any(n.out for n in w.gatekeeper.fleet.nodes.values())
+    assert not any(n.in_flight for n in w.gatekeeper.fleet.nodes.values())
 
 
 def test_equal_events_give_equal_actions() -> None:
--- a/tests/standalone/test_sparse.py
+++ b/tests/standalone/test_sparse.py
@@ -5,7 +5,7 @@
 
 from pewterring.admission.ceiling import Ceiling
 from pewterring.admission.shares import BEAT_S, Shares
-from pewterring.standalone.peer_messages import BEAT, Beat, write_beat
+from pewterring.standalone.peer_messages import HEARTBEAT_TAG, Beat, write_beat
 from pewterring.standalone.policy import interface as i
 from pewterring.standalone.policy.decisions import Fleet
 from tests.standalone.helpers import CLASSES, SERVERS, Drive, sends, server, settings
@@ -26,7 +26,7 @@
     told = [t for _ in range(40) for t in d.tick(BEAT_S / 2)]
     assert len(told) == 40
     assert len({t.peer for t in told}) > 20
-    assert all(t.peer != 3 and t.data[:1] == BEAT for t in told)
+    assert all(t.peer != 3 and t.data[:1] == HEARTBEAT_TAG for t in told)
 
 
 def test_idle_slots_are_lent_and_busy_ones_are_not() -> None:
@@ -68,7 +68,7 @@
 def test_a_cold_server_is_at_first_for_a_few_of_the_fleet() -> None:
     drives = [Drive(settings(me=n, fleet=FLEET), (server(9, came_up=99.9),), seed=n) for n in range(FLEET)]
     at_once = sum(len(sends(d.ask())) for d in drives)
-    assert at_once <= 4 * Fleet.FEW
+    assert at_once <= 4 * Fleet.COLD_SENDERS
 
 
 def test_large_fleets_move_the_ceiling_as_fast_by_longer_steps() -> None:
@@ -98,7 +98,7 @@
             dataclasses.replace(server(id), common=names[n], zone=str(n)) for id, n in enumerate(order, 1)
         )
         gatekeeper = Drive(settings(me=me, fleet=40), servers, seed=me).gatekeeper
-        for id in gatekeeper.fleet.near:
+        for id in gatekeeper.fleet.subset:
             counts[order[id - 1]] += 1
     assert min(counts) >= 7
     assert max(counts) <= 9
@@ -112,7 +112,7 @@
         near = []
         for listed in (names, new):
             servers = tuple(dataclasses.replace(server(n), common=n) for n in listed)
-            near.append(Drive(settings(me=me, fleet=40), servers).gatekeeper.fleet.near)
+            near.append(Drive(settings(me=me, fleet=40), servers).gatekeeper.fleet.subset)
         moved += len(near[1] - near[0] - set(new[-18:]))
     assert moved <= 40 * 12 / 4  # of those that stay, so many of what is near came near anew
 
--- a/tests/standalone/test_switch.py
+++ b/tests/standalone/test_switch.py
@@ -11,7 +11,7 @@
 
 from pewterring.standalone.config import ConfigError, load
 from pewterring.standalone.http.messages import Request
-from pewterring.standalone.peer_messages import number
+from pewterring.standalone.peer_messages import plan_number
 from pewterring.standalone.policy import interface as i
 from pewterring.standalone.policy.decisions import TICK, Gatekeeper
 from pewterring.standalone.proxy.service import Service
@@ -55,7 +55,7 @@
         gatekeeper = Drive(old).gatekeeper
         renew(gatekeeper, 101.0, new)
         assert settled(gatekeeper) == settled(Drive(new).gatekeeper)
-        assert gatekeeper.fleet.near == Drive(new).gatekeeper.fleet.near
+        assert gatekeeper.fleet.subset == Drive(new).gatekeeper.fleet.subset
 
 
 def test_use_attempts_and_health_live_on_and_no_ceiling_is_granted_anew() -> None:
@@ -80,7 +80,7 @@
         for c in gatekeeper.quota.customers.values():
             assert c.cap <= c.plan.cap_depth / 2 / c.size
             assert c.pool <= c.plan.cap_depth / 2
-    assert gatekeeper.quota.customer(d.now, 77, PLANS["capped"], 3, 0).cap == 0.0
+    assert gatekeeper.quota.get_account(d.now, 77, PLANS["capped"], 3, 0).cap == 0.0
     assert d.end(out, i.Code.OK) == []
     assert d.tick(1.0)
 
@@ -242,4 +242,4 @@
         other.do(i.PeerMail(1, t.data))
     assert other.gatekeeper.quota.customers[1].plan.name == "busy"
     assert other.gatekeeper.quota.customers[1].spent() == pytest.approx(1.0, abs=0.1)  # two are refilled
-    assert len({number(name) for name in more}) == len(more)
+    assert len({plan_number(name) for name in more}) == len(more)
