--- a/tests/standalone/helpers.py
+++ b/tests/standalone/helpers.py
@@ -1,25 +1,31 @@
 """Settings, events and short ways to drive a Gatekeeper in the tests."""
 
-from pewterring.standalone.policy import interface as i
+from pewterring.standalone.policy import interface
 from pewterring.standalone.policy.decisions import TICK, Gatekeeper
 
 AIM, DEADLINE = 1.0, 4.0
 CLASSES = {
-    "pure": i.RequestClass("pure", AIM, DEADLINE),
-    "token-all": i.RequestClass("token-all", AIM, DEADLINE, i.Effect.TOKEN, i.Group.ALL, 2.0),
-    "token-zone": i.RequestClass("token-zone", AIM, DEADLINE, i.Effect.TOKEN, i.Group.ZONE, 2.0),
-    "token-cell": i.RequestClass("token-cell", AIM, DEADLINE, i.Effect.TOKEN, i.Group.CELL, 2.0),
-    "once": i.RequestClass("once", AIM, DEADLINE, i.Effect.SIDE_EFFECT),
-    "stream": i.RequestClass("stream", AIM, DEADLINE, stream=True),
+    "pure": interface.RequestClass("pure", AIM, DEADLINE),
+    "token-all": interface.RequestClass(
+        "token-all", AIM, DEADLINE, interface.Effect.TOKEN, interface.Group.ALL, 2.0
+    ),
+    "token-zone": interface.RequestClass(
+        "token-zone", AIM, DEADLINE, interface.Effect.TOKEN, interface.Group.ZONE, 2.0
+    ),
+    "token-cell": interface.RequestClass(
+        "token-cell", AIM, DEADLINE, interface.Effect.TOKEN, interface.Group.CELL, 2.0
+    ),
+    "once": interface.RequestClass("once", AIM, DEADLINE, interface.Effect.SIDE_EFFECT),
+    "stream": interface.RequestClass("stream", AIM, DEADLINE, stream=True),
 }
 PLANS = {
-    "free": i.Plan("free"),
-    "small": i.Plan("small", refill=1.0, depth=4.0),
-    "busy": i.Plan("busy", refill=10.0, depth=12.0),
-    "capped": i.Plan("capped", cap_rate=2.0, cap_depth=8.0, cap_slack=0.8),
-    "narrow": i.Plan("narrow", parallel=4),
+    "free": interface.Plan("free"),
+    "small": interface.Plan("small", refill=1.0, depth=4.0),
+    "busy": interface.Plan("busy", refill=10.0, depth=12.0),
+    "capped": interface.Plan("capped", cap_rate=2.0, cap_depth=8.0, cap_slack=0.8),
+    "narrow": interface.Plan("narrow", parallel=4),
 }
-LIMITS = i.Limits(
+LIMITS = interface.Limits(
     max_attempts=3,
     may_duplicate=True,
     cancel=True,
@@ -28,19 +34,21 @@
     retry_after=True,
     max_retry_after=2.0,
 )
-RULES = i.Rules(
+RULES = interface.Rules(
     stop_sending_within=1.0, cold=10.0, cold_share=0.2, fall_multiple=2.5, tip_after=2.0, ask_within=10.0
 )
 
 
-def settings(me: int = 0, fleet: int = 3, limits: i.Limits = LIMITS, ask: bool = False) -> i.Settings:
-    return i.Settings(
+def settings(
+    me: int = 0, fleet: int = 3, limits: interface.Limits = LIMITS, ask: bool = False
+) -> interface.Settings:
+    return interface.Settings(
         me, fleet, "a", CLASSES, PLANS, limits, RULES, ask_discovery=ask, mail_per_s=60.0, max_units=4.0
     )
 
 
-def server(id: int, zone: str = "a", cell: int = 0, came_up: float = 0.0) -> i.Server:
-    return i.Server(id, zone, cell, came_up=came_up)
+def server(id: int, zone: str = "a", cell: int = 0, came_up: float = 0.0) -> interface.Server:
+    return interface.Server(id, zone, cell, came_up=came_up)
 
 
 SERVERS = tuple(server(n, "ab"[n % 2], n % 4) for n in range(8))
@@ -50,49 +58,59 @@
     """A gatekeeper with a clock, a list of servers, and what it did last."""
 
     def __init__(
-        self, setup: i.Settings | None = None, servers: tuple[i.Server, ...] = SERVERS, seed: int = 7
+        self,
+        setup: interface.Settings | None = None,
+        servers: tuple[interface.Server, ...] = SERVERS,
+        seed: int = 7,
     ) -> None:
         self.gatekeeper = Gatekeeper(setup or settings(), seed)
         self.now = 100.0
         self.ids = 0
-        self.first = self.do(i.ServerList(i.ListForm.REMEMBERED, servers))
+        self.first = self.do(interface.ServerList(interface.ListForm.REMEMBERED, servers))
 
-    def do(self, event: i.Event) -> list[i.Action]:
+    def do(self, event: interface.Event) -> list[interface.Action]:
         return self.gatekeeper.handle(self.now, event)
 
-    def ask(self, cls: str = "pure", plan: str = "free", customer: int = 1, size: int = 3) -> list[i.Action]:
+    def ask(
+        self, cls: str = "pure", plan: str = "free", customer: int = 1, size: int = 3
+    ) -> list[interface.Action]:
         self.ids += 1
-        return self.do(i.Request(self.ids, cls, plan, customer, self.now + DEADLINE, 1.0, size, 0))
+        return self.do(interface.Request(self.ids, cls, plan, customer, self.now + DEADLINE, 1.0, size, 0))
 
-    def sent(self, cls: str = "pure") -> i.Send:
+    def sent(self, cls: str = "pure") -> interface.Send:
         """Asks, and expects the request to be sent on."""
         (action,) = self.ask(cls)
-        assert isinstance(action, i.Send)
+        assert isinstance(action, interface.Send)
         return action
 
     def end(
-        self, send: i.Send, code: i.Code, attempt: int = 0, took: float = 0.1, last: bool | None = None
-    ) -> list[i.Action]:
-        done = code == i.Code.OK if last is None else last
-        return self.do(i.Outcome(send.id, attempt, send.server, code, took, done))
+        self,
+        send: interface.Send,
+        code: interface.Code,
+        attempt: int = 0,
+        took: float = 0.1,
+        last: bool | None = None,
+    ) -> list[interface.Action]:
+        done = code == interface.Code.OK if last is None else last
+        return self.do(interface.Outcome(send.id, attempt, send.server, code, took, done))
 
     def serve(self, count: int, latency: float = 0.1, plan: str = "free") -> None:
         """That many requests one after the other, all answered."""
         for _ in range(count):
             for action in self.ask(plan=plan):
-                if isinstance(action, i.Send):
+                if isinstance(action, interface.Send):
                     self.now += latency
-                    self.end(action, i.Code.OK, took=latency)
+                    self.end(action, interface.Code.OK, took=latency)
 
-    def tick(self, past: float = 0.0) -> list[i.Tell]:
+    def tick(self, past: float = 0.0) -> list[interface.Tell]:
         """What peers are told after that time."""
         self.now += past
-        return [a for a in self.do(i.TimerDue(TICK)) if isinstance(a, i.Tell)]
+        return [a for a in self.do(interface.TimerDue(TICK)) if isinstance(a, interface.Tell)]
 
 
-def finals(actions: list[i.Action]) -> list[i.Action]:
-    return [a for a in actions if isinstance(a, i.Refuse | i.Fail)]
+def finals(actions: list[interface.Action]) -> list[interface.Action]:
+    return [a for a in actions if isinstance(a, interface.Refuse | interface.Fail)]
 
 
-def sends(actions: list[i.Action]) -> list[i.Send]:
-    return [a for a in actions if isinstance(a, i.Send)]
+def sends(actions: list[interface.Action]) -> list[interface.Send]:
+    return [a for a in actions if isinstance(a, interface.Send)]
--- a/tests/standalone/schedules.py
+++ b/tests/standalone/schedules.py
@@ -12,7 +12,7 @@
 from pewterring.standalone.http.reader import ResponseReader
 from pewterring.standalone.http.writer import write_response
 from pewterring.standalone.network.connection import Address
-from pewterring.standalone.policy import interface as i
+from pewterring.standalone.policy import interface
 from pewterring.standalone.policy.decisions import Gatekeeper
 from pewterring.standalone.proxy.service import Service
 from tests.standalone.stand_ins import Rig, StandIn, Talk, as_json, asking, entry, until
@@ -21,13 +21,15 @@
 WORKERS, REQUESTS, LEAVING, DAY_S = 3, 300, 75, 1.5
 DRAIN_S, LEFT_S, SLACK_S = 0.6, 0.3, 0.05
 CLASSES = {
-    "pure": i.RequestClass("pure", 0.3, 0.9),
-    "keyed": i.RequestClass("keyed", 0.3, 0.9, i.Effect.TOKEN, i.Group.CELL, 0.5),
-    "once": i.RequestClass("once", 0.3, 0.7, i.Effect.SIDE_EFFECT),
+    "pure": interface.RequestClass("pure", 0.3, 0.9),
+    "keyed": interface.RequestClass("keyed", 0.3, 0.9, interface.Effect.TOKEN, interface.Group.CELL, 0.5),
+    "once": interface.RequestClass("once", 0.3, 0.7, interface.Effect.SIDE_EFFECT),
 }
 METHODS = {"pure": b"GET", "keyed": b"POST", "once": b"POST"}
-FREE = i.Limits(max_attempts=3, may_duplicate=True, cancel=True, retry_after=True, max_retry_after=1.0)
-BARE = i.Limits(max_attempts=2)  # no cancel, no second copies, no Retry-After
+FREE = interface.Limits(
+    max_attempts=3, may_duplicate=True, cancel=True, retry_after=True, max_retry_after=1.0
+)
+BARE = interface.Limits(max_attempts=2)  # no cancel, no second copies, no Retry-After
 # What a worker does with a request, and what the way to it does with a new connection.
 DOES = ("answers",) * 24 + ("twice", "twice", "resets", "hangs", "turns away", "spoils", "answers and closes")
 UP_LATE_S = (0.0,) * 6 + (0.05, 0.2, 0.4)
@@ -211,10 +213,10 @@
             self.terminated_at = self.loop.time()
             self.service.stop.set()
 
-    async def play(self, limits: i.Limits) -> None:
+    async def play(self, limits: interface.Limits) -> None:
         self.draining, self.tasks = set[int](), set[asyncio.Task[None]]()
-        rules = i.Rules(stop_sending_within=DRAIN_S, cold=5.0, cold_share=0.3, fall_multiple=3.0)
-        setup = i.Settings(0, 1, "a", CLASSES, {"free": i.Plan("free")}, limits, rules)
+        rules = interface.Rules(stop_sending_within=DRAIN_S, cold=5.0, cold_share=0.3, fall_multiple=3.0)
+        setup = interface.Settings(0, 1, "a", CLASSES, {"free": interface.Plan("free")}, limits, rules)
         self.workers = [StandIn(lambda t, r, n=n: self.work(n, t, r)) for n in range(1, WORKERS + 1)]  # type: ignore[misc]
         agents = [StandIn(self.listed), StandIn(self.listed)]
         for stand_in in (*self.workers, *agents):
@@ -262,7 +264,7 @@
                 self.accuse(f"{count} {what} left at the end")
 
 
-def played(seed: int, limits: i.Limits) -> list[str]:
+def played(seed: int, limits: interface.Limits) -> list[str]:
     """What was wrong in one schedule."""
     found: list[str] = []
 
--- a/tests/standalone/test_accounts.py
+++ b/tests/standalone/test_accounts.py
@@ -7,12 +7,12 @@
 import pytest
 
 from pewterring.standalone.peer_messages import Ask, Back, Grant, read_ask
-from pewterring.standalone.policy import interface as i
+from pewterring.standalone.policy import interface
 from pewterring.standalone.policy.decisions import ANSWER_TIMEOUT, TICK
 from tests.standalone.helpers import DEADLINE, PLANS, Drive, finals, settings
 
 FLEET, SIZE = 40, 30  # of gatekeepers; of the customer's set, from number 0 on
-PLAN = i.Plan("steady", refill=10.0, depth=20.0)
+PLAN = interface.Plan("steady", refill=10.0, depth=20.0)
 ALL = PLANS | {"steady": PLAN}
 
 
@@ -22,40 +22,42 @@
     def __init__(self, fleet: int = FLEET, lost: Callable[[], bool] = lambda: False) -> None:
         self.fleet, self.lost, self.now, self.ids = fleet, lost, 100.0, 0
         self.all = [self.started(n, n) for n in range(fleet)]
-        self.mail: list[tuple[int, i.Tell]] = []
+        self.mail: list[tuple[int, interface.Tell]] = []
         self.timers: list[tuple[float, int, int]] = []
-        self.sent: list[tuple[int, i.Send]] = []
-        self.refused: list[tuple[int, i.Refuse]] = []
+        self.sent: list[tuple[int, interface.Send]] = []
+        self.refused: list[tuple[int, interface.Refuse]] = []
 
     def started(self, n: int, seed: int) -> Drive:
         setup = dataclasses.replace(settings(me=n, fleet=self.fleet), plans=ALL, mail_per_s=100.0)
         return Drive(setup, seed=seed)
 
-    def do(self, n: int, event: i.Event) -> None:
+    def do(self, n: int, event: interface.Event) -> None:
         self.all[n].now = self.now
         for a in self.all[n].do(event):
             match a:
-                case i.Tell() if not self.lost():
+                case interface.Tell() if not self.lost():
                     self.mail.append((n, a))
-                case i.SetTimer(delay, label) if label == ANSWER_TIMEOUT:
+                case interface.SetTimer(delay, label) if label == ANSWER_TIMEOUT:
                     self.timers.append((self.now + delay, n, label))
-                case i.Send():
+                case interface.Send():
                     self.sent.append((n, a))
-                case i.Refuse():
+                case interface.Refuse():
                     self.refused.append((n, a))
 
     def deliver(self) -> None:
         while self.mail:
             peer, told = self.mail.pop(0)
             if told.peer is not None and self.takes(told.peer):
-                self.do(told.peer, i.PeerMail(peer, told.data))
+                self.do(told.peer, interface.PeerMail(peer, told.data))
 
     def takes(self, peer: int) -> bool:
         return True
 
     def ask(self, n: int, plan: str, units: float = 1.0, left: float = DEADLINE) -> int:
         self.ids += 1
-        self.do(n, i.Request(self.ids, "pure", plan, 7, self.now + left, units, min(SIZE, self.fleet), 0))
+        self.do(
+            n, interface.Request(self.ids, "pure", plan, 7, self.now + left, units, min(SIZE, self.fleet), 0)
+        )
         return self.ids
 
     def asked(self, n: int, plan: str, units: float = 1.0) -> bool:
@@ -77,12 +79,12 @@
             at, n, label = min(due)
             self.timers.remove((at, n, label))
             self.now = max(self.now, at)
-            self.do(n, i.TimerDue(label))
+            self.do(n, interface.TimerDue(label))
             self.deliver()
         self.now = end
 
-    def end(self, n: int, send: i.Send, actual: float = 0.0) -> None:
-        self.do(n, i.Outcome(send.id, 0, send.server, i.Code.OK, 0.1, True, actual))
+    def end(self, n: int, send: interface.Send, actual: float = 0.0) -> None:
+        self.do(n, interface.Outcome(send.id, 0, send.server, interface.Code.OK, 0.1, True, actual))
         self.deliver()
 
 
@@ -131,10 +133,10 @@
 def test_a_grant_that_comes_too_late_sends_nothing() -> None:
     net = Net()
     id = net.ask(1, "narrow")
-    net.do(1, i.Expired(id))
+    net.do(1, interface.Expired(id))
     net.deliver()
     assert not net.sent
-    assert not finals(net.all[1].do(i.TimerDue(ANSWER_TIMEOUT)))
+    assert not finals(net.all[1].do(interface.TimerDue(ANSWER_TIMEOUT)))
 
 
 def test_a_sparse_fleet_sends_on_what_the_quota_holds_wherever_it_comes_in() -> None:
@@ -230,7 +232,7 @@
     net.end(*net.sent[-1], actual=1.0)
     net.now += 0.001
     net.all[1].gatekeeper.quota.customers[7].own.spent = -3.0
-    net.do(1, i.TimerDue(TICK))
+    net.do(1, interface.TimerDue(TICK))
     net.deliver()
 
 
@@ -271,7 +273,7 @@
             store -= 1.0
             level += 1
             net.all[n].now = net.now
-            net.all[n].end(send, i.Code.OK)
+            net.all[n].end(send, interface.Code.OK)
         done = len(net.sent)
         assert store >= -plan.cap_slack
     even = plan.cap_rate * 80.0 / 6
@@ -281,7 +283,7 @@
 def test_the_end_of_a_grant_is_told_where_a_slot_hangs_on_it() -> None:
     net = Net()
     assert net.asked(1, "narrow")
-    net.do(1, i.Outcome(net.sent[0][1].id, 0, net.sent[0][1].server, i.Code.OK, 0.1, True))
+    net.do(1, interface.Outcome(net.sent[0][1].id, 0, net.sent[0][1].server, interface.Code.OK, 0.1, True))
     assert {type(read_ask(t.data)) for _, t in net.mail} == {Back}
     assert read_ask(b"G" + bytes(8)) == Grant(0, False, False, 0.0, 0.0)
 
@@ -297,10 +299,10 @@
         while net.timers:
             at, who, label = net.timers.pop(0)
             net.now = max(net.now, at)
-            net.do(who, i.TimerDue(label))
+            net.do(who, interface.TimerDue(label))
         asked.append(sum(isinstance(read_ask(t.data), Ask) for _, t in net.mail))
         for _, send in net.sent[n:]:
-            net.do(1, i.Outcome(send.id, 0, send.server, i.Code.OK, 0.1, True))
+            net.do(1, interface.Outcome(send.id, 0, send.server, interface.Code.OK, 0.1, True))
     assert asked[0] == 3
     assert asked[-1] == 1
 
@@ -356,7 +358,7 @@
     net.ask(1, "narrow")
     net.all[1].now = net.now = net.now + 0.15  # two thirds of a fifth of the aim
     for _ in range(2):
-        net.do(1, i.TimerDue(ANSWER_TIMEOUT))
+        net.do(1, interface.TimerDue(ANSWER_TIMEOUT))
     assert not net.sent
     assert len(net.mail) == 1
     net.deliver()
--- a/tests/standalone/test_belief.py
+++ b/tests/standalone/test_belief.py
@@ -5,7 +5,7 @@
 
 from pewterring.standalone.http.messages import Request
 from pewterring.standalone.network.connection import Address
-from pewterring.standalone.policy import interface as i
+from pewterring.standalone.policy import interface
 from pewterring.standalone.policy.decisions import Gatekeeper
 from tests.standalone.helpers import LIMITS, settings
 from tests.standalone.stand_ins import OK, Rig, StandIn, Talk, asking, entry, listing, run, until
@@ -142,7 +142,7 @@
             await until(lambda: any(n.came_up for n in gatekeeper.fleet.nodes.values()))
             (node,) = gatekeeper.fleet.nodes.values()
             assert abs(rig.gateway.loop.time() - node.came_up - 5.0) < 2.0
-            assert isinstance(node.entry, i.Server)
+            assert isinstance(node.entry, interface.Server)
             assert node.entry.came_up == node.came_up
 
     run(test)
--- a/tests/standalone/test_fleet.py
+++ b/tests/standalone/test_fleet.py
@@ -5,19 +5,22 @@
 
 import pytest
 
-from pewterring.standalone.policy import interface as i
+from pewterring.standalone.policy import interface
 from tests.standalone.helpers import RULES, SERVERS, Drive, sends, server, settings
 
 
 def shares_of(
-    d: Drive, count: int, latency: dict[int, float] | None = None, bad: dict[int, i.Code] | None = None
+    d: Drive,
+    count: int,
+    latency: dict[int, float] | None = None,
+    bad: dict[int, interface.Code] | None = None,
 ) -> dict[int, int]:
     """How many of that many requests went first to each server, eight being out at a time.
 
     `bad` names servers that answer so; further attempts are served.
     """
     got: dict[int, int] = {}
-    out: list[i.Send] = []
+    out: list[interface.Send] = []
     for n in range(count + 8):
         d.now += 0.01
         if n % 10 == 0:
@@ -29,8 +32,8 @@
         if len(out) > 8 or n >= count:
             for s in out[:1]:
                 took = (latency or {}).get(s.server, 0.1)
-                for m in sends(d.end(s, (bad or {}).get(s.server, i.Code.OK), took=took)):
-                    d.end(m, i.Code.OK, attempt=1)
+                for m in sends(d.end(s, (bad or {}).get(s.server, interface.Code.OK), took=took)):
+                    d.end(m, interface.Code.OK, attempt=1)
             del out[:1]
     return got
 
@@ -43,12 +46,15 @@
 
 def test_nothing_to_a_server_listed_draining_deleted_or_left_out() -> None:
     d = Drive()
-    changes = (i.Server(0, "a", 0, i.Mode.DRAINING), i.Server(1, "b", 1, i.Mode.DELETED))
-    d.do(i.ServerList(i.ListForm.CHANGES, changes))
+    changes = (
+        interface.Server(0, "a", 0, interface.Mode.DRAINING),
+        interface.Server(1, "b", 1, interface.Mode.DELETED),
+    )
+    d.do(interface.ServerList(interface.ListForm.CHANGES, changes))
     assert not {0, 1} & set(shares_of(d, 100))
-    d.do(i.ServerList(i.ListForm.WHOLE, SERVERS[4:]))
+    d.do(interface.ServerList(interface.ListForm.WHOLE, SERVERS[4:]))
     assert set(shares_of(d, 100)) == {4, 5, 6, 7}
-    d.do(i.ServerList(i.ListForm.FAILED))
+    d.do(interface.ServerList(interface.ListForm.FAILED))
     assert set(shares_of(d, 100)) == {4, 5, 6, 7}
 
 
@@ -56,15 +62,19 @@
     d = Drive(servers=SERVERS[:2])
     first = d.sent()
     other = 1 - first.server
-    d.do(i.ServerList(i.ListForm.CHANGES, (i.Server(other, mode=i.Mode.DRAINING),)))
-    assert other not in [s.server for s in sends(d.end(first, i.Code.UNAVAILABLE))]
+    d.do(
+        interface.ServerList(
+            interface.ListForm.CHANGES, (interface.Server(other, mode=interface.Mode.DRAINING),)
+        )
+    )
+    assert other not in [s.server for s in sends(d.end(first, interface.Code.UNAVAILABLE))]
 
 
 def test_cold_server_gets_its_part_and_never_tips() -> None:
     """What one gatekeeper sends in any window stays below its part of the budget of the rule."""
     d = Drive()
     shares_of(d, 600)
-    d.do(i.ServerList(i.ListForm.CHANGES, (server(9, came_up=d.now),)))
+    d.do(interface.ServerList(interface.ListForm.CHANGES, (server(9, came_up=d.now),)))
     start, hits, warm = d.now, [], 0
     while d.now < start + RULES.cold:
         got = shares_of(d, 10)
@@ -81,8 +91,8 @@
 def test_cold_server_that_rejects_at_once_is_not_hammered() -> None:
     d = Drive()
     shares_of(d, 300)
-    d.do(i.ServerList(i.ListForm.CHANGES, (server(9, came_up=d.now),)))
-    got = shares_of(d, 200, bad={9: i.Code.RESOURCE_EXHAUSTED})
+    d.do(interface.ServerList(interface.ListForm.CHANGES, (server(9, came_up=d.now),)))
+    got = shares_of(d, 200, bad={9: interface.Code.RESOURCE_EXHAUSTED})
     assert got.get(9, 0) <= 200 / 9
 
 
@@ -97,31 +107,31 @@
 
 
 def test_fast_errors_attract_no_traffic() -> None:
-    got = shares_of(Drive(), 800, bad={3: i.Code.INTERNAL})
+    got = shares_of(Drive(), 800, bad={3: interface.Code.INTERNAL})
     assert 0 < got.get(3, 0) < 40
 
 
 def test_turned_away_as_full_counts_less_than_an_error() -> None:
-    full = shares_of(Drive(), 800, bad={3: i.Code.RESOURCE_EXHAUSTED}).get(3, 0)
-    error = shares_of(Drive(), 800, bad={3: i.Code.INTERNAL}).get(3, 0)
+    full = shares_of(Drive(), 800, bad={3: interface.Code.RESOURCE_EXHAUSTED}).get(3, 0)
+    error = shares_of(Drive(), 800, bad={3: interface.Code.INTERNAL}).get(3, 0)
     assert full > error
 
 
 def test_all_in_trouble_alike_are_all_still_used() -> None:
     """Ejection is relative: when every server errs none is left out."""
     d = Drive()
-    got = shares_of(d, 400, bad=dict.fromkeys(range(8), i.Code.INTERNAL))
+    got = shares_of(d, 400, bad=dict.fromkeys(range(8), interface.Code.INTERNAL))
     assert set(got) == set(range(8))
 
 
-def silence(d: Drive) -> tuple[i.Send, list[i.Action]]:
+def silence(d: Drive) -> tuple[interface.Send, list[interface.Action]]:
     """One server stops answering while the others go on."""
     d.serve(40)
     first = d.sent()
-    told: list[i.Action] = []
+    told: list[interface.Action] = []
     for _ in range(60):
         d.now += 0.05
-        told += d.do(i.TimerDue(2))
+        told += d.do(interface.TimerDue(2))
     return first, told
 
 
@@ -131,26 +141,26 @@
     (copy,) = sends(told)
     assert copy.id == first.id
     assert copy.server != first.server
-    assert i.Probe(first.server) in told
+    assert interface.Probe(first.server) in told
     assert first.server not in shares_of(d, 200)
 
 
 def test_no_copy_where_two_may_not_be_out_or_effects_forbid_it() -> None:
-    d = Drive(settings(limits=i.Limits(max_attempts=3)))
+    d = Drive(settings(limits=interface.Limits(max_attempts=3)))
     _, told = silence(d)
     assert not sends(told)
-    assert not [a for a in told if isinstance(a, i.Probe)]
+    assert not [a for a in told if isinstance(a, interface.Probe)]
     d = Drive()
     d.serve(40)
     d.sent("once")
     d.now += 3.0
-    assert not sends(d.do(i.TimerDue(2)))
+    assert not sends(d.do(interface.TimerDue(2)))
 
 
 def test_back_from_silence_counts_as_cold() -> None:
     d = Drive()
     first, _ = silence(d)
-    d.do(i.ProbeResult(first.server, i.Code.OK, 0.01))
+    d.do(interface.ProbeResult(first.server, interface.Code.OK, 0.01))
     node = d.gatekeeper.fleet.nodes[first.server]
     assert not node.unresponsive
     assert d.gatekeeper.fleet.warmth(node, d.now) < 0.5
@@ -161,7 +171,7 @@
     first, _ = silence(d)
     node = d.gatekeeper.fleet.nodes[first.server]
     node.health_of("pure").unresponsive_since = d.now - RULES.tip_after / 2
-    d.end(first, i.Code.OK)
+    d.end(first, interface.Code.OK)
     assert d.gatekeeper.fleet.warmth(node, d.now) == 1.0
 
 
@@ -171,37 +181,37 @@
     for _ in range(5):
         d.sent()
     d.now += 3.0
-    d.do(i.TimerDue(2))
+    d.do(interface.TimerDue(2))
     assert sends(d.ask())
 
 
-@pytest.mark.parametrize("form", list(i.ListForm))
-def test_asked_discovery_subscribes_and_asks_again_after_a_failure(form: i.ListForm) -> None:
+@pytest.mark.parametrize("form", list(interface.ListForm))
+def test_asked_discovery_subscribes_and_asks_again_after_a_failure(form: interface.ListForm) -> None:
     d = Drive(settings(ask=True))
-    assert i.Subscribe() in d.first
-    timers = [a for a in d.do(i.ServerList(form, SERVERS)) if isinstance(a, i.SetTimer)]
-    if form != i.ListForm.FAILED:
+    assert interface.Subscribe() in d.first
+    timers = [a for a in d.do(interface.ServerList(form, SERVERS)) if isinstance(a, interface.SetTimer)]
+    if form != interface.ListForm.FAILED:
         assert timers == []
         return
     (again,) = timers
     assert 0 < again.delay < RULES.ask_within
-    assert i.Subscribe() in d.do(i.TimerDue(again.label))
+    assert interface.Subscribe() in d.do(interface.TimerDue(again.label))
 
 
 def test_gone_servers_are_forgotten_once_their_attempts_end() -> None:
     d = Drive()
     first = d.sent()
     rest = tuple(s for s in SERVERS if s.id != first.server)
-    d.do(i.ServerList(i.ListForm.WHOLE, rest))
+    d.do(interface.ServerList(interface.ListForm.WHOLE, rest))
     assert first.server in d.gatekeeper.fleet.nodes
-    d.end(first, i.Code.OK)
-    d.do(i.ServerList(i.ListForm.WHOLE, rest))
+    d.end(first, interface.Code.OK)
+    d.do(interface.ServerList(interface.ListForm.WHOLE, rest))
     assert first.server not in d.gatekeeper.fleet.nodes
 
 
 def test_same_zone_first_where_crossing_costs_and_all_else_is_equal() -> None:
     setup = settings()
-    costly = i.Settings(
+    costly = interface.Settings(
         0, 3, "a", setup.classes, setup.plans, setup.limits, setup.rules, price_cross_zone=0.01
     )
     d = Drive(costly)
@@ -214,11 +224,11 @@
     d = Drive()
     d.serve(20)
     first = d.sent("stream")
-    d.do(i.StreamStarted(first.id, 0, first.server, 0.1))
+    d.do(interface.StreamStarted(first.id, 0, first.server, 0.1))
     d.now += 100.0
-    d.do(i.TimerDue(2))
+    d.do(interface.TimerDue(2))
     assert not d.gatekeeper.fleet.nodes[first.server].unresponsive
-    assert d.end(first, i.Code.OK) == []
+    assert d.end(first, interface.Code.OK) == []
 
 
 def test_where_many_send_cold_servers_are_tried_though_warm_ones_look_idle() -> None:
@@ -233,7 +243,7 @@
         d.tick()
         for send in sends(d.ask()):
             tried.add(send.server)
-            d.end(send, i.Code.OK)
+            d.end(send, interface.Code.OK)
     assert len(tried & set(range(8, 20))) >= 4
 
 
@@ -254,7 +264,7 @@
             if rng.random() < 0.14:
                 for send in sends(d.ask()):
                     sent[send.server] += 1
-                    d.end(send, i.Code.OK, took=0.02)
+                    d.end(send, interface.Code.OK, took=0.02)
         fair += (RULES.cold_share + (1 - RULES.cold_share) * step * 0.02 / RULES.cold) / 400
     warm, cold = sum(sent[n] for n in range(24)) / 24, sum(sent[n] for n in range(24, 60)) / 36
     assert 0.7 * fair < cold / warm < 1.25 * fair
--- a/tests/standalone/test_quota.py
+++ b/tests/standalone/test_quota.py
@@ -7,7 +7,7 @@
 import pytest
 
 from pewterring.standalone.peer_messages import BEAT_FORM, USAGE_FORMAT, plan_number
-from pewterring.standalone.policy import interface as i
+from pewterring.standalone.policy import interface
 from pewterring.standalone.policy.decisions import Quota
 from tests.standalone.helpers import LIMITS, PLANS, Drive, sends, settings
 
@@ -28,7 +28,7 @@
             for t in tells if not self.cut else ():
                 assert t.peer is not None
                 other = self.all[t.peer].gatekeeper
-                other.handle(d.now, i.PeerMail(d.gatekeeper.s.me, t.data))
+                other.handle(d.now, interface.PeerMail(d.gatekeeper.s.me, t.data))
 
     def admitted(self, tries: dict[int, int], seconds: float, size: int = 3, unevenly: bool = False) -> float:
         """Units a second sent on of so many tries a second at each gatekeeper."""
@@ -41,7 +41,7 @@
                         count += 1
                         self.beyond += self.store < 1
                         self.store -= self.store >= 1  # beyond the quota a try takes nothing
-                        d.end(send, i.Code.OK)
+                        d.end(send, interface.Code.OK)
             self.pass_time(0.1)
             self.store = min(self.plan.depth, self.store + 0.1 * self.plan.refill)
         return count / seconds
@@ -52,7 +52,7 @@
     for _ in range(40):
         d.now += 2.0
         (send,) = sends(d.ask(plan="small", size=2))
-        d.end(send, i.Code.OK)
+        d.end(send, interface.Code.OK)
 
 
 @pytest.mark.parametrize("tries", [{0: 20}, {0: 10, 1: 10, 2: 10}, {0: 30, 1: 10}])
@@ -146,15 +146,15 @@
     d = Drive(settings(me=0))
     news = USAGE_FORMAT.pack(5, plan_number("small"), 3, 0, 20_000, 1000)
     beat = BEAT_FORM.pack(b"B", 9, 1, 30.0, 0, 1.0, 1.0)
-    d.do(i.PeerMail(1, beat + news))
+    d.do(interface.PeerMail(1, beat + news))
     assert not sends([a for _ in range(3) for a in d.ask(plan="small", customer=5)])
 
 
 def test_wrong_news_are_dropped() -> None:
     d = Drive(settings(me=0))
     beat = BEAT_FORM.pack(b"B", 9, 1, 30.0, 0, 1.0, 1.0)
-    d.do(i.PeerMail(1, beat + USAGE_FORMAT.pack(5, 200, 3, 0, 1, 1)))
-    d.do(i.PeerMail(2, beat + USAGE_FORMAT.pack(5, plan_number("small"), 77, 0, 1, 1) + b"x"))
+    d.do(interface.PeerMail(1, beat + USAGE_FORMAT.pack(5, 200, 3, 0, 1, 1)))
+    d.do(interface.PeerMail(2, beat + USAGE_FORMAT.pack(5, plan_number("small"), 77, 0, 1, 1) + b"x"))
     assert d.gatekeeper.quota.customers == {}
 
 
@@ -168,10 +168,10 @@
 
 def test_several_units_and_settled_ones() -> None:
     d = Drive(settings(me=0, fleet=1))
-    r = i.Request(900, "pure", "small", 1, d.now + 4, 3.0, 1, 0)
+    r = interface.Request(900, "pure", "small", 1, d.now + 4, 3.0, 1, 0)
     (send,) = sends(d.do(r))
     spent = d.gatekeeper.quota.customers[1].spent()
-    d.do(i.Outcome(900, 0, send.server, i.Code.OK, 0.1, True, actual=4.0))
+    d.do(interface.Outcome(900, 0, send.server, interface.Code.OK, 0.1, True, actual=4.0))
     assert d.gatekeeper.quota.customers[1].spent() == pytest.approx(spent + 1.0)
 
 
@@ -194,7 +194,7 @@
         for send in sends(d.ask(plan="capped")):
             store -= 1.0
             used += 1
-            d.end(send, i.Code.OK)
+            d.end(send, interface.Code.OK)
         assert store >= -plan.cap_slack
     assert used > 0.8 * plan.cap_rate * 60.0  # and it is used
 
@@ -203,9 +203,9 @@
     """With no peers to ask."""
     d = Drive(settings(fleet=2, limits=dataclasses.replace(LIMITS, peers=False)))
     first = [d.ask(plan="narrow", size=2)[0] for _ in range(4)]
-    assert [type(a) for a in first] == [i.Send, i.Send, i.Refuse, i.Refuse]
-    assert isinstance(first[0], i.Send)
-    d.end(first[0], i.Code.OK)
+    assert [type(a) for a in first] == [interface.Send, interface.Send, interface.Refuse, interface.Refuse]
+    assert isinstance(first[0], interface.Send)
+    d.end(first[0], interface.Code.OK)
     assert sends(d.ask(plan="narrow", size=2))
 
 
@@ -233,7 +233,7 @@
 def test_use_beyond_the_quota_only_where_it_pays_and_the_share_is_idle(
     over_cost: float, served: bool
 ) -> None:
-    plan = i.Plan("pays", refill=1.0, depth=2.0, over_worth=0.3, over_cost=over_cost)
+    plan = interface.Plan("pays", refill=1.0, depth=2.0, over_worth=0.3, over_cost=over_cost)
     setup = dataclasses.replace(settings(me=0, fleet=1), plans={"pays": plan})
     admitted = {True: 0, False: 0}
     for idle in (True, False):
@@ -244,7 +244,7 @@
             sent = sends(d.ask(plan="pays", size=1))
             admitted[idle] += len(sent)
             for send in sent:
-                d.end(send, i.Code.OK)
+                d.end(send, interface.Code.OK)
             d.gatekeeper.shares.share = 100.0 if idle else 1.5
     assert (admitted[True] == 40) == served
     assert admitted[False] < 10
--- a/tests/standalone/test_schedules.py
+++ b/tests/standalone/test_schedules.py
@@ -6,7 +6,7 @@
 import pytest
 
 from pewterring.standalone.network.workers import Pool
-from pewterring.standalone.policy import interface as i
+from pewterring.standalone.policy import interface
 from pewterring.standalone.policy.decisions import Fleet
 from pewterring.standalone.proxy.service import Service
 from tests.standalone.schedules import BARE, FREE, played
@@ -27,8 +27,8 @@
 def no_drain_check(patch: pytest.MonkeyPatch) -> None:
     update = Fleet.update
 
-    def careless(self: Fleet, now: float, event: i.ServerList) -> None:
-        servers = tuple(replace(server, mode=i.Mode.SERVING) for server in event.servers)
+    def careless(self: Fleet, now: float, event: interface.ServerList) -> None:
+        servers = tuple(replace(server, mode=interface.Mode.SERVING) for server in event.servers)
         update(self, now, replace(event, servers=servers))
 
     patch.setattr(Fleet, "update", careless)
--- a/tests/standalone/test_sparse.py
+++ b/tests/standalone/test_sparse.py
@@ -6,7 +6,7 @@
 from pewterring.admission.ceiling import Ceiling
 from pewterring.admission.shares import BEAT_S, Shares
 from pewterring.standalone.peer_messages import HEARTBEAT_TAG, Beat, write_beat
-from pewterring.standalone.policy import interface as i
+from pewterring.standalone.policy import interface
 from pewterring.standalone.policy.decisions import Fleet
 from tests.standalone.helpers import CLASSES, SERVERS, Drive, sends, server, settings
 
@@ -33,7 +33,7 @@
     for out, served in ((0, 3), (3, 1)):
         d = member(3)
         for n in range(10, 30):
-            d.do(i.PeerMail(n, beat(out, n)))
+            d.do(interface.PeerMail(n, beat(out, n)))
         d.tick(BEAT_S)
         d.gatekeeper.shares.share = 1.0
         count = sum(len(sends(d.ask())) for _ in range(10))
@@ -55,12 +55,12 @@
 def test_servers_are_chosen_in_proportion_to_rating() -> None:
     d = member(3)
     double = tuple(dataclasses.replace(s, rating=2.0) for s in SERVERS[:2])
-    d.do(i.ServerList(i.ListForm.CHANGES, double))
+    d.do(interface.ServerList(interface.ListForm.CHANGES, double))
     got = [0] * len(SERVERS)
     for _ in range(2000):
         (send,) = sends(d.ask())
         got[send.server] += 1
-        d.end(send, i.Code.OK)
+        d.end(send, interface.Code.OK)
     assert all(1.4 < got[n] / (sum(got[2:]) / 6) < 2.8 for n in (0, 1))
     assert all(count > 50 for count in got)
 
--- a/tests/standalone/test_switch.py
+++ b/tests/standalone/test_switch.py
@@ -12,7 +12,7 @@
 from pewterring.standalone.config import ConfigError, load
 from pewterring.standalone.http.messages import Request
 from pewterring.standalone.peer_messages import plan_number
-from pewterring.standalone.policy import interface as i
+from pewterring.standalone.policy import interface
 from pewterring.standalone.policy.decisions import TICK, Gatekeeper
 from pewterring.standalone.proxy.service import Service
 from pewterring.standalone.proxy.switch import FOLLOWS, renew
@@ -81,17 +81,17 @@
             assert c.cap <= c.plan.cap_depth / 2 / c.size
             assert c.pool <= c.plan.cap_depth / 2
     assert gatekeeper.quota.get_account(d.now, 77, PLANS["capped"], 3, 0).cap == 0.0
-    assert d.end(out, i.Code.OK) == []
+    assert d.end(out, interface.Code.OK) == []
     assert d.tick(1.0)
 
 
 def test_a_request_is_answered_under_the_class_and_plan_that_it_came_with() -> None:
     d = Drive()
     send = d.sent("once")
-    bare = i.Settings(0, 3, "a", {"pure": CLASSES["pure"]}, {}, mail_per_s=60.0)
+    bare = interface.Settings(0, 3, "a", {"pure": CLASSES["pure"]}, {}, mail_per_s=60.0)
     renew(d.gatekeeper, d.now, bare)
-    assert d.end(send, i.Code.ABORTED, last=False) == [i.Fail(send.id)]  # never sent twice
-    d.do(i.TimerDue(TICK))
+    assert d.end(send, interface.Code.ABORTED, last=False) == [interface.Fail(send.id)]  # never sent twice
+    d.do(interface.TimerDue(TICK))
 
 
 @pytest.mark.parametrize(
@@ -232,14 +232,14 @@
 
 def test_gatekeepers_that_have_switched_and_others_mean_the_same_plan() -> None:
     """Plans went by their place in the settings: one more in front, and a customer was booked on another."""
-    more = {"first": i.Plan("first", refill=1.0, depth=9.0), **PLANS}
+    more = {"first": interface.Plan("first", refill=1.0, depth=9.0), **PLANS}
     switched = Drive(dataclasses.replace(settings(me=1), plans=more))
     for _ in range(3):
         switched.ask(plan="busy")
     told = [t for t in switched.tick(0.2) if t.peer == 0]
     other = Drive(settings(me=0))
     for t in told:
-        other.do(i.PeerMail(1, t.data))
+        other.do(interface.PeerMail(1, t.data))
     assert other.gatekeeper.quota.customers[1].plan.name == "busy"
     assert other.gatekeeper.quota.customers[1].spent() == pytest.approx(1.0, abs=0.1)  # two are refilled
     assert len({plan_number(name) for name in more}) == len(more)
