--- a/tests/standalone/test_fleet.py
+++ b/tests/standalone/test_fleet.py
@@ -1,4 +1,4 @@
-"""Servers: the list, drains, cold budget, symptoms and recovery."""
+"""Servers: the list, drains, slow start, health and recovery."""
 
 import dataclasses
 import random
@@ -9,262 +9,271 @@
 from tests.standalone.helpers import RULES, SERVERS, Drive, sends, server, settings
 
 
-def shares_of(
-    d: Drive,
+def first_sends(
+    driver: Drive,
     count: int,
     latency: dict[int, float] | None = None,
-    bad: dict[int, interface.Code] | None = None,
+    codes: dict[int, interface.Code] | None = None,
 ) -> dict[int, int]:
-    """How many of that many requests went first to each server, eight being out at a time.
+    """Counts the first attempts that each server got of `count` requests, with eight in flight at a time.
 
-    `bad` names servers that answer so; further attempts are served.
+    Servers in `codes` answer with that code; retries are served.
     """
-    got: dict[int, int] = {}
-    out: list[interface.Send] = []
+    counts: dict[int, int] = {}
+    in_flight: list[interface.Send] = []
     for n in range(count + 8):
-        d.now += 0.01
+        driver.now += 0.01
         if n % 10 == 0:
-            d.tick()
+            driver.tick()
         if n < count:
-            for s in sends(d.ask()):
-                got[s.server] = got.get(s.server, 0) + 1
-                out.append(s)
-        if len(out) > 8 or n >= count:
-            for s in out[:1]:
-                took = (latency or {}).get(s.server, 0.1)
-                for m in sends(d.end(s, (bad or {}).get(s.server, interface.Code.OK), took=took)):
-                    d.end(m, interface.Code.OK, attempt=1)
-            del out[:1]
-    return got
-
-
-def test_even_where_all_are_alike() -> None:
-    got = shares_of(Drive(), 800)
-    assert set(got) == set(range(8))
-    assert max(got.values()) < 2 * min(got.values())
-
-
-def test_nothing_to_a_server_listed_draining_deleted_or_left_out() -> None:
-    d = Drive()
+            for send in sends(driver.ask()):
+                counts[send.server] = counts.get(send.server, 0) + 1
+                in_flight.append(send)
+        if len(in_flight) > 8 or n >= count:
+            for send in in_flight[:1]:
+                took = (latency or {}).get(send.server, 0.1)
+                for retry in sends(
+                    driver.end(send, (codes or {}).get(send.server, interface.Code.OK), took=took)
+                ):
+                    driver.end(retry, interface.Code.OK, attempt=1)
+            del in_flight[:1]
+    return counts
+
+
+def test_equal_servers_get_equal_traffic() -> None:
+    counts = first_sends(Drive(), 800)
+    assert set(counts) == set(range(8))
+    assert max(counts.values()) < 2 * min(counts.values())
+
+
+def test_servers_that_drain_or_left_the_list_get_no_traffic() -> None:
+    driver = Drive()
     changes = (
         interface.Server(0, "a", 0, interface.Mode.DRAINING),
         interface.Server(1, "b", 1, interface.Mode.DELETED),
     )
-    d.do(interface.ServerList(interface.ListForm.CHANGES, changes))
-    assert not {0, 1} & set(shares_of(d, 100))
-    d.do(interface.ServerList(interface.ListForm.WHOLE, SERVERS[4:]))
-    assert set(shares_of(d, 100)) == {4, 5, 6, 7}
-    d.do(interface.ServerList(interface.ListForm.FAILED))
-    assert set(shares_of(d, 100)) == {4, 5, 6, 7}
+    driver.do(interface.ServerList(interface.ListForm.CHANGES, changes))
+    assert not {0, 1} & set(first_sends(driver, 100))
+    driver.do(interface.ServerList(interface.ListForm.WHOLE, SERVERS[4:]))
+    assert set(first_sends(driver, 100)) == {4, 5, 6, 7}
+    driver.do(interface.ServerList(interface.ListForm.FAILED))
+    assert set(first_sends(driver, 100)) == {4, 5, 6, 7}
 
 
-def test_a_retry_does_not_go_to_a_server_that_drains_meanwhile() -> None:
-    d = Drive(servers=SERVERS[:2])
-    first = d.sent()
+def test_a_retry_does_not_go_to_a_server_that_has_begun_to_drain() -> None:
+    driver = Drive(servers=SERVERS[:2])
+    first = driver.sent()
     other = 1 - first.server
-    d.do(
+    driver.do(
         interface.ServerList(
             interface.ListForm.CHANGES, (interface.Server(other, mode=interface.Mode.DRAINING),)
         )
     )
-    assert other not in [s.server for s in sends(d.end(first, interface.Code.UNAVAILABLE))]
-
-
-def test_cold_server_gets_its_part_and_never_tips() -> None:
-    """What one gatekeeper sends in any window stays below its part of the budget of the rule."""
-    d = Drive()
-    shares_of(d, 600)
-    d.do(interface.ServerList(interface.ListForm.CHANGES, (server(9, came_up=d.now),)))
-    start, hits, warm = d.now, [], 0
-    while d.now < start + RULES.cold:
-        got = shares_of(d, 10)
-        hits += [d.now] * got.get(9, 0)
-        warm += 10 - got.get(9, 0)
-    capacity = warm / 8 / RULES.cold  # a warm server takes at least this
-    for at in hits:
-        window = [h for h in hits if at <= h < at + RULES.tip_after]
-        present = RULES.cold_share + (1 - RULES.cold_share) * (at - start) / RULES.cold
-        assert len(window) <= RULES.fall_multiple * present * capacity * RULES.tip_after + 1
-    assert len(hits) > 5
-
-
-def test_cold_server_that_rejects_at_once_is_not_hammered() -> None:
-    d = Drive()
-    shares_of(d, 300)
-    d.do(interface.ServerList(interface.ListForm.CHANGES, (server(9, came_up=d.now),)))
-    got = shares_of(d, 200, bad={9: interface.Code.RESOURCE_EXHAUSTED})
-    assert got.get(9, 0) <= 200 / 9
-
-
-def test_slow_server_gets_less_and_recovers_by_real_traffic() -> None:
-    d = Drive()
-    shares_of(d, 200)
-    slow = shares_of(d, 800, latency={3: 1.0})
+    assert other not in [s.server for s in sends(driver.end(first, interface.Code.UNAVAILABLE))]
+
+
+def test_a_cold_server_gets_traffic_but_is_never_overloaded() -> None:
+    """In any window a gateway sends no more than its part of what the guarantee allows."""
+    driver = Drive()
+    first_sends(driver, 600)
+    driver.do(interface.ServerList(interface.ListForm.CHANGES, (server(9, came_up=driver.now),)))
+    started_at, cold_sends, warm = driver.now, [], 0
+    while driver.now < started_at + RULES.cold:
+        counts = first_sends(driver, 10)
+        cold_sends += [driver.now] * counts.get(9, 0)
+        warm += 10 - counts.get(9, 0)
+    capacity = warm / 8 / RULES.cold  # a warm server has at least this capacity
+    for start_of_window in cold_sends:
+        window = [
+            sent_at
+            for sent_at in cold_sends
+            if start_of_window <= sent_at < start_of_window + RULES.tip_after
+        ]
+        present_share = (
+            RULES.cold_share + (1 - RULES.cold_share) * (start_of_window - started_at) / RULES.cold
+        )
+        assert len(window) <= RULES.fall_multiple * present_share * capacity * RULES.tip_after + 1
+    assert len(cold_sends) > 5
+
+
+def test_a_cold_server_that_rejects_at_once_is_not_overloaded() -> None:
+    driver = Drive()
+    first_sends(driver, 300)
+    driver.do(interface.ServerList(interface.ListForm.CHANGES, (server(9, came_up=driver.now),)))
+    counts = first_sends(driver, 200, codes={9: interface.Code.RESOURCE_EXHAUSTED})
+    assert counts.get(9, 0) <= 200 / 9
+
+
+def test_a_slow_server_gets_less_and_recovers_by_real_traffic() -> None:
+    driver = Drive()
+    first_sends(driver, 200)
+    slow = first_sends(driver, 800, latency={3: 1.0})
     assert slow.get(3, 0) < 50
-    d.now += 30.0
-    again = shares_of(d, 800)
-    assert again.get(3, 0) > 50
+    driver.now += 30.0
+    recovered = first_sends(driver, 800)
+    assert recovered.get(3, 0) > 50
 
 
 def test_fast_errors_attract_no_traffic() -> None:
-    got = shares_of(Drive(), 800, bad={3: interface.Code.INTERNAL})
-    assert 0 < got.get(3, 0) < 40
+    counts = first_sends(Drive(), 800, codes={3: interface.Code.INTERNAL})
+    assert 0 < counts.get(3, 0) < 40
 
 
-def test_turned_away_as_full_counts_less_than_an_error() -> None:
-    full = shares_of(Drive(), 800, bad={3: interface.Code.RESOURCE_EXHAUSTED}).get(3, 0)
-    error = shares_of(Drive(), 800, bad={3: interface.Code.INTERNAL}).get(3, 0)
+def test_a_rejection_counts_less_than_an_error() -> None:
+    full = first_sends(Drive(), 800, codes={3: interface.Code.RESOURCE_EXHAUSTED}).get(3, 0)
+    error = first_sends(Drive(), 800, codes={3: interface.Code.INTERNAL}).get(3, 0)
     assert full > error
 
 
-def test_all_in_trouble_alike_are_all_still_used() -> None:
-    """Ejection is relative: when every server errs none is left out."""
-    d = Drive()
-    got = shares_of(d, 400, bad=dict.fromkeys(range(8), interface.Code.INTERNAL))
-    assert set(got) == set(range(8))
+def test_servers_that_all_fail_are_all_still_used() -> None:
+    """Servers are judged relative to each other: when all return errors none is ejected."""
+    driver = Drive()
+    counts = first_sends(driver, 400, codes=dict.fromkeys(range(8), interface.Code.INTERNAL))
+    assert set(counts) == set(range(8))
 
 
-def silence(d: Drive) -> tuple[interface.Send, list[interface.Action]]:
+def stop_answers(driver: Drive) -> tuple[interface.Send, list[interface.Action]]:
     """One server stops answering while the others go on."""
-    d.serve(40)
-    first = d.sent()
-    told: list[interface.Action] = []
+    driver.serve(40)
+    first = driver.sent()
+    actions: list[interface.Action] = []
     for _ in range(60):
-        d.now += 0.05
-        told += d.do(interface.TimerDue(2))
-    return first, told
-
-
-def test_silent_server_is_avoided_probed_and_its_request_copied() -> None:
-    d = Drive()
-    first, told = silence(d)
-    (copy,) = sends(told)
-    assert copy.id == first.id
-    assert copy.server != first.server
-    assert interface.Probe(first.server) in told
-    assert first.server not in shares_of(d, 200)
-
-
-def test_no_copy_where_two_may_not_be_out_or_effects_forbid_it() -> None:
-    d = Drive(settings(limits=interface.Limits(max_attempts=3)))
-    _, told = silence(d)
-    assert not sends(told)
-    assert not [a for a in told if isinstance(a, interface.Probe)]
-    d = Drive()
-    d.serve(40)
-    d.sent("once")
-    d.now += 3.0
-    assert not sends(d.do(interface.TimerDue(2)))
-
-
-def test_back_from_silence_counts_as_cold() -> None:
-    d = Drive()
-    first, _ = silence(d)
-    d.do(interface.ProbeResult(first.server, interface.Code.OK, 0.01))
-    node = d.gatekeeper.fleet.nodes[first.server]
-    assert not node.unresponsive
-    assert d.gatekeeper.fleet.warmth(node, d.now) < 0.5
-
-
-def test_brief_standstill_is_not_a_restart() -> None:
-    d = Drive()
-    first, _ = silence(d)
-    node = d.gatekeeper.fleet.nodes[first.server]
-    node.health_of("pure").unresponsive_since = d.now - RULES.tip_after / 2
-    d.end(first, interface.Code.OK)
-    assert d.gatekeeper.fleet.warmth(node, d.now) == 1.0
-
-
-def test_all_silent_are_still_used() -> None:
-    d = Drive()
-    d.serve(20)
+        driver.now += 0.05
+        actions += driver.do(interface.TimerDue(2))
+    return first, actions
+
+
+def test_an_unresponsive_server_is_avoided_and_probed_and_its_request_duplicated() -> None:
+    driver = Drive()
+    first, actions = stop_answers(driver)
+    (duplicate,) = sends(actions)
+    assert duplicate.id == first.id
+    assert duplicate.server != first.server
+    assert interface.Probe(first.server) in actions
+    assert first.server not in first_sends(driver, 200)
+
+
+def test_no_duplicate_where_limits_or_effects_forbid_it() -> None:
+    driver = Drive(settings(limits=interface.Limits(max_attempts=3)))
+    _, actions = stop_answers(driver)
+    assert not sends(actions)
+    assert not [a for a in actions if isinstance(a, interface.Probe)]
+    driver = Drive()
+    driver.serve(40)
+    driver.sent("once")
+    driver.now += 3.0
+    assert not sends(driver.do(interface.TimerDue(2)))
+
+
+def test_a_server_that_responds_again_counts_as_cold() -> None:
+    driver = Drive()
+    first, _ = stop_answers(driver)
+    driver.do(interface.ProbeResult(first.server, interface.Code.OK, 0.01))
+    state = driver.gatekeeper.fleet.nodes[first.server]
+    assert not state.unresponsive
+    assert driver.gatekeeper.fleet.warmth(state, driver.now) < 0.5
+
+
+def test_a_brief_pause_does_not_count_as_a_restart() -> None:
+    driver = Drive()
+    first, _ = stop_answers(driver)
+    state = driver.gatekeeper.fleet.nodes[first.server]
+    state.health_of("pure").unresponsive_since = driver.now - RULES.tip_after / 2
+    driver.end(first, interface.Code.OK)
+    assert driver.gatekeeper.fleet.warmth(state, driver.now) == 1.0
+
+
+def test_servers_that_are_all_unresponsive_are_still_used() -> None:
+    driver = Drive()
+    driver.serve(20)
     for _ in range(5):
-        d.sent()
-    d.now += 3.0
-    d.do(interface.TimerDue(2))
-    assert sends(d.ask())
+        driver.sent()
+    driver.now += 3.0
+    driver.do(interface.TimerDue(2))
+    assert sends(driver.ask())
 
 
 @pytest.mark.parametrize("form", list(interface.ListForm))
-def test_asked_discovery_subscribes_and_asks_again_after_a_failure(form: interface.ListForm) -> None:
-    d = Drive(settings(ask=True))
-    assert interface.Subscribe() in d.first
-    timers = [a for a in d.do(interface.ServerList(form, SERVERS)) if isinstance(a, interface.SetTimer)]
+def test_a_policy_that_requests_the_list_does_so_again_after_a_failure(form: interface.ListForm) -> None:
+    driver = Drive(settings(ask=True))
+    assert interface.Subscribe() in driver.first
+    timers = [a for a in driver.do(interface.ServerList(form, SERVERS)) if isinstance(a, interface.SetTimer)]
     if form != interface.ListForm.FAILED:
         assert timers == []
         return
-    (again,) = timers
-    assert 0 < again.delay < RULES.ask_within
-    assert interface.Subscribe() in d.do(interface.TimerDue(again.label))
+    (retry,) = timers
+    assert 0 < retry.delay < RULES.ask_within
+    assert interface.Subscribe() in driver.do(interface.TimerDue(retry.label))
 
 
-def test_gone_servers_are_forgotten_once_their_attempts_end() -> None:
-    d = Drive()
-    first = d.sent()
+def test_removed_servers_are_forgotten_once_their_attempts_end() -> None:
+    driver = Drive()
+    first = driver.sent()
     rest = tuple(s for s in SERVERS if s.id != first.server)
-    d.do(interface.ServerList(interface.ListForm.WHOLE, rest))
-    assert first.server in d.gatekeeper.fleet.nodes
-    d.end(first, interface.Code.OK)
-    d.do(interface.ServerList(interface.ListForm.WHOLE, rest))
-    assert first.server not in d.gatekeeper.fleet.nodes
+    driver.do(interface.ServerList(interface.ListForm.WHOLE, rest))
+    assert first.server in driver.gatekeeper.fleet.nodes
+    driver.end(first, interface.Code.OK)
+    driver.do(interface.ServerList(interface.ListForm.WHOLE, rest))
+    assert first.server not in driver.gatekeeper.fleet.nodes
 
 
-def test_same_zone_first_where_crossing_costs_and_all_else_is_equal() -> None:
-    setup = settings()
+def test_servers_of_the_same_zone_come_first_where_crossing_zones_costs() -> None:
+    base = settings()
     costly = interface.Settings(
-        0, 3, "a", setup.classes, setup.plans, setup.limits, setup.rules, price_cross_zone=0.01
+        0, 3, "a", base.classes, base.plans, base.limits, base.rules, price_cross_zone=0.01
     )
-    d = Drive(costly)
-    d.serve(50)
-    used = {id for id, node in d.gatekeeper.fleet.nodes.items() if node.last_answer > 0}
+    driver = Drive(costly)
+    driver.serve(50)
+    used = {id for id, state in driver.gatekeeper.fleet.nodes.items() if state.last_answer > 0}
     assert used == {0, 2, 4, 6}
 
 
-def test_long_streams_are_no_silence() -> None:
-    d = Drive()
-    d.serve(20)
-    first = d.sent("stream")
-    d.do(interface.StreamStarted(first.id, 0, first.server, 0.1))
-    d.now += 100.0
-    d.do(interface.TimerDue(2))
-    assert not d.gatekeeper.fleet.nodes[first.server].unresponsive
-    assert d.end(first, interface.Code.OK) == []
+def test_a_long_stream_does_not_make_its_server_unresponsive() -> None:
+    driver = Drive()
+    driver.serve(20)
+    first = driver.sent("stream")
+    driver.do(interface.StreamStarted(first.id, 0, first.server, 0.1))
+    driver.now += 100.0
+    driver.do(interface.TimerDue(2))
+    assert not driver.gatekeeper.fleet.nodes[first.server].unresponsive
+    assert driver.end(first, interface.Code.OK) == []
 
 
-def test_where_many_send_cold_servers_are_tried_though_warm_ones_look_idle() -> None:
-    """Twenty gatekeepers, each with an attempt or two out: by own attempts alone some warm server always
-    looks idle, and none would try the cold ones. Six in ten workers replaced left the others in a jam.
+def test_cold_servers_get_attempts_though_some_warm_server_always_looks_idle() -> None:
+    """With 20 gateways, each with an attempt or two in flight, some warm server always looks idle by a
+    gateway's own attempts, and the cold ones got nothing: with six in ten servers replaced the others were
+    overloaded.
     """
     servers = tuple(server(n, came_up=0.0 if n < 8 else 100.0) for n in range(20))
-    d = Drive(settings(fleet=20), servers)
+    driver = Drive(settings(fleet=20), servers)
     tried: set[int] = set()
-    for _ in range(120):  # within six of the ten seconds that they stay cold
-        d.now += 0.05
-        d.tick()
-        for send in sends(d.ask()):
+    for _ in range(120):  # six seconds, of a warm-up of ten
+        driver.now += 0.05
+        driver.tick()
+        for send in sends(driver.ask()):
             tried.add(send.server)
-            d.end(send, interface.Code.OK)
+            driver.end(send, interface.Code.OK)
     assert len(tried & set(range(8, 20))) >= 4
 
 
-def test_the_parts_of_many_senders_add_up_to_a_cold_server_s_fair_part() -> None:
-    """Six in ten servers are new. Chance on top of the budget halved what they got, and a budget reckoned by
-    what was wanted instead of what was sent on gave them more than the warm ones: either way half a fleet
-    stood in a jam beside an idle one.
+def test_cold_servers_get_their_fair_share_from_many_gateways() -> None:
+    """Six in ten servers are new. A random load on top of their tokens halved their share, and tokens from
+    the rate of requests instead of the rate forwarded gave them more than the warm ones: either way half of
+    the servers were overloaded while the others were idle.
     """
     servers = tuple(server(n, came_up=0.0 if n < 24 else 100.0) for n in range(60))
     setups = [dataclasses.replace(settings(me=n, fleet=40), mail_per_s=100.0) for n in range(40)]
-    fleet = [Drive(s, servers, seed=n) for n, s in enumerate(setups)]
-    sent, fair, rng = dict.fromkeys(range(60), 0), 0.0, random.Random(3)
-    for step in range(1, 401):  # eight seconds, seven requests a second each
-        for d in fleet:
-            d.now = 100.0 + step * 0.02
+    drivers = [Drive(setup, servers, seed=n) for n, setup in enumerate(setups)]
+    sent, fair_share, rng = dict.fromkeys(range(60), 0), 0.0, random.Random(3)
+    for step in range(1, 401):  # eight seconds, seven requests a second at each gateway
+        for driver in drivers:
+            driver.now = 100.0 + step * 0.02
             if step % 25 == 0:
-                d.tick()
+                driver.tick()
             if rng.random() < 0.14:
-                for send in sends(d.ask()):
+                for send in sends(driver.ask()):
                     sent[send.server] += 1
-                    d.end(send, interface.Code.OK, took=0.02)
-        fair += (RULES.cold_share + (1 - RULES.cold_share) * step * 0.02 / RULES.cold) / 400
+                    driver.end(send, interface.Code.OK, took=0.02)
+        fair_share += (RULES.cold_share + (1 - RULES.cold_share) * step * 0.02 / RULES.cold) / 400
     warm, cold = sum(sent[n] for n in range(24)) / 24, sum(sent[n] for n in range(24, 60)) / 36
-    assert 0.7 * fair < cold / warm < 1.25 * fair
+    assert 0.7 * fair_share < cold / warm < 1.25 * fair_share
--- a/tests/standalone/test_health.py
+++ b/tests/standalone/test_health.py
@@ -1,4 +1,4 @@
-"""Health by worker and class: one class may go unanswered where the others are served."""
+"""Health by server and class: a server may leave one class unanswered and serve the others."""
 
 import dataclasses
 
@@ -8,96 +8,100 @@
 from pewterring.standalone.policy.decisions import HEALTH_TICK
 from tests.standalone.helpers import LIMITS, Drive, sends, server, settings
 
-ONE = (server(1), server(3))
+TWO_SERVERS = (server(1), server(3))
 
 
-def warm(d: Drive) -> None:
-    d.serve(40)
+def warm_up(driver: Drive) -> None:
+    driver.serve(40)
     for _ in range(20):
-        d.now += 0.1
-        d.end(d.sent("once"), interface.Code.OK)
+        driver.now += 0.1
+        driver.end(driver.sent("once"), interface.Code.OK)
 
 
-def unanswered(d: Drive, cls: str, past: float = 1.5) -> tuple[interface.Send, list[interface.Action]]:
-    """A request that waits for so long, beside others that are answered."""
-    first = d.sent(cls)
-    done: list[interface.Action] = []
+def leave_unanswered(
+    driver: Drive, cls: str, duration: float = 1.5
+) -> tuple[interface.Send, list[interface.Action]]:
+    """Leaves a request unanswered for `duration` seconds, while others are answered."""
+    first = driver.sent(cls)
+    actions: list[interface.Action] = []
     other = "pure" if cls == "once" else "once"
-    for _ in range(int(past / 0.1)):
-        d.now += 0.1
-        for send in sends(d.ask(other)):
-            d.end(send, interface.Code.OK)
-        done += d.do(interface.TimerDue(HEALTH_TICK))
-    return first, done
+    for _ in range(int(duration / 0.1)):
+        driver.now += 0.1
+        for send in sends(driver.ask(other)):
+            driver.end(send, interface.Code.OK)
+        actions += driver.do(interface.TimerDue(HEALTH_TICK))
+    return first, actions
 
 
-def served_at(d: Drive, server: int, cls: str, count: int) -> int:
-    """How many of so many requests, one after the other, go to that server."""
-    got = 0
+def count_sends(driver: Drive, server: int, cls: str, count: int) -> int:
+    """Counts how many of `count` consecutive requests go to that server."""
+    total = 0
     for _ in range(count):
-        d.now += 0.02
-        send = d.sent(cls)
-        got += send.server == server
-        d.end(send, interface.Code.OK)
-    return got
+        driver.now += 0.02
+        send = driver.sent(cls)
+        total += send.server == server
+        driver.end(send, interface.Code.OK)
+    return total
 
 
-def test_a_class_goes_elsewhere_where_it_is_left_unanswered_and_the_others_stay() -> None:
-    """At each answer of another class the worker counted as well again: half of one class's requests waited
-    at workers that served the rest as usual (cludo-main rough-2).
+def test_a_class_left_unanswered_goes_elsewhere_while_the_others_stay() -> None:
+    """Each answer to another class made the server count as healthy again: half of one class's requests
+    waited at servers that served the rest as usual (cludo-main rough-2).
     """
-    d = Drive(servers=ONE)
-    warm(d)
-    first, _ = unanswered(d, "once")
-    d.do(interface.Outcome(first.id, 0, first.server, interface.Code.CANCELLED, 1.0))
-    assert served_at(d, first.server, "once", 20) == 0
-    assert served_at(d, first.server, "pure", 40) >= 10
-
-
-def test_what_must_not_run_twice_is_given_up_on_once_its_answer_is_worth_nothing() -> None:
-    d = Drive(servers=ONE)
-    warm(d)
-    first, done = unanswered(d, "once")
-    assert interface.Cancel(first.id, 0) in done
-    assert not sends(done)
-    ended = d.do(interface.Outcome(first.id, 0, first.server, interface.Code.CANCELLED, 1.0))
+    driver = Drive(servers=TWO_SERVERS)
+    warm_up(driver)
+    first, _ = leave_unanswered(driver, "once")
+    driver.do(interface.Outcome(first.id, 0, first.server, interface.Code.CANCELLED, 1.0))
+    assert count_sends(driver, first.server, "once", 20) == 0
+    assert count_sends(driver, first.server, "pure", 40) >= 10
+
+
+def test_a_request_that_must_not_run_twice_is_cancelled_once_its_answer_is_worthless() -> None:
+    driver = Drive(servers=TWO_SERVERS)
+    warm_up(driver)
+    first, actions = leave_unanswered(driver, "once")
+    assert interface.Cancel(first.id, 0) in actions
+    assert not sends(actions)
+    ended = driver.do(interface.Outcome(first.id, 0, first.server, interface.Code.CANCELLED, 1.0))
     assert ended == [interface.Fail(first.id)]
 
 
-def test_it_is_not_given_up_on_while_its_answer_would_still_be_wanted() -> None:
-    d = Drive(servers=ONE)
-    warm(d)
-    _, done = unanswered(d, "once", past=0.9)  # the aim is a second
-    assert not [a for a in done if isinstance(a, interface.Cancel)]
+def test_a_request_is_not_cancelled_while_its_answer_still_has_value() -> None:
+    driver = Drive(servers=TWO_SERVERS)
+    warm_up(driver)
+    _, actions = leave_unanswered(driver, "once", duration=0.9)  # the latency target is one second
+    assert not [a for a in actions if isinstance(a, interface.Cancel)]
 
 
 @pytest.mark.parametrize("duplicate", [True, False])
-def test_what_may_be_repeated_is_sent_elsewhere_with_one_attempt_out_where_copies_are_barred(
+def test_a_repeatable_request_moves_to_another_server_with_or_without_duplicates(
     duplicate: bool,
 ) -> None:
-    """Where no second copy is allowed a request waited at a silent worker until its client gave up."""
+    """Without duplicates a request used to wait at an unresponsive server until its client gave up."""
     limits = dataclasses.replace(LIMITS, may_duplicate=duplicate)
-    d = Drive(settings(limits=limits), ONE)
-    warm(d)
-    first, done = unanswered(d, "pure")
+    driver = Drive(settings(limits=limits), TWO_SERVERS)
+    warm_up(driver)
+    first, actions = leave_unanswered(driver, "pure")
     if duplicate:
-        (copy,) = sends(done)
+        (second,) = sends(actions)
     else:
-        assert interface.Cancel(first.id, 0) in done
-        assert not sends(done)
-        (copy,) = sends(d.do(interface.Outcome(first.id, 0, first.server, interface.Code.CANCELLED, 1.0)))
-    assert copy.id == first.id
-    assert copy.server != first.server
-
-
-def test_a_fault_speaks_for_a_class_of_which_nothing_came_back_lately() -> None:
-    d = Drive(servers=ONE)
-    d.serve(10)
-    d.end(d.sent("once"), interface.Code.OK)
-    d.now += 60.0
+        assert interface.Cancel(first.id, 0) in actions
+        assert not sends(actions)
+        (second,) = sends(
+            driver.do(interface.Outcome(first.id, 0, first.server, interface.Code.CANCELLED, 1.0))
+        )
+    assert second.id == first.id
+    assert second.server != first.server
+
+
+def test_an_error_counts_for_classes_without_a_recent_outcome() -> None:
+    driver = Drive(servers=TWO_SERVERS)
+    driver.serve(10)
+    driver.end(driver.sent("once"), interface.Code.OK)
+    driver.now += 60.0
     for _ in range(12):
-        d.now += 0.01
-        send = d.sent("pure")
-        d.end(send, interface.Code.INTERNAL if send.server == 1 else interface.Code.OK, last=True)
-    node = d.gatekeeper.fleet.nodes[1]
-    assert d.gatekeeper.fleet.symptoms(node.health_of("once"), d.now)[1] > 0.05
+        driver.now += 0.01
+        send = driver.sent("pure")
+        driver.end(send, interface.Code.INTERNAL if send.server == 1 else interface.Code.OK, last=True)
+    state = driver.gatekeeper.fleet.nodes[1]
+    assert driver.gatekeeper.fleet.symptoms(state.health_of("once"), driver.now)[1] > 0.05
