--- a/tests/standalone/test_accounts.py
+++ b/tests/standalone/test_accounts.py
@@ -366,7 +366,7 @@
 
 
 def test_an_owner_that_answers_slowly_is_awaited_but_not_asked_again() -> None:
-    """Slow answers were useless when the wait ended after a third of its time (calm+mass, a price of 0.16)."""
+    """Slow answers were useless as the wait ended after a third of its time (calm+mass, a price of 0.16)."""
     network = GatewayNetwork()
     network.gateways[1].gatekeeper.answer_rate = 0.1
     network.request(1, "narrow")
