--- a/tests/standalone/test_switch.py
+++ b/tests/standalone/test_switch.py
@@ -1,4 +1,4 @@
-"""New settings in a running gatekeeper: what is held, out and known lives on, in both directions."""
+"""New settings in a running gateway: requests, attempts and knowledge are kept, in both directions."""
 
 import asyncio
 import copy
@@ -20,82 +20,89 @@
 from tests.standalone.stand_ins import OK, Caller, Quiet, StandIn, Talk, asking, entry, listing, run, until
 from tests.standalone.test_service import SETTINGS, configured
 
-ONCE = {"name": "once", "objective": 1_200_000_000, "deadline": 4_000_000_000, "effect": "side_effect"}
-OLD: dict[str, Any] = SETTINGS | {
+SIDE_EFFECT_CLASS = {
+    "name": "once",
+    "objective": 1_200_000_000,
+    "deadline": 4_000_000_000,
+    "effect": "side_effect",
+}
+OLD_SETTINGS: dict[str, Any] = SETTINGS | {
     "me": 0,
-    "profiles": [*SETTINGS["profiles"], ONCE],
+    "profiles": [*SETTINGS["profiles"], SIDE_EFFECT_CLASS],
     "tiers_of_service": [{"name": "free"}, {"name": "small", "refill": 0.01, "depth": 4.0}],
 }
-# Another shape: no second copies, reports in answers, no sizes, units settled afterwards, caps on slots.
-NEW: dict[str, Any] = copy.deepcopy(OLD) | {
+# Differs in many ways: no duplicates, load reports in answers, no ratings, actual units reported afterwards,
+# limits on slots.
+NEW_SETTINGS: dict[str, Any] = copy.deepcopy(OLD_SETTINGS) | {
     "fleet_size": 60, "weight_kind": "silent", "report": {"source": "piggyback", "fields": ["throughput"]},
     "tiers_of_service": [{"name": "free", "parallel": 3},
                          {"name": "small", "refill": 0.01, "depth": 6.0}],
 }  # fmt: skip
-NEW["policy_limits"] = OLD["policy_limits"] | {"may_duplicate": False}
-NEW["specifics"] = OLD["specifics"] | {"post_paid": True}
-NEW["guarantees"] = OLD["guarantees"] | {"fall_multiple": 2.0}
+NEW_SETTINGS["policy_limits"] = OLD_SETTINGS["policy_limits"] | {"may_duplicate": False}
+NEW_SETTINGS["specifics"] = OLD_SETTINGS["specifics"] | {"post_paid": True}
+NEW_SETTINGS["guarantees"] = OLD_SETTINGS["guarantees"] | {"fall_multiple": 2.0}
 
 
-def held(talk: Talk, request: Request) -> None:
+def leave_unanswered(talk: Talk, request: Request) -> None:
     return None
 
 
-def settled(gatekeeper: Gatekeeper) -> dict[str, object]:
+def derived_values(gatekeeper: Gatekeeper) -> dict[str, object]:
     return {
-        f"{part}.{name}": getattr(getattr(gatekeeper, part) if part else gatekeeper, name)
-        for part, names in FOLLOWS.items()
+        f"{component}.{name}": getattr(getattr(gatekeeper, component) if component else gatekeeper, name)
+        for component, names in FOLLOWS.items()
         for name in names
     }
 
 
-def test_what_follows_from_the_settings_is_all_that_a_new_one_would_reckon() -> None:
+def test_values_derived_from_the_settings_equal_those_of_a_new_policy() -> None:
     small, large = settings(fleet=3), settings(fleet=60)
     for old, new in ((small, large), (large, small)):
         gatekeeper = Drive(old).gatekeeper
         renew(gatekeeper, 101.0, new)
-        assert settled(gatekeeper) == settled(Drive(new).gatekeeper)
+        assert derived_values(gatekeeper) == derived_values(Drive(new).gatekeeper)
         assert gatekeeper.fleet.subset == Drive(new).gatekeeper.fleet.subset
 
 
-def test_use_attempts_and_health_live_on_and_no_ceiling_is_granted_anew() -> None:
-    d = Drive()
-    d.serve(20)
-    d.ask(plan="small")
-    out = d.sent("once")
-    capped = sends(d.ask(plan="capped", customer=9))
-    gatekeeper = d.gatekeeper
+def test_usage_attempts_and_health_are_kept_and_no_hard_limit_is_granted_anew() -> None:
+    driver = Drive()
+    driver.serve(20)
+    driver.ask(plan="small")
+    once = driver.sent("once")
+    capped = sends(driver.ask(plan="capped", customer=9))
+    gatekeeper = driver.gatekeeper
     spent, mean, nodes = (
         gatekeeper.quota.customers[1].own.spent,
         gatekeeper.ceiling.mean["pure"],
         gatekeeper.fleet.nodes,
     )
     for fleet in (60, 3, 60, 3):
-        renew(gatekeeper, d.now, settings(fleet=fleet))
+        renew(gatekeeper, driver.now, settings(fleet=fleet))
         assert gatekeeper.quota.customers[1].own.spent == spent
         assert gatekeeper.ceiling.mean["pure"] == mean
         assert gatekeeper.fleet.nodes is nodes
-        assert (out.id, 0) in gatekeeper.flying
+        assert (once.id, 0) in gatekeeper.flying
         assert gatekeeper.out == 2 + len(capped)
-        for c in gatekeeper.quota.customers.values():
-            assert c.cap <= c.plan.cap_depth / 2 / c.size
-            assert c.pool <= c.plan.cap_depth / 2
-    assert gatekeeper.quota.get_account(d.now, 77, PLANS["capped"], 3, 0).cap == 0.0
-    assert d.end(out, interface.Code.OK) == []
-    assert d.tick(1.0)
+        for account in gatekeeper.quota.customers.values():
+            assert account.cap <= account.plan.cap_depth / 2 / account.size
+            assert account.pool <= account.plan.cap_depth / 2
+    assert gatekeeper.quota.get_account(driver.now, 77, PLANS["capped"], 3, 0).cap == 0.0
+    assert driver.end(once, interface.Code.OK) == []
+    assert driver.tick(1.0)
 
 
-def test_a_request_is_answered_under_the_class_and_plan_that_it_came_with() -> None:
-    d = Drive()
-    send = d.sent("once")
-    bare = interface.Settings(0, 3, "a", {"pure": CLASSES["pure"]}, {}, mail_per_s=60.0)
-    renew(d.gatekeeper, d.now, bare)
-    assert d.end(send, interface.Code.ABORTED, last=False) == [interface.Fail(send.id)]  # never sent twice
-    d.do(interface.TimerDue(TICK))
+def test_a_request_keeps_the_class_and_plan_that_it_arrived_with() -> None:
+    driver = Drive()
+    send = driver.sent("once")
+    reduced = interface.Settings(0, 3, "a", {"pure": CLASSES["pure"]}, {}, mail_per_s=60.0)
+    renew(driver.gatekeeper, driver.now, reduced)
+    # A request with side effects is never sent twice.
+    assert driver.end(send, interface.Code.ABORTED, last=False) == [interface.Fail(send.id)]
+    driver.do(interface.TimerDue(TICK))
 
 
 @pytest.mark.parametrize(
-    ("path", "value", "words"),
+    ("path", "value", "expected"),
     [
         ("guarantees.cold_share", 1.5, "guarantees.cold_share cannot be 1.5: 0 to 1 is allowed"),
         ("specifics.mail_per_s", -1, "specifics.mail_per_s cannot be -1: 0 or more is allowed"),
@@ -107,34 +114,39 @@
         ("fleet_size", 0, "fleet_size cannot be 0: 1 or more is allowed"),
     ],
 )
-def test_a_file_that_cannot_be_used_says_which_key_and_what_is_allowed(
-    tmp_path: Path, path: str, value: object, words: str
+def test_an_unusable_file_names_the_key_and_the_allowed_values(
+    tmp_path: Path, path: str, value: object, expected: str
 ) -> None:
-    tree = copy.deepcopy(OLD)
-    here: Any = tree
-    *steps, last = path.split(".")
+    document = copy.deepcopy(OLD_SETTINGS)
+    node: Any = document
+    *steps, key = path.split(".")
     for step in steps:
-        here = here[int(step) if step.isdigit() else step]
-    here.pop("may_duplicate", None) if "duplicte" in last else None
-    here[last] = value
+        node = node[int(step) if step.isdigit() else step]
+    node.pop("may_duplicate", None) if "duplicte" in key else None
+    node[key] = value
     with pytest.raises(ConfigError) as error:
-        load(str(configured(tmp_path, settings=tree)), {}, strict=True)
-    assert words in str(error.value)
+        load(str(configured(tmp_path, settings=document)), {}, strict=True)
+    assert expected in str(error.value)
 
 
-def test_other_programs_settings_are_no_error(tmp_path: Path) -> None:
-    tree = OLD | {"goal": {"whole": 0.7}, "prices": {"peer": 0.02}, "kinds": ["m"], "tick": 2_000_000}
-    assert load(str(configured(tmp_path, settings=tree)), {}, strict=True).settings.fleet_size == 3
+def test_settings_of_other_programs_are_accepted(tmp_path: Path) -> None:
+    document = OLD_SETTINGS | {
+        "goal": {"whole": 0.7},
+        "prices": {"peer": 0.02},
+        "kinds": ["m"],
+        "tick": 2_000_000,
+    }
+    assert load(str(configured(tmp_path, settings=document)), {}, strict=True).settings.fleet_size == 3
 
 
-def test_the_switch_in_a_running_program_and_back_twice(tmp_path: Path) -> None:
-    """Requests are out at each switch: every one is answered once, what must not run twice is not sent twice,
-    and a customer's use goes with it.
+def test_a_running_program_reloads_its_settings_back_and_forth(tmp_path: Path) -> None:
+    """Requests are in flight at each reload: each is answered once, none that must not run twice is sent
+    twice, and the customer's usage is kept.
     """
 
     async def test() -> None:
-        async with StandIn(held) as worker:
-            configured(tmp_path, settings=OLD)
+        async with StandIn(leave_unanswered) as worker:
+            configured(tmp_path, settings=OLD_SETTINGS)
             path, log = tmp_path / "config.json", Quiet()
             service = Service(load(str(path), {}), log, read_again=lambda: load(str(path), {}, strict=True))
             service.gateway.remembered(listing(entry("s-1", worker.address)))
@@ -143,26 +155,31 @@
             assert isinstance(service.module, Gatekeeper)
             gatekeeper, total = service.module, 0
             await until(lambda: service.gateway.ready and not service.gateway.inbox)
-            gatekeeper.ceiling.limit = 4000.0  # quotas alone are to decide here
+            gatekeeper.ceiling.limit = 4000.0  # so that only quotas decide
             gatekeeper.shares.divide(service.loop.time(), 4000.0)
-            # Of a burst of four three are sent on, a tenth is kept back; of six then two more.
-            for tree, sent in ((NEW, 3), (OLD, 2), (NEW, 0), (OLD, 0)):
+            # Of a burst of four units three are forwarded, as a tenth is kept back; of six then two more.
+            for document, forwarded in (
+                (NEW_SETTINGS, 3),
+                (OLD_SETTINGS, 2),
+                (NEW_SETTINGS, 0),
+                (OLD_SETTINGS, 0),
+            ):
                 callers = [await Caller.to(service.listener.address) for _ in range(4)]
                 for n, caller in enumerate(callers):
                     method, cls = (b"POST", b"once") if n % 2 else (b"GET", b"pure")
                     quota = b"units=1,spread=1,first=0"
                     caller.write(asking(method, X_Class=cls, Plan=b"small", Quota_Info=quota))
-                total += sent
+                total += forwarded
                 await until(lambda want=total: len(worker.requests) == want)  # type: ignore[misc]
                 await until(lambda: len(gatekeeper.flying) == len(gatekeeper.held))
-                configured(tmp_path, settings=tree)
+                configured(tmp_path, settings=document)
                 service.reload()
                 service.reload()  # two in a row
-                done, nothing = log.lines[-2:]
-                assert (done["event"], nothing["changed"]) == ("reloaded", []), done
-                assert "plans" in str(done["settings"])
-                assert "limits" in str(done["settings"])
-                assert gatekeeper.s.limits.may_duplicate == (tree is OLD)
+                reloaded, unchanged = log.lines[-2:]
+                assert (reloaded["event"], unchanged["changed"]) == ("reloaded", []), reloaded
+                assert "plans" in str(reloaded["settings"])
+                assert "limits" in str(reloaded["settings"])
+                assert gatekeeper.s.limits.may_duplicate == (document is OLD_SETTINGS)
                 path.write_text("{")
                 service.reload()
                 assert [line["event"] for line in log.lines[-1:]] == ["reload_failed"]
@@ -171,8 +188,8 @@
                         talk.requests.clear()
                         talk.write(OK)
                 statuses = [(await caller.answer()).status for caller in callers]
-                assert statuses.count(200) == sent
-                assert statuses.count(429) == 4 - sent
+                assert statuses.count(200) == forwarded
+                assert statuses.count(429) == 4 - forwarded
                 for caller in callers:
                     caller.close()
                 assert gatekeeper.quota.customers[0xB4D65521].own.spent == pytest.approx(total, abs=0.1)
@@ -185,10 +202,10 @@
     run(test)
 
 
-def test_a_stop_during_the_switch_answers_all(tmp_path: Path) -> None:
+def test_a_stop_during_a_reload_still_answers_all_requests(tmp_path: Path) -> None:
     async def test() -> None:
-        async with StandIn(held) as worker:
-            configured(tmp_path, settings=OLD)
+        async with StandIn(leave_unanswered) as worker:
+            configured(tmp_path, settings=OLD_SETTINGS)
             path = str(tmp_path / "config.json")
             service = Service(load(path, {}), Quiet(), read_again=lambda: load(path, {}, strict=True))
             service.gateway.remembered(listing(entry("s-1", worker.address)))
@@ -197,7 +214,7 @@
             caller = await Caller.to(service.listener.address)
             caller.write(asking(Quota_Info=b"units=1,spread=1,first=0"))
             await until(lambda: worker.requests)
-            configured(tmp_path, settings=NEW)
+            configured(tmp_path, settings=NEW_SETTINGS)
             ending = asyncio.ensure_future(service.end())
             await asyncio.sleep(0)
             service.reload()
@@ -209,19 +226,19 @@
     run(test)
 
 
-def test_a_number_of_its_own_and_what_starts_need_a_restart(tmp_path: Path) -> None:
+def test_changes_of_the_own_number_and_of_limits_need_a_restart(tmp_path: Path) -> None:
     async def test() -> None:
-        configured(tmp_path, settings=OLD)
+        configured(tmp_path, settings=OLD_SETTINGS)
         path, log = str(tmp_path / "config.json"), Quiet()
         service = Service(load(path, {}), log, read_again=lambda: load(path, {}, strict=True))
-        configured(tmp_path, settings=NEW | {"me": 2}, limits={"sockets": 99}, name="other")
+        configured(tmp_path, settings=NEW_SETTINGS | {"me": 2}, limits={"sockets": 99}, name="other")
         service.reload()
         assert log.lines[-1]["needs_restart"] == ["settings.me", "memory_mb", "name", "sockets"] or (
             log.lines[-1]["needs_restart"] == ["settings.me", "name", "sockets"]
         )
         assert service.config.settings.me == 0
         assert service.config.settings.fleet_size == 60
-        configured(tmp_path, settings=OLD | {"fleet_size": 0})
+        configured(tmp_path, settings=OLD_SETTINGS | {"fleet_size": 0})
         service.reload()
         assert log.lines[-1]["event"] == "reload_failed"
         assert "fleet_size" in json.dumps(log.lines[-1])
@@ -230,16 +247,17 @@
     run(test)
 
 
-def test_gatekeepers_that_have_switched_and_others_mean_the_same_plan() -> None:
-    """Plans went by their place in the settings: one more in front, and a customer was booked on another."""
-    more = {"first": interface.Plan("first", refill=1.0, depth=9.0), **PLANS}
-    switched = Drive(dataclasses.replace(settings(me=1), plans=more))
+def test_gateways_with_old_and_new_settings_mean_the_same_plan() -> None:
+    """Plans used to be numbered by their position: with one more in front usage counted for another plan."""
+    more_plans = {"first": interface.Plan("first", refill=1.0, depth=9.0), **PLANS}
+    switched = Drive(dataclasses.replace(settings(me=1), plans=more_plans))
     for _ in range(3):
         switched.ask(plan="busy")
-    told = [t for t in switched.tick(0.2) if t.peer == 0]
+    messages = [message for message in switched.tick(0.2) if message.peer == 0]
     other = Drive(settings(me=0))
-    for t in told:
-        other.do(interface.PeerMail(1, t.data))
+    for message in messages:
+        other.do(interface.PeerMail(1, message.data))
     assert other.gatekeeper.quota.customers[1].plan.name == "busy"
-    assert other.gatekeeper.quota.customers[1].spent() == pytest.approx(1.0, abs=0.1)  # two are refilled
-    assert len({plan_number(name) for name in more}) == len(more)
+    # Two of three units are refilled.
+    assert other.gatekeeper.quota.customers[1].spent() == pytest.approx(1.0, abs=0.1)
+    assert len({plan_number(name) for name in more_plans}) == len(more_plans)
