--- a/tests/standalone/helpers.py
+++ b/tests/standalone/helpers.py
@@ -1,22 +1,22 @@
-"""Settings, events and short ways to drive a Gatekeeper in the tests."""
+"""Settings, servers and a driver for tests of the policy."""
 
 from pewterring.standalone.policy import interface
 from pewterring.standalone.policy.decisions import TICK, Gatekeeper
 
-AIM, DEADLINE = 1.0, 4.0
+LATENCY_TARGET_S, DEADLINE = 1.0, 4.0
 CLASSES = {
-    "pure": interface.RequestClass("pure", AIM, DEADLINE),
+    "pure": interface.RequestClass("pure", LATENCY_TARGET_S, DEADLINE),
     "token-all": interface.RequestClass(
-        "token-all", AIM, DEADLINE, interface.Effect.TOKEN, interface.Group.ALL, 2.0
+        "token-all", LATENCY_TARGET_S, DEADLINE, interface.Effect.TOKEN, interface.Group.ALL, 2.0
     ),
     "token-zone": interface.RequestClass(
-        "token-zone", AIM, DEADLINE, interface.Effect.TOKEN, interface.Group.ZONE, 2.0
+        "token-zone", LATENCY_TARGET_S, DEADLINE, interface.Effect.TOKEN, interface.Group.ZONE, 2.0
     ),
     "token-cell": interface.RequestClass(
-        "token-cell", AIM, DEADLINE, interface.Effect.TOKEN, interface.Group.CELL, 2.0
+        "token-cell", LATENCY_TARGET_S, DEADLINE, interface.Effect.TOKEN, interface.Group.CELL, 2.0
     ),
-    "once": interface.RequestClass("once", AIM, DEADLINE, interface.Effect.SIDE_EFFECT),
-    "stream": interface.RequestClass("stream", AIM, DEADLINE, stream=True),
+    "once": interface.RequestClass("once", LATENCY_TARGET_S, DEADLINE, interface.Effect.SIDE_EFFECT),
+    "stream": interface.RequestClass("stream", LATENCY_TARGET_S, DEADLINE, stream=True),
 }
 PLANS = {
     "free": interface.Plan("free"),
@@ -55,7 +55,7 @@
 
 
 class Drive:
-    """A gatekeeper with a clock, a list of servers, and what it did last."""
+    """A policy with a clock and a list of servers; `first` holds the actions that the list led to."""
 
     def __init__(
         self,
@@ -65,7 +65,7 @@
     ) -> None:
         self.gatekeeper = Gatekeeper(setup or settings(), seed)
         self.now = 100.0
-        self.ids = 0
+        self.last_id = 0
         self.first = self.do(interface.ServerList(interface.ListForm.REMEMBERED, servers))
 
     def do(self, event: interface.Event) -> list[interface.Action]:
@@ -74,11 +74,13 @@
     def ask(
         self, cls: str = "pure", plan: str = "free", customer: int = 1, size: int = 3
     ) -> list[interface.Action]:
-        self.ids += 1
-        return self.do(interface.Request(self.ids, cls, plan, customer, self.now + DEADLINE, 1.0, size, 0))
+        self.last_id += 1
+        return self.do(
+            interface.Request(self.last_id, cls, plan, customer, self.now + DEADLINE, 1.0, size, 0)
+        )
 
     def sent(self, cls: str = "pure") -> interface.Send:
-        """Asks, and expects the request to be sent on."""
+        """Sends a request, which must be forwarded, and returns that action."""
         (action,) = self.ask(cls)
         assert isinstance(action, interface.Send)
         return action
@@ -91,11 +93,11 @@
         took: float = 0.1,
         last: bool | None = None,
     ) -> list[interface.Action]:
-        done = code == interface.Code.OK if last is None else last
-        return self.do(interface.Outcome(send.id, attempt, send.server, code, took, done))
+        no_more = code == interface.Code.OK if last is None else last
+        return self.do(interface.Outcome(send.id, attempt, send.server, code, took, no_more))
 
     def serve(self, count: int, latency: float = 0.1, plan: str = "free") -> None:
-        """That many requests one after the other, all answered."""
+        """Sends `count` requests one after the other; each attempt is answered after `latency` seconds."""
         for _ in range(count):
             for action in self.ask(plan=plan):
                 if isinstance(action, interface.Send):
@@ -103,7 +105,7 @@
                     self.end(action, interface.Code.OK, took=latency)
 
     def tick(self, past: float = 0.0) -> list[interface.Tell]:
-        """What peers are told after that time."""
+        """Advances the clock and returns the messages to peers of the next tick."""
         self.now += past
         return [a for a in self.do(interface.TimerDue(TICK)) if isinstance(a, interface.Tell)]
 
