--- a/pewterring/lab/policies.py
+++ b/pewterring/lab/policies.py
@@ -1,4 +1,4 @@
-"""Who decides in a run: the real Gatekeeper, or a baseline to compare it with. Baselines never serve.
+"""Who decides in a run: the real GatewayPolicy, or a baseline to compare it with. Baselines never serve.
 
 A policy is what the gateway calls a module, `handle(now, event) -> list[Action]`, with two things for the
 account: why it refused last, and what it holds its ceiling to be.
@@ -13,7 +13,7 @@
 from pewterring.admission.ceiling import Ceiling
 from pewterring.lab.stores import Store
 from pewterring.standalone.policy import interface as i
-from pewterring.standalone.policy.decisions import Gatekeeper
+from pewterring.standalone.policy.decisions import GatewayPolicy
 
 
 @dataclass(frozen=True, slots=True)
@@ -46,7 +46,7 @@
     """The decision module behind its interface. It says itself why it refuses."""
 
     def __init__(self, settings: i.Settings, seed: int) -> None:
-        self.module = Gatekeeper(settings, seed)
+        self.module = GatewayPolicy(settings, seed)
         self.reason = ""
 
     def handle(self, now: float, event: i.Event) -> Sequence[LabAction]:
--- a/pewterring/standalone/policy/decisions.py
+++ b/pewterring/standalone/policy/decisions.py
@@ -311,7 +311,7 @@
                     health.unresponsive_since = health.last_outcome = now
 
 
-class Gatekeeper:
+class GatewayPolicy:
     """Turns each event into actions, with the state kept between events."""
 
     LOST = 8.0  # typical latencies after which an attempt counts as lost: one in 3,000 if exponential
--- a/pewterring/standalone/proxy/service.py
+++ b/pewterring/standalone/proxy/service.py
@@ -14,7 +14,7 @@
 from pewterring.standalone.network.discovery import Discovery
 from pewterring.standalone.network.peers import Peers
 from pewterring.standalone.network.workers import Pool
-from pewterring.standalone.policy.decisions import Gatekeeper
+from pewterring.standalone.policy.decisions import GatewayPolicy
 from pewterring.standalone.policy.interface import Settings
 from pewterring.standalone.proxy.gateway import Gateway, Module
 from pewterring.standalone.proxy.switch import renew
@@ -68,7 +68,7 @@
         self.pool = Pool(
             self.loop, self.descriptors, transport.connect_timeout, transport.conn_idle, room=self.room
         )
-        module = self.module = module or Gatekeeper(config.settings, config.seed)
+        module = self.module = module or GatewayPolicy(config.settings, config.seed)
         if config.tally_s > 0:
             from pewterring.standalone.proxy.tally import Tally
 
@@ -151,7 +151,7 @@
         self.pool.renew(config.transport.connect_timeout, config.transport.conn_idle)
         if self.discovery:
             self.discovery.renew(pushed_within(config))
-        if isinstance(self.module, Gatekeeper):
+        if isinstance(self.module, GatewayPolicy):
             renew(self.module, self.loop.time(), config.settings)
 
     def unexpected(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
--- a/pewterring/standalone/proxy/switch.py
+++ b/pewterring/standalone/proxy/switch.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable
 
 from pewterring.standalone.policy import interface as i
-from pewterring.standalone.policy.decisions import Customer, Gatekeeper
+from pewterring.standalone.policy.decisions import Customer, GatewayPolicy
 
 # By part of the module: what follows from the settings and nothing else.
 FOLLOWS = {
@@ -19,9 +19,9 @@
 }
 
 
-def renew(keeper: Gatekeeper, now: float, settings: i.Settings) -> None:
+def renew(keeper: GatewayPolicy, now: float, settings: i.Settings) -> None:
     """Between two events. Requests held keep the class and the plan that they came with."""
-    new = Gatekeeper(settings, 0)
+    new = GatewayPolicy(settings, 0)
     for part, names in FOLLOWS.items():
         follow(getattr(keeper, part) if part else keeper, getattr(new, part) if part else new, names)
     # Customers met from now on start with no part of a hard ceiling: the switch grants nothing anew.
--- a/pewterring/standalone/proxy/tally.py
+++ b/pewterring/standalone/proxy/tally.py
@@ -9,7 +9,7 @@
 
 from pewterring.standalone.log import Log
 from pewterring.standalone.policy import interface as i
-from pewterring.standalone.policy.decisions import Gatekeeper
+from pewterring.standalone.policy.decisions import GatewayPolicy
 from pewterring.standalone.proxy.gateway import Module
 
 
@@ -58,7 +58,7 @@
 
     def cold(self, server: int, now: float) -> bool:
         module = self.module
-        if not isinstance(module, Gatekeeper) or (node := module.fleet.nodes.get(server)) is None:
+        if not isinstance(module, GatewayPolicy) or (node := module.fleet.nodes.get(server)) is None:
             return False
         return module.fleet.warmth(node, now) < 1.0
 
@@ -73,7 +73,7 @@
         state: dict[str, Any] = {}
         if served := self.counts["ended_ok"]:
             state["took_mean"] = round(self.took / served, 4)
-        if isinstance(module := self.module, Gatekeeper):
+        if isinstance(module := self.module, GatewayPolicy):
             shares = module.shares
             figures = {
                 "limit": module.ceiling.limit,
--- a/pewterring/standalone/simulator/__main__.py
+++ b/pewterring/standalone/simulator/__main__.py
@@ -1,19 +1,19 @@
-"""python -m pewterring.standalone.simulator: one Gatekeeper for each instance on the simulator's wire."""
+"""python -m pewterring.standalone.simulator: one GatewayPolicy for each instance on the simulator's wire."""
 
 import sys
 import traceback
 from collections.abc import Iterator
 from typing import TextIO
 
-from pewterring.standalone.policy.decisions import Gatekeeper
+from pewterring.standalone.policy.decisions import GatewayPolicy
 from pewterring.standalone.simulator import codec
 
 
-def answer(batch: codec.Batch, held: dict[str, Gatekeeper]) -> Iterator[str]:
+def answer(batch: codec.Batch, held: dict[str, GatewayPolicy]) -> Iterator[str]:
     """The lines of the reply to one batch; `held` is the instances that run."""
     for who, event in batch.events:
         if isinstance(event, codec.Started):
-            held[who] = Gatekeeper(event.settings, event.seed)
+            held[who] = GatewayPolicy(event.settings, event.seed)
         elif isinstance(event, codec.Killed):
             held.pop(who, None)
         elif who not in held:
@@ -29,7 +29,7 @@
 
 
 def serve(lines: Iterator[str], out: TextIO) -> None:
-    held: dict[str, Gatekeeper] = {}
+    held: dict[str, GatewayPolicy] = {}
     for batch in codec.read_batches(lines):
         out.write("\n".join(answer(batch, held)) + "\n")
         out.flush()
--- a/tests/cli/test_tally.py
+++ b/tests/cli/test_tally.py
@@ -10,14 +10,14 @@
 from pewterring.cli.tally import read, windows
 from pewterring.standalone.log import Log
 from pewterring.standalone.policy import interface as i
-from pewterring.standalone.policy.decisions import Gatekeeper
+from pewterring.standalone.policy.decisions import GatewayPolicy
 from pewterring.standalone.proxy.tally import Tally
 from tests.standalone.helpers import SERVERS, settings
 
 
 def test_a_line_counts_a_period_and_changes_no_action() -> None:
     out = io.BytesIO()
-    plain, counted = Gatekeeper(settings(), 7), Tally(Gatekeeper(settings(), 7), Log(out), 1.0)
+    plain, counted = GatewayPolicy(settings(), 7), Tally(GatewayPolicy(settings(), 7), Log(out), 1.0)
     events: list[i.Event] = [i.ServerList(i.ListForm.WHOLE, SERVERS)]
     events += [i.Request(n, "pure", "small", 1, 104.0, 1.0, 3, 0) for n in range(1, 9)]
     events.append(i.Expired(99))
--- a/tests/standalone/helpers.py
+++ b/tests/standalone/helpers.py
@@ -1,7 +1,7 @@
 """Settings, servers and a driver for tests of the policy."""
 
 from pewterring.standalone.policy import interface
-from pewterring.standalone.policy.decisions import TICK, Gatekeeper
+from pewterring.standalone.policy.decisions import TICK, GatewayPolicy
 
 LATENCY_TARGET_S, DEADLINE = 1.0, 4.0
 CLASSES = {
@@ -63,7 +63,7 @@
         servers: tuple[interface.Server, ...] = SERVERS,
         seed: int = 7,
     ) -> None:
-        self.gatekeeper = Gatekeeper(setup or settings(), seed)
+        self.gatekeeper = GatewayPolicy(setup or settings(), seed)
         self.now = 100.0
         self.last_id = 0
         self.first = self.do(interface.ServerList(interface.ListForm.REMEMBERED, servers))
--- a/tests/standalone/schedules.py
+++ b/tests/standalone/schedules.py
@@ -13,7 +13,7 @@
 from pewterring.standalone.http.writer import write_response
 from pewterring.standalone.network.connection import Address
 from pewterring.standalone.policy import interface
-from pewterring.standalone.policy.decisions import Gatekeeper
+from pewterring.standalone.policy.decisions import GatewayPolicy
 from pewterring.standalone.proxy.service import Service
 from tests.standalone.stand_ins import Rig, StandIn, Talk, as_json, asking, entry, until
 from tests.transport import virtual_time
@@ -236,7 +236,7 @@
         agents = [StandIn(self.on_list_request), StandIn(self.on_list_request)]
         for stand_in in (*self.workers, *agents):
             await stand_in.__aenter__()
-        policy = Gatekeeper(settings, self.seed)
+        policy = GatewayPolicy(settings, self.seed)
         rig = Rig(None, *(w.address for w in self.workers), discovery=agents[0].address, setup=settings)
         service = self.service = Service(
             rig.config, rig.log, policy, lambda: replace(rig.config, discovery=agents[1].address)
@@ -262,7 +262,7 @@
             for stand_in in (*self.workers, *agents):
                 await stand_in.__aexit__(None, None, None)
 
-    def nothing_left(self, service: Service, policy: Gatekeeper) -> None:
+    def nothing_left(self, service: Service, policy: GatewayPolicy) -> None:
         listener = service.listener
         assert listener is not None
         remaining = {
--- a/tests/standalone/test_belief.py
+++ b/tests/standalone/test_belief.py
@@ -6,7 +6,7 @@
 from pewterring.standalone.http.messages import Request
 from pewterring.standalone.network.connection import Address
 from pewterring.standalone.policy import interface
-from pewterring.standalone.policy.decisions import Gatekeeper
+from pewterring.standalone.policy.decisions import GatewayPolicy
 from tests.standalone.helpers import LIMITS, settings
 from tests.standalone.stand_ins import OK, Rig, StandIn, Talk, asking, entry, listing, run, until
 
@@ -42,8 +42,8 @@
     talk.write(b"\x00\x01noise\r\n\r\n")
 
 
-def policy_of(rig: Rig) -> Gatekeeper:
-    assert isinstance(rig.gateway.module, Gatekeeper)
+def policy_of(rig: Rig) -> GatewayPolicy:
+    assert isinstance(rig.gateway.module, GatewayPolicy)
     return rig.gateway.module
 
 
--- a/tests/standalone/test_gateway.py
+++ b/tests/standalone/test_gateway.py
@@ -13,7 +13,7 @@
 from pewterring.standalone.network import clients as clients_module
 from pewterring.standalone.network.connection import Address
 from pewterring.standalone.policy import interface as i
-from pewterring.standalone.policy.decisions import Gatekeeper
+from pewterring.standalone.policy.decisions import GatewayPolicy
 from pewterring.standalone.settings import Transport
 from tests.standalone.helpers import DEADLINE
 from tests.standalone.stand_ins import (
@@ -125,7 +125,7 @@
             assert len(worker.requests) == int(stays)
             # Nor is there a mark on the customer that it names.
             gatekeeper = rig.gateway.module
-            assert isinstance(gatekeeper, Gatekeeper)
+            assert isinstance(gatekeeper, GatewayPolicy)
             assert len(gatekeeper.quota.customers) == int(stays)
 
     run(test)
--- a/tests/standalone/test_races.py
+++ b/tests/standalone/test_races.py
@@ -14,7 +14,7 @@
 from pewterring.standalone.network.clients import Client
 from pewterring.standalone.network.connection import Address
 from pewterring.standalone.policy import interface as i
-from pewterring.standalone.policy.decisions import Gatekeeper
+from pewterring.standalone.policy.decisions import GatewayPolicy
 from pewterring.standalone.proxy import gateway as gateway_module
 from pewterring.standalone.proxy import service as service_module
 from tests.standalone.helpers import CLASSES, LIMITS, settings
@@ -43,7 +43,7 @@
     """Answers when the test says so."""
 
 
-class Heard(Gatekeeper):
+class Heard(GatewayPolicy):
     """The module, and what it was told."""
 
     def __init__(self, setup: i.Settings) -> None:
--- a/tests/standalone/test_rules.py
+++ b/tests/standalone/test_rules.py
@@ -6,7 +6,7 @@
 import pytest
 
 from pewterring.standalone.policy import interface
-from pewterring.standalone.policy.decisions import ANSWER_TIMEOUT, Gatekeeper
+from pewterring.standalone.policy.decisions import ANSWER_TIMEOUT, GatewayPolicy
 from tests.standalone.helpers import CLASSES, DEADLINE, LIMITS, PLANS, SERVERS, server, settings
 
 CODES = list(interface.Code)
@@ -19,7 +19,7 @@
     def __init__(self, seed: int, limits: interface.Limits) -> None:
         self.rng, self.now = random.Random(seed), 50.0
         self.limits = limits
-        self.gatekeeper = Gatekeeper(settings(limits=limits, ask=seed % 2 == 1), seed)
+        self.gatekeeper = GatewayPolicy(settings(limits=limits, ask=seed % 2 == 1), seed)
         self.requests: dict[int, interface.Request] = {}
         self.unanswered: set[int] = set()
         self.sent: dict[int, list[tuple[float, int]]] = {}
@@ -169,7 +169,7 @@
     checker.do(interface.ServerList(interface.ListForm.REMEMBERED, SERVERS))
     for _ in range(1500):
         checker.step()
-    for _ in range(Gatekeeper.MAX_ASKED):
+    for _ in range(GatewayPolicy.MAX_ASKED):
         checker.now += MAX_STEP_S
         checker.expire_attempts()
         checker.do(interface.TimerDue(ANSWER_TIMEOUT))
@@ -196,7 +196,7 @@
 
 def test_several_gateways_do_not_overload_a_cold_server() -> None:
     """Three gateways without messages to each other, and a cold server that rejects at once."""
-    gatekeepers = [Gatekeeper(settings(me=n, limits=TWO_ATTEMPTS), n) for n in range(3)]
+    gatekeepers = [GatewayPolicy(settings(me=n, limits=TWO_ATTEMPTS), n) for n in range(3)]
     rules, now, cold_sends, warm, id = settings().rules, 50.0, [], 0, 0
     servers = (*SERVERS, server(9, came_up=60.0))
     for gatekeeper in gatekeepers:
--- a/tests/standalone/test_switch.py
+++ b/tests/standalone/test_switch.py
@@ -13,7 +13,7 @@
 from pewterring.standalone.http.messages import Request
 from pewterring.standalone.peer_messages import plan_number
 from pewterring.standalone.policy import interface
-from pewterring.standalone.policy.decisions import TICK, Gatekeeper
+from pewterring.standalone.policy.decisions import TICK, GatewayPolicy
 from pewterring.standalone.proxy.service import Service
 from pewterring.standalone.proxy.switch import FOLLOWS, renew
 from tests.standalone.helpers import CLASSES, PLANS, Drive, sends, settings
@@ -47,7 +47,7 @@
     return None
 
 
-def derived_values(gatekeeper: Gatekeeper) -> dict[str, object]:
+def derived_values(gatekeeper: GatewayPolicy) -> dict[str, object]:
     return {
         f"{component}.{name}": getattr(getattr(gatekeeper, component) if component else gatekeeper, name)
         for component, names in FOLLOWS.items()
@@ -152,7 +152,7 @@
             service.gateway.remembered(listing(entry("s-1", worker.address)))
             await service.start()
             assert service.listener is not None
-            assert isinstance(service.module, Gatekeeper)
+            assert isinstance(service.module, GatewayPolicy)
             gatekeeper, total = service.module, 0
             await until(lambda: service.gateway.ready and not service.gateway.inbox)
             gatekeeper.ceiling.limit = 4000.0  # so that only quotas decide
--- a/tests/standalone/test_trace.py
+++ b/tests/standalone/test_trace.py
@@ -13,7 +13,7 @@
 import pytest
 
 from pewterring.standalone.policy import interface as i
-from pewterring.standalone.policy.decisions import Fleet, Gatekeeper
+from pewterring.standalone.policy.decisions import Fleet, GatewayPolicy
 from tests.standalone.helpers import SERVERS, settings
 
 RECORDED = "03d1114c8e4b97ed2b8f35b6c2f3870070b6f2aa3e3b6cbcadb2760bfff31c18"
@@ -22,7 +22,7 @@
 def trace(size: int, seconds: float) -> tuple[list[str], Counter[str]]:
     """What `size` gatekeepers do in that time of drawn requests, answers, drains and lost mail."""
     rng, lines, kinds = random.Random(11), list[str](), Counter[str]()
-    gatekeepers = [Gatekeeper(settings(me=n, fleet=size), n) for n in range(size)]
+    gatekeepers = [GatewayPolicy(settings(me=n, fleet=size), n) for n in range(size)]
     due: list[tuple[float, int, int, i.Event]] = []
     serial, attempts = itertools.count(), Counter[tuple[int, int]]()
 
--- a/tests/standalone/test_wire.py
+++ b/tests/standalone/test_wire.py
@@ -162,7 +162,7 @@
     def broken(self: object, now: float, event: i.Event) -> list[i.Action]:
         raise RuntimeError("two\nlines")
 
-    monkeypatch.setattr("pewterring.standalone.policy.decisions.Gatekeeper.handle", broken)
+    monkeypatch.setattr("pewterring.standalone.policy.decisions.GatewayPolicy.handle", broken)
     assert run(START)[1][0] == "exception\twho=gatekeeper_0\ttext=RuntimeError('two\\nlines')"
 
 
