--- a/pewterring/standalone/policy/decisions.py
+++ b/pewterring/standalone/policy/decisions.py
@@ -1,5 +1,5 @@
 """The policy of a gateway, see docs/design.md. A request needs quota (Quota), a slot below both the
-gateway's share and the concurrency limit (Shares, Ceiling), and a server (Fleet). Nothing is queued."""
+gateway's share and the concurrency limit (Shares, Ceiling), and a server (ServerPool). Nothing is queued."""
 
 import math  # isort: skip_file
 import random
@@ -182,7 +182,7 @@
                 } | {incarnation: reported}
 
 
-class Fleet:
+class ServerPool:
     """The servers: their list, health and slow start, and the choice of the least expected wait."""
 
     SILENCE_LIMIT = 8.0  # mean latencies; if exponential, a healthy server exceeds it once in e^8 times
@@ -328,7 +328,7 @@
         self.mail, others = 0.8 * settings.mail_per_s, settings.fleet_size - 1  # messages/s to use
         self.sparse = settings.limits.peers and 0.0 < HEARTBEAT_SHARE * self.mail * BEAT_S < others
         self.shares = Shares(settings.fleet_size, self.rng.getrandbits(32), self.sparse)
-        self.fleet = Fleet(settings, self.rng, self.sparse)
+        self.fleet = ServerPool(settings, self.rng, self.sparse)
         self.quota = Quota(settings, self.rng, self.sparse)
         self.held: dict[int, PendingRequest] = {}
         self.flying: dict[tuple[int, int], PendingRequest] = {}  # in flight, even past their request's end
--- a/tests/standalone/test_schedules.py
+++ b/tests/standalone/test_schedules.py
@@ -7,7 +7,7 @@
 
 from pewterring.standalone.network.workers import Pool
 from pewterring.standalone.policy import interface
-from pewterring.standalone.policy.decisions import Fleet
+from pewterring.standalone.policy.decisions import ServerPool
 from pewterring.standalone.proxy.service import Service
 from tests.standalone.schedules import FULL_LIMITS, MINIMAL_LIMITS, run_schedule
 
@@ -25,13 +25,13 @@
 
 
 def ignore_draining(patch: pytest.MonkeyPatch) -> None:
-    update = Fleet.update
+    update = ServerPool.update
 
-    def update_as_serving(self: Fleet, now: float, event: interface.ServerList) -> None:
+    def update_as_serving(self: ServerPool, now: float, event: interface.ServerList) -> None:
         servers = tuple(replace(server, mode=interface.Mode.SERVING) for server in event.servers)
         update(self, now, replace(event, servers=servers))
 
-    patch.setattr(Fleet, "update", update_as_serving)
+    patch.setattr(ServerPool, "update", update_as_serving)
     patch.setattr(Pool, "retain", lambda self, targets: None)
 
 
--- a/tests/standalone/test_sparse.py
+++ b/tests/standalone/test_sparse.py
@@ -7,7 +7,7 @@
 from pewterring.admission.shares import BEAT_S, Shares
 from pewterring.standalone.peer_messages import HEARTBEAT_TAG, Beat, write_beat
 from pewterring.standalone.policy import interface
-from pewterring.standalone.policy.decisions import Fleet
+from pewterring.standalone.policy.decisions import ServerPool
 from tests.standalone.helpers import CLASSES, SERVERS, Drive, sends, server, settings
 
 FLEET_SIZE = 300
@@ -70,7 +70,7 @@
         Drive(settings(me=n, fleet=FLEET_SIZE), (server(9, came_up=99.9),), seed=n) for n in range(FLEET_SIZE)
     ]
     at_once = sum(len(sends(driver.ask())) for driver in drivers)
-    assert at_once <= 4 * Fleet.COLD_SENDERS
+    assert at_once <= 4 * ServerPool.COLD_SENDERS
 
 
 def test_a_large_fleet_adapts_its_concurrency_limit_as_fast_by_larger_steps() -> None:
--- a/tests/standalone/test_trace.py
+++ b/tests/standalone/test_trace.py
@@ -13,7 +13,7 @@
 import pytest
 
 from pewterring.standalone.policy import interface as i
-from pewterring.standalone.policy.decisions import Fleet, GatewayPolicy
+from pewterring.standalone.policy.decisions import GatewayPolicy, ServerPool
 from tests.standalone.helpers import SERVERS, settings
 
 RECORDED = "03d1114c8e4b97ed2b8f35b6c2f3870070b6f2aa3e3b6cbcadb2760bfff31c18"
@@ -69,15 +69,15 @@
 
 
 def test_three_gatekeepers_decide_as_recorded(monkeypatch: pytest.MonkeyPatch) -> None:
-    begin = Fleet.__init__
+    begin = ServerPool.__init__
 
-    def as_then(self: Fleet, setup: i.Settings, rng: random.Random, sparse: bool = False) -> None:
+    def as_then(self: ServerPool, setup: i.Settings, rng: random.Random, sparse: bool = False) -> None:
         rng.getrandbits(
             32
         )  # then drawn for the chance picks of near servers; all draws after it would differ
         begin(self, setup, rng, sparse)
 
-    monkeypatch.setattr(Fleet, "__init__", as_then)
+    monkeypatch.setattr(ServerPool, "__init__", as_then)
     lines, kinds = trace(3, 30.0)
     assert kinds["Send"] > 1000
     assert kinds["Refuse"] > 100
