--- a/pewterring/standalone/policy/decisions.py
+++ b/pewterring/standalone/policy/decisions.py
@@ -22,7 +22,7 @@
 HEARTBEAT_SHARE = 0.3  # of the messages received, for heartbeats of all peers: 13 gateways at 100 messages/s
 
 
-class Customer(Account):
+class CustomerAccount(Account):
     """An account with the usage of the whole set, as far as it is known here."""
 
     def demand(self) -> float:
@@ -66,18 +66,18 @@
 
     def __init__(self, settings: Settings, rng: random.Random, sparse: bool = False) -> None:
         self.s, self.rng, self.began, self.sparse = settings, rng, 0.0, sparse
-        self.customers, self.incarnations = dict[int, Customer](), dict[int, int]()  # by peer
-        self.unsent: dict[int, Customer] = {}  # those with usage not yet sent to peers
+        self.customers, self.incarnations = dict[int, CustomerAccount](), dict[int, int]()  # by peer
+        self.unsent: dict[int, CustomerAccount] = {}  # those with usage not yet sent to peers
         self.answers: dict[tuple[int, int, int], tuple[float, Grant]] = {}  # given recently, as owner
         self.plans = {plan_number(name): plan for name, plan in settings.plans.items()}
 
-    def get_account(self, now: float, id: int, plan: Plan, size: int, first: int) -> Customer:
+    def get_account(self, now: float, id: int, plan: Plan, size: int, first: int) -> CustomerAccount:
         account, size = self.customers.get(id), max(1, size)
         owner = (first + id % size) % self.s.fleet_size
         if account and (account.size, account.first, account.keeper) != (size, first, owner):
             account.size, account.first, account.keeper, account.pool = size, first, owner, 0.0
         if account is None:
-            account = self.customers[id] = Customer(now, plan, size, first, owner)
+            account = self.customers[id] = CustomerAccount(now, plan, size, first, owner)
             # Half of a hard limit is divided evenly, half is held by the owner. Both fill from this gateway's
             # start, and an owner's first request says how much is spent: a restart grants nothing twice.
             account.pool = min(plan.cap_depth, (now - self.began) * plan.cap_rate) / 2
@@ -85,7 +85,7 @@
         account.pass_time(now)
         return account
 
-    def admits(self, account: Customer, units: float, reserve: float = 1 / GAIN) -> bool:
+    def admits(self, account: CustomerAccount, units: float, reserve: float = 1 / GAIN) -> bool:
         plan = account.plan  # from a full burst nothing is kept back
         spare = plan.depth - account.spent() - min(plan.depth, units + plan.depth * reserve)
         is_owner = self.sparse and account.keeper == self.s.me
@@ -101,7 +101,7 @@
             account.credit -= units
         return True
 
-    def needs_owner(self, account: Customer, units: float) -> bool:
+    def needs_owner(self, account: CustomerAccount, units: float) -> bool:
         shared = ((self.sparse and account.plan.refill)  # uneven arrivals use up one part of a hard limit
                  or account.plan.parallel or (account.plan.cap_rate and account.cap < units))  # fmt: skip
         return bool(shared) and account.size > 1 and self.s.limits.peers
--- a/pewterring/standalone/proxy/switch.py
+++ b/pewterring/standalone/proxy/switch.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable
 
 from pewterring.standalone.policy import interface as i
-from pewterring.standalone.policy.decisions import Customer, GatewayPolicy
+from pewterring.standalone.policy.decisions import CustomerAccount, GatewayPolicy
 
 # By part of the module: what follows from the settings and nothing else.
 FOLLOWS = {
@@ -30,7 +30,7 @@
         plan = settings.plans.get(c.plan.name)
         if plan and plan != c.plan:
             c.pass_time(now)
-            follow(c, Customer(now, plan, c.size, c.first, c.keeper), ("plan", "window", "idle"))
+            follow(c, CustomerAccount(now, plan, c.size, c.first, c.keeper), ("plan", "window", "idle"))
             c.cap, c.pool = min(c.cap, plan.cap_depth / 2 / c.size), min(c.pool, plan.cap_depth / 2)
     # The list is the same, but what of it is near may not be.
     keeper.handle(now, i.ServerList(i.ListForm.CHANGES))
