--- a/pewterring/standalone/policy/decisions.py
+++ b/pewterring/standalone/policy/decisions.py
@@ -328,7 +328,7 @@
         self.mail, others = 0.8 * settings.mail_per_s, settings.fleet_size - 1  # messages/s to use
         self.sparse = settings.limits.peers and 0.0 < HEARTBEAT_SHARE * self.mail * BEAT_S < others
         self.shares = Shares(settings.fleet_size, self.rng.getrandbits(32), self.sparse)
-        self.fleet = ServerPool(settings, self.rng, self.sparse)
+        self.pool = ServerPool(settings, self.rng, self.sparse)
         self.quota = Quota(settings, self.rng, self.sparse)
         self.held: dict[int, PendingRequest] = {}
         self.flying: dict[tuple[int, int], PendingRequest] = {}  # in flight, even past their request's end
@@ -353,8 +353,8 @@
     def handle(self, now: float, event: Event) -> list[Action]:
         self.actions = []
         if isinstance(event, ServerList):
-            self.fleet.update(now, event)
-            self.ceiling.rescale(self.fleet.rating, len(self.fleet.serving))
+            self.pool.update(now, event)
+            self.ceiling.rescale(self.pool.rating, len(self.pool.serving))
         if self.shares.began == -math.inf:
             self.start(now)
         match event:
@@ -372,14 +372,14 @@
                     self.on_message(now, peer, message)
                 elif self.shares.hear(now, peer, data, self.ceiling.limit):
                     self.quota.receive(now, peer, self.shares.peers[peer].beat.incarnation, data)
-            case ProbeResult(id, Code.OK) if id in self.fleet.nodes:
-                self.fleet.mark_responsive(self.fleet.nodes[id], now)
+            case ProbeResult(id, Code.OK) if id in self.pool.nodes:
+                self.pool.mark_responsive(self.pool.nodes[id], now)
             case StreamStarted() if event.id in self.held:
                 call = self.held[event.id]
                 call.streaming = True
                 self.ceiling.observe(call.cls, event.took, self.shares.elsewhere + self.out)
-                if server := self.fleet.nodes.get(event.server):
-                    self.fleet.mark_responsive(server, now, server.health_of(call.cls.name))
+                if server := self.pool.nodes.get(event.server):
+                    self.pool.mark_responsive(server, now, server.health_of(call.cls.name))
                     server.health_of(call.cls.name).in_flight[event.id, event.attempt] = math.inf
                 self.cancel(call.request.id, call.in_flight - {event.attempt})
             case Expired() if event.id in self.held:
@@ -412,8 +412,8 @@
     def check_silence(self, now: float, typical: float) -> None:
         # Attempts that never end hold no slot: a few would block an idle fleet. Overload raises latency too.
         self.lost = sum(now - c.attempts[n][1] > self.LOST * typical for (_, n), c in self.flying.items())
-        self.fleet.check_silence(now, self.ceiling.mean, typical)
-        for server in self.fleet.nodes.values():
+        self.pool.check_silence(now, self.ceiling.mean, typical)
+        for server in self.pool.nodes.values():
             for health in [h for h in server.health.values() if h.unresponsive_since]:
                 for id, attempt in list(health.in_flight):
                     if (call := self.held.get(id)) and call.in_flight == {attempt} and not call.streaming:
@@ -436,7 +436,7 @@
     def tick(self, now: float) -> None:
         elapsed, self.last_tick = max(1e-3, now - self.last_tick), now
         self.shares.settle(now, elapsed, self.ceiling.limit)
-        self.fleet.measure_rate(now, self.shares.flow)
+        self.pool.measure_rate(now, self.shares.flow)
         self.quota.expire(now)
         if not self.s.limits.peers or self.s.fleet_size < 2:
             return
@@ -533,7 +533,7 @@
         self.shares.wanted += 1
         if self.is_full():
             return self.refuse(call, "ceiling")
-        if (server := self.fleet.choose(now, self.fleet.serving, call)) is None:
+        if (server := self.pool.choose(now, self.pool.serving, call)) is None:
             return self.refuse(call, "workers")
         self.shares.passed += 1
         account.cap -= 0.0 if pooled or not plan.cap_rate else request.units
@@ -558,9 +558,9 @@
             return
         call.in_flight.discard(result.attempt)
         call.issued = call.issued or result.code != Code.TOO_LATE  # if none was, no units are charged
-        if server := self.fleet.nodes.get(result.server):
+        if server := self.pool.nodes.get(result.server):
             expected = self.ceiling.mean.get(call.cls.name, result.took)
-            self.fleet.record(server, server.health_of(call.cls.name), now, expected, result)
+            self.pool.record(server, server.health_of(call.cls.name), now, expected, result)
         # An attempt cancelled for its duplicate would have taken longer still. If left out, the mean falls,
         # more servers look unresponsive, more attempts are duplicated and cancelled, and the mean stays low.
         slow = result.code == Code.CANCELLED and result.took > self.ceiling.mean.get(call.cls.name, math.inf)
@@ -580,7 +580,7 @@
             self.refuse_or_fail(now, call)
 
     def allowed_servers(self, now: float, call: PendingRequest) -> list[ServerState]:  # where a retry is safe
-        servers, cls = self.fleet.serving, call.cls
+        servers, cls = self.pool.serving, call.cls
         may_have_run = [call.attempts[n] for n in sorted({*call.may_have_run, *call.in_flight})]
         if not may_have_run or cls.effect == Effect.PURE:
             return servers
@@ -598,7 +598,7 @@
         exhausted = len(call.attempts) >= self.s.limits.max_attempts or self.retry_budget < cost
         if exhausted or call.streaming or now >= call.request.not_after or self.is_full():
             return False
-        if server := self.fleet.choose(now, self.allowed_servers(now, call), call):
+        if server := self.pool.choose(now, self.allowed_servers(now, call), call):
             self.retry_budget -= cost
             self.send(now, call, server)
         return server is not None
--- a/pewterring/standalone/proxy/switch.py
+++ b/pewterring/standalone/proxy/switch.py
@@ -13,7 +13,7 @@
 FOLLOWS = {
     "ceiling": ("batch", "smooth"),
     "shares": ("fleet", "sparse", "lease"),
-    "fleet": ("s", "unseen", "sparse", "sample", "forget_s"),
+    "pool": ("s", "unseen", "sparse", "sample", "forget_s"),
     "quota": ("s", "sparse", "plans"),
     "": ("s", "mail", "sparse", "tick_s", "look_s", "wait_s"),
 }
--- a/pewterring/standalone/proxy/tally.py
+++ b/pewterring/standalone/proxy/tally.py
@@ -58,9 +58,9 @@
 
     def cold(self, server: int, now: float) -> bool:
         module = self.module
-        if not isinstance(module, GatewayPolicy) or (node := module.fleet.nodes.get(server)) is None:
+        if not isinstance(module, GatewayPolicy) or (node := module.pool.nodes.get(server)) is None:
             return False
-        return module.fleet.warmth(node, now) < 1.0
+        return module.pool.warmth(node, now) < 1.0
 
     def line(self, now: float) -> None:
         if self.since > -math.inf:
@@ -85,7 +85,7 @@
                 "usual": module.usual(),
                 "out": module.out,
                 "peers": sum(now - p.heard < shares.lease for p in shares.peers.values()),
-                "workers": len(module.fleet.serving),
+                "workers": len(module.pool.serving),
                 "customers": len(module.quota.customers),
             }
             state |= {name: round(x, 3) for name, x in figures.items()}
--- a/tests/standalone/test_accounts.py
+++ b/tests/standalone/test_accounts.py
@@ -244,7 +244,7 @@
 
 def test_units_granted_but_not_used_are_released() -> None:
     network = GatewayNetwork()
-    network.gateways[1].gatekeeper.fleet.serving = []  # no server can take it
+    network.gateways[1].gatekeeper.pool.serving = []  # no server can take it
     assert not network.is_forwarded(1, "steady", 5.0)
     assert network.gateways[OWNER].gatekeeper.quota.customers[7].spent() == pytest.approx(0.0)
 
--- a/tests/standalone/test_ceiling.py
+++ b/tests/standalone/test_ceiling.py
@@ -82,7 +82,7 @@
 
 def test_live_ratings_do_not_scale_the_ceiling() -> None:
     d = Drive()
-    assert d.gatekeeper.fleet.rating == len(SERVERS)
+    assert d.gatekeeper.pool.rating == len(SERVERS)
 
 
 def test_large_fleets_adapt_as_fast_as_small_ones() -> None:
--- a/tests/standalone/test_rules.py
+++ b/tests/standalone/test_rules.py
@@ -180,7 +180,7 @@
     assert not checker.unanswered
     assert not checker.gatekeeper.held
     assert checker.gatekeeper.out == 0
-    assert not any(state.in_flight for state in checker.gatekeeper.fleet.nodes.values())
+    assert not any(state.in_flight for state in checker.gatekeeper.pool.nodes.values())
 
 
 def test_equal_events_give_equal_actions() -> None:
--- a/tests/standalone/test_sparse.py
+++ b/tests/standalone/test_sparse.py
@@ -100,7 +100,7 @@
             dataclasses.replace(server(id), common=names[n], zone=str(n)) for id, n in enumerate(order, 1)
         )
         gatekeeper = Drive(settings(me=me, fleet=40), servers, seed=me).gatekeeper
-        for id in gatekeeper.fleet.subset:
+        for id in gatekeeper.pool.subset:
             counts[order[id - 1]] += 1
     assert min(counts) >= 7
     assert max(counts) <= 9
@@ -114,7 +114,7 @@
         subsets = []
         for listed in (names, names_after):
             servers = tuple(dataclasses.replace(server(n), common=n) for n in listed)
-            subsets.append(Drive(settings(me=me, fleet=40), servers).gatekeeper.fleet.subset)
+            subsets.append(Drive(settings(me=me, fleet=40), servers).gatekeeper.pool.subset)
         moved += len(subsets[1] - subsets[0] - set(names_after[-18:]))
     assert moved <= 40 * 12 / 4  # of the servers that stay, this many joined a subset
 
--- a/tests/standalone/test_switch.py
+++ b/tests/standalone/test_switch.py
@@ -61,7 +61,7 @@
         gatekeeper = Drive(old).gatekeeper
         renew(gatekeeper, 101.0, new)
         assert derived_values(gatekeeper) == derived_values(Drive(new).gatekeeper)
-        assert gatekeeper.fleet.subset == Drive(new).gatekeeper.fleet.subset
+        assert gatekeeper.pool.subset == Drive(new).gatekeeper.pool.subset
 
 
 def test_usage_attempts_and_health_are_kept_and_no_hard_limit_is_granted_anew() -> None:
@@ -74,13 +74,13 @@
     spent, mean, nodes = (
         gatekeeper.quota.customers[1].own.spent,
         gatekeeper.ceiling.mean["pure"],
-        gatekeeper.fleet.nodes,
+        gatekeeper.pool.nodes,
     )
     for fleet in (60, 3, 60, 3):
         renew(gatekeeper, driver.now, settings(fleet=fleet))
         assert gatekeeper.quota.customers[1].own.spent == spent
         assert gatekeeper.ceiling.mean["pure"] == mean
-        assert gatekeeper.fleet.nodes is nodes
+        assert gatekeeper.pool.nodes is nodes
         assert (once.id, 0) in gatekeeper.flying
         assert gatekeeper.out == 2 + len(capped)
         for account in gatekeeper.quota.customers.values():
