--- a/pewterring/standalone/policy/decisions.py
+++ b/pewterring/standalone/policy/decisions.py
@@ -65,7 +65,7 @@
     GRANT_TTL = 4.0  # typical latencies after which an owner frees a slot whose release did not arrive
 
     def __init__(self, settings: Settings, rng: random.Random, sparse: bool = False) -> None:
-        self.s, self.rng, self.began, self.sparse = settings, rng, 0.0, sparse
+        self.settings, self.rng, self.began, self.sparse = settings, rng, 0.0, sparse
         self.customers, self.incarnations = dict[int, CustomerAccount](), dict[int, int]()  # by peer
         self.unsent: dict[int, CustomerAccount] = {}  # those with usage not yet sent to peers
         self.answers: dict[tuple[int, int, int], tuple[float, Grant]] = {}  # given recently, as owner
@@ -73,7 +73,7 @@
 
     def get_account(self, now: float, id: int, plan: Plan, size: int, first: int) -> CustomerAccount:
         account, size = self.customers.get(id), max(1, size)
-        owner = (first + id % size) % self.s.fleet_size
+        owner = (first + id % size) % self.settings.fleet_size
         if account and (account.size, account.first, account.keeper) != (size, first, owner):
             account.size, account.first, account.keeper, account.pool = size, first, owner, 0.0
         if account is None:
@@ -88,7 +88,7 @@
     def admits(self, account: CustomerAccount, units: float, reserve: float = 1 / GAIN) -> bool:
         plan = account.plan  # from a full burst nothing is kept back
         spare = plan.depth - account.spent() - min(plan.depth, units + plan.depth * reserve)
-        is_owner = self.sparse and account.keeper == self.s.me
+        is_owner = self.sparse and account.keeper == self.settings.me
         if not plan.refill or (spare >= 0 and account.own.spent + units
                                <= plan.depth / (1 if is_owner else account.size)):  # fmt: skip
             return True  # beyond the local share the demand and what is left of the burst decide
@@ -104,14 +104,14 @@
     def needs_owner(self, account: CustomerAccount, units: float) -> bool:
         shared = ((self.sparse and account.plan.refill)  # uneven arrivals use up one part of a hard limit
                  or account.plan.parallel or (account.plan.cap_rate and account.cap < units))  # fmt: skip
-        return bool(shared) and account.size > 1 and self.s.limits.peers
+        return bool(shared) and account.size > 1 and self.settings.limits.peers
 
     def grant(self, now: float, peer: int, request: Ask, typical: float) -> Grant:
         """The owner's answer, the same to a repeated request. Used at once or lost, it has one holder."""
-        if (known := self.answers.get((peer, request.token, request.customer))) and peer != self.s.me:
+        if (known := self.answers.get((peer, request.token, request.customer))) and peer != self.settings.me:
             return known[1]
         plan = self.plans[request.plan]
-        is_new, remote = request.customer not in self.customers, self.sparse and peer != self.s.me
+        is_new, remote = request.customer not in self.customers, self.sparse and peer != self.settings.me
         account = self.get_account(now, request.customer, plan, request.size, request.first)
         account.spend((request.spent if is_new else request.ungranted * remote) * plan.depth)
         account.grants = {k: at for k, at in account.grants.items() if now - at <= self.GRANT_TTL * typical}
@@ -132,7 +132,7 @@
     def release(self, peer: int, release: Back) -> None:  # frees a slot, corrects the units
         if account := self.customers.get(release.customer):
             account.grants.pop((peer, release.token), None)
-            if self.sparse or peer == self.s.me:
+            if self.sparse or peer == self.settings.me:
                 account.own.spent += release.extra
                 account.own.demand += release.extra / account.window
 
@@ -147,14 +147,14 @@
         unsent, self.unsent = self.unsent, {}
         for id, account in unsent.items():
             account.pass_time(now)
-            for peer in (n % self.s.fleet_size
+            for peer in (n % self.settings.fleet_size
                          for n in range(account.first, account.first + account.size)):  # fmt: skip
                 known = account.sent.get(peer, Usage())
                 error = abs(account.own.demand - known.demand) / account.plan.refill
                 error += abs(account.own.spent - known.spent) / account.plan.depth
                 if error * account.size > 0.04:
                     updates.setdefault(peer, []).append((error, id, account.own))
-        updates.pop(self.s.me, None)
+        updates.pop(self.settings.me, None)
         return {peer: self.encode_updates(peer, entries) for peer, entries in updates.items()}
 
     def encode_updates(self, peer: int, entries: list[tuple[float, int, Usage]]) -> bytes:
@@ -173,7 +173,7 @@
             self.incarnations[peer] = incarnation
             self.unsent.update({id: a for id, a in self.customers.items() if a.sent.pop(peer, None)})
         for entry in read_news(data):
-            if entry.plan in self.plans and 0 < entry.size <= self.s.fleet_size:
+            if entry.plan in self.plans and 0 < entry.size <= self.settings.fleet_size:
                 plan = self.plans[entry.plan]
                 reported = Usage(entry.demand * plan.refill, entry.spent * plan.depth)
                 account = self.get_account(now, entry.customer, plan, entry.size, entry.first)
@@ -193,7 +193,7 @@
     SUBSET = 12  # servers that each gateway of a sparse fleet prefers, so that connections stay open
 
     def __init__(self, settings: Settings, rng: random.Random, sparse: bool = False) -> None:
-        self.s, self.rng = settings, rng
+        self.settings, self.rng = settings, rng
         self.nodes, self.serving = dict[int, ServerState](), list[ServerState]()
         # The fraction of a server's load not seen here: in a large fleet some warm server always looks idle.
         self.unseen, self.sparse = max(0.0, 1 - self.COLD_SENDERS / settings.fleet_size), sparse
@@ -215,12 +215,12 @@
             del self.nodes[id]
         self.serving = [s for s in self.nodes.values() if s.listed and s.entry.mode == Mode.SERVING]
         order = sorted(self.serving, key=lambda s: (s.entry.common or s.entry.id) * 2654435761 % 2**32)
-        pos = len(order) * self.s.me // self.s.fleet_size  # every gateway uses this order
+        pos = len(order) * self.settings.me // self.settings.fleet_size  # every gateway uses this order
         self.subset = {s.entry.id for s in ((order * 2)[pos : pos + self.SUBSET] if self.sparse else order)}
-        self.rating = sum(1.0 if self.s.live_ratings else s.entry.rating for s in self.serving)
+        self.rating = sum(1.0 if self.settings.live_ratings else s.entry.rating for s in self.serving)
 
     def warmth(self, server: ServerState, now: float) -> float:  # fraction of its full capacity
-        rules, age = self.s.rules, now - server.came_up
+        rules, age = self.settings.rules, now - server.came_up
         if not server.came_up or age >= rules.cold:
             return 1.0
         return rules.cold_share + (1 - rules.cold_share) * max(0.0, age) / rules.cold
@@ -228,7 +228,7 @@
     def begin_slow_start(self, server: ServerState, came_up: float, now: float) -> None:
         server.came_up, server.filled_at = came_up, now  # a few gateways may send at once, others later
         part = self.SUBSET / max(1, len(self.serving)) if self.sparse else 1.0
-        senders = self.s.fleet_size * min(1.0, part)
+        senders = self.settings.fleet_size * min(1.0, part)
         server.tokens = min(1.0, self.rng.random() + self.COLD_SENDERS / senders)
 
     def measure_rate(self, now: float, flow: float) -> None:  # sent to warm servers, per unit of rating
@@ -240,9 +240,9 @@
         warm = self.warmth(server, now)
         if warm >= 1.0:
             return True
-        rules = self.s.rules
+        rules = self.settings.rules
         rate = warm * server.entry.rating * self.pace * min(1.25 - self.unseen / 4, rules.fall_multiple / 2)
-        rate = max(rate, 1 / (rules.tip_after * self.s.fleet_size))  # no pace while all are cold
+        rate = max(rate, 1 / (rules.tip_after * self.settings.fleet_size))  # no pace while all are cold
         server.tokens = min(1.0 + rate * rules.tip_after / 2, server.tokens + rate * (now - server.filled_at))
         server.filled_at = now
         return server.tokens >= 1.0
@@ -263,8 +263,8 @@
         wait *= max(1.0, slowness) / max(0.05, 1.0 - error_rate) ** 4
         if health.unresponsive_since:
             wait *= 1000.0
-        if server.entry.zone != self.s.zone:
-            wait *= 1.0 + self.s.price_cross_zone * 10
+        if server.entry.zone != self.settings.zone:
+            wait *= 1.0 + self.settings.price_cross_zone * 10
         return wait
 
     def choose(self, now: float, candidates: list[ServerState], call: PendingRequest) -> ServerState | None:
@@ -294,7 +294,7 @@
         for health in [only] if only else server.health.values():
             health.last_answer = now
             if health.unresponsive_since and (now - max(health.unresponsive_since, server.last_answer)
-                                              > self.s.rules.tip_after):  # fmt: skip
+                                              > self.settings.rules.tip_after):  # fmt: skip
                 self.begin_slow_start(server, now, now)  # may have restarted: cold unless a list says not
             health.unresponsive_since = 0.0
         server.last_answer = now
@@ -322,7 +322,7 @@
     EXTRA, UNRUN_COST = 0.2, 0.25  # retries per first attempt; what one counts if none was executed before
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        self.s, self.rng = settings, random.Random(seed)
+        self.settings, self.rng = settings, random.Random(seed)
         self.ceiling = Ceiling(settings.fleet_size)
         # In a sparse fleet heartbeats to all cost more than they are worth, long before they overload peers.
         self.mail, others = 0.8 * settings.mail_per_s, settings.fleet_size - 1  # messages/s to use
@@ -362,12 +362,12 @@
                 self.on_request(now, event)
             case Outcome():
                 self.on_outcome(now, event)
-            case ServerList(ListForm.FAILED) if self.s.ask_discovery:
+            case ServerList(ListForm.FAILED) if self.settings.ask_discovery:
                 self.actions.append(SetTimer(
-                    self.s.rules.ask_within * self.rng.uniform(0.1, 0.4), LIST_RETRY))  # fmt: skip
+                    self.settings.rules.ask_within * self.rng.uniform(0.1, 0.4), LIST_RETRY))  # fmt: skip
             case TimerDue():
                 self.on_timer(now, event.label)
-            case PeerMail(peer, data) if peer != self.s.me and 0 <= peer < self.s.fleet_size:
+            case PeerMail(peer, data) if peer != self.settings.me and 0 <= peer < self.settings.fleet_size:
                 if message := read_ask(data):
                     self.on_message(now, peer, message)
                 elif self.shares.hear(now, peer, data, self.ceiling.limit):
@@ -390,7 +390,7 @@
         self.shares.began = self.quota.began = self.last_tick = now
         self.shares.divide(now, self.ceiling.limit)
         self.actions += [SetTimer(self.tick_s * self.rng.random(), TICK), SetTimer(self.look_s, HEALTH_TICK)]
-        if self.s.ask_discovery:
+        if self.settings.ask_discovery:
             self.actions.append(Subscribe())
 
     def on_timer(self, now: float, label: int) -> None:
@@ -418,7 +418,7 @@
                 for id, attempt in list(health.in_flight):
                     if (call := self.held.get(id)) and call.in_flight == {attempt} and not call.streaming:
                         self.recover_unanswered(now, call, attempt)
-            if (server.unresponsive and self.s.limits.probing and server.listed
+            if (server.unresponsive and self.settings.limits.probing and server.listed
                     and now - server.probed > 1.0):  # fmt: skip
                 server.probed = now
                 self.actions.append(Probe(server.entry.id))
@@ -428,7 +428,7 @@
         if call.cls.effect == Effect.SIDE_EFFECT:
             if call.cls.late_worth == 0 and now - call.attempts[attempt][1] >= call.cls.aim:
                 self.cancel(call.request.id, {attempt})
-        elif self.s.limits.may_duplicate:
+        elif self.settings.limits.may_duplicate:
             self.retry(now, call)
         elif self.retry_budget >= 1.0 and not self.is_full() and self.allowed_servers(now, call):
             self.cancel(call.request.id, {attempt})
@@ -438,24 +438,24 @@
         self.shares.settle(now, elapsed, self.ceiling.limit)
         self.pool.measure_rate(now, self.shares.flow)
         self.quota.expire(now)
-        if not self.s.limits.peers or self.s.fleet_size < 2:
+        if not self.settings.limits.peers or self.settings.fleet_size < 2:
             return
         heartbeat = self.shares.beat(self.ceiling.limit, self.out)
         if self.sparse:  # to a random peer, without updates: senders of updates are busier than the rest
-            peer = ((self.s.me + self.rng.randrange(1, self.s.fleet_size))
-                    % self.s.fleet_size)  # fmt: skip
+            peer = ((self.settings.me + self.rng.randrange(1, self.settings.fleet_size))
+                    % self.settings.fleet_size)  # fmt: skip
             return self.actions.append(Tell(peer, heartbeat))
         updates = self.quota.usage_updates(now)
-        for peer in [n for n in range(self.s.fleet_size) if n != self.s.me]:
+        for peer in [n for n in range(self.settings.fleet_size) if n != self.settings.me]:
             if peer in updates or now + self.tick_s / 2 - self.last_heartbeats.get(peer, -math.inf) > BEAT_S:
                 self.last_heartbeats[peer] = now
                 self.actions.append(Tell(peer, heartbeat + updates.get(peer, b"")))
 
     def on_request(self, now: float, request: Request) -> None:
         ttl = request.not_after - now  # a class that the settings don't name falls under the strictest rules
-        cls = (self.s.classes.get(request.cls)
+        cls = (self.settings.classes.get(request.cls)
                or RequestClass(request.cls, ttl, ttl, Effect.SIDE_EFFECT))  # fmt: skip
-        plan = self.s.plans.get(request.plan, Plan(request.plan))
+        plan = self.settings.plans.get(request.plan, Plan(request.plan))
         account = self.quota.get_account(now, request.customer, plan, request.set_size, request.set_from)
         call = self.held[request.id] = PendingRequest(request, cls, account.plan)
         account.own.demand += request.units / account.window
@@ -464,7 +464,7 @@
             self.quota.unsent[request.customer] = account
         # Up to twice the quota, by the totals last reported, is passed on to the owner, which decides.
         needs_owner = self.quota.needs_owner(account, request.units)
-        is_owner = needs_owner and self.sparse and account.keeper == self.s.me
+        is_owner = needs_owner and self.sparse and account.keeper == self.settings.me
         reserve = -1 / Quota.GAIN if needs_owner and self.sparse else 1 / Quota.GAIN
         if not (is_owner or self.quota.admits(account, request.units, reserve) or self.may_exceed(call)):
             return self.refuse(call, "quota")
@@ -476,8 +476,8 @@
         call.query = Ask(self.last_token, *identity, request.units, account.unreported,
                                   account.spent() / depth, account.ungranted / depth)  # fmt: skip
         account.unreported = 0.0
-        if account.keeper == self.s.me:
-            return self.admit(now, call, self.quota.grant(now, self.s.me, call.query, self.usual()))
+        if account.keeper == self.settings.me:
+            return self.admit(now, call, self.quota.grant(now, self.settings.me, call.query, self.usual()))
         self.asking[self.last_token] = call
         self.ask_owner(now, call, account.keeper, call.query)
 
@@ -491,7 +491,7 @@
     def on_message(self, now: float, peer: int, message: Ask | Grant | Back) -> None:
         match message:
             case Ask() if (message.plan in self.quota.plans
-                                    and 0 < message.size <= self.s.fleet_size):  # fmt: skip
+                                    and 0 < message.size <= self.settings.fleet_size):  # fmt: skip
                 grant = self.quota.grant(now, peer, message, self.usual())
                 self.actions.append(Tell(peer, write_ask(grant)))
             case Back():
@@ -515,7 +515,7 @@
             account.missed = min(Quota.MAX_MISSED, account.missed + 1)
         if answer and self.sparse:
             allowed, call.charged = answer.granted or self.may_exceed(call), answer.granted
-            if account.keeper != self.s.me:
+            if account.keeper != self.settings.me:
                 account.valid_to = now + (1 + account.missed) * Quota.ANSWER_TTL_S
                 account.missed, account.ungranted = account.missed / 2, 0.0
                 account.own = Usage()
@@ -595,7 +595,7 @@
 
     def retry(self, now: float, call: PendingRequest) -> bool:  # if limits, deadline, budget and slots allow
         cost = 1.0 if call.may_have_run or call.in_flight else self.UNRUN_COST
-        exhausted = len(call.attempts) >= self.s.limits.max_attempts or self.retry_budget < cost
+        exhausted = len(call.attempts) >= self.settings.limits.max_attempts or self.retry_budget < cost
         if exhausted or call.streaming or now >= call.request.not_after or self.is_full():
             return False
         if server := self.pool.choose(now, self.allowed_servers(now, call), call):
@@ -614,7 +614,7 @@
     def refuse(self, call: PendingRequest, reason: str) -> None:
         refill, slot = call.plan.refill, BEAT_S if reason == "tries" else self.usual()
         after = call.request.units / refill if reason == "quota" and refill else slot
-        advice = min(after, self.s.limits.max_retry_after) if self.s.limits.retry_after else 0.0
+        advice = min(after, self.settings.limits.max_retry_after) if self.settings.limits.retry_after else 0.0
         self.actions.append(Refuse(call.request.id, advice, reason))
         self.finish(call)
 
@@ -630,13 +630,13 @@
         extra = call.extra if call.issued else -call.request.units * call.charged
         release = Back(call.query.token if call.query else 0, call.request.customer, extra)
         account = self.quota.customers.get(call.request.customer)
-        remote = account is not None and call.query is not None and account.keeper != self.s.me
+        remote = account is not None and call.query is not None and account.keeper != self.settings.me
         if account and remote and (call.plan.parallel or extra):
             times = 1 if extra or call.plan.refill else 2  # twice if harmless: a lost release blocks a slot
             self.actions += [Tell(account.keeper, write_ask(release))] * times
         if not (self.sparse and remote):
-            self.quota.release(self.s.me, release)
+            self.quota.release(self.settings.me, release)
 
     def cancel(self, id: int, attempts: set[int]) -> None:
-        if self.s.limits.cancel:
+        if self.settings.limits.cancel:
             self.actions += [Cancel(id, n) for n in sorted(attempts)]
--- a/pewterring/standalone/proxy/switch.py
+++ b/pewterring/standalone/proxy/switch.py
@@ -13,9 +13,9 @@
 FOLLOWS = {
     "ceiling": ("batch", "smooth"),
     "shares": ("fleet", "sparse", "lease"),
-    "pool": ("s", "unseen", "sparse", "sample", "forget_s"),
-    "quota": ("s", "sparse", "plans"),
-    "": ("s", "mail", "sparse", "tick_s", "look_s", "wait_s"),
+    "pool": ("settings", "unseen", "sparse", "sample", "forget_s"),
+    "quota": ("settings", "sparse", "plans"),
+    "": ("settings", "mail", "sparse", "tick_s", "look_s", "wait_s"),
 }
 
 
--- a/tests/standalone/test_quota.py
+++ b/tests/standalone/test_quota.py
@@ -29,7 +29,7 @@
             for message in messages if not self.partitioned else ():
                 assert message.peer is not None
                 receiver = self.drivers[message.peer].gatekeeper
-                receiver.handle(driver.now, interface.PeerMail(driver.gatekeeper.s.me, message.data))
+                receiver.handle(driver.now, interface.PeerMail(driver.gatekeeper.settings.me, message.data))
 
     def forwarded_rate(
         self, rates: dict[int, int], seconds: float, size: int = 3, in_bursts: bool = False
--- a/tests/standalone/test_races.py
+++ b/tests/standalone/test_races.py
@@ -106,7 +106,7 @@
 ) -> None:
     async def test() -> None:
         module = Heard(settings(limits=limits))
-        async with StandIn() as worker, Rig(module, worker.address, setup=module.s) as rig:
+        async with StandIn() as worker, Rig(module, worker.address, setup=module.settings) as rig:
             gate = Gate(rig, monkeypatch)
             caller = await rig.caller()
             caller.write(asking(Plan=b"small", Quota_Info=b"units=2,spread=1,first=0"))
@@ -130,8 +130,8 @@
 def test_what_waits_for_its_account_s_keeper_is_not_sent_once_its_client_has_left(limits: i.Limits) -> None:
     async def test() -> None:
         module = Heard(settings(limits=limits))
-        async with StandIn() as worker, Rig(module, worker.address, setup=module.s) as rig:
-            customer = next(n for n in range(9) if (1 + n % 3) % 3 != module.s.me)
+        async with StandIn() as worker, Rig(module, worker.address, setup=module.settings) as rig:
+            customer = next(n for n in range(9) if (1 + n % 3) % 3 != module.settings.me)
             path, plan = b"/api/%016x" % customer, b"narrow"
             caller = await rig.caller()
             caller.write(asking(target=path, Plan=plan))
@@ -154,7 +154,7 @@
         module = Heard(settings(limits=limits))
         async with (
             StandIn(held) as one, StandIn(held) as two,
-            Rig(module, one.address, two.address, setup=module.s) as rig,
+            Rig(module, one.address, two.address, setup=module.settings) as rig,
         ):  # fmt: skip
             caller = await rig.caller()
             caller.write(asking())
--- a/tests/standalone/test_switch.py
+++ b/tests/standalone/test_switch.py
@@ -179,7 +179,7 @@
                 assert (reloaded["event"], unchanged["changed"]) == ("reloaded", []), reloaded
                 assert "plans" in str(reloaded["settings"])
                 assert "limits" in str(reloaded["settings"])
-                assert gatekeeper.s.limits.may_duplicate == (document is OLD_SETTINGS)
+                assert gatekeeper.settings.limits.may_duplicate == (document is OLD_SETTINGS)
                 path.write_text("{")
                 service.reload()
                 assert [line["event"] for line in log.lines[-1:]] == ["reload_failed"]
