--- a/pewterring/standalone/policy/decisions.py
+++ b/pewterring/standalone/policy/decisions.py
@@ -330,7 +330,7 @@
         self.shares = Shares(settings.fleet_size, self.rng.getrandbits(32), self.sparse)
         self.pool = ServerPool(settings, self.rng, self.sparse)
         self.quota = Quota(settings, self.rng, self.sparse)
-        self.held: dict[int, PendingRequest] = {}
+        self.requests: dict[int, PendingRequest] = {}
         self.flying: dict[tuple[int, int], PendingRequest] = {}  # in flight, even past their request's end
         self.actions: list[Action] = []
         self.lost, self.retry_budget, self.last_token, self.answer_rate = 0, 1.0, 0, 1.0
@@ -374,16 +374,16 @@
                     self.quota.receive(now, peer, self.shares.peers[peer].beat.incarnation, data)
             case ProbeResult(id, Code.OK) if id in self.pool.nodes:
                 self.pool.mark_responsive(self.pool.nodes[id], now)
-            case StreamStarted() if event.id in self.held:
-                call = self.held[event.id]
+            case StreamStarted() if event.id in self.requests:
+                call = self.requests[event.id]
                 call.streaming = True
                 self.ceiling.observe(call.cls, event.took, self.shares.elsewhere + self.out)
                 if server := self.pool.nodes.get(event.server):
                     self.pool.mark_responsive(server, now, server.health_of(call.cls.name))
                     server.health_of(call.cls.name).in_flight[event.id, event.attempt] = math.inf
                 self.cancel(call.request.id, call.in_flight - {event.attempt})
-            case Expired() if event.id in self.held:
-                self.finish(self.held[event.id])
+            case Expired() if event.id in self.requests:
+                self.finish(self.requests[event.id])
         return self.actions
 
     def start(self, now: float) -> None:
@@ -416,7 +416,7 @@
         for server in self.pool.nodes.values():
             for health in [h for h in server.health.values() if h.unresponsive_since]:
                 for id, attempt in list(health.in_flight):
-                    if (call := self.held.get(id)) and call.in_flight == {attempt} and not call.streaming:
+                    if (call := self.requests.get(id)) and call.in_flight == {attempt} and not call.streaming:
                         self.recover_unanswered(now, call, attempt)
             if (server.unresponsive and self.settings.limits.probing and server.listed
                     and now - server.probed > 1.0):  # fmt: skip
@@ -457,7 +457,7 @@
                or RequestClass(request.cls, ttl, ttl, Effect.SIDE_EFFECT))  # fmt: skip
         plan = self.settings.plans.get(request.plan, Plan(request.plan))
         account = self.quota.get_account(now, request.customer, plan, request.set_size, request.set_from)
-        call = self.held[request.id] = PendingRequest(request, cls, account.plan)
+        call = self.requests[request.id] = PendingRequest(request, cls, account.plan)
         account.own.demand += request.units / account.window
         account.unreported += request.units
         if account.plan.refill and not self.sparse:
@@ -570,7 +570,7 @@
             account.open = max(0, account.open - 1)
         if result.actual > 0 and call.charged:
             call.extra = result.actual - call.request.units
-        if call.request.id not in self.held:
+        if call.request.id not in self.requests:
             return None if call.in_flight else self.release_quota(call)
         if result.no_more:
             return self.finish(call)
@@ -619,7 +619,7 @@
         self.finish(call)
 
     def finish(self, call: PendingRequest) -> None:
-        del self.held[call.request.id]
+        del self.requests[call.request.id]
         if call.answer_due:
             self.asking = {token: c for token, c in self.asking.items() if c is not call}
         self.cancel(call.request.id, call.in_flight)
--- a/tests/standalone/test_answers.py
+++ b/tests/standalone/test_answers.py
@@ -17,7 +17,7 @@
 def test_served_needs_no_answer_of_ours() -> None:
     d = Drive()
     assert d.end(d.sent(), i.Code.OK) == []
-    assert not d.gatekeeper.held
+    assert not d.gatekeeper.requests
     assert d.gatekeeper.out == 0
 
 
@@ -172,7 +172,7 @@
     assert d.do(i.StreamStarted(first.id, 0, first.server, 3.0)) == [i.Cancel(first.id, 1)]
     assert d.end(copy, i.Code.CANCELLED, attempt=1) == []
     assert d.end(first, i.Code.ABORTED, last=True) == []
-    assert not d.gatekeeper.held
+    assert not d.gatekeeper.requests
 
 
 def test_unknown_class_is_never_sent_twice() -> None:
--- a/tests/standalone/test_rules.py
+++ b/tests/standalone/test_rules.py
@@ -178,7 +178,7 @@
         checker.now = max(checker.now, checker.requests[id].not_after)
         checker.outcome(id, attempt, interface.Code.DEADLINE_EXCEEDED)
     assert not checker.unanswered
-    assert not checker.gatekeeper.held
+    assert not checker.gatekeeper.requests
     assert checker.gatekeeper.out == 0
     assert not any(state.in_flight for state in checker.gatekeeper.pool.nodes.values())
 
--- a/tests/standalone/test_switch.py
+++ b/tests/standalone/test_switch.py
@@ -171,7 +171,7 @@
                     caller.write(asking(method, X_Class=cls, Plan=b"small", Quota_Info=quota))
                 total += forwarded
                 await until(lambda want=total: len(worker.requests) == want)  # type: ignore[misc]
-                await until(lambda: len(gatekeeper.flying) == len(gatekeeper.held))
+                await until(lambda: len(gatekeeper.flying) == len(gatekeeper.requests))
                 configured(tmp_path, settings=document)
                 service.reload()
                 service.reload()  # two in a row
