--- a/pewterring/standalone/policy/decisions.py
+++ b/pewterring/standalone/policy/decisions.py
@@ -331,7 +331,7 @@
         self.pool = ServerPool(settings, self.rng, self.sparse)
         self.quota = Quota(settings, self.rng, self.sparse)
         self.requests: dict[int, PendingRequest] = {}
-        self.flying: dict[tuple[int, int], PendingRequest] = {}  # in flight, even past their request's end
+        self.attempts: dict[tuple[int, int], PendingRequest] = {}  # in flight, even past their request's end
         self.actions: list[Action] = []
         self.lost, self.retry_budget, self.last_token, self.answer_rate = 0, 1.0, 0, 1.0
         self.asking: dict[int, PendingRequest] = {}  # by token of the quota request
@@ -342,7 +342,7 @@
 
     @property
     def out(self) -> int:
-        return max(0, len(self.flying) - self.lost)
+        return max(0, len(self.attempts) - self.lost)
 
     def is_full(self) -> bool:
         return self.out >= min(self.shares.room(self.out), self.ceiling.limit)
@@ -411,7 +411,7 @@
 
     def check_silence(self, now: float, typical: float) -> None:
         # Attempts that never end hold no slot: a few would block an idle fleet. Overload raises latency too.
-        self.lost = sum(now - c.attempts[n][1] > self.LOST * typical for (_, n), c in self.flying.items())
+        self.lost = sum(now - c.attempts[n][1] > self.LOST * typical for (_, n), c in self.attempts.items())
         self.pool.check_silence(now, self.ceiling.mean, typical)
         for server in self.pool.nodes.values():
             for health in [h for h in server.health.values() if h.unresponsive_since]:
@@ -546,7 +546,7 @@
         key = (call.request.id, len(call.attempts))
         call.in_flight.add(key[1])
         call.attempts.append((server, now))
-        self.flying[key] = call
+        self.attempts[key] = call
         if account := self.quota.customers.get(call.request.customer):
             account.open += 1
         server.health_of(call.cls.name).in_flight[key] = now
@@ -554,7 +554,7 @@
         self.actions.append(Send(call.request.id, server.entry.id))
 
     def on_outcome(self, now: float, result: Outcome) -> None:
-        if (call := self.flying.pop((result.id, result.attempt), None)) is None:
+        if (call := self.attempts.pop((result.id, result.attempt), None)) is None:
             return
         call.in_flight.discard(result.attempt)
         call.issued = call.issued or result.code != Code.TOO_LATE  # if none was, no units are charged
--- a/tests/standalone/schedules.py
+++ b/tests/standalone/schedules.py
@@ -269,7 +269,7 @@
             "calls": len(service.gateway.calls), "clients": len(listener.clients),
             "bytes of clients": listener.held, "bytes of workers": service.pool.held,
             "opening": len(service.pool.opening), "requests in the policy": len(policy.requests),
-            "attempts in the policy": len(policy.flying), "faults": service.gateway.faults,
+            "attempts in the policy": len(policy.attempts), "faults": service.gateway.faults,
         }  # fmt: skip
         served = sum(request.status == 200 for request in self.requests.values())
         if served < REQUESTS / 3:
--- a/tests/standalone/test_answers.py
+++ b/tests/standalone/test_answers.py
@@ -143,7 +143,7 @@
     assert d.gatekeeper.out == 1
     assert d.end(first, i.Code.CANCELLED) == []
     assert d.gatekeeper.out == 0
-    assert not d.gatekeeper.flying
+    assert not d.gatekeeper.attempts
 
 
 def test_cancel_only_where_allowed() -> None:
--- a/tests/standalone/test_belief.py
+++ b/tests/standalone/test_belief.py
@@ -74,7 +74,7 @@
 
             def counts_agree() -> bool:
                 in_flight = {1: first.in_flight(), 2: second.in_flight()}
-                return counted_attempts(rig) == in_flight and len(gatekeeper.flying) == sum(
+                return counted_attempts(rig) == in_flight and len(gatekeeper.attempts) == sum(
                     in_flight.values()
                 )
 
@@ -110,7 +110,7 @@
             await until(lambda: first.in_flight() == 1 and counted_attempts(rig)[3] == 1)
             for worker in (first, second):
                 worker.end(answer, worker.in_flight())
-            await until(lambda: not gatekeeper.flying and not gatekeeper.requests)
+            await until(lambda: not gatekeeper.attempts and not gatekeeper.requests)
             await until(lambda: not rig.gateway.calls and not rig.gateway.by_client)
             rig.gateway.listed(listing(entry("s-3", first.address), entry("s-2", second.address), version=4))
             await until(lambda: counted_attempts(rig) == {2: 0, 3: 0})
--- a/tests/standalone/test_switch.py
+++ b/tests/standalone/test_switch.py
@@ -81,7 +81,7 @@
         assert gatekeeper.quota.customers[1].own.spent == spent
         assert gatekeeper.ceiling.mean["pure"] == mean
         assert gatekeeper.pool.nodes is nodes
-        assert (once.id, 0) in gatekeeper.flying
+        assert (once.id, 0) in gatekeeper.attempts
         assert gatekeeper.out == 2 + len(capped)
         for account in gatekeeper.quota.customers.values():
             assert account.cap <= account.plan.cap_depth / 2 / account.size
@@ -171,7 +171,7 @@
                     caller.write(asking(method, X_Class=cls, Plan=b"small", Quota_Info=quota))
                 total += forwarded
                 await until(lambda want=total: len(worker.requests) == want)  # type: ignore[misc]
-                await until(lambda: len(gatekeeper.flying) == len(gatekeeper.requests))
+                await until(lambda: len(gatekeeper.attempts) == len(gatekeeper.requests))
                 configured(tmp_path, settings=document)
                 service.reload()
                 service.reload()  # two in a row
