--- a/pewterring/standalone/policy/decisions.py
+++ b/pewterring/standalone/policy/decisions.py
@@ -341,11 +341,11 @@
         self.wait_s = self.look_s * CHECKS_PER_TARGET * self.OWNER_WAIT
 
     @property
-    def out(self) -> int:
+    def in_flight(self) -> int:
         return max(0, len(self.attempts) - self.lost)
 
     def is_full(self) -> bool:
-        return self.out >= min(self.shares.room(self.out), self.ceiling.limit)
+        return self.in_flight >= min(self.shares.room(self.in_flight), self.ceiling.limit)
 
     def usual(self) -> float:  # mean of the slowest class; the shortest latency target while none is known
         return max(self.ceiling.mean.values(), default=self.look_s * CHECKS_PER_TARGET)
@@ -377,7 +377,7 @@
             case StreamStarted() if event.id in self.requests:
                 call = self.requests[event.id]
                 call.streaming = True
-                self.ceiling.observe(call.cls, event.took, self.shares.elsewhere + self.out)
+                self.ceiling.observe(call.cls, event.took, self.shares.elsewhere + self.in_flight)
                 if server := self.pool.nodes.get(event.server):
                     self.pool.mark_responsive(server, now, server.health_of(call.cls.name))
                     server.health_of(call.cls.name).in_flight[event.id, event.attempt] = math.inf
@@ -440,7 +440,7 @@
         self.quota.expire(now)
         if not self.settings.limits.peers or self.settings.fleet_size < 2:
             return
-        heartbeat = self.shares.beat(self.ceiling.limit, self.out)
+        heartbeat = self.shares.beat(self.ceiling.limit, self.in_flight)
         if self.sparse:  # to a random peer, without updates: senders of updates are busier than the rest
             peer = ((self.settings.me + self.rng.randrange(1, self.settings.fleet_size))
                     % self.settings.fleet_size)  # fmt: skip
@@ -502,7 +502,7 @@
 
     def may_exceed(self, call: PendingRequest) -> bool:  # the quota, if capacity is idle and it pays
         profitable = call.plan.over_worth > call.plan.over_cost and not call.plan.parallel
-        return profitable and self.out < self.IDLE_FRACTION * self.shares.share
+        return profitable and self.in_flight < self.IDLE_FRACTION * self.shares.share
 
     def admit(self, now: float, call: PendingRequest, answer: Grant | None) -> None:
         """Forwards a request if its account allows it, by the owner's answer or else by local figures."""
@@ -539,7 +539,7 @@
         account.cap -= 0.0 if pooled or not plan.cap_rate else request.units
         if not (answer and self.sparse):
             call.charged = account.spend(request.units)
-        self.retry_budget = min(10.0 + self.out / 2, self.retry_budget + self.EXTRA)
+        self.retry_budget = min(10.0 + self.in_flight / 2, self.retry_budget + self.EXTRA)
         self.send(now, call, server)
 
     def send(self, now: float, call: PendingRequest, server: ServerState) -> None:
@@ -565,7 +565,7 @@
         # more servers look unresponsive, more attempts are duplicated and cancelled, and the mean stays low.
         slow = result.code == Code.CANCELLED and result.took > self.ceiling.mean.get(call.cls.name, math.inf)
         if (result.code == Code.OK or slow) and not call.streaming:
-            self.ceiling.observe(call.cls, result.took, self.shares.elsewhere + self.out + 1)
+            self.ceiling.observe(call.cls, result.took, self.shares.elsewhere + self.in_flight + 1)
         if account := self.quota.customers.get(call.request.customer):
             account.open = max(0, account.open - 1)
         if result.actual > 0 and call.charged:
--- a/pewterring/standalone/proxy/tally.py
+++ b/pewterring/standalone/proxy/tally.py
@@ -83,7 +83,7 @@
                 "demand": shares.demand,
                 "demands": shares.total,
                 "usual": module.usual(),
-                "out": module.out,
+                "out": module.in_flight,
                 "peers": sum(now - p.heard < shares.lease for p in shares.peers.values()),
                 "workers": len(module.pool.serving),
                 "customers": len(module.quota.customers),
--- a/tests/standalone/test_answers.py
+++ b/tests/standalone/test_answers.py
@@ -18,7 +18,7 @@
     d = Drive()
     assert d.end(d.sent(), i.Code.OK) == []
     assert not d.gatekeeper.requests
-    assert d.gatekeeper.out == 0
+    assert d.gatekeeper.in_flight == 0
 
 
 @pytest.mark.parametrize("cls", CLASSES)
@@ -140,9 +140,9 @@
     d = Drive()
     first = d.sent()
     assert d.do(i.Expired(first.id)) == [i.Cancel(first.id, 0)]
-    assert d.gatekeeper.out == 1
+    assert d.gatekeeper.in_flight == 1
     assert d.end(first, i.Code.CANCELLED) == []
-    assert d.gatekeeper.out == 0
+    assert d.gatekeeper.in_flight == 0
     assert not d.gatekeeper.attempts
 
 
@@ -160,7 +160,7 @@
     assert d.do(i.Expired(999)) == []
     assert d.do(i.Outcome(999, 0, 1, i.Code.OK, 0.1, True)) == []
     assert d.do(i.ProbeResult(999, i.Code.OK, 0.1)) == []
-    assert d.gatekeeper.out == 0
+    assert d.gatekeeper.in_flight == 0
 
 
 def test_started_stream_drops_its_copies_and_is_not_sent_again() -> None:
@@ -216,14 +216,14 @@
     d = Drive()
     d.serve(40)
     endless = [d.sent("once") for _ in range(5)]
-    assert d.gatekeeper.out == 5
+    assert d.gatekeeper.in_flight == 5
     d.now += d.gatekeeper.LOST * 0.1 + 0.1
     d.do(i.TimerDue(2))
-    assert d.gatekeeper.out == 0
+    assert d.gatekeeper.in_flight == 0
     for s in endless:
         assert kinds(d.end(s, i.Code.DEADLINE_EXCEEDED)) == [i.Fail]
     d.do(i.TimerDue(2))
-    assert d.gatekeeper.out == 0
+    assert d.gatekeeper.in_flight == 0
 
 
 def test_who_finds_no_slot_is_told_to_come_back_when_one_comes_free() -> None:
--- a/tests/standalone/test_rules.py
+++ b/tests/standalone/test_rules.py
@@ -179,7 +179,7 @@
         checker.outcome(id, attempt, interface.Code.DEADLINE_EXCEEDED)
     assert not checker.unanswered
     assert not checker.gatekeeper.requests
-    assert checker.gatekeeper.out == 0
+    assert checker.gatekeeper.in_flight == 0
     assert not any(state.in_flight for state in checker.gatekeeper.pool.nodes.values())
 
 
--- a/tests/standalone/test_switch.py
+++ b/tests/standalone/test_switch.py
@@ -82,7 +82,7 @@
         assert gatekeeper.ceiling.mean["pure"] == mean
         assert gatekeeper.pool.nodes is nodes
         assert (once.id, 0) in gatekeeper.attempts
-        assert gatekeeper.out == 2 + len(capped)
+        assert gatekeeper.in_flight == 2 + len(capped)
         for account in gatekeeper.quota.customers.values():
             assert account.cap <= account.plan.cap_depth / 2 / account.size
             assert account.pool <= account.plan.cap_depth / 2
