--- a/pewterring/standalone/policy/decisions.py
+++ b/pewterring/standalone/policy/decisions.py
@@ -66,18 +66,18 @@
 
     def __init__(self, settings: Settings, rng: random.Random, sparse: bool = False) -> None:
         self.settings, self.rng, self.began, self.sparse = settings, rng, 0.0, sparse
-        self.customers, self.incarnations = dict[int, CustomerAccount](), dict[int, int]()  # by peer
+        self.accounts, self.incarnations = dict[int, CustomerAccount](), dict[int, int]()  # by peer
         self.unsent: dict[int, CustomerAccount] = {}  # those with usage not yet sent to peers
         self.answers: dict[tuple[int, int, int], tuple[float, Grant]] = {}  # given recently, as owner
         self.plans = {plan_number(name): plan for name, plan in settings.plans.items()}
 
     def get_account(self, now: float, id: int, plan: Plan, size: int, first: int) -> CustomerAccount:
-        account, size = self.customers.get(id), max(1, size)
+        account, size = self.accounts.get(id), max(1, size)
         owner = (first + id % size) % self.settings.fleet_size
         if account and (account.size, account.first, account.keeper) != (size, first, owner):
             account.size, account.first, account.keeper, account.pool = size, first, owner, 0.0
         if account is None:
-            account = self.customers[id] = CustomerAccount(now, plan, size, first, owner)
+            account = self.accounts[id] = CustomerAccount(now, plan, size, first, owner)
             # Half of a hard limit is divided evenly, half is held by the owner. Both fill from this gateway's
             # start, and an owner's first request says how much is spent: a restart grants nothing twice.
             account.pool = min(plan.cap_depth, (now - self.began) * plan.cap_rate) / 2
@@ -111,7 +111,7 @@
         if (known := self.answers.get((peer, request.token, request.customer))) and peer != self.settings.me:
             return known[1]
         plan = self.plans[request.plan]
-        is_new, remote = request.customer not in self.customers, self.sparse and peer != self.settings.me
+        is_new, remote = request.customer not in self.accounts, self.sparse and peer != self.settings.me
         account = self.get_account(now, request.customer, plan, request.size, request.first)
         account.spend((request.spent if is_new else request.ungranted * remote) * plan.depth)
         account.grants = {k: at for k, at in account.grants.items() if now - at <= self.GRANT_TTL * typical}
@@ -130,15 +130,15 @@
         return grant
 
     def release(self, peer: int, release: Back) -> None:  # frees a slot, corrects the units
-        if account := self.customers.get(release.customer):
+        if account := self.accounts.get(release.customer):
             account.grants.pop((peer, release.token), None)
             if self.sparse or peer == self.settings.me:
                 account.own.spent += release.extra
                 account.own.demand += release.extra / account.window
 
     def expire(self, now: float) -> None:
-        for id in [id for id, a in self.customers.items() if now - a.updated_at > a.idle]:
-            del self.customers[id]  # its burst and hard limit are full again
+        for id in [id for id, a in self.accounts.items() if now - a.updated_at > a.idle]:
+            del self.accounts[id]  # its burst and hard limit are full again
             self.unsent.pop(id, None)
         self.answers = {k: given for k, given in self.answers.items() if now - given[0] < self.ANSWER_TTL_S}
 
@@ -159,10 +159,10 @@
 
     def encode_updates(self, peer: int, entries: list[tuple[float, int, Usage]]) -> bytes:
         entries.sort(key=lambda entry: entry[:2], reverse=True)  # the largest errors first
-        self.unsent.update({id: self.customers[id] for _, id, _ in entries[MAX_USAGE_ENTRIES:]})
+        self.unsent.update({id: self.accounts[id] for _, id, _ in entries[MAX_USAGE_ENTRIES:]})
         usages = []
         for _, id, usage in entries[:MAX_USAGE_ENTRIES]:
-            account = self.customers[id]
+            account = self.accounts[id]
             account.sent[peer] = Usage(usage.demand, usage.spent)
             shown = (usage.demand / account.plan.refill, usage.spent / account.plan.depth)
             usages.append(News(id, plan_number(account.plan.name), account.size, account.first, *shown))
@@ -171,7 +171,7 @@
     def receive(self, now: float, peer: int, incarnation: int, data: bytes) -> None:
         if self.incarnations.setdefault(peer, incarnation) != incarnation:  # restarted: it needs all
             self.incarnations[peer] = incarnation
-            self.unsent.update({id: a for id, a in self.customers.items() if a.sent.pop(peer, None)})
+            self.unsent.update({id: a for id, a in self.accounts.items() if a.sent.pop(peer, None)})
         for entry in read_news(data):
             if entry.plan in self.plans and 0 < entry.size <= self.settings.fleet_size:
                 plan = self.plans[entry.plan]
@@ -398,7 +398,7 @@
             return self.actions.append(Subscribe())
         if label == ANSWER_TIMEOUT:
             for token, call in [(t, c) for t, c in self.asking.items() if now >= c.answer_due]:
-                account = self.quota.customers.get(call.request.customer)
+                account = self.quota.accounts.get(call.request.customer)
                 if account and call.query and call.times_asked < self.MAX_ASKED:
                     self.ask_owner(now, call, account.keeper, call.query)
                 else:
@@ -547,7 +547,7 @@
         call.in_flight.add(key[1])
         call.attempts.append((server, now))
         self.attempts[key] = call
-        if account := self.quota.customers.get(call.request.customer):
+        if account := self.quota.accounts.get(call.request.customer):
             account.open += 1
         server.health_of(call.cls.name).in_flight[key] = now
         server.tokens -= 1.0
@@ -566,7 +566,7 @@
         slow = result.code == Code.CANCELLED and result.took > self.ceiling.mean.get(call.cls.name, math.inf)
         if (result.code == Code.OK or slow) and not call.streaming:
             self.ceiling.observe(call.cls, result.took, self.shares.elsewhere + self.in_flight + 1)
-        if account := self.quota.customers.get(call.request.customer):
+        if account := self.quota.accounts.get(call.request.customer):
             account.open = max(0, account.open - 1)
         if result.actual > 0 and call.charged:
             call.extra = result.actual - call.request.units
@@ -629,7 +629,7 @@
     def release_quota(self, call: PendingRequest) -> None:  # frees its slot, corrects the units
         extra = call.extra if call.issued else -call.request.units * call.charged
         release = Back(call.query.token if call.query else 0, call.request.customer, extra)
-        account = self.quota.customers.get(call.request.customer)
+        account = self.quota.accounts.get(call.request.customer)
         remote = account is not None and call.query is not None and account.keeper != self.settings.me
         if account and remote and (call.plan.parallel or extra):
             times = 1 if extra or call.plan.refill else 2  # twice if harmless: a lost release blocks a slot
--- a/pewterring/standalone/proxy/switch.py
+++ b/pewterring/standalone/proxy/switch.py
@@ -26,7 +26,7 @@
         follow(getattr(keeper, part) if part else keeper, getattr(new, part) if part else new, names)
     # Customers met from now on start with no part of a hard ceiling: the switch grants nothing anew.
     keeper.quota.began = now
-    for c in keeper.quota.customers.values():
+    for c in keeper.quota.accounts.values():
         plan = settings.plans.get(c.plan.name)
         if plan and plan != c.plan:
             c.pass_time(now)
--- a/pewterring/standalone/proxy/tally.py
+++ b/pewterring/standalone/proxy/tally.py
@@ -86,7 +86,7 @@
                 "out": module.in_flight,
                 "peers": sum(now - p.heard < shares.lease for p in shares.peers.values()),
                 "workers": len(module.pool.serving),
-                "customers": len(module.quota.customers),
+                "customers": len(module.quota.accounts),
             }
             state |= {name: round(x, 3) for name, x in figures.items()}
         return state
--- a/tests/standalone/test_accounts.py
+++ b/tests/standalone/test_accounts.py
@@ -171,7 +171,7 @@
         if n == 200:
             requests_sent = 0
     assert requests_sent < 0.4 * 200
-    account = network.gateways[OWNER].gatekeeper.quota.customers[7]
+    account = network.gateways[OWNER].gatekeeper.quota.accounts[7]
     assert account.demand() > 60.0  # and all of it was reported
 
 
@@ -220,7 +220,7 @@
 def test_actual_units_reach_the_account() -> None:
     network = GatewayNetwork()
     assert network.is_forwarded(1, "steady", 4.0)
-    account = network.gateways[OWNER].gatekeeper.quota.customers[7]
+    account = network.gateways[OWNER].gatekeeper.quota.accounts[7]
     spent = account.spent()
     network.finish(*network.sent[0], actual=9.0)
     assert account.spent() == pytest.approx(spent + 5.0)
@@ -237,7 +237,7 @@
     assert network.is_forwarded(1, "steady", 4.0)
     network.finish(*network.sent[-1], actual=1.0)
     network.now += 0.001
-    network.gateways[1].gatekeeper.quota.customers[7].own.spent = -3.0
+    network.gateways[1].gatekeeper.quota.accounts[7].own.spent = -3.0
     network.handle(1, interface.TimerDue(TICK))
     network.deliver()
 
@@ -246,7 +246,7 @@
     network = GatewayNetwork()
     network.gateways[1].gatekeeper.pool.serving = []  # no server can take it
     assert not network.is_forwarded(1, "steady", 5.0)
-    assert network.gateways[OWNER].gatekeeper.quota.customers[7].spent() == pytest.approx(0.0)
+    assert network.gateways[OWNER].gatekeeper.quota.accounts[7].spent() == pytest.approx(0.0)
 
 
 def test_a_restarted_owner_learns_what_is_spent() -> None:
--- a/tests/standalone/test_gateway.py
+++ b/tests/standalone/test_gateway.py
@@ -126,7 +126,7 @@
             # Nor is there a mark on the customer that it names.
             gatekeeper = rig.gateway.module
             assert isinstance(gatekeeper, GatewayPolicy)
-            assert len(gatekeeper.quota.customers) == int(stays)
+            assert len(gatekeeper.quota.accounts) == int(stays)
 
     run(test)
 
--- a/tests/standalone/test_quota.py
+++ b/tests/standalone/test_quota.py
@@ -100,9 +100,9 @@
     fleet.drivers[1].now = fleet.drivers[0].now
     for _ in range(12):
         fleet.pass_time(0.1)
-    (account,) = fleet.drivers[1].gatekeeper.quota.customers.values()
+    (account,) = fleet.drivers[1].gatekeeper.quota.accounts.values()
     (reported,) = account.reported.values()
-    assert reported.spent == pytest.approx(reporter.quota.customers[1].own.spent, abs=0.2)
+    assert reported.spent == pytest.approx(reporter.quota.accounts[1].own.spent, abs=0.2)
     assert reported.spent > 1.0
 
 
@@ -114,7 +114,7 @@
         fleet.forwarded_rate({1: 20}, 2.0)
         fleet.pass_time(8.0)
     fleet.forwarded_rate({0: 1, 1: 20}, 1.0)
-    assert len(fleet.drivers[0].gatekeeper.quota.customers[1].reported) <= 2
+    assert len(fleet.drivers[0].gatekeeper.quota.accounts[1].reported) <= 2
 
 
 def test_without_messages_each_gateway_forwards_at_most_its_own_quota() -> None:
@@ -160,7 +160,7 @@
     driver.do(
         interface.PeerMail(2, heartbeat + USAGE_FORMAT.pack(5, plan_number("small"), 77, 0, 1, 1) + b"x")
     )
-    assert driver.gatekeeper.quota.customers == {}
+    assert driver.gatekeeper.quota.accounts == {}
 
 
 def test_accounts_without_recent_usage_are_dropped() -> None:
@@ -168,16 +168,16 @@
     for customer in range(300):
         driver.ask(plan="small", customer=customer)
     driver.tick(1000.0)
-    assert driver.gatekeeper.quota.customers == {}
+    assert driver.gatekeeper.quota.accounts == {}
 
 
 def test_actual_units_replace_the_estimate() -> None:
     driver = Drive(settings(me=0, fleet=1))
     request = interface.Request(900, "pure", "small", 1, driver.now + 4, 3.0, 1, 0)
     (send,) = sends(driver.do(request))
-    spent = driver.gatekeeper.quota.customers[1].spent()
+    spent = driver.gatekeeper.quota.accounts[1].spent()
     driver.do(interface.Outcome(900, 0, send.server, interface.Code.OK, 0.1, True, actual=4.0))
-    assert driver.gatekeeper.quota.customers[1].spent() == pytest.approx(spent + 1.0)
+    assert driver.gatekeeper.quota.accounts[1].spent() == pytest.approx(spent + 1.0)
 
 
 @pytest.mark.parametrize("restarts", [False, True])
@@ -257,4 +257,4 @@
     driver.ask(plan="capped", size=0)
     driver.now += 1.0
     assert sends(driver.ask(plan="capped", size=0))
-    assert driver.gatekeeper.quota.customers[1].size == 1
+    assert driver.gatekeeper.quota.accounts[1].size == 1
--- a/tests/standalone/test_races.py
+++ b/tests/standalone/test_races.py
@@ -111,7 +111,7 @@
             caller = await rig.caller()
             caller.write(asking(Plan=b"small", Quota_Info=b"units=2,spread=1,first=0"))
             await until(lambda: gate.waiting)
-            (customer,) = module.quota.customers.values()
+            (customer,) = module.quota.accounts.values()
             assert (customer.open, round(customer.own.spent, 1)) == (1, 2.0)
             caller.close()
             await until(lambda: rig.gateway.left)
--- a/tests/standalone/test_switch.py
+++ b/tests/standalone/test_switch.py
@@ -72,18 +72,18 @@
     capped = sends(driver.ask(plan="capped", customer=9))
     gatekeeper = driver.gatekeeper
     spent, mean, nodes = (
-        gatekeeper.quota.customers[1].own.spent,
+        gatekeeper.quota.accounts[1].own.spent,
         gatekeeper.ceiling.mean["pure"],
         gatekeeper.pool.nodes,
     )
     for fleet in (60, 3, 60, 3):
         renew(gatekeeper, driver.now, settings(fleet=fleet))
-        assert gatekeeper.quota.customers[1].own.spent == spent
+        assert gatekeeper.quota.accounts[1].own.spent == spent
         assert gatekeeper.ceiling.mean["pure"] == mean
         assert gatekeeper.pool.nodes is nodes
         assert (once.id, 0) in gatekeeper.attempts
         assert gatekeeper.in_flight == 2 + len(capped)
-        for account in gatekeeper.quota.customers.values():
+        for account in gatekeeper.quota.accounts.values():
             assert account.cap <= account.plan.cap_depth / 2 / account.size
             assert account.pool <= account.plan.cap_depth / 2
     assert gatekeeper.quota.get_account(driver.now, 77, PLANS["capped"], 3, 0).cap == 0.0
@@ -192,7 +192,7 @@
                 assert statuses.count(429) == 4 - forwarded
                 for caller in callers:
                     caller.close()
-                assert gatekeeper.quota.customers[0xB4D65521].own.spent == pytest.approx(total, abs=0.1)
+                assert gatekeeper.quota.accounts[0xB4D65521].own.spent == pytest.approx(total, abs=0.1)
             ids = [dict(r.headers)[b"x-request-id"] for r in worker.requests]
             assert len(ids) == len(set(ids)) == 5
             assert service.gateway.faults == 0
@@ -257,7 +257,7 @@
     other = Drive(settings(me=0))
     for message in messages:
         other.do(interface.PeerMail(1, message.data))
-    assert other.gatekeeper.quota.customers[1].plan.name == "busy"
+    assert other.gatekeeper.quota.accounts[1].plan.name == "busy"
     # Two of three units are refilled.
-    assert other.gatekeeper.quota.customers[1].spent() == pytest.approx(1.0, abs=0.1)
+    assert other.gatekeeper.quota.accounts[1].spent() == pytest.approx(1.0, abs=0.1)
     assert len({plan_number(name) for name in more_plans}) == len(more_plans)
