--- a/pewterring/standalone/policy/decisions.py
+++ b/pewterring/standalone/policy/decisions.py
@@ -527,7 +527,7 @@
             return self.refuse(call, "quota")
         # Without a grant only this gateway's own parts of the slots and of the hard limit may be used.
         slot = (answer.granted if answer else now >= account.full_until
-                and account.open < max(1, plan.parallel // account.size))  # fmt: skip
+                and account.in_flight < max(1, plan.parallel // account.size))  # fmt: skip
         if (plan.parallel and not slot) or (plan.cap_rate and not pooled and account.cap < request.units):
             return self.refuse(call, "limit")
         self.shares.wanted += 1
@@ -548,7 +548,7 @@
         call.attempts.append((server, now))
         self.attempts[key] = call
         if account := self.quota.accounts.get(call.request.customer):
-            account.open += 1
+            account.in_flight += 1
         server.health_of(call.cls.name).in_flight[key] = now
         server.tokens -= 1.0
         self.actions.append(Send(call.request.id, server.entry.id))
@@ -567,7 +567,7 @@
         if (result.code == Code.OK or slow) and not call.streaming:
             self.ceiling.observe(call.cls, result.took, self.shares.elsewhere + self.in_flight + 1)
         if account := self.quota.accounts.get(call.request.customer):
-            account.open = max(0, account.open - 1)
+            account.in_flight = max(0, account.in_flight - 1)
         if result.actual > 0 and call.charged:
             call.extra = result.actual - call.request.units
         if call.request.id not in self.requests:
--- a/tests/standalone/test_belief.py
+++ b/tests/standalone/test_belief.py
@@ -114,7 +114,7 @@
             await until(lambda: not rig.gateway.calls and not rig.gateway.by_client)
             rig.gateway.listed(listing(entry("s-3", first.address), entry("s-2", second.address), version=4))
             await until(lambda: counted_attempts(rig) == {2: 0, 3: 0})
-            assert all(account.open == 0 for account in gatekeeper.quota.accounts.values())
+            assert all(account.in_flight == 0 for account in gatekeeper.quota.accounts.values())
             used = len(rig.listener.clients) + sum(map(len, rig.service.pool.idle.values()))
             await until(lambda: rig.service.descriptors.used == used)
 
--- a/tests/standalone/test_races.py
+++ b/tests/standalone/test_races.py
@@ -112,13 +112,13 @@
             caller.write(asking(Plan=b"small", Quota_Info=b"units=2,spread=1,first=0"))
             await until(lambda: gate.waiting)
             (customer,) = module.quota.accounts.values()
-            assert (customer.open, round(customer.own.spent, 1)) == (1, 2.0)
+            assert (customer.in_flight, round(customer.own.spent, 1)) == (1, 2.0)
             caller.close()
             await until(lambda: rig.gateway.left)
             gate.open.set()
             await until(lambda: not rig.gateway.calls and not rig.service.pool.opening)
             assert [(o.code, o.no_more) for o in module.of(i.Outcome)] == [(i.Code.TOO_LATE, True)]
-            assert (customer.open, customer.own.spent, module.in_flight) == (0, 0.0, 0)
+            assert (customer.in_flight, customer.own.spent, module.in_flight) == (0, 0.0, 0)
             assert (await rig.ask(asking(X_Request_Id=b"marker"))).status == 200
             assert [r.get(b"x-request-id") for r in worker.requests] == [b"marker"]
             await until(lambda: rig.service.descriptors.used == len(rig.service.pool.idle))
