--- a/pewterring/standalone/policy/decisions.py
+++ b/pewterring/standalone/policy/decisions.py
@@ -50,7 +50,7 @@
             u.spent *= 1 - fraction
         self.own.spent = max(0.0, own)
         half = elapsed * self.plan.cap_rate / 2
-        self.cap = min(self.plan.cap_depth / 2 / self.size, self.cap + half / self.size)
+        self.own_cap = min(self.plan.cap_depth / 2 / self.size, self.own_cap + half / self.size)
         self.pool = min(self.plan.cap_depth / 2, self.pool + half)
         self.updated_at = now
 
@@ -81,7 +81,7 @@
             # Half of a hard limit is divided evenly, half is held by the owner. Both fill from this gateway's
             # start, and an owner's first request says how much is spent: a restart grants nothing twice.
             account.pool = min(plan.cap_depth, (now - self.began) * plan.cap_rate) / 2
-            account.cap, account.credit = account.pool / size, self.rng.random()
+            account.own_cap, account.credit = account.pool / size, self.rng.random()
         account.pass_time(now)
         return account
 
@@ -103,7 +103,7 @@
 
     def needs_owner(self, account: CustomerAccount, units: float) -> bool:
         shared = ((self.sparse and account.plan.refill)  # uneven arrivals use up one part of a hard limit
-                 or account.plan.parallel or (account.plan.cap_rate and account.cap < units))  # fmt: skip
+                 or account.plan.parallel or (account.plan.cap_rate and account.own_cap < units))  # fmt: skip
         return bool(shared) and account.size > 1 and self.settings.limits.peers
 
     def grant(self, now: float, peer: int, request: Ask, typical: float) -> Grant:
@@ -528,7 +528,7 @@
         # Without a grant only this gateway's own parts of the slots and of the hard limit may be used.
         slot = (answer.granted if answer else now >= account.full_until
                 and account.in_flight < max(1, plan.parallel // account.size))  # fmt: skip
-        if (plan.parallel and not slot) or (plan.cap_rate and not pooled and account.cap < request.units):
+        if (plan.parallel and not slot) or (plan.cap_rate and not pooled and account.own_cap < request.units):
             return self.refuse(call, "limit")
         self.shares.wanted += 1
         if self.is_full():
@@ -536,7 +536,7 @@
         if (server := self.pool.choose(now, self.pool.serving, call)) is None:
             return self.refuse(call, "workers")
         self.shares.passed += 1
-        account.cap -= 0.0 if pooled or not plan.cap_rate else request.units
+        account.own_cap -= 0.0 if pooled or not plan.cap_rate else request.units
         if not (answer and self.sparse):
             call.charged = account.spend(request.units)
         self.retry_budget = min(10.0 + self.in_flight / 2, self.retry_budget + self.EXTRA)
--- a/pewterring/standalone/policy/state.py
+++ b/pewterring/standalone/policy/state.py
@@ -43,7 +43,7 @@
         self.reported, self.sent = dict[int, Usage](), dict[int, Usage]()
         # Units of credit for admission beyond the local share, units left in this gateway's part of the hard
         # limit, and the customer's attempts in flight.
-        self.credit, self.cap, self.in_flight = 0.0, 0.0, 0
+        self.credit, self.own_cap, self.in_flight = 0.0, 0.0, 0
         # Units of demand, and units spent without a grant, that were not reported to the owner yet.
         self.unreported = self.ungranted = 0.0
         # Until when the slots count as taken after a rejection by the owner, until when reported usage does
