--- a/pewterring/standalone/policy/decisions.py
+++ b/pewterring/standalone/policy/decisions.py
@@ -51,7 +51,7 @@
         self.own.spent = max(0.0, own)
         half = elapsed * self.plan.cap_rate / 2
         self.own_cap = min(self.plan.cap_depth / 2 / self.size, self.own_cap + half / self.size)
-        self.pool = min(self.plan.cap_depth / 2, self.pool + half)
+        self.shared_cap = min(self.plan.cap_depth / 2, self.shared_cap + half)
         self.updated_at = now
 
 
@@ -75,13 +75,13 @@
         account, size = self.accounts.get(id), max(1, size)
         owner = (first + id % size) % self.settings.fleet_size
         if account and (account.size, account.first, account.keeper) != (size, first, owner):
-            account.size, account.first, account.keeper, account.pool = size, first, owner, 0.0
+            account.size, account.first, account.keeper, account.shared_cap = size, first, owner, 0.0
         if account is None:
             account = self.accounts[id] = CustomerAccount(now, plan, size, first, owner)
             # Half of a hard limit is divided evenly, half is held by the owner. Both fill from this gateway's
             # start, and an owner's first request says how much is spent: a restart grants nothing twice.
-            account.pool = min(plan.cap_depth, (now - self.began) * plan.cap_rate) / 2
-            account.own_cap, account.credit = account.pool / size, self.rng.random()
+            account.shared_cap = min(plan.cap_depth, (now - self.began) * plan.cap_rate) / 2
+            account.own_cap, account.credit = account.shared_cap / size, self.rng.random()
         account.pass_time(now)
         return account
 
@@ -118,8 +118,8 @@
         account.own.demand += request.demand / account.window * remote
         granted = not self.sparse or self.admits(account, request.units)
         granted = granted and not (plan.parallel and len(account.grants) >= plan.parallel)
-        pooled = granted and plan.cap_rate > 0 and account.pool >= request.units
-        account.pool -= request.units * pooled
+        pooled = granted and plan.cap_rate > 0 and account.shared_cap >= request.units
+        account.shared_cap -= request.units * pooled
         if granted and plan.parallel:
             account.grants[peer, request.token] = now
         if granted and self.sparse:
--- a/pewterring/standalone/policy/state.py
+++ b/pewterring/standalone/policy/state.py
@@ -50,7 +50,7 @@
         # not decay, and how many quota requests the owner recently left unanswered.
         self.full_until = self.valid_to = self.missed = 0.0
         # At the owner: units left in its half of the hard limit; times of granted slots by peer and token.
-        self.pool, self.grants = 0.0, dict[tuple[int, int], float]()
+        self.shared_cap, self.grants = 0.0, dict[tuple[int, int], float]()
 
 
 @dataclass(slots=True, eq=False)
--- a/pewterring/standalone/proxy/switch.py
+++ b/pewterring/standalone/proxy/switch.py
@@ -31,7 +31,10 @@
         if plan and plan != c.plan:
             c.pass_time(now)
             follow(c, CustomerAccount(now, plan, c.size, c.first, c.keeper), ("plan", "window", "idle"))
-            c.own_cap, c.pool = min(c.own_cap, plan.cap_depth / 2 / c.size), min(c.pool, plan.cap_depth / 2)
+            c.own_cap, c.shared_cap = (
+                min(c.own_cap, plan.cap_depth / 2 / c.size),
+                min(c.shared_cap, plan.cap_depth / 2),
+            )
     # The list is the same, but what of it is near may not be.
     keeper.handle(now, i.ServerList(i.ListForm.CHANGES))
 
--- a/tests/standalone/test_switch.py
+++ b/tests/standalone/test_switch.py
@@ -85,7 +85,7 @@
         assert gatekeeper.in_flight == 2 + len(capped)
         for account in gatekeeper.quota.accounts.values():
             assert account.own_cap <= account.plan.cap_depth / 2 / account.size
-            assert account.pool <= account.plan.cap_depth / 2
+            assert account.shared_cap <= account.plan.cap_depth / 2
     assert gatekeeper.quota.get_account(driver.now, 77, PLANS["capped"], 3, 0).own_cap == 0.0
     assert driver.end(once, interface.Code.OK) == []
     assert driver.tick(1.0)
