--- a/pewterring/standalone/policy/decisions.py
+++ b/pewterring/standalone/policy/decisions.py
@@ -74,8 +74,8 @@
     def get_account(self, now: float, id: int, plan: Plan, size: int, first: int) -> CustomerAccount:
         account, size = self.accounts.get(id), max(1, size)
         owner = (first + id % size) % self.settings.fleet_size
-        if account and (account.size, account.first, account.keeper) != (size, first, owner):
-            account.size, account.first, account.keeper, account.shared_cap = size, first, owner, 0.0
+        if account and (account.size, account.first, account.owner) != (size, first, owner):
+            account.size, account.first, account.owner, account.shared_cap = size, first, owner, 0.0
         if account is None:
             account = self.accounts[id] = CustomerAccount(now, plan, size, first, owner)
             # Half of a hard limit is divided evenly, half is held by the owner. Both fill from this gateway's
@@ -88,7 +88,7 @@
     def admits(self, account: CustomerAccount, units: float, reserve: float = 1 / GAIN) -> bool:
         plan = account.plan  # from a full burst nothing is kept back
         spare = plan.depth - account.spent() - min(plan.depth, units + plan.depth * reserve)
-        is_owner = self.sparse and account.keeper == self.settings.me
+        is_owner = self.sparse and account.owner == self.settings.me
         if not plan.refill or (spare >= 0 and account.own.spent + units
                                <= plan.depth / (1 if is_owner else account.size)):  # fmt: skip
             return True  # beyond the local share the demand and what is left of the burst decide
@@ -400,7 +400,7 @@
             for token, call in [(t, c) for t, c in self.asking.items() if now >= c.answer_due]:
                 account = self.quota.accounts.get(call.request.customer)
                 if account and call.query and call.times_asked < self.MAX_ASKED:
-                    self.ask_owner(now, call, account.keeper, call.query)
+                    self.ask_owner(now, call, account.owner, call.query)
                 else:
                     del self.asking[token]
                     self.answer_rate -= self.answer_rate * self.ANSWER_WEIGHT
@@ -464,7 +464,7 @@
             self.quota.unsent[request.customer] = account
         # Up to twice the quota, by the totals last reported, is passed on to the owner, which decides.
         needs_owner = self.quota.needs_owner(account, request.units)
-        is_owner = needs_owner and self.sparse and account.keeper == self.settings.me
+        is_owner = needs_owner and self.sparse and account.owner == self.settings.me
         reserve = -1 / Quota.GAIN if needs_owner and self.sparse else 1 / Quota.GAIN
         if not (is_owner or self.quota.admits(account, request.units, reserve) or self.may_exceed(call)):
             return self.refuse(call, "quota")
@@ -476,10 +476,10 @@
         call.query = Ask(self.last_token, *identity, request.units, account.unreported,
                                   account.spent() / depth, account.ungranted / depth)  # fmt: skip
         account.unreported = 0.0
-        if account.keeper == self.settings.me:
+        if account.owner == self.settings.me:
             return self.admit(now, call, self.quota.grant(now, self.settings.me, call.query, self.usual()))
         self.asking[self.last_token] = call
-        self.ask_owner(now, call, account.keeper, call.query)
+        self.ask_owner(now, call, account.owner, call.query)
 
     def ask_owner(self, now: float, call: PendingRequest, owner: int, query: Ask) -> None:
         wait = min(self.wait_s, (call.request.not_after - now) / 2) / self.MAX_ASKED  # deadlines may be near
@@ -515,7 +515,7 @@
             account.missed = min(Quota.MAX_MISSED, account.missed + 1)
         if answer and self.sparse:
             allowed, call.charged = answer.granted or self.may_exceed(call), answer.granted
-            if account.keeper != self.settings.me:
+            if account.owner != self.settings.me:
                 account.valid_to = now + (1 + account.missed) * Quota.ANSWER_TTL_S
                 account.missed, account.ungranted = account.missed / 2, 0.0
                 account.own = Usage()
@@ -630,10 +630,10 @@
         extra = call.extra if call.issued else -call.request.units * call.charged
         release = Back(call.query.token if call.query else 0, call.request.customer, extra)
         account = self.quota.accounts.get(call.request.customer)
-        remote = account is not None and call.query is not None and account.keeper != self.settings.me
+        remote = account is not None and call.query is not None and account.owner != self.settings.me
         if account and remote and (call.plan.parallel or extra):
             times = 1 if extra or call.plan.refill else 2  # twice if harmless: a lost release blocks a slot
-            self.actions += [Tell(account.keeper, write_ask(release))] * times
+            self.actions += [Tell(account.owner, write_ask(release))] * times
         if not (self.sparse and remote):
             self.quota.release(self.settings.me, release)
 
--- a/pewterring/standalone/policy/state.py
+++ b/pewterring/standalone/policy/state.py
@@ -27,16 +27,16 @@
 class Account:
     """A customer's quota and limits at this gateway, with the usage that peers and its owner reported.
 
-    The customer's set is `size` gateways from number `first` on. `keeper` is the number of the one that
+    The customer's set is `size` gateways from number `first` on. `owner` is the number of the one that
     owns the account: it holds its state for the whole set.
     """
 
-    def __init__(self, now: float, plan: Plan, size: int, first: int, keeper: int) -> None:
+    def __init__(self, now: float, plan: Plan, size: int, first: int, owner: int) -> None:
         self.plan, self.size, self.first = plan, size, first
         # Demand decays by 1/e within the window, which an empty quota takes to refill.
         self.window = max(1.0, plan.depth / plan.refill) if plan.refill else 1.0
         self.idle = 2 * max(self.window, plan.cap_depth / plan.cap_rate if plan.cap_rate else 0.0) + 10.0
-        self.updated_at, self.keeper = now, keeper
+        self.updated_at, self.owner = now, owner
         self.own = Usage()  # this gateway's usage; at the owner in a sparse fleet that of the whole set
         # Usage that peers reported, by incarnation, so that usage before a peer's restart still counts, and
         # this gateway's usage as last sent to each peer, by the peer's number.
