--- a/pewterring/standalone/policy/decisions.py
+++ b/pewterring/standalone/policy/decisions.py
@@ -36,7 +36,7 @@
         self.own.spent, self.ungranted = self.own.spent + spent, self.ungranted + spent
         return spent > 0
 
-    def pass_time(self, now: float) -> None:
+    def advance(self, now: float) -> None:
         if (elapsed := now - self.updated_at) <= 0:
             return
         # The refill is divided by what each gateway spent, as its peers know it: else all refill too much.
@@ -82,7 +82,7 @@
             # start, and an owner's first request says how much is spent: a restart grants nothing twice.
             account.shared_cap = min(plan.cap_depth, (now - self.began) * plan.cap_rate) / 2
             account.own_cap, account.credit = account.shared_cap / size, self.rng.random()
-        account.pass_time(now)
+        account.advance(now)
         return account
 
     def admits(self, account: CustomerAccount, units: float, reserve: float = 1 / GAIN) -> bool:
@@ -146,7 +146,7 @@
         updates: dict[int, list[tuple[float, int, Usage]]] = {}
         unsent, self.unsent = self.unsent, {}
         for id, account in unsent.items():
-            account.pass_time(now)
+            account.advance(now)
             for peer in (n % self.settings.fleet_size
                          for n in range(account.first, account.first + account.size)):  # fmt: skip
                 known = account.sent.get(peer, Usage())
--- a/pewterring/standalone/proxy/switch.py
+++ b/pewterring/standalone/proxy/switch.py
@@ -29,7 +29,7 @@
     for c in keeper.quota.accounts.values():
         plan = settings.plans.get(c.plan.name)
         if plan and plan != c.plan:
-            c.pass_time(now)
+            c.advance(now)
             follow(c, CustomerAccount(now, plan, c.size, c.first, c.owner), ("plan", "window", "idle"))
             c.own_cap, c.shared_cap = (
                 min(c.own_cap, plan.cap_depth / 2 / c.size),
