--- a/pewterring/standalone/policy/decisions.py
+++ b/pewterring/standalone/policy/decisions.py
@@ -137,7 +137,7 @@
                 account.own.demand += release.extra / account.window
 
     def expire(self, now: float) -> None:
-        for id in [id for id, a in self.accounts.items() if now - a.updated_at > a.idle]:
+        for id in [id for id, a in self.accounts.items() if now - a.updated_at > a.idle_s]:
             del self.accounts[id]  # its burst and hard limit are full again
             self.unsent.pop(id, None)
         self.answers = {k: given for k, given in self.answers.items() if now - given[0] < self.ANSWER_TTL_S}
--- a/pewterring/standalone/policy/state.py
+++ b/pewterring/standalone/policy/state.py
@@ -35,7 +35,7 @@
         self.plan, self.size, self.first = plan, size, first
         # Demand decays by 1/e within the window, which an empty quota takes to refill.
         self.window = max(1.0, plan.depth / plan.refill) if plan.refill else 1.0
-        self.idle = 2 * max(self.window, plan.cap_depth / plan.cap_rate if plan.cap_rate else 0.0) + 10.0
+        self.idle_s = 2 * max(self.window, plan.cap_depth / plan.cap_rate if plan.cap_rate else 0.0) + 10.0
         self.updated_at, self.owner = now, owner
         self.own = Usage()  # this gateway's usage; at the owner in a sparse fleet that of the whole set
         # Usage that peers reported, by incarnation, so that usage before a peer's restart still counts, and
--- a/pewterring/standalone/proxy/switch.py
+++ b/pewterring/standalone/proxy/switch.py
@@ -30,7 +30,7 @@
         plan = settings.plans.get(c.plan.name)
         if plan and plan != c.plan:
             c.advance(now)
-            follow(c, CustomerAccount(now, plan, c.size, c.first, c.owner), ("plan", "window", "idle"))
+            follow(c, CustomerAccount(now, plan, c.size, c.first, c.owner), ("plan", "window", "idle_s"))
             c.own_cap, c.shared_cap = (
                 min(c.own_cap, plan.cap_depth / 2 / c.size),
                 min(c.shared_cap, plan.cap_depth / 2),
