--- a/pewterring/standalone/policy/decisions.py
+++ b/pewterring/standalone/policy/decisions.py
@@ -325,8 +325,8 @@
         self.settings, self.rng = settings, random.Random(seed)
         self.ceiling = Ceiling(settings.fleet_size)
         # In a sparse fleet heartbeats to all cost more than they are worth, long before they overload peers.
-        self.mail, others = 0.8 * settings.mail_per_s, settings.fleet_size - 1  # messages/s to use
-        self.sparse = settings.limits.peers and 0.0 < HEARTBEAT_SHARE * self.mail * BEAT_S < others
+        self.intake, others = 0.8 * settings.mail_per_s, settings.fleet_size - 1  # messages/s to use
+        self.sparse = settings.limits.peers and 0.0 < HEARTBEAT_SHARE * self.intake * BEAT_S < others
         self.shares = Shares(settings.fleet_size, self.rng.getrandbits(32), self.sparse)
         self.pool = ServerPool(settings, self.rng, self.sparse)
         self.quota = Quota(settings, self.rng, self.sparse)
@@ -335,7 +335,7 @@
         self.actions: list[Action] = []
         self.lost, self.retry_budget, self.last_token, self.answer_rate = 0, 1.0, 0, 1.0
         self.asking: dict[int, PendingRequest] = {}  # by token of the quota request
-        self.tick_s = BEAT_S / 2 if self.sparse else max(UPDATE_INTERVAL_S, others / max(self.mail, 1.0))
+        self.tick_s = BEAT_S / 2 if self.sparse else max(UPDATE_INTERVAL_S, others / max(self.intake, 1.0))
         self.last_tick, self.last_heartbeats = 0.0, dict[int, float]()
         self.look_s = min((c.aim for c in settings.classes.values()), default=1.0) / CHECKS_PER_TARGET
         self.wait_s = self.look_s * CHECKS_PER_TARGET * self.OWNER_WAIT
