--- a/pewterring/standalone/policy/decisions.py
+++ b/pewterring/standalone/policy/decisions.py
@@ -337,8 +337,8 @@
         self.asking: dict[int, PendingRequest] = {}  # by token of the quota request
         self.tick_s = BEAT_S / 2 if self.sparse else max(UPDATE_INTERVAL_S, others / max(self.intake, 1.0))
         self.last_tick, self.last_heartbeats = 0.0, dict[int, float]()
-        self.look_s = min((c.aim for c in settings.classes.values()), default=1.0) / CHECKS_PER_TARGET
-        self.wait_s = self.look_s * CHECKS_PER_TARGET * self.OWNER_WAIT
+        self.check_s = min((c.aim for c in settings.classes.values()), default=1.0) / CHECKS_PER_TARGET
+        self.wait_s = self.check_s * CHECKS_PER_TARGET * self.OWNER_WAIT
 
     @property
     def in_flight(self) -> int:
@@ -348,7 +348,7 @@
         return self.in_flight >= min(self.shares.room(self.in_flight), self.ceiling.limit)
 
     def usual(self) -> float:  # mean of the slowest class; the shortest latency target while none is known
-        return max(self.ceiling.mean.values(), default=self.look_s * CHECKS_PER_TARGET)
+        return max(self.ceiling.mean.values(), default=self.check_s * CHECKS_PER_TARGET)
 
     def handle(self, now: float, event: Event) -> list[Action]:
         self.actions = []
@@ -389,7 +389,7 @@
     def start(self, now: float) -> None:
         self.shares.began = self.quota.began = self.last_tick = now
         self.shares.divide(now, self.ceiling.limit)
-        self.actions += [SetTimer(self.tick_s * self.rng.random(), TICK), SetTimer(self.look_s, HEALTH_TICK)]
+        self.actions += [SetTimer(self.tick_s * self.rng.random(), TICK), SetTimer(self.check_s, HEALTH_TICK)]
         if self.settings.ask_discovery:
             self.actions.append(Subscribe())
 
@@ -407,7 +407,7 @@
                     self.admit(now, call, None)
             return None
         self.tick(now) if label == TICK else self.check_silence(now, self.usual())
-        self.actions.append(SetTimer(self.tick_s if label == TICK else self.look_s, label))
+        self.actions.append(SetTimer(self.tick_s if label == TICK else self.check_s, label))
 
     def check_silence(self, now: float, typical: float) -> None:
         # Attempts that never end hold no slot: a few would block an idle fleet. Overload raises latency too.
--- a/pewterring/standalone/proxy/switch.py
+++ b/pewterring/standalone/proxy/switch.py
@@ -15,7 +15,7 @@
     "shares": ("fleet", "sparse", "lease"),
     "pool": ("settings", "unseen", "sparse", "sample", "forget_s"),
     "quota": ("settings", "sparse", "plans"),
-    "": ("settings", "intake", "sparse", "tick_s", "look_s", "wait_s"),
+    "": ("settings", "intake", "sparse", "tick_s", "check_s", "wait_s"),
 }
 
 
