--- a/pewterring/standalone/policy/decisions.py
+++ b/pewterring/standalone/policy/decisions.py
@@ -198,7 +198,7 @@
         # The fraction of a server's load not seen here: in a large fleet some warm server always looks idle.
         self.unseen, self.sparse = max(0.0, 1 - self.COLD_SENDERS / settings.fleet_size), sparse
         scale = 1 + 2 * self.unseen
-        self.sample, self.forget_s = scale * self.OUTCOME_WEIGHT, scale * self.SYMPTOM_DECAY_S
+        self.weight, self.forget_s = scale * self.OUTCOME_WEIGHT, scale * self.SYMPTOM_DECAY_S
         self.subset, self.pace, self.rating = set[int](), 0.0, 0.0
 
     def update(self, now: float, event: ServerList) -> None:
@@ -283,10 +283,10 @@
                 continue
             (each.slowness, each.error_rate), each.updated_at = self.symptoms(each, now), now
             if outcome.code == Code.OK:
-                each.slowness += (min(10.0, outcome.took / max(mean, 1e-9)) - each.slowness) * self.sample
-                each.error_rate -= each.error_rate * self.sample
+                each.slowness += (min(10.0, outcome.took / max(mean, 1e-9)) - each.slowness) * self.weight
+                each.error_rate -= each.error_rate * self.weight
             elif outcome.code in ERROR_WEIGHTS:
-                each.error_rate += (ERROR_WEIGHTS[outcome.code] - each.error_rate) * self.sample
+                each.error_rate += (ERROR_WEIGHTS[outcome.code] - each.error_rate) * self.weight
         if outcome.code == Code.OK or outcome.code in ERROR_WEIGHTS:
             health.last_outcome = now
 
