--- a/pewterring/standalone/policy/decisions.py
+++ b/pewterring/standalone/policy/decisions.py
@@ -198,7 +198,7 @@
         # The fraction of a server's load not seen here: in a large fleet some warm server always looks idle.
         self.unseen, self.sparse = max(0.0, 1 - self.COLD_SENDERS / settings.fleet_size), sparse
         scale = 1 + 2 * self.unseen
-        self.weight, self.forget_s = scale * self.OUTCOME_WEIGHT, scale * self.SYMPTOM_DECAY_S
+        self.weight, self.decay_s = scale * self.OUTCOME_WEIGHT, scale * self.SYMPTOM_DECAY_S
         self.subset, self.pace, self.rating = set[int](), 0.0, 0.0
 
     def update(self, now: float, event: ServerList) -> None:
@@ -248,7 +248,7 @@
         return server.tokens >= 1.0
 
     def symptoms(self, health: Health, now: float) -> tuple[float, float]:  # decayed slowness and errors
-        decay = math.exp((health.updated_at - now) / self.forget_s)
+        decay = math.exp((health.updated_at - now) / self.decay_s)
         return 1.0 + (health.slowness - 1.0) * decay, health.error_rate * decay
 
     def cost(self, server: ServerState, now: float, cls: str) -> float:
@@ -279,7 +279,7 @@
             self.mark_responsive(server, now, health)
         # It counts for classes without a recent outcome too, not for all: one may be unserved, others served.
         for each in server.health.values():
-            if each is not health and now - each.last_outcome < self.forget_s:
+            if each is not health and now - each.last_outcome < self.decay_s:
                 continue
             (each.slowness, each.error_rate), each.updated_at = self.symptoms(each, now), now
             if outcome.code == Code.OK:
--- a/pewterring/standalone/proxy/switch.py
+++ b/pewterring/standalone/proxy/switch.py
@@ -13,7 +13,7 @@
 FOLLOWS = {
     "ceiling": ("batch", "smooth"),
     "shares": ("fleet", "sparse", "lease"),
-    "pool": ("settings", "unseen", "sparse", "weight", "forget_s"),
+    "pool": ("settings", "unseen", "sparse", "weight", "decay_s"),
     "quota": ("settings", "sparse", "plans"),
     "": ("settings", "intake", "sparse", "tick_s", "check_s", "wait_s"),
 }
