--- a/pewterring/standalone/policy/decisions.py
+++ b/pewterring/standalone/policy/decisions.py
@@ -347,7 +347,7 @@
     def is_full(self) -> bool:
         return self.in_flight >= min(self.shares.room(self.in_flight), self.ceiling.limit)
 
-    def usual(self) -> float:  # mean of the slowest class; the shortest latency target while none is known
+    def latency(self) -> float:  # mean of the slowest class; the shortest latency target while none is known
         return max(self.ceiling.mean.values(), default=self.check_s * CHECKS_PER_TARGET)
 
     def handle(self, now: float, event: Event) -> list[Action]:
@@ -406,7 +406,7 @@
                     self.answer_rate -= self.answer_rate * self.ANSWER_WEIGHT
                     self.admit(now, call, None)
             return None
-        self.tick(now) if label == TICK else self.check_silence(now, self.usual())
+        self.tick(now) if label == TICK else self.check_silence(now, self.latency())
         self.actions.append(SetTimer(self.tick_s if label == TICK else self.check_s, label))
 
     def check_silence(self, now: float, typical: float) -> None:
@@ -477,7 +477,7 @@
                                   account.spent() / depth, account.ungranted / depth)  # fmt: skip
         account.unreported = 0.0
         if account.owner == self.settings.me:
-            return self.admit(now, call, self.quota.grant(now, self.settings.me, call.query, self.usual()))
+            return self.admit(now, call, self.quota.grant(now, self.settings.me, call.query, self.latency()))
         self.asking[self.last_token] = call
         self.ask_owner(now, call, account.owner, call.query)
 
@@ -492,7 +492,7 @@
         match message:
             case Ask() if (message.plan in self.quota.plans
                                     and 0 < message.size <= self.settings.fleet_size):  # fmt: skip
-                grant = self.quota.grant(now, peer, message, self.usual())
+                grant = self.quota.grant(now, peer, message, self.latency())
                 self.actions.append(Tell(peer, write_ask(grant)))
             case Back():
                 self.quota.release(peer, message)
@@ -612,7 +612,7 @@
         self.finish(call)
 
     def refuse(self, call: PendingRequest, reason: str) -> None:
-        refill, slot = call.plan.refill, BEAT_S if reason == "tries" else self.usual()
+        refill, slot = call.plan.refill, BEAT_S if reason == "tries" else self.latency()
         after = call.request.units / refill if reason == "quota" and refill else slot
         advice = min(after, self.settings.limits.max_retry_after) if self.settings.limits.retry_after else 0.0
         self.actions.append(Refuse(call.request.id, advice, reason))
--- a/pewterring/standalone/proxy/tally.py
+++ b/pewterring/standalone/proxy/tally.py
@@ -82,7 +82,7 @@
                 "elsewhere": shares.elsewhere,
                 "demand": shares.demand,
                 "demands": shares.total,
-                "usual": module.usual(),
+                "usual": module.latency(),
                 "out": module.in_flight,
                 "peers": sum(now - p.heard < shares.lease for p in shares.peers.values()),
                 "workers": len(module.pool.serving),
--- a/tests/standalone/test_ceiling.py
+++ b/tests/standalone/test_ceiling.py
@@ -106,4 +106,4 @@
         d.now += 1.5
         d.do(i.TimerDue(2))
         d.end(first, i.Code.CANCELLED, took=1.5)
-    assert d.gatekeeper.usual() > 0.8
+    assert d.gatekeeper.latency() > 0.8
