--- a/pewterring/standalone/policy/decisions.py
+++ b/pewterring/standalone/policy/decisions.py
@@ -334,7 +334,7 @@
         self.attempts: dict[tuple[int, int], PendingRequest] = {}  # in flight, even past their request's end
         self.actions: list[Action] = []
         self.lost, self.retry_budget, self.last_token, self.answer_rate = 0, 1.0, 0, 1.0
-        self.asking: dict[int, PendingRequest] = {}  # by token of the quota request
+        self.awaiting_owner: dict[int, PendingRequest] = {}  # by token of the quota request
         self.tick_s = BEAT_S / 2 if self.sparse else max(UPDATE_INTERVAL_S, others / max(self.intake, 1.0))
         self.last_tick, self.last_heartbeats = 0.0, dict[int, float]()
         self.check_s = min((c.aim for c in settings.classes.values()), default=1.0) / CHECKS_PER_TARGET
@@ -397,12 +397,12 @@
         if label == LIST_RETRY:
             return self.actions.append(Subscribe())
         if label == ANSWER_TIMEOUT:
-            for token, call in [(t, c) for t, c in self.asking.items() if now >= c.answer_due]:
+            for token, call in [(t, c) for t, c in self.awaiting_owner.items() if now >= c.answer_due]:
                 account = self.quota.accounts.get(call.request.customer)
                 if account and call.query and call.times_asked < self.MAX_ASKED:
                     self.ask_owner(now, call, account.owner, call.query)
                 else:
-                    del self.asking[token]
+                    del self.awaiting_owner[token]
                     self.answer_rate -= self.answer_rate * self.ANSWER_WEIGHT
                     self.admit(now, call, None)
             return None
@@ -478,7 +478,7 @@
         account.unreported = 0.0
         if account.owner == self.settings.me:
             return self.admit(now, call, self.quota.grant(now, self.settings.me, call.query, self.latency()))
-        self.asking[self.last_token] = call
+        self.awaiting_owner[self.last_token] = call
         self.ask_owner(now, call, account.owner, call.query)
 
     def ask_owner(self, now: float, call: PendingRequest, owner: int, query: Ask) -> None:
@@ -496,7 +496,7 @@
                 self.actions.append(Tell(peer, write_ask(grant)))
             case Back():
                 self.quota.release(peer, message)
-            case Grant() if call := self.asking.pop(message.token, None):
+            case Grant() if call := self.awaiting_owner.pop(message.token, None):
                 self.answer_rate += (1.0 - self.answer_rate) * self.ANSWER_WEIGHT
                 self.admit(now, call, message)
 
@@ -621,7 +621,7 @@
     def finish(self, call: PendingRequest) -> None:
         del self.requests[call.request.id]
         if call.answer_due:
-            self.asking = {token: c for token, c in self.asking.items() if c is not call}
+            self.awaiting_owner = {token: c for token, c in self.awaiting_owner.items() if c is not call}
         self.cancel(call.request.id, call.in_flight)
         if not call.in_flight:
             self.release_quota(call)
--- a/tests/standalone/test_accounts.py
+++ b/tests/standalone/test_accounts.py
@@ -132,7 +132,7 @@
     id = network.request(1, "narrow", time_left=left)
     network.run_for(min(left, 1.0) - 1e-4)
     assert [s.id for _, s in network.sent] == [id]
-    assert network.gateways[1].gatekeeper.asking == {}
+    assert network.gateways[1].gatekeeper.awaiting_owner == {}
 
 
 def test_a_grant_that_comes_too_late_sends_nothing() -> None:
--- a/tests/standalone/test_races.py
+++ b/tests/standalone/test_races.py
@@ -135,10 +135,10 @@
             path, plan = b"/api/%016x" % customer, b"narrow"
             caller = await rig.caller()
             caller.write(asking(target=path, Plan=plan))
-            await until(lambda: module.asking)
+            await until(lambda: module.awaiting_owner)
             caller.close()
             await until(lambda: rig.gateway.left)
-            assert not module.asking
+            assert not module.awaiting_owner
             assert not rig.gateway.calls
             # The keeper says nothing to the next one either: when that one goes on, the first would have.
             answer = await rig.ask(asking(target=path, Plan=plan, X_Request_Id=b"marker"))
