--- a/pewterring/standalone/policy/decisions.py
+++ b/pewterring/standalone/policy/decisions.py
@@ -194,7 +194,7 @@
 
     def __init__(self, settings: Settings, rng: random.Random, sparse: bool = False) -> None:
         self.settings, self.rng = settings, rng
-        self.nodes, self.serving = dict[int, ServerState](), list[ServerState]()
+        self.servers, self.serving = dict[int, ServerState](), list[ServerState]()
         # The fraction of a server's load not seen here: in a large fleet some warm server always looks idle.
         self.unseen, self.sparse = max(0.0, 1 - self.COLD_SENDERS / settings.fleet_size), sparse
         scale = 1 + 2 * self.unseen
@@ -202,18 +202,18 @@
         self.subset, self.pace, self.rating = set[int](), 0.0, 0.0
 
     def update(self, now: float, event: ServerList) -> None:
-        for server in self.nodes.values() if event.form in (ListForm.WHOLE, ListForm.REMEMBERED) else ():
+        for server in self.servers.values() if event.form in (ListForm.WHOLE, ListForm.REMEMBERED) else ():
             server.listed = False
         for entry in event.servers:
-            server = self.nodes.setdefault(entry.id, ServerState(entry))
+            server = self.servers.setdefault(entry.id, ServerState(entry))
             if entry.came_up > server.came_up:
                 for health in server.health.values():
                     health.slowness, health.error_rate = 1.0, 0.0
                 self.begin_slow_start(server, entry.came_up, now)
             server.entry, server.listed = entry, entry.mode != Mode.DELETED
-        for id in [id for id, s in self.nodes.items() if not s.listed and not s.in_flight]:
-            del self.nodes[id]
-        self.serving = [s for s in self.nodes.values() if s.listed and s.entry.mode == Mode.SERVING]
+        for id in [id for id, s in self.servers.items() if not s.listed and not s.in_flight]:
+            del self.servers[id]
+        self.serving = [s for s in self.servers.values() if s.listed and s.entry.mode == Mode.SERVING]
         order = sorted(self.serving, key=lambda s: (s.entry.common or s.entry.id) * 2654435761 % 2**32)
         pos = len(order) * self.settings.me // self.settings.fleet_size  # every gateway uses this order
         self.subset = {s.entry.id for s in ((order * 2)[pos : pos + self.SUBSET] if self.sparse else order)}
@@ -300,7 +300,7 @@
         server.last_answer = now
 
     def check_silence(self, now: float, means: dict[str, float], typical: float) -> None:  # of latency
-        for server in self.nodes.values():
+        for server in self.servers.values():
             for cls, health in server.health.items():
                 if health.unresponsive_since or not health.in_flight:
                     continue
@@ -372,13 +372,13 @@
                     self.on_message(now, peer, message)
                 elif self.shares.hear(now, peer, data, self.ceiling.limit):
                     self.quota.receive(now, peer, self.shares.peers[peer].beat.incarnation, data)
-            case ProbeResult(id, Code.OK) if id in self.pool.nodes:
-                self.pool.mark_responsive(self.pool.nodes[id], now)
+            case ProbeResult(id, Code.OK) if id in self.pool.servers:
+                self.pool.mark_responsive(self.pool.servers[id], now)
             case StreamStarted() if event.id in self.requests:
                 call = self.requests[event.id]
                 call.streaming = True
                 self.ceiling.observe(call.cls, event.took, self.shares.elsewhere + self.in_flight)
-                if server := self.pool.nodes.get(event.server):
+                if server := self.pool.servers.get(event.server):
                     self.pool.mark_responsive(server, now, server.health_of(call.cls.name))
                     server.health_of(call.cls.name).in_flight[event.id, event.attempt] = math.inf
                 self.cancel(call.request.id, call.in_flight - {event.attempt})
@@ -413,7 +413,7 @@
         # Attempts that never end hold no slot: a few would block an idle fleet. Overload raises latency too.
         self.lost = sum(now - c.attempts[n][1] > self.LOST * typical for (_, n), c in self.attempts.items())
         self.pool.check_silence(now, self.ceiling.mean, typical)
-        for server in self.pool.nodes.values():
+        for server in self.pool.servers.values():
             for health in [h for h in server.health.values() if h.unresponsive_since]:
                 for id, attempt in list(health.in_flight):
                     if (call := self.requests.get(id)) and call.in_flight == {attempt} and not call.streaming:
@@ -558,7 +558,7 @@
             return
         call.in_flight.discard(result.attempt)
         call.issued = call.issued or result.code != Code.TOO_LATE  # if none was, no units are charged
-        if server := self.pool.nodes.get(result.server):
+        if server := self.pool.servers.get(result.server):
             expected = self.ceiling.mean.get(call.cls.name, result.took)
             self.pool.record(server, server.health_of(call.cls.name), now, expected, result)
         # An attempt cancelled for its duplicate would have taken longer still. If left out, the mean falls,
--- a/pewterring/standalone/proxy/tally.py
+++ b/pewterring/standalone/proxy/tally.py
@@ -58,7 +58,7 @@
 
     def cold(self, server: int, now: float) -> bool:
         module = self.module
-        if not isinstance(module, GatewayPolicy) or (node := module.pool.nodes.get(server)) is None:
+        if not isinstance(module, GatewayPolicy) or (node := module.pool.servers.get(server)) is None:
             return False
         return module.pool.warmth(node, now) < 1.0
 
--- a/tests/standalone/test_belief.py
+++ b/tests/standalone/test_belief.py
@@ -57,7 +57,7 @@
 
 def counted_attempts(rig: Rig) -> dict[int, int]:
     """Attempts in flight at each worker by its number, as the policy counts them."""
-    return {id: state.in_flight for id, state in policy_of(rig).pool.nodes.items()}
+    return {id: state.in_flight for id, state in policy_of(rig).pool.servers.items()}
 
 
 def test_the_policy_counts_the_attempts_on_the_sockets_however_they_end() -> None:
@@ -68,7 +68,7 @@
             without_duplicates(first.address, second.address) as rig,
         ):
             gatekeeper = policy_of(rig)
-            await until(lambda: gatekeeper.pool.nodes)
+            await until(lambda: gatekeeper.pool.servers)
             gatekeeper.ceiling.limit = 300.0
             await until(lambda: gatekeeper.shares.share > 50)
 
@@ -128,7 +128,7 @@
             caller = await rig.caller()
             caller.write(asking())
             await until(lambda: worker.in_flight() == 1)
-            (state,) = gatekeeper.pool.nodes.values()
+            (state,) = gatekeeper.pool.servers.values()
             state.health_of("pure").unresponsive_since = rig.gateway.loop.time()
             worker.end(answer)
             assert (await caller.answer()).status == 200
@@ -145,8 +145,8 @@
             gatekeeper = policy_of(rig)
             born_ms = rig.gateway.directory.unix() * 1000 - 5000
             rig.gateway.listed(listing(entry("s-1", worker.address, born_ms=born_ms), version=2))
-            await until(lambda: any(n.came_up for n in gatekeeper.pool.nodes.values()))
-            (state,) = gatekeeper.pool.nodes.values()
+            await until(lambda: any(n.came_up for n in gatekeeper.pool.servers.values()))
+            (state,) = gatekeeper.pool.servers.values()
             assert abs(rig.gateway.loop.time() - state.came_up - 5.0) < 2.0
             assert isinstance(state.entry, interface.Server)
             assert state.entry.came_up == state.came_up
--- a/tests/standalone/test_rules.py
+++ b/tests/standalone/test_rules.py
@@ -180,7 +180,7 @@
     assert not checker.unanswered
     assert not checker.gatekeeper.requests
     assert checker.gatekeeper.in_flight == 0
-    assert not any(state.in_flight for state in checker.gatekeeper.pool.nodes.values())
+    assert not any(state.in_flight for state in checker.gatekeeper.pool.servers.values())
 
 
 def test_equal_events_give_equal_actions() -> None:
--- a/tests/standalone/test_switch.py
+++ b/tests/standalone/test_switch.py
@@ -74,13 +74,13 @@
     spent, mean, nodes = (
         gatekeeper.quota.accounts[1].own.spent,
         gatekeeper.ceiling.mean["pure"],
-        gatekeeper.pool.nodes,
+        gatekeeper.pool.servers,
     )
     for fleet in (60, 3, 60, 3):
         renew(gatekeeper, driver.now, settings(fleet=fleet))
         assert gatekeeper.quota.accounts[1].own.spent == spent
         assert gatekeeper.ceiling.mean["pure"] == mean
-        assert gatekeeper.pool.nodes is nodes
+        assert gatekeeper.pool.servers is nodes
         assert (once.id, 0) in gatekeeper.attempts
         assert gatekeeper.in_flight == 2 + len(capped)
         for account in gatekeeper.quota.accounts.values():
