--- a/pewterring/admission/digests.py
+++ b/pewterring/admission/digests.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable, Mapping
 from typing import NamedTuple
 
-from pewterring.standalone.peer_messages import Beat
+from pewterring.standalone.peer_messages import Heartbeat
 
 GROUP_MAGIC = b"PG1"  # of one group of processes, between relays
 FLEET_MAGIC = b"PF1"  # of the whole fleet, from a relay to the members of its group
@@ -54,7 +54,7 @@
     totals: Mapping[int, Totals]
 
 
-def summarize(gateways: Iterable[Beat], batch: Iterable[Beat]) -> Digest:
+def summarize(gateways: Iterable[Heartbeat], batch: Iterable[Heartbeat]) -> Digest:
     """The digest of one service's beats."""
     beats = list(gateways)
     limits = sorted(beat.limit for beat in beats)
--- a/pewterring/admission/relay_exchange.py
+++ b/pewterring/admission/relay_exchange.py
@@ -21,7 +21,7 @@
     write_group_digest,
 )
 from pewterring.admission.relay_plan import RelayPlan
-from pewterring.standalone.peer_messages import Beat, read_beat
+from pewterring.standalone.peer_messages import Heartbeat, read_beat
 
 KEPT_ROUNDS = 8  # a heartbeat or digest older than so many rounds counts no more
 Datagram = tuple[str, bytes]  # receiver's IP and content
@@ -33,7 +33,7 @@
 class _Heartbeat:
     heard: float
     kind: int
-    beats: Mapping[int, Beat]
+    beats: Mapping[int, Heartbeat]
 
 
 @dataclass(frozen=True, slots=True)
@@ -149,8 +149,8 @@
         }
 
     def _own_digests(self) -> dict[int, Digest]:
-        gateways: defaultdict[int, list[Beat]] = defaultdict(list)
-        batch: defaultdict[int, list[Beat]] = defaultdict(list)
+        gateways: defaultdict[int, list[Heartbeat]] = defaultdict(list)
+        batch: defaultdict[int, list[Heartbeat]] = defaultdict(list)
         for heartbeat in self._heartbeats.values():
             beats = gateways if heartbeat.kind == GATEWAY else batch
             for service, beat in heartbeat.beats.items():
--- a/pewterring/admission/service.py
+++ b/pewterring/admission/service.py
@@ -10,7 +10,7 @@
 from pewterring.admission.digests import Totals
 from pewterring.admission.relayed_shares import RelayedShares
 from pewterring.admission.shares import LEASE_S
-from pewterring.standalone.peer_messages import Beat, read_beat
+from pewterring.standalone.peer_messages import Heartbeat, read_beat
 from pewterring.standalone.policy import interface as i
 
 # Of the slots that no process has out, one gateway may take so much past its share; in large fleets as much
@@ -44,7 +44,7 @@
         self.shares = RelayedShares(max(1, processes), incarnation, counted)
         self.shares.lends = True
         self.out = 0
-        self._batch: dict[int, tuple[float, Beat]] = {}  # by peer: attempts of batch items
+        self._batch: dict[int, tuple[float, Heartbeat]] = {}  # by peer: attempts of batch items
         self._settled_at = -math.inf
 
     def rescale(self, now: float, slots: int, processes: int) -> None:
--- a/pewterring/admission/shares.py
+++ b/pewterring/admission/shares.py
@@ -71,7 +71,7 @@
 
     def beat(self, limit: float, out: int) -> bytes:
         self.sequence += 1
-        beat = mail.Beat(self.incarnation, self.sequence, limit, out, self.share, self.demand)
+        beat = mail.Heartbeat(self.incarnation, self.sequence, limit, out, self.share, self.demand)
         return mail.write_beat(beat)
 
     def hear(self, now: float, peer: int, data: bytes, limit: float) -> bool:
--- a/pewterring/standalone/peer_messages.py
+++ b/pewterring/standalone/peer_messages.py
@@ -33,7 +33,7 @@
     return zlib.crc32(plan.encode()) & 0xFFFF
 
 
-class Beat(NamedTuple):
+class Heartbeat(NamedTuple):
     """A heartbeat: one gateway's concurrency limit, attempts in flight, quota share and demand."""
 
     incarnation: int
@@ -125,16 +125,16 @@
     return message
 
 
-def write_beat(heartbeat: Beat) -> bytes:
+def write_beat(heartbeat: Heartbeat) -> bytes:
     """Encodes a heartbeat."""
     return BEAT_FORM.pack(HEARTBEAT_TAG, *heartbeat)
 
 
-def read_beat(data: bytes) -> Beat | None:
+def read_beat(data: bytes) -> Heartbeat | None:
     """Decodes the heartbeat at the beginning of a message; None where the bytes are no heartbeat."""
     if data[:1] != HEARTBEAT_TAG or len(data) < BEAT_FORM.size:
         return None
-    heartbeat = Beat(*BEAT_FORM.unpack_from(data)[1:])
+    heartbeat = Heartbeat(*BEAT_FORM.unpack_from(data)[1:])
     return heartbeat if all(math.isfinite(x) and x >= 0 for x in heartbeat) else None
 
 
--- a/pewterring/standalone/policy/state.py
+++ b/pewterring/standalone/policy/state.py
@@ -3,7 +3,7 @@
 import math
 from dataclasses import dataclass, field
 
-from pewterring.standalone.peer_messages import Ask, Beat
+from pewterring.standalone.peer_messages import Ask, Heartbeat
 from pewterring.standalone.policy.interface import Plan, Request, RequestClass, Server
 
 
@@ -11,7 +11,7 @@
 class Peer:
     """The last heartbeat of a peer and when it arrived."""
 
-    beat: Beat
+    beat: Heartbeat
     heard: float
     before: int = -1  # the peer's incarnation before this one
 
--- a/tests/admission/relayed_fleet.py
+++ b/tests/admission/relayed_fleet.py
@@ -7,7 +7,7 @@
 from pewterring.admission.relay_exchange import RelayExchange
 from pewterring.admission.relay_plan import RelayPlan, Speaker, make_plan
 from pewterring.admission.shares import BEAT_S
-from pewterring.standalone.peer_messages import Beat, write_beat
+from pewterring.standalone.peer_messages import Heartbeat, write_beat
 
 SERVICE = 7
 DELAY_S = 0.01
@@ -19,7 +19,7 @@
     def __init__(self, ip: str, kind: int, limit: float, out: int) -> None:
         self.ip = ip
         self.kind = kind
-        self.beat = Beat(1, 1, limit, out, 3.0, 2.0)
+        self.beat = Heartbeat(1, 1, limit, out, 3.0, 2.0)
         self.totals: dict[int, Totals] = {}
         self.told_at = -1.0
         self.now = 0.0
--- a/tests/admission/test_relays.py
+++ b/tests/admission/test_relays.py
@@ -19,14 +19,14 @@
 )
 from pewterring.admission.relay_exchange import KEPT_ROUNDS
 from pewterring.admission.relay_plan import MAX_MEMBERS, RELAYS, Speaker, make_plan
-from pewterring.standalone.peer_messages import Beat
+from pewterring.standalone.peer_messages import Heartbeat
 from tests.admission.relayed_fleet import SERVICE, Fleet
 
 SETTLED = 6  # rounds from the first heartbeat until all know of all
 
 
-def beat(limit: float, out: int = 0, share: float = 1.0) -> Beat:
-    return Beat(1, 1, limit, out, share, 2.0)
+def beat(limit: float, out: int = 0, share: float = 1.0) -> Heartbeat:
+    return Heartbeat(1, 1, limit, out, share, 2.0)
 
 
 # Digests
--- a/tests/golden/datagram_cases.py
+++ b/tests/golden/datagram_cases.py
@@ -19,8 +19,8 @@
 
 GOLDEN_FILE = "datagrams.txt"
 INCARNATION = 0x89ABCDEF
-BEAT = peers.Beat(INCARNATION, 0x01020304, 12.5, 7, 3.25, 9.75)
-LEAST_BEAT = peers.Beat(0, 0, 0.0, 0, 0.0, 0.0)
+BEAT = peers.Heartbeat(INCARNATION, 0x01020304, 12.5, 7, 3.25, 9.75)
+LEAST_BEAT = peers.Heartbeat(0, 0, 0.0, 0, 0.0, 0.0)
 NEWS = (
     peers.News(0x0102030405060708, 0xABCD, 3, 1, 0.25, -0.5),
     peers.News(0xFFFFFFFFFFFFFFFF, 0xFFFF, 65535, 65535, 32.767, -32.767),
@@ -96,13 +96,13 @@
     ]
 
 
-def _read_heartbeat(data: bytes) -> tuple[int, dict[int, peers.Beat | None]] | None:
+def _read_heartbeat(data: bytes) -> tuple[int, dict[int, peers.Heartbeat | None]] | None:
     """The kind of process and each service's heartbeat, decoded."""
     read = datagram.read_heartbeat(data)
     return None if read is None else (read[0], {name: peers.read_beat(beat) for name, beat in read[1]})
 
 
-def _admission_heartbeat(name: str, kind: int, beats: dict[int, peers.Beat]) -> Case:
+def _admission_heartbeat(name: str, kind: int, beats: dict[int, peers.Heartbeat]) -> Case:
     def encode() -> bytes:
         return datagram.write_heartbeat(kind, {key: peers.write_beat(beat) for key, beat in beats.items()})
 
@@ -118,7 +118,7 @@
 
 def _admission_heartbeats() -> list[Case]:
     both = {datagram.service_number("chat"): BEAT, datagram.service_number("code"): LEAST_BEAT}
-    batch_beat = peers.Beat(INCARNATION, 1, 8.0, 3, 4.0, 0.0)
+    batch_beat = peers.Heartbeat(INCARNATION, 1, 8.0, 3, 4.0, 0.0)
     return [
         _admission_heartbeat("admission-heartbeat-gateway", datagram.GATEWAY, both),
         _admission_heartbeat("admission-heartbeat-batch", datagram.BATCH, both),
