--- a/pewterring/admission/datagram.py
+++ b/pewterring/admission/datagram.py
@@ -4,13 +4,13 @@
 import zlib
 from collections.abc import Iterator, Mapping
 
-from pewterring.standalone.peer_messages import BEAT_FORM
+from pewterring.standalone.peer_messages import HEARTBEAT_FORMAT
 
 MAGIC = b"PA1"
 GATEWAY, BATCH = 0, 1  # what kind of process speaks
 HEAD = struct.Struct(">3sBH")
 SERVICE = struct.Struct(">I")
-ENTRY_BYTES = SERVICE.size + BEAT_FORM.size
+ENTRY_BYTES = SERVICE.size + HEARTBEAT_FORMAT.size
 
 
 def service_number(name: str) -> int:
--- a/pewterring/standalone/peer_messages.py
+++ b/pewterring/standalone/peer_messages.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterator, Sequence
 from typing import NamedTuple
 
-BEAT_FORM = struct.Struct(">cIIfIff")
+HEARTBEAT_FORMAT = struct.Struct(">cIIfIff")
 USAGE_FORMAT = struct.Struct(">QHHHhh")
 REQUEST_FORMAT = struct.Struct(">cHQHHHeeee")
 GRANT_FORMAT = struct.Struct(">cH??ee")
@@ -25,7 +25,7 @@
 # Spent units are negative where a request was smaller than estimated and the difference was credited to a
 # quota of which nothing was spent.
 MAX_SCALED_USAGE = 32767
-MAX_USAGE_ENTRIES = (MAX_MESSAGE_BYTES - BEAT_FORM.size) // USAGE_FORMAT.size  # after a heartbeat
+MAX_USAGE_ENTRIES = (MAX_MESSAGE_BYTES - HEARTBEAT_FORMAT.size) // USAGE_FORMAT.size  # after a heartbeat
 
 
 def plan_number(plan: str) -> int:
@@ -127,14 +127,14 @@
 
 def write_beat(heartbeat: Heartbeat) -> bytes:
     """Encodes a heartbeat."""
-    return BEAT_FORM.pack(HEARTBEAT_TAG, *heartbeat)
+    return HEARTBEAT_FORMAT.pack(HEARTBEAT_TAG, *heartbeat)
 
 
 def read_beat(data: bytes) -> Heartbeat | None:
     """Decodes the heartbeat at the beginning of a message; None where the bytes are no heartbeat."""
-    if data[:1] != HEARTBEAT_TAG or len(data) < BEAT_FORM.size:
+    if data[:1] != HEARTBEAT_TAG or len(data) < HEARTBEAT_FORMAT.size:
         return None
-    heartbeat = Heartbeat(*BEAT_FORM.unpack_from(data)[1:])
+    heartbeat = Heartbeat(*HEARTBEAT_FORMAT.unpack_from(data)[1:])
     return heartbeat if all(math.isfinite(x) and x >= 0 for x in heartbeat) else None
 
 
@@ -152,7 +152,7 @@
 
 def read_news(data: bytes) -> Iterator[News]:
     """Decodes the quota usage after a heartbeat; yields nothing where the message is truncated."""
-    usage = data[BEAT_FORM.size :]
+    usage = data[HEARTBEAT_FORMAT.size :]
     if len(usage) % USAGE_FORMAT.size == 0:
         for customer, plan, size, first, demand, spent in USAGE_FORMAT.iter_unpack(usage):
             yield News(customer, plan, size, first, demand / USAGE_SCALE, spent / USAGE_SCALE)
--- a/tests/standalone/test_quota.py
+++ b/tests/standalone/test_quota.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from pewterring.standalone.peer_messages import BEAT_FORM, USAGE_FORMAT, plan_number
+from pewterring.standalone.peer_messages import HEARTBEAT_FORMAT, USAGE_FORMAT, plan_number
 from pewterring.standalone.policy import interface
 from pewterring.standalone.policy.decisions import Quota
 from tests.standalone.helpers import LIMITS, PLANS, Drive, sends, settings
@@ -141,21 +141,23 @@
         for message in driver.tick(0.1):
             assert len(message.data) <= 256
             if message.peer == 1:
-                reported |= {entry[0] for entry in USAGE_FORMAT.iter_unpack(message.data[BEAT_FORM.size :])}
+                reported |= {
+                    entry[0] for entry in USAGE_FORMAT.iter_unpack(message.data[HEARTBEAT_FORMAT.size :])
+                }
     assert reported == set(range(50))
 
 
 def test_usage_of_an_unknown_customer_counts_when_it_arrives() -> None:
     driver = Drive(settings(me=0))
     usage = USAGE_FORMAT.pack(5, plan_number("small"), 3, 0, 20_000, 1000)
-    heartbeat = BEAT_FORM.pack(b"B", 9, 1, 30.0, 0, 1.0, 1.0)
+    heartbeat = HEARTBEAT_FORMAT.pack(b"B", 9, 1, 30.0, 0, 1.0, 1.0)
     driver.do(interface.PeerMail(1, heartbeat + usage))
     assert not sends([a for _ in range(3) for a in driver.ask(plan="small", customer=5)])
 
 
 def test_malformed_usage_is_dropped() -> None:
     driver = Drive(settings(me=0))
-    heartbeat = BEAT_FORM.pack(b"B", 9, 1, 30.0, 0, 1.0, 1.0)
+    heartbeat = HEARTBEAT_FORMAT.pack(b"B", 9, 1, 30.0, 0, 1.0, 1.0)
     driver.do(interface.PeerMail(1, heartbeat + USAGE_FORMAT.pack(5, 200, 3, 0, 1, 1)))
     driver.do(
         interface.PeerMail(2, heartbeat + USAGE_FORMAT.pack(5, plan_number("small"), 77, 0, 1, 1) + b"x")
--- a/tests/standalone/test_shares.py
+++ b/tests/standalone/test_shares.py
@@ -6,13 +6,13 @@
 import pytest
 
 from pewterring.admission.shares import LEASE_S, Shares
-from pewterring.standalone.peer_messages import BEAT_FORM
+from pewterring.standalone.peer_messages import HEARTBEAT_FORMAT
 from pewterring.standalone.policy import interface as i
 from tests.standalone.helpers import Drive, settings
 
 
 def beat(incarnation: int, sequence: int, limit: float = 30.0, out: int = 0, share: float = 10.0) -> bytes:
-    return BEAT_FORM.pack(b"B", incarnation, sequence, limit, out, share, 10.0)
+    return HEARTBEAT_FORMAT.pack(b"B", incarnation, sequence, limit, out, share, 10.0)
 
 
 def test_a_heartbeat_goes_to_each_peer_every_half_second_though_nothing_is_new() -> None:
@@ -83,7 +83,7 @@
     good = beat(11, 1)
     bad = [good[:n] for n in range(len(good))] + [b"D", b"D" + bytes(8) + b"123"]
     bad += [rng.randbytes(rng.randrange(257)) for _ in range(500)]
-    bad += [BEAT_FORM.pack(b"B", 1, 1, x, 0, 1.0, 1.0) for x in (float("nan"), float("inf"), -1.0)]
+    bad += [HEARTBEAT_FORMAT.pack(b"B", 1, 1, x, 0, 1.0, 1.0) for x in (float("nan"), float("inf"), -1.0)]
     for data in bad:
         d.do(i.PeerMail(1, data))
     assert d.gatekeeper.shares.peers == {}
@@ -125,7 +125,7 @@
         s.wanted = 10.0
         s.settle(n * 0.5, 0.5, 30.0)
         for peer in (1, 2):
-            s.hear(n * 0.5, peer, BEAT_FORM.pack(b"B", peer, n, 30.0, 5, 8.0, 20.0), 30.0)
+            s.hear(n * 0.5, peer, HEARTBEAT_FORMAT.pack(b"B", peer, n, 30.0, 5, 8.0, 20.0), 30.0)
     before = s.share
     s.wanted = 10.0
     s.settle(9.5 + 2 * LEASE_S, 0.5, 30.0)
