--- a/pewterring/admission/shares.py
+++ b/pewterring/admission/shares.py
@@ -72,7 +72,7 @@
     def beat(self, limit: float, out: int) -> bytes:
         self.sequence += 1
         beat = mail.Heartbeat(self.incarnation, self.sequence, limit, out, self.share, self.demand)
-        return mail.write_beat(beat)
+        return mail.encode_heartbeat(beat)
 
     def hear(self, now: float, peer: int, data: bytes, limit: float) -> bool:
         """Takes a heartbeat; False where it is malformed, late, or of a former life of the peer."""
--- a/pewterring/standalone/peer_messages.py
+++ b/pewterring/standalone/peer_messages.py
@@ -125,7 +125,7 @@
     return message
 
 
-def write_beat(heartbeat: Heartbeat) -> bytes:
+def encode_heartbeat(heartbeat: Heartbeat) -> bytes:
     """Encodes a heartbeat."""
     return HEARTBEAT_FORMAT.pack(HEARTBEAT_TAG, *heartbeat)
 
--- a/tests/admission/relayed_fleet.py
+++ b/tests/admission/relayed_fleet.py
@@ -7,7 +7,7 @@
 from pewterring.admission.relay_exchange import RelayExchange
 from pewterring.admission.relay_plan import RelayPlan, Speaker, make_plan
 from pewterring.admission.shares import BEAT_S
-from pewterring.standalone.peer_messages import Heartbeat, write_beat
+from pewterring.standalone.peer_messages import Heartbeat, encode_heartbeat
 
 SERVICE = 7
 DELAY_S = 0.01
@@ -33,7 +33,7 @@
 
     def heartbeat(self) -> bytes:
         """The datagram of this process's beats."""
-        return write_heartbeat(self.kind, dict.fromkeys(self.services, write_beat(self.beat)))
+        return write_heartbeat(self.kind, dict.fromkeys(self.services, encode_heartbeat(self.beat)))
 
 
 class Fleet:
--- a/tests/admission/test_fleet_in_overload.py
+++ b/tests/admission/test_fleet_in_overload.py
@@ -6,7 +6,7 @@
 
 from pewterring.admission.service import ServiceAdmission
 from pewterring.admission.shares import BEAT_S
-from pewterring.standalone.peer_messages import Heartbeat, write_beat
+from pewterring.standalone.peer_messages import Heartbeat, encode_heartbeat
 
 GATEWAYS, SLOTS, RUN_S = 8, 144, 0.75
 STEP_S = 0.01
@@ -86,7 +86,7 @@
     made.shares.demand = 10.0
     for out in (20, 80):
         for peer, held in ((1, 20), (2, 20), (3, out)):
-            made.hear(10.0, peer, write_beat(Heartbeat(peer, out, 100.0, held, 25.0, 10.0)))
+            made.hear(10.0, peer, encode_heartbeat(Heartbeat(peer, out, 100.0, held, 25.0, 10.0)))
         if out == 20:
             assert made.shares.share == 25.0
     assert made.shares.share == 25.0 * 100 / 155
--- a/tests/admission/test_relayed_shares.py
+++ b/tests/admission/test_relayed_shares.py
@@ -8,7 +8,7 @@
 from pewterring.admission.relayed_shares import TOTALS_S, RelayedShares
 from pewterring.admission.service import ServiceAdmission
 from pewterring.admission.shares import BEAT_S, GHOST_S, LEASE_S, Shares
-from pewterring.standalone.peer_messages import Heartbeat, write_beat
+from pewterring.standalone.peer_messages import Heartbeat, encode_heartbeat
 
 FLEET = 100
 CEILING = 400.0
@@ -78,7 +78,7 @@
     held, plain = shares(), Shares(FLEET, 1)
     plain.began, plain.lends, plain.demand = 0.0, True, 2.0
     held.hear_totals(LATER, CALM, CEILING)
-    beat = write_beat(Heartbeat(5, 1, CEILING, 3, 4.0, 2.0))
+    beat = encode_heartbeat(Heartbeat(5, 1, CEILING, 3, 4.0, 2.0))
     held.total = plain.total
     for each in (held, plain):
         each.hear(LATER + BEAT_S, 9, beat, CEILING)
--- a/tests/admission/test_service.py
+++ b/tests/admission/test_service.py
@@ -5,7 +5,7 @@
 import pytest
 
 from pewterring.admission.service import IDLE_LENT, URGENT_SHARE, ServiceAdmission, SlotCeiling
-from pewterring.standalone.peer_messages import Heartbeat, write_beat
+from pewterring.standalone.peer_messages import Heartbeat, encode_heartbeat
 from pewterring.standalone.policy import interface as i
 
 ROUTE = i.RequestClass("r", aim=100.0, deadline=100.0)
@@ -20,7 +20,7 @@
 def hear(to: ServiceAdmission, now: float, peer: int, **said: float) -> None:
     said = {"limit": 100.0, "out": 0, "share": 25.0, "demand": 10.0} | said
     beat = Heartbeat(peer, int(now * 10) + 1, said["limit"], int(said["out"]), said["share"], said["demand"])
-    to.hear(now, peer, write_beat(beat))
+    to.hear(now, peer, encode_heartbeat(beat))
 
 
 def taken(by: ServiceAdmission) -> int:
@@ -107,7 +107,7 @@
 
 def test_batch_items_reserve_nothing_of_the_share() -> None:
     made, other = admission(), admission()
-    beat = write_beat(Heartbeat(9, 1, 100.0, 60, 0.0, 0.0))
+    beat = encode_heartbeat(Heartbeat(9, 1, 100.0, 60, 0.0, 0.0))
     made.hear_batch(1.0, 9, beat)
     assert made.elsewhere(1.0) == 60
     assert taken(made) == taken(other)
--- a/tests/batch/test_dispatch.py
+++ b/tests/batch/test_dispatch.py
@@ -21,7 +21,7 @@
 from pewterring.distribution.tables import Tables
 from pewterring.routing.chooser import PER_TOKEN_S, WorkerChooser
 from pewterring.routing.load_report import Load
-from pewterring.standalone.peer_messages import Heartbeat, write_beat
+from pewterring.standalone.peer_messages import Heartbeat, encode_heartbeat
 from tests.batch.stand_ins import ROUTE, ManualClock, item, route, tables, worker
 
 SERVICE = service_number("s")
@@ -58,7 +58,7 @@
         return len(self.items)
 
     def heartbeat(self, peer: int, in_flight: int, limit: float = 2 * SLOTS, kind: int = GATEWAY) -> None:
-        data = write_beat(Heartbeat(peer, 1, limit, in_flight, 1.0, 1.0))
+        data = encode_heartbeat(Heartbeat(peer, 1, limit, in_flight, 1.0, 1.0))
         self.admissions.hear(self.clock.now, kind, peer, SERVICE, data)
 
 
--- a/tests/batch/test_program.py
+++ b/tests/batch/test_program.py
@@ -34,7 +34,7 @@
     WorkerRecord,
 )
 from pewterring.node.settings import NodeSettings
-from pewterring.standalone.peer_messages import Heartbeat, write_beat
+from pewterring.standalone.peer_messages import Heartbeat, encode_heartbeat
 from pewterring.transport.datagrams import DatagramPort
 from pewterring.transport.lines import Channel, LineServer, LinkPool, MessageCodec, TransportError
 from tests.batch.stand_ins import ROUTE, item
@@ -286,6 +286,6 @@
 
 def send_heartbeat(gateway: DatagramPort, sequence: int, in_flight: int) -> None:
     """Sends a gateway's heartbeat: a concurrency limit of ten, and `in_flight` live requests."""
-    heartbeat = write_beat(Heartbeat(1, sequence, 10.0, in_flight, 10.0, 1.0))
+    heartbeat = encode_heartbeat(Heartbeat(1, sequence, 10.0, in_flight, 10.0, 1.0))
     for ip in STORE_IPS:
         gateway.send(ip, write_heartbeat(GATEWAY, {service_number("s"): heartbeat}))
--- a/tests/golden/datagram_cases.py
+++ b/tests/golden/datagram_cases.py
@@ -85,11 +85,11 @@
 
 def _peer_heartbeats() -> list[Case]:
     return [
-        Case("peer-heartbeat", lambda: peers.write_beat(BEAT), peers.read_beat, BEAT),
-        Case("peer-heartbeat-least", lambda: peers.write_beat(LEAST_BEAT), peers.read_beat, LEAST_BEAT),
+        Case("peer-heartbeat", lambda: peers.encode_heartbeat(BEAT), peers.read_beat, BEAT),
+        Case("peer-heartbeat-least", lambda: peers.encode_heartbeat(LEAST_BEAT), peers.read_beat, LEAST_BEAT),
         Case(
             "peer-heartbeat-with-news",
-            lambda: peers.write_beat(BEAT) + peers.write_news(NEWS),
+            lambda: peers.encode_heartbeat(BEAT) + peers.write_news(NEWS),
             lambda data: (peers.read_beat(data), tuple(peers.read_news(data))),
             (BEAT, NEWS),
         ),
@@ -104,7 +104,9 @@
 
 def _admission_heartbeat(name: str, kind: int, beats: dict[int, peers.Heartbeat]) -> Case:
     def encode() -> bytes:
-        return datagram.write_heartbeat(kind, {key: peers.write_beat(beat) for key, beat in beats.items()})
+        return datagram.write_heartbeat(
+            kind, {key: peers.encode_heartbeat(beat) for key, beat in beats.items()}
+        )
 
     return Case(name, encode, _read_heartbeat, (kind, beats))
 
@@ -165,7 +167,7 @@
     relay = own.relays[0]
     exchange = RelayExchange(relay, INCARNATION, lambda *_: None)
     exchange.plan = plan
-    heartbeat = datagram.write_heartbeat(datagram.GATEWAY, {0x01020304: peers.write_beat(BEAT)})
+    heartbeat = datagram.write_heartbeat(datagram.GATEWAY, {0x01020304: peers.encode_heartbeat(BEAT)})
     digest = _only(
         digests.write_group_digest(plan.group_of["10.2.0.1"], 7, 1, {0x01020304: DIGEST, 0x05060708: DIGEST})
     )
--- a/tests/routing/test_heartbeats.py
+++ b/tests/routing/test_heartbeats.py
@@ -19,7 +19,7 @@
     peer_number,
     rounds_apart,
 )
-from pewterring.standalone.peer_messages import Heartbeat, write_beat
+from pewterring.standalone.peer_messages import Heartbeat, encode_heartbeat
 from pewterring.transport.datagrams import IP_UDP_BYTES
 
 SERVICE = 5
@@ -74,7 +74,7 @@
             self.all.append(peer)
 
     def send(self) -> None:
-        beat = write_beat(Heartbeat(1, 1, 8.0, 1, 1.0, 1.0))
+        beat = encode_heartbeat(Heartbeat(1, 1, 8.0, 1, 1.0, 1.0))
         for peer in self.all:
             peer.send({SERVICE: beat}, self.nodes)
 
@@ -141,7 +141,7 @@
             stranger.ips[3], fleet.all[0].port, GATEWAY, HeartbeatHandlers(lambda *_: None)
         )
         await outsider.start()
-        outsider.send({SERVICE: write_beat(Heartbeat(1, 1, 8.0, 1, 1.0, 1.0))}, stranger.nodes)
+        outsider.send({SERVICE: encode_heartbeat(Heartbeat(1, 1, 8.0, 1, 1.0, 1.0))}, stranger.nodes)
         numbers = {peer_number(ip) for ip in fleet.ips}
         others = {ip: numbers - {peer_number(ip)} for ip in fleet.ips}
         await fleet.send_until(lambda: all(others[ip] <= heard for ip, heard in fleet.beats.items()))
--- a/tests/standalone/test_sparse.py
+++ b/tests/standalone/test_sparse.py
@@ -5,7 +5,7 @@
 
 from pewterring.admission.ceiling import Ceiling
 from pewterring.admission.shares import BEAT_S, Shares
-from pewterring.standalone.peer_messages import HEARTBEAT_TAG, Heartbeat, write_beat
+from pewterring.standalone.peer_messages import HEARTBEAT_TAG, Heartbeat, encode_heartbeat
 from pewterring.standalone.policy import interface
 from pewterring.standalone.policy.decisions import ServerPool
 from tests.standalone.helpers import CLASSES, SERVERS, Drive, sends, server, settings
@@ -18,7 +18,7 @@
 
 
 def heartbeat(in_flight: int, incarnation: int, limit: float = 400.0) -> bytes:
-    return write_beat(Heartbeat(incarnation, 1, limit, in_flight, 1.0, 1.0))
+    return encode_heartbeat(Heartbeat(incarnation, 1, limit, in_flight, 1.0, 1.0))
 
 
 def test_each_heartbeat_goes_to_one_random_peer() -> None:
