--- a/benchmarks/admission_exchange.py
+++ b/benchmarks/admission_exchange.py
@@ -24,7 +24,7 @@
 from pewterring.admission.relay_plan import Speaker, make_plan
 from pewterring.admission.relayed_shares import RelayedShares
 from pewterring.admission.shares import BEAT_S, LEASE_S
-from pewterring.standalone.peer_messages import read_beat
+from pewterring.standalone.peer_messages import decode_heartbeat
 from pewterring.standalone.policy.state import Peer
 from pewterring.transport.datagrams import IP_UDP_BYTES
 
@@ -92,7 +92,7 @@
         if self.way == "relayed":
             self.exchange.receive(now, source.ip, data)
             return
-        beat = read_beat(data[10:])
+        beat = decode_heartbeat(data[10:])
         if (
             beat is not None
         ):  # the division at each heartbeat is left to the next tick: it is the same by then
--- a/pewterring/admission/batch.py
+++ b/pewterring/admission/batch.py
@@ -8,7 +8,7 @@
 from pewterring.admission.digests import Totals
 from pewterring.admission.service import ServiceAdmission
 from pewterring.admission.shares import BEAT_S, LEASE_S
-from pewterring.standalone.peer_messages import read_beat
+from pewterring.standalone.peer_messages import decode_heartbeat
 from pewterring.standalone.policy import interface as i
 
 
@@ -40,7 +40,7 @@
 
     def hear_batch(self, now: float, peer: int, data: bytes) -> None:
         """Takes the heartbeat of another store that runs items."""
-        beat = read_beat(data)
+        beat = decode_heartbeat(data)
         if beat is not None:
             self._peers[peer] = (now, beat.out)
 
--- a/pewterring/admission/relay_exchange.py
+++ b/pewterring/admission/relay_exchange.py
@@ -21,7 +21,7 @@
     write_group_digest,
 )
 from pewterring.admission.relay_plan import RelayPlan
-from pewterring.standalone.peer_messages import Heartbeat, read_beat
+from pewterring.standalone.peer_messages import Heartbeat, decode_heartbeat
 
 KEPT_ROUNDS = 8  # a heartbeat or digest older than so many rounds counts no more
 Datagram = tuple[str, bytes]  # receiver's IP and content
@@ -104,7 +104,7 @@
         if heard is None:
             return
         kind, entries = heard
-        beats = {number: beat for number, raw in entries if (beat := read_beat(raw)) is not None}
+        beats = {number: beat for number, raw in entries if (beat := decode_heartbeat(raw)) is not None}
         self._heartbeats[ip] = _Heartbeat(now, kind, beats)
 
     def _take_group(
--- a/pewterring/admission/service.py
+++ b/pewterring/admission/service.py
@@ -10,7 +10,7 @@
 from pewterring.admission.digests import Totals
 from pewterring.admission.relayed_shares import RelayedShares
 from pewterring.admission.shares import LEASE_S
-from pewterring.standalone.peer_messages import Heartbeat, read_beat
+from pewterring.standalone.peer_messages import Heartbeat, decode_heartbeat
 from pewterring.standalone.policy import interface as i
 
 # Of the slots that no process has out, one gateway may take so much past its share; in large fleets as much
@@ -118,6 +118,6 @@
 
     def hear_batch(self, now: float, peer: int, data: bytes) -> None:
         """Takes the heartbeat of a process that runs batch items: they yield, so they reserve no share."""
-        beat = read_beat(data)
+        beat = decode_heartbeat(data)
         if beat is not None:
             self._batch[peer] = (now, beat)
--- a/pewterring/admission/shares.py
+++ b/pewterring/admission/shares.py
@@ -76,7 +76,7 @@
 
     def hear(self, now: float, peer: int, data: bytes, limit: float) -> bool:
         """Takes a heartbeat; False where it is malformed, late, or of a former life of the peer."""
-        beat, p = mail.read_beat(data), self.peers.get(peer)
+        beat, p = mail.decode_heartbeat(data), self.peers.get(peer)
         known = bool(beat and p and beat.incarnation == p.beat.incarnation)
         if not beat or (p and (beat.incarnation == p.before or (known and beat.sequence <= p.beat.sequence))):
             return False
--- a/pewterring/standalone/peer_messages.py
+++ b/pewterring/standalone/peer_messages.py
@@ -130,7 +130,7 @@
     return HEARTBEAT_FORMAT.pack(HEARTBEAT_TAG, *heartbeat)
 
 
-def read_beat(data: bytes) -> Heartbeat | None:
+def decode_heartbeat(data: bytes) -> Heartbeat | None:
     """Decodes the heartbeat at the beginning of a message; None where the bytes are no heartbeat."""
     if data[:1] != HEARTBEAT_TAG or len(data) < HEARTBEAT_FORMAT.size:
         return None
--- a/tests/golden/datagram_cases.py
+++ b/tests/golden/datagram_cases.py
@@ -85,12 +85,17 @@
 
 def _peer_heartbeats() -> list[Case]:
     return [
-        Case("peer-heartbeat", lambda: peers.encode_heartbeat(BEAT), peers.read_beat, BEAT),
-        Case("peer-heartbeat-least", lambda: peers.encode_heartbeat(LEAST_BEAT), peers.read_beat, LEAST_BEAT),
+        Case("peer-heartbeat", lambda: peers.encode_heartbeat(BEAT), peers.decode_heartbeat, BEAT),
+        Case(
+            "peer-heartbeat-least",
+            lambda: peers.encode_heartbeat(LEAST_BEAT),
+            peers.decode_heartbeat,
+            LEAST_BEAT,
+        ),
         Case(
             "peer-heartbeat-with-news",
             lambda: peers.encode_heartbeat(BEAT) + peers.write_news(NEWS),
-            lambda data: (peers.read_beat(data), tuple(peers.read_news(data))),
+            lambda data: (peers.decode_heartbeat(data), tuple(peers.read_news(data))),
             (BEAT, NEWS),
         ),
     ]
@@ -99,7 +104,7 @@
 def _read_heartbeat(data: bytes) -> tuple[int, dict[int, peers.Heartbeat | None]] | None:
     """The kind of process and each service's heartbeat, decoded."""
     read = datagram.read_heartbeat(data)
-    return None if read is None else (read[0], {name: peers.read_beat(beat) for name, beat in read[1]})
+    return None if read is None else (read[0], {name: peers.decode_heartbeat(beat) for name, beat in read[1]})
 
 
 def _admission_heartbeat(name: str, kind: int, beats: dict[int, peers.Heartbeat]) -> Case:
