--- a/pewterring/standalone/peer_messages.py
+++ b/pewterring/standalone/peer_messages.py
@@ -44,7 +44,7 @@
     demand: float  # requests a second
 
 
-class News(NamedTuple):
+class QuotaUsage(NamedTuple):
     """Usage of one customer's quota at the sender.
 
     `plan` is a `plan_number`; the customer's set is `size` gateways from number `first` on.
@@ -138,7 +138,7 @@
     return heartbeat if all(math.isfinite(x) and x >= 0 for x in heartbeat) else None
 
 
-def write_news(entries: Sequence[News]) -> bytes:
+def write_news(entries: Sequence[QuotaUsage]) -> bytes:
     """Encodes quota usage, to be appended to a heartbeat."""
     scaled = (
         (
@@ -150,9 +150,9 @@
     return b"".join(USAGE_FORMAT.pack(*entry) for entry in scaled)
 
 
-def read_news(data: bytes) -> Iterator[News]:
+def read_news(data: bytes) -> Iterator[QuotaUsage]:
     """Decodes the quota usage after a heartbeat; yields nothing where the message is truncated."""
     usage = data[HEARTBEAT_FORMAT.size :]
     if len(usage) % USAGE_FORMAT.size == 0:
         for customer, plan, size, first, demand, spent in USAGE_FORMAT.iter_unpack(usage):
-            yield News(customer, plan, size, first, demand / USAGE_SCALE, spent / USAGE_SCALE)
+            yield QuotaUsage(customer, plan, size, first, demand / USAGE_SCALE, spent / USAGE_SCALE)
--- a/pewterring/standalone/policy/decisions.py
+++ b/pewterring/standalone/policy/decisions.py
@@ -7,7 +7,7 @@
 from pewterring.admission.ceiling import Ceiling
 from pewterring.admission.shares import BEAT_S, Shares
 from pewterring.standalone.peer_messages import (MAX_USAGE_ENTRIES, Grant, Back, Ask,
-    News, read_ask, read_news, write_ask, write_news, plan_number)  # fmt: skip
+    QuotaUsage, read_ask, read_news, write_ask, write_news, plan_number)  # fmt: skip
 from pewterring.standalone.policy.interface import (
     NEVER_RAN, Action, Cancel, Code, Effect, Event, Expired, Fail, Group, ListForm, Mode, Outcome, PeerMail,
     Plan, Probe, ProbeResult, Refuse, Request, RequestClass, Send, ServerList, SetTimer, Settings,
@@ -165,7 +165,7 @@
             account = self.accounts[id]
             account.sent[peer] = Usage(usage.demand, usage.spent)
             shown = (usage.demand / account.plan.refill, usage.spent / account.plan.depth)
-            usages.append(News(id, plan_number(account.plan.name), account.size, account.first, *shown))
+            usages.append(QuotaUsage(id, plan_number(account.plan.name), account.size, account.first, *shown))
         return write_news(usages)
 
     def receive(self, now: float, peer: int, incarnation: int, data: bytes) -> None:
--- a/tests/golden/datagram_cases.py
+++ b/tests/golden/datagram_cases.py
@@ -22,8 +22,8 @@
 BEAT = peers.Heartbeat(INCARNATION, 0x01020304, 12.5, 7, 3.25, 9.75)
 LEAST_BEAT = peers.Heartbeat(0, 0, 0.0, 0, 0.0, 0.0)
 NEWS = (
-    peers.News(0x0102030405060708, 0xABCD, 3, 1, 0.25, -0.5),
-    peers.News(0xFFFFFFFFFFFFFFFF, 0xFFFF, 65535, 65535, 32.767, -32.767),
+    peers.QuotaUsage(0x0102030405060708, 0xABCD, 3, 1, 0.25, -0.5),
+    peers.QuotaUsage(0xFFFFFFFFFFFFFFFF, 0xFFFF, 65535, 65535, 32.767, -32.767),
 )
 LIMITS = (1.5, 2.5, 3.5, 4.5, 5.5, 6.5, 7.5)
 DIGEST = digests.Digest(9, LIMITS, 10.5, 20.25, 30.75, 4.5)
