--- a/pewterring/standalone/peer_messages.py
+++ b/pewterring/standalone/peer_messages.py
@@ -58,7 +58,7 @@
     spent: float  # units, as a fraction of the plan's burst size
 
 
-class Ask(NamedTuple):
+class QuotaRequest(NamedTuple):
     """A quota request: asks the owner of an account whether a request of its customer may be forwarded.
 
     `plan` is a `plan_number`; the customer's set is `size` gateways from number `first` on.
@@ -95,8 +95,8 @@
     extra: float  # units used beyond those granted; negative where fewer were used
 
 
-FORMATS: dict[bytes, tuple[struct.Struct, type[Ask] | type[Grant] | type[Back]]] = {
-    REQUEST_TAG: (REQUEST_FORMAT, Ask),
+FORMATS: dict[bytes, tuple[struct.Struct, type[QuotaRequest] | type[Grant] | type[Back]]] = {
+    REQUEST_TAG: (REQUEST_FORMAT, QuotaRequest),
     GRANT_TAG: (GRANT_FORMAT, Grant),
     RELEASE_TAG: (RELEASE_FORMAT, Back),
 }
@@ -108,19 +108,21 @@
     return tuple(max(-MAX_HALF_FLOAT, min(MAX_HALF_FLOAT, x)) if isinstance(x, float) else x for x in values)
 
 
-def write_ask(message: Ask | Grant | Back) -> bytes:
+def write_ask(message: QuotaRequest | Grant | Back) -> bytes:
     """Encodes a quota request, grant or release; floats beyond the range of 16 bits are clamped to it."""
     tag = TAGS[type(message)]
     return FORMATS[tag][0].pack(tag, *clamp_to_half_floats(message))
 
 
-def read_ask(data: bytes) -> Ask | Grant | Back | None:
+def read_ask(data: bytes) -> QuotaRequest | Grant | Back | None:
     """Decodes a quota request, grant or release; None where the bytes are none of these or malformed."""
     layout, kind = FORMATS.get(data[:1], (None, None))
     if layout is None or kind is None or len(data) != layout.size:
         return None
     message = kind(*layout.unpack(data)[1:])
-    if not all(math.isfinite(x) for x in message) or (isinstance(message, Ask) and message.units < 0):
+    if not all(math.isfinite(x) for x in message) or (
+        isinstance(message, QuotaRequest) and message.units < 0
+    ):
         return None
     return message
 
--- a/pewterring/standalone/policy/decisions.py
+++ b/pewterring/standalone/policy/decisions.py
@@ -6,7 +6,7 @@
 
 from pewterring.admission.ceiling import Ceiling
 from pewterring.admission.shares import BEAT_S, Shares
-from pewterring.standalone.peer_messages import (MAX_USAGE_ENTRIES, Grant, Back, Ask,
+from pewterring.standalone.peer_messages import (MAX_USAGE_ENTRIES, Grant, Back, QuotaRequest,
     QuotaUsage, read_ask, read_news, write_ask, write_news, plan_number)  # fmt: skip
 from pewterring.standalone.policy.interface import (
     NEVER_RAN, Action, Cancel, Code, Effect, Event, Expired, Fail, Group, ListForm, Mode, Outcome, PeerMail,
@@ -106,7 +106,7 @@
                  or account.plan.parallel or (account.plan.cap_rate and account.own_cap < units))  # fmt: skip
         return bool(shared) and account.size > 1 and self.settings.limits.peers
 
-    def grant(self, now: float, peer: int, request: Ask, typical: float) -> Grant:
+    def grant(self, now: float, peer: int, request: QuotaRequest, typical: float) -> Grant:
         """The owner's answer, the same to a repeated request. Used at once or lost, it has one holder."""
         if (known := self.answers.get((peer, request.token, request.customer))) and peer != self.settings.me:
             return known[1]
@@ -473,7 +473,7 @@
         self.last_token = self.last_token % 65535 + 1
         identity = (request.customer, plan_number(account.plan.name), account.size, account.first)
         depth = max(account.plan.depth, 1e-9)
-        call.query = Ask(self.last_token, *identity, request.units, account.unreported,
+        call.query = QuotaRequest(self.last_token, *identity, request.units, account.unreported,
                                   account.spent() / depth, account.ungranted / depth)  # fmt: skip
         account.unreported = 0.0
         if account.owner == self.settings.me:
@@ -481,16 +481,16 @@
         self.awaiting_owner[self.last_token] = call
         self.ask_owner(now, call, account.owner, call.query)
 
-    def ask_owner(self, now: float, call: PendingRequest, owner: int, query: Ask) -> None:
+    def ask_owner(self, now: float, call: PendingRequest, owner: int, query: QuotaRequest) -> None:
         wait = min(self.wait_s, (call.request.not_after - now) / 2) / self.MAX_ASKED  # deadlines may be near
         call.answer_due, call.times_asked = now + wait - 1e-6, call.times_asked + 1
         messages = ([Tell(owner, write_ask(query))]
                     if call.times_asked == 1 or self.answer_rate > self.MIN_ANSWER_RATE else [])  # fmt: skip
         self.actions += [*messages, SetTimer(wait, ANSWER_TIMEOUT)]
 
-    def on_message(self, now: float, peer: int, message: Ask | Grant | Back) -> None:
+    def on_message(self, now: float, peer: int, message: QuotaRequest | Grant | Back) -> None:
         match message:
-            case Ask() if (message.plan in self.quota.plans
+            case QuotaRequest() if (message.plan in self.quota.plans
                                     and 0 < message.size <= self.settings.fleet_size):  # fmt: skip
                 grant = self.quota.grant(now, peer, message, self.latency())
                 self.actions.append(Tell(peer, write_ask(grant)))
--- a/pewterring/standalone/policy/state.py
+++ b/pewterring/standalone/policy/state.py
@@ -3,7 +3,7 @@
 import math
 from dataclasses import dataclass, field
 
-from pewterring.standalone.peer_messages import Ask, Heartbeat
+from pewterring.standalone.peer_messages import Heartbeat, QuotaRequest
 from pewterring.standalone.policy.interface import Plan, Request, RequestClass, Server
 
 
@@ -107,7 +107,7 @@
     in_flight: set[int] = field(default_factory=set)
     may_have_run: list[int] = field(default_factory=list)  # attempts that ended and may have been executed
     streaming: bool = False
-    query: Ask | None = None  # the quota request to the owner of its account
+    query: QuotaRequest | None = None  # the quota request to the owner of its account
     times_asked: int = 0  # how often the quota request was sent
     answer_due: float = 0.0  # until when the owner's answer is awaited; 0: it is not
     issued: bool = False  # an attempt was issued
