--- a/pewterring/standalone/peer_messages.py
+++ b/pewterring/standalone/peer_messages.py
@@ -77,7 +77,7 @@
     )
 
 
-class Grant(NamedTuple):
+class QuotaGrant(NamedTuple):
     """The owner's answer to a quota request; `demand` and `spent` are those of the whole set."""
 
     token: int
@@ -95,9 +95,9 @@
     extra: float  # units used beyond those granted; negative where fewer were used
 
 
-FORMATS: dict[bytes, tuple[struct.Struct, type[QuotaRequest] | type[Grant] | type[Back]]] = {
+FORMATS: dict[bytes, tuple[struct.Struct, type[QuotaRequest] | type[QuotaGrant] | type[Back]]] = {
     REQUEST_TAG: (REQUEST_FORMAT, QuotaRequest),
-    GRANT_TAG: (GRANT_FORMAT, Grant),
+    GRANT_TAG: (GRANT_FORMAT, QuotaGrant),
     RELEASE_TAG: (RELEASE_FORMAT, Back),
 }
 TAGS = {kind: tag for tag, (_, kind) in FORMATS.items()}
@@ -108,13 +108,13 @@
     return tuple(max(-MAX_HALF_FLOAT, min(MAX_HALF_FLOAT, x)) if isinstance(x, float) else x for x in values)
 
 
-def write_ask(message: QuotaRequest | Grant | Back) -> bytes:
+def write_ask(message: QuotaRequest | QuotaGrant | Back) -> bytes:
     """Encodes a quota request, grant or release; floats beyond the range of 16 bits are clamped to it."""
     tag = TAGS[type(message)]
     return FORMATS[tag][0].pack(tag, *clamp_to_half_floats(message))
 
 
-def read_ask(data: bytes) -> QuotaRequest | Grant | Back | None:
+def read_ask(data: bytes) -> QuotaRequest | QuotaGrant | Back | None:
     """Decodes a quota request, grant or release; None where the bytes are none of these or malformed."""
     layout, kind = FORMATS.get(data[:1], (None, None))
     if layout is None or kind is None or len(data) != layout.size:
--- a/pewterring/standalone/policy/decisions.py
+++ b/pewterring/standalone/policy/decisions.py
@@ -6,7 +6,7 @@
 
 from pewterring.admission.ceiling import Ceiling
 from pewterring.admission.shares import BEAT_S, Shares
-from pewterring.standalone.peer_messages import (MAX_USAGE_ENTRIES, Grant, Back, QuotaRequest,
+from pewterring.standalone.peer_messages import (MAX_USAGE_ENTRIES, QuotaGrant, Back, QuotaRequest,
     QuotaUsage, read_ask, read_news, write_ask, write_news, plan_number)  # fmt: skip
 from pewterring.standalone.policy.interface import (
     NEVER_RAN, Action, Cancel, Code, Effect, Event, Expired, Fail, Group, ListForm, Mode, Outcome, PeerMail,
@@ -68,7 +68,7 @@
         self.settings, self.rng, self.began, self.sparse = settings, rng, 0.0, sparse
         self.accounts, self.incarnations = dict[int, CustomerAccount](), dict[int, int]()  # by peer
         self.unsent: dict[int, CustomerAccount] = {}  # those with usage not yet sent to peers
-        self.answers: dict[tuple[int, int, int], tuple[float, Grant]] = {}  # given recently, as owner
+        self.answers: dict[tuple[int, int, int], tuple[float, QuotaGrant]] = {}  # given recently, as owner
         self.plans = {plan_number(name): plan for name, plan in settings.plans.items()}
 
     def get_account(self, now: float, id: int, plan: Plan, size: int, first: int) -> CustomerAccount:
@@ -106,7 +106,7 @@
                  or account.plan.parallel or (account.plan.cap_rate and account.own_cap < units))  # fmt: skip
         return bool(shared) and account.size > 1 and self.settings.limits.peers
 
-    def grant(self, now: float, peer: int, request: QuotaRequest, typical: float) -> Grant:
+    def grant(self, now: float, peer: int, request: QuotaRequest, typical: float) -> QuotaGrant:
         """The owner's answer, the same to a repeated request. Used at once or lost, it has one holder."""
         if (known := self.answers.get((peer, request.token, request.customer))) and peer != self.settings.me:
             return known[1]
@@ -125,7 +125,7 @@
         if granted and self.sparse:
             account.spend(request.units)
         fractions = account.demand() / max(plan.refill, 1e-9), account.spent() / max(plan.depth, 1e-9)
-        grant = Grant(request.token, granted, pooled, *fractions)
+        grant = QuotaGrant(request.token, granted, pooled, *fractions)
         self.answers[peer, request.token, request.customer] = now, grant
         return grant
 
@@ -488,7 +488,7 @@
                     if call.times_asked == 1 or self.answer_rate > self.MIN_ANSWER_RATE else [])  # fmt: skip
         self.actions += [*messages, SetTimer(wait, ANSWER_TIMEOUT)]
 
-    def on_message(self, now: float, peer: int, message: QuotaRequest | Grant | Back) -> None:
+    def on_message(self, now: float, peer: int, message: QuotaRequest | QuotaGrant | Back) -> None:
         match message:
             case QuotaRequest() if (message.plan in self.quota.plans
                                     and 0 < message.size <= self.settings.fleet_size):  # fmt: skip
@@ -496,7 +496,7 @@
                 self.actions.append(Tell(peer, write_ask(grant)))
             case Back():
                 self.quota.release(peer, message)
-            case Grant() if call := self.awaiting_owner.pop(message.token, None):
+            case QuotaGrant() if call := self.awaiting_owner.pop(message.token, None):
                 self.answer_rate += (1.0 - self.answer_rate) * self.ANSWER_WEIGHT
                 self.admit(now, call, message)
 
@@ -504,7 +504,7 @@
         profitable = call.plan.over_worth > call.plan.over_cost and not call.plan.parallel
         return profitable and self.in_flight < self.IDLE_FRACTION * self.shares.share
 
-    def admit(self, now: float, call: PendingRequest, answer: Grant | None) -> None:
+    def admit(self, now: float, call: PendingRequest, answer: QuotaGrant | None) -> None:
         """Forwards a request if its account allows it, by the owner's answer or else by local figures."""
         request, plan = call.request, call.plan
         account = self.quota.get_account(now, request.customer, plan, request.set_size, request.set_from)
