--- a/pewterring/standalone/peer_messages.py
+++ b/pewterring/standalone/peer_messages.py
@@ -87,7 +87,7 @@
     spent: float  # as a fraction of the plan's burst size
 
 
-class Back(NamedTuple):
+class QuotaRelease(NamedTuple):
     """A quota release: the request that a token was granted for has ended."""
 
     token: int
@@ -95,10 +95,10 @@
     extra: float  # units used beyond those granted; negative where fewer were used
 
 
-FORMATS: dict[bytes, tuple[struct.Struct, type[QuotaRequest] | type[QuotaGrant] | type[Back]]] = {
+FORMATS: dict[bytes, tuple[struct.Struct, type[QuotaRequest] | type[QuotaGrant] | type[QuotaRelease]]] = {
     REQUEST_TAG: (REQUEST_FORMAT, QuotaRequest),
     GRANT_TAG: (GRANT_FORMAT, QuotaGrant),
-    RELEASE_TAG: (RELEASE_FORMAT, Back),
+    RELEASE_TAG: (RELEASE_FORMAT, QuotaRelease),
 }
 TAGS = {kind: tag for tag, (_, kind) in FORMATS.items()}
 
@@ -108,13 +108,13 @@
     return tuple(max(-MAX_HALF_FLOAT, min(MAX_HALF_FLOAT, x)) if isinstance(x, float) else x for x in values)
 
 
-def write_ask(message: QuotaRequest | QuotaGrant | Back) -> bytes:
+def write_ask(message: QuotaRequest | QuotaGrant | QuotaRelease) -> bytes:
     """Encodes a quota request, grant or release; floats beyond the range of 16 bits are clamped to it."""
     tag = TAGS[type(message)]
     return FORMATS[tag][0].pack(tag, *clamp_to_half_floats(message))
 
 
-def read_ask(data: bytes) -> QuotaRequest | QuotaGrant | Back | None:
+def read_ask(data: bytes) -> QuotaRequest | QuotaGrant | QuotaRelease | None:
     """Decodes a quota request, grant or release; None where the bytes are none of these or malformed."""
     layout, kind = FORMATS.get(data[:1], (None, None))
     if layout is None or kind is None or len(data) != layout.size:
--- a/pewterring/standalone/policy/decisions.py
+++ b/pewterring/standalone/policy/decisions.py
@@ -6,7 +6,7 @@
 
 from pewterring.admission.ceiling import Ceiling
 from pewterring.admission.shares import BEAT_S, Shares
-from pewterring.standalone.peer_messages import (MAX_USAGE_ENTRIES, QuotaGrant, Back, QuotaRequest,
+from pewterring.standalone.peer_messages import (MAX_USAGE_ENTRIES, QuotaGrant, QuotaRelease, QuotaRequest,
     QuotaUsage, read_ask, read_news, write_ask, write_news, plan_number)  # fmt: skip
 from pewterring.standalone.policy.interface import (
     NEVER_RAN, Action, Cancel, Code, Effect, Event, Expired, Fail, Group, ListForm, Mode, Outcome, PeerMail,
@@ -129,7 +129,7 @@
         self.answers[peer, request.token, request.customer] = now, grant
         return grant
 
-    def release(self, peer: int, release: Back) -> None:  # frees a slot, corrects the units
+    def release(self, peer: int, release: QuotaRelease) -> None:  # frees a slot, corrects the units
         if account := self.accounts.get(release.customer):
             account.grants.pop((peer, release.token), None)
             if self.sparse or peer == self.settings.me:
@@ -488,13 +488,13 @@
                     if call.times_asked == 1 or self.answer_rate > self.MIN_ANSWER_RATE else [])  # fmt: skip
         self.actions += [*messages, SetTimer(wait, ANSWER_TIMEOUT)]
 
-    def on_message(self, now: float, peer: int, message: QuotaRequest | QuotaGrant | Back) -> None:
+    def on_message(self, now: float, peer: int, message: QuotaRequest | QuotaGrant | QuotaRelease) -> None:
         match message:
             case QuotaRequest() if (message.plan in self.quota.plans
                                     and 0 < message.size <= self.settings.fleet_size):  # fmt: skip
                 grant = self.quota.grant(now, peer, message, self.latency())
                 self.actions.append(Tell(peer, write_ask(grant)))
-            case Back():
+            case QuotaRelease():
                 self.quota.release(peer, message)
             case QuotaGrant() if call := self.awaiting_owner.pop(message.token, None):
                 self.answer_rate += (1.0 - self.answer_rate) * self.ANSWER_WEIGHT
@@ -628,7 +628,7 @@
 
     def release_quota(self, call: PendingRequest) -> None:  # frees its slot, corrects the units
         extra = call.extra if call.issued else -call.request.units * call.charged
-        release = Back(call.query.token if call.query else 0, call.request.customer, extra)
+        release = QuotaRelease(call.query.token if call.query else 0, call.request.customer, extra)
         account = self.quota.accounts.get(call.request.customer)
         remote = account is not None and call.query is not None and account.owner != self.settings.me
         if account and remote and (call.plan.parallel or extra):
--- a/tests/golden/datagram_cases.py
+++ b/tests/golden/datagram_cases.py
@@ -69,13 +69,13 @@
 
 
 def _peer_questions() -> list[Case]:
-    messages: dict[str, peers.QuotaRequest | peers.QuotaGrant | peers.Back] = {
+    messages: dict[str, peers.QuotaRequest | peers.QuotaGrant | peers.QuotaRelease] = {
         "peer-ask": peers.QuotaRequest(0x0102, 0x0102030405060708, 0xABCD, 3, 1, 2.5, 4.75, 0.5, -0.25),
         "peer-ask-least": peers.QuotaRequest(0, 0, 0, 0, 0, 0.0, 0.0, 0.0, 0.0),
         "peer-grant": peers.QuotaGrant(0x0102, True, True, 1.5, -0.75),
         "peer-grant-least": peers.QuotaGrant(0, False, False, 0.0, 0.0),
-        "peer-back": peers.Back(0x0102, 0x0102030405060708, -3.5),
-        "peer-back-least": peers.Back(0, 0, 0.0),
+        "peer-back": peers.QuotaRelease(0x0102, 0x0102030405060708, -3.5),
+        "peer-back-least": peers.QuotaRelease(0, 0, 0.0),
     }
     return [
         Case(name, partial(peers.write_ask, message), peers.read_ask, message)
--- a/tests/standalone/test_accounts.py
+++ b/tests/standalone/test_accounts.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from pewterring.standalone.peer_messages import Back, QuotaGrant, QuotaRequest, read_ask
+from pewterring.standalone.peer_messages import QuotaGrant, QuotaRelease, QuotaRequest, read_ask
 from pewterring.standalone.policy import interface
 from pewterring.standalone.policy.decisions import ANSWER_TIMEOUT, TICK
 from tests.standalone.helpers import DEADLINE, PLANS, Drive, finals, settings
@@ -293,7 +293,7 @@
         1,
         interface.Outcome(network.sent[0][1].id, 0, network.sent[0][1].server, interface.Code.OK, 0.1, True),
     )
-    assert {type(read_ask(t.data)) for _, t in network.messages} == {Back}
+    assert {type(read_ask(t.data)) for _, t in network.messages} == {QuotaRelease}
     assert read_ask(b"G" + bytes(8)) == QuotaGrant(0, False, False, 0.0, 0.0)
 
 
