--- a/pewterring/standalone/peer_messages.py
+++ b/pewterring/standalone/peer_messages.py
@@ -108,7 +108,7 @@
     return tuple(max(-MAX_HALF_FLOAT, min(MAX_HALF_FLOAT, x)) if isinstance(x, float) else x for x in values)
 
 
-def write_ask(message: QuotaRequest | QuotaGrant | QuotaRelease) -> bytes:
+def encode_quota(message: QuotaRequest | QuotaGrant | QuotaRelease) -> bytes:
     """Encodes a quota request, grant or release; floats beyond the range of 16 bits are clamped to it."""
     tag = TAGS[type(message)]
     return FORMATS[tag][0].pack(tag, *clamp_to_half_floats(message))
--- a/pewterring/standalone/policy/decisions.py
+++ b/pewterring/standalone/policy/decisions.py
@@ -7,7 +7,7 @@
 from pewterring.admission.ceiling import Ceiling
 from pewterring.admission.shares import BEAT_S, Shares
 from pewterring.standalone.peer_messages import (MAX_USAGE_ENTRIES, QuotaGrant, QuotaRelease, QuotaRequest,
-    QuotaUsage, read_ask, read_news, write_ask, write_news, plan_number)  # fmt: skip
+    QuotaUsage, read_ask, read_news, encode_quota, write_news, plan_number)  # fmt: skip
 from pewterring.standalone.policy.interface import (
     NEVER_RAN, Action, Cancel, Code, Effect, Event, Expired, Fail, Group, ListForm, Mode, Outcome, PeerMail,
     Plan, Probe, ProbeResult, Refuse, Request, RequestClass, Send, ServerList, SetTimer, Settings,
@@ -484,7 +484,7 @@
     def ask_owner(self, now: float, call: PendingRequest, owner: int, query: QuotaRequest) -> None:
         wait = min(self.wait_s, (call.request.not_after - now) / 2) / self.MAX_ASKED  # deadlines may be near
         call.answer_due, call.times_asked = now + wait - 1e-6, call.times_asked + 1
-        messages = ([Tell(owner, write_ask(query))]
+        messages = ([Tell(owner, encode_quota(query))]
                     if call.times_asked == 1 or self.answer_rate > self.MIN_ANSWER_RATE else [])  # fmt: skip
         self.actions += [*messages, SetTimer(wait, ANSWER_TIMEOUT)]
 
@@ -493,7 +493,7 @@
             case QuotaRequest() if (message.plan in self.quota.plans
                                     and 0 < message.size <= self.settings.fleet_size):  # fmt: skip
                 grant = self.quota.grant(now, peer, message, self.latency())
-                self.actions.append(Tell(peer, write_ask(grant)))
+                self.actions.append(Tell(peer, encode_quota(grant)))
             case QuotaRelease():
                 self.quota.release(peer, message)
             case QuotaGrant() if call := self.awaiting_owner.pop(message.token, None):
@@ -633,7 +633,7 @@
         remote = account is not None and call.query is not None and account.owner != self.settings.me
         if account and remote and (call.plan.parallel or extra):
             times = 1 if extra or call.plan.refill else 2  # twice if harmless: a lost release blocks a slot
-            self.actions += [Tell(account.owner, write_ask(release))] * times
+            self.actions += [Tell(account.owner, encode_quota(release))] * times
         if not (self.sparse and remote):
             self.quota.release(self.settings.me, release)
 
