--- a/pewterring/standalone/peer_messages.py
+++ b/pewterring/standalone/peer_messages.py
@@ -114,7 +114,7 @@
     return FORMATS[tag][0].pack(tag, *clamp_to_half_floats(message))
 
 
-def read_ask(data: bytes) -> QuotaRequest | QuotaGrant | QuotaRelease | None:
+def decode_quota(data: bytes) -> QuotaRequest | QuotaGrant | QuotaRelease | None:
     """Decodes a quota request, grant or release; None where the bytes are none of these or malformed."""
     layout, kind = FORMATS.get(data[:1], (None, None))
     if layout is None or kind is None or len(data) != layout.size:
--- a/pewterring/standalone/policy/decisions.py
+++ b/pewterring/standalone/policy/decisions.py
@@ -7,7 +7,7 @@
 from pewterring.admission.ceiling import Ceiling
 from pewterring.admission.shares import BEAT_S, Shares
 from pewterring.standalone.peer_messages import (MAX_USAGE_ENTRIES, QuotaGrant, QuotaRelease, QuotaRequest,
-    QuotaUsage, read_ask, read_news, encode_quota, write_news, plan_number)  # fmt: skip
+    QuotaUsage, decode_quota, read_news, encode_quota, write_news, plan_number)  # fmt: skip
 from pewterring.standalone.policy.interface import (
     NEVER_RAN, Action, Cancel, Code, Effect, Event, Expired, Fail, Group, ListForm, Mode, Outcome, PeerMail,
     Plan, Probe, ProbeResult, Refuse, Request, RequestClass, Send, ServerList, SetTimer, Settings,
@@ -368,7 +368,7 @@
             case TimerDue():
                 self.on_timer(now, event.label)
             case PeerMail(peer, data) if peer != self.settings.me and 0 <= peer < self.settings.fleet_size:
-                if message := read_ask(data):
+                if message := decode_quota(data):
                     self.on_message(now, peer, message)
                 elif self.shares.hear(now, peer, data, self.ceiling.limit):
                     self.quota.receive(now, peer, self.shares.peers[peer].beat.incarnation, data)
--- a/tests/golden/datagram_cases.py
+++ b/tests/golden/datagram_cases.py
@@ -78,7 +78,7 @@
         "peer-back-least": peers.QuotaRelease(0, 0, 0.0),
     }
     return [
-        Case(name, partial(peers.encode_quota, message), peers.read_ask, message)
+        Case(name, partial(peers.encode_quota, message), peers.decode_quota, message)
         for name, message in messages.items()
     ]
 
--- a/tests/standalone/test_accounts.py
+++ b/tests/standalone/test_accounts.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from pewterring.standalone.peer_messages import QuotaGrant, QuotaRelease, QuotaRequest, read_ask
+from pewterring.standalone.peer_messages import QuotaGrant, QuotaRelease, QuotaRequest, decode_quota
 from pewterring.standalone.policy import interface
 from pewterring.standalone.policy.decisions import ANSWER_TIMEOUT, TICK
 from tests.standalone.helpers import DEADLINE, PLANS, Drive, finals, settings
@@ -163,7 +163,7 @@
     for n in range(400):
         network.now += 0.01  # 100 requests a second against a quota of 10
         network.request(1, "steady")
-        requests_sent += sum(isinstance(read_ask(t.data), QuotaRequest) for _, t in network.messages)
+        requests_sent += sum(isinstance(decode_quota(t.data), QuotaRequest) for _, t in network.messages)
         before = len(network.sent)
         network.deliver()
         if len(network.sent) > before:
@@ -293,8 +293,8 @@
         1,
         interface.Outcome(network.sent[0][1].id, 0, network.sent[0][1].server, interface.Code.OK, 0.1, True),
     )
-    assert {type(read_ask(t.data)) for _, t in network.messages} == {QuotaRelease}
-    assert read_ask(b"G" + bytes(8)) == QuotaGrant(0, False, False, 0.0, 0.0)
+    assert {type(decode_quota(t.data)) for _, t in network.messages} == {QuotaRelease}
+    assert decode_quota(b"G" + bytes(8)) == QuotaGrant(0, False, False, 0.0, 0.0)
 
 
 def test_an_owner_that_answers_rarely_is_not_asked_again() -> None:
@@ -309,7 +309,7 @@
             due_at, gateway, label = network.timers.pop(0)
             network.now = max(network.now, due_at)
             network.handle(gateway, interface.TimerDue(label))
-        requests_sent.append(sum(isinstance(read_ask(t.data), QuotaRequest) for _, t in network.messages))
+        requests_sent.append(sum(isinstance(decode_quota(t.data), QuotaRequest) for _, t in network.messages))
         for _, send in network.sent[n:]:
             network.handle(1, interface.Outcome(send.id, 0, send.server, interface.Code.OK, 0.1, True))
     assert requests_sent[0] == 3
