--- a/pewterring/standalone/peer_messages.py
+++ b/pewterring/standalone/peer_messages.py
@@ -140,7 +140,7 @@
     return heartbeat if all(math.isfinite(x) and x >= 0 for x in heartbeat) else None
 
 
-def write_news(entries: Sequence[QuotaUsage]) -> bytes:
+def encode_usage(entries: Sequence[QuotaUsage]) -> bytes:
     """Encodes quota usage, to be appended to a heartbeat."""
     scaled = (
         (
--- a/pewterring/standalone/policy/decisions.py
+++ b/pewterring/standalone/policy/decisions.py
@@ -7,7 +7,7 @@
 from pewterring.admission.ceiling import Ceiling
 from pewterring.admission.shares import BEAT_S, Shares
 from pewterring.standalone.peer_messages import (MAX_USAGE_ENTRIES, QuotaGrant, QuotaRelease, QuotaRequest,
-    QuotaUsage, decode_quota, read_news, encode_quota, write_news, plan_number)  # fmt: skip
+    QuotaUsage, decode_quota, read_news, encode_quota, encode_usage, plan_number)  # fmt: skip
 from pewterring.standalone.policy.interface import (
     NEVER_RAN, Action, Cancel, Code, Effect, Event, Expired, Fail, Group, ListForm, Mode, Outcome, PeerMail,
     Plan, Probe, ProbeResult, Refuse, Request, RequestClass, Send, ServerList, SetTimer, Settings,
@@ -166,7 +166,7 @@
             account.sent[peer] = Usage(usage.demand, usage.spent)
             shown = (usage.demand / account.plan.refill, usage.spent / account.plan.depth)
             usages.append(QuotaUsage(id, plan_number(account.plan.name), account.size, account.first, *shown))
-        return write_news(usages)
+        return encode_usage(usages)
 
     def receive(self, now: float, peer: int, incarnation: int, data: bytes) -> None:
         if self.incarnations.setdefault(peer, incarnation) != incarnation:  # restarted: it needs all
--- a/tests/golden/datagram_cases.py
+++ b/tests/golden/datagram_cases.py
@@ -94,7 +94,7 @@
         ),
         Case(
             "peer-heartbeat-with-news",
-            lambda: peers.encode_heartbeat(BEAT) + peers.write_news(NEWS),
+            lambda: peers.encode_heartbeat(BEAT) + peers.encode_usage(NEWS),
             lambda data: (peers.decode_heartbeat(data), tuple(peers.read_news(data))),
             (BEAT, NEWS),
         ),
