--- a/pewterring/standalone/peer_messages.py
+++ b/pewterring/standalone/peer_messages.py
@@ -152,7 +152,7 @@
     return b"".join(USAGE_FORMAT.pack(*entry) for entry in scaled)
 
 
-def read_news(data: bytes) -> Iterator[QuotaUsage]:
+def decode_usage(data: bytes) -> Iterator[QuotaUsage]:
     """Decodes the quota usage after a heartbeat; yields nothing where the message is truncated."""
     usage = data[HEARTBEAT_FORMAT.size :]
     if len(usage) % USAGE_FORMAT.size == 0:
--- a/pewterring/standalone/policy/decisions.py
+++ b/pewterring/standalone/policy/decisions.py
@@ -7,7 +7,7 @@
 from pewterring.admission.ceiling import Ceiling
 from pewterring.admission.shares import BEAT_S, Shares
 from pewterring.standalone.peer_messages import (MAX_USAGE_ENTRIES, QuotaGrant, QuotaRelease, QuotaRequest,
-    QuotaUsage, decode_quota, read_news, encode_quota, encode_usage, plan_number)  # fmt: skip
+    QuotaUsage, decode_quota, decode_usage, encode_quota, encode_usage, plan_number)  # fmt: skip
 from pewterring.standalone.policy.interface import (
     NEVER_RAN, Action, Cancel, Code, Effect, Event, Expired, Fail, Group, ListForm, Mode, Outcome, PeerMail,
     Plan, Probe, ProbeResult, Refuse, Request, RequestClass, Send, ServerList, SetTimer, Settings,
@@ -172,7 +172,7 @@
         if self.incarnations.setdefault(peer, incarnation) != incarnation:  # restarted: it needs all
             self.incarnations[peer] = incarnation
             self.unsent.update({id: a for id, a in self.accounts.items() if a.sent.pop(peer, None)})
-        for entry in read_news(data):
+        for entry in decode_usage(data):
             if entry.plan in self.plans and 0 < entry.size <= self.settings.fleet_size:
                 plan = self.plans[entry.plan]
                 reported = Usage(entry.demand * plan.refill, entry.spent * plan.depth)
--- a/tests/golden/datagram_cases.py
+++ b/tests/golden/datagram_cases.py
@@ -95,7 +95,7 @@
         Case(
             "peer-heartbeat-with-news",
             lambda: peers.encode_heartbeat(BEAT) + peers.encode_usage(NEWS),
-            lambda data: (peers.decode_heartbeat(data), tuple(peers.read_news(data))),
+            lambda data: (peers.decode_heartbeat(data), tuple(peers.decode_usage(data))),
             (BEAT, NEWS),
         ),
     ]
