--- a/pewterring/standalone/policy/decisions.py
+++ b/pewterring/standalone/policy/decisions.py
@@ -319,7 +319,7 @@
     OWNER_WAIT, MAX_ASKED = 0.2, 3  # for an owner's answer, in shortest latency targets; requests sent to it
     ANSWER_WEIGHT = 1 / 32  # of one quota request, answered or not, in the answer rate
     MIN_ANSWER_RATE = 0.75  # below it quota requests are not repeated: that would overload peers
-    EXTRA, UNRUN_COST = 0.2, 0.25  # retries per first attempt; what one counts if none was executed before
+    RETRY_RATIO, UNRUN_COST = 0.2, 0.25  # retries per first attempt; cost of one if none was executed yet
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.settings, self.rng = settings, random.Random(seed)
@@ -539,7 +539,7 @@
         account.own_cap -= 0.0 if pooled or not plan.cap_rate else request.units
         if not (answer and self.sparse):
             call.charged = account.spend(request.units)
-        self.retry_budget = min(10.0 + self.in_flight / 2, self.retry_budget + self.EXTRA)
+        self.retry_budget = min(10.0 + self.in_flight / 2, self.retry_budget + self.RETRY_RATIO)
         self.send(now, call, server)
 
     def send(self, now: float, call: PendingRequest, server: ServerState) -> None:
--- a/tests/standalone/test_answers.py
+++ b/tests/standalone/test_answers.py
@@ -202,7 +202,7 @@
         extras += len(more)
         for a in more:
             d.end(a, i.Code.OK, attempt=1)
-    assert 0 < extras <= 200 * d.gatekeeper.EXTRA + 1
+    assert 0 < extras <= 200 * d.gatekeeper.RETRY_RATIO + 1
 
 
 def test_a_further_attempt_needs_a_slot() -> None:
