--- a/tests/standalone/helpers.py
+++ b/tests/standalone/helpers.py
@@ -54,7 +54,7 @@
 SERVERS = tuple(server(n, "ab"[n % 2], n % 4) for n in range(8))
 
 
-class Drive:
+class PolicyDriver:
     """A policy with a clock and a list of servers; `first` holds the actions that the list led to."""
 
     def __init__(
--- a/tests/standalone/test_accounts.py
+++ b/tests/standalone/test_accounts.py
@@ -9,7 +9,7 @@
 from pewterring.standalone.peer_messages import QuotaGrant, QuotaRelease, QuotaRequest, decode_quota
 from pewterring.standalone.policy import interface
 from pewterring.standalone.policy.decisions import ANSWER_TIMEOUT, TICK
-from tests.standalone.helpers import DEADLINE, PLANS, Drive, finals, settings
+from tests.standalone.helpers import DEADLINE, PLANS, PolicyDriver, finals, settings
 
 FLEET_SIZE, SET_SIZE = 40, 30  # gateways in all; gateways of the customer's set, from number 0 on
 PLAN = interface.Plan("steady", refill=10.0, depth=20.0)
@@ -27,9 +27,9 @@
         self.sent: list[tuple[int, interface.Send]] = []
         self.refused: list[tuple[int, interface.Refuse]] = []
 
-    def start_gateway(self, gateway: int, seed: int) -> Drive:
+    def start_gateway(self, gateway: int, seed: int) -> PolicyDriver:
         setup = dataclasses.replace(settings(me=gateway, fleet=self.fleet), plans=ALL_PLANS, mail_per_s=100.0)
-        return Drive(setup, seed=seed)
+        return PolicyDriver(setup, seed=seed)
 
     def handle(self, gateway: int, event: interface.Event) -> None:
         self.gateways[gateway].now = self.now
--- a/tests/standalone/test_ceiling.py
+++ b/tests/standalone/test_ceiling.py
@@ -4,7 +4,7 @@
 
 from pewterring.admission.ceiling import Ceiling
 from pewterring.standalone.policy import interface as i
-from tests.standalone.helpers import CLASSES, SERVERS, Drive
+from tests.standalone.helpers import CLASSES, SERVERS, PolicyDriver
 
 PURE = CLASSES["pure"]
 
@@ -68,20 +68,20 @@
 @pytest.mark.parametrize("code", [c for c in i.Code if c != i.Code.OK])
 def test_only_good_answers_are_latencies(code: i.Code) -> None:
     """A fast error is no good latency, a cancel no slow one, a time-out belongs to its server."""
-    d = Drive()
+    d = PolicyDriver()
     d.end(d.sent("once"), code, took=0.001)
     assert d.gatekeeper.ceiling.count == {}
 
 
 def test_past_the_ceiling_is_refused_at_once() -> None:
-    d = Drive()
+    d = PolicyDriver()
     d.gatekeeper.ceiling.limit = 3.0
     answers = [d.ask()[0] for _ in range(5)]
     assert [type(a) for a in answers] == [i.Send] * 3 + [i.Refuse] * 2
 
 
 def test_live_ratings_do_not_scale_the_ceiling() -> None:
-    d = Drive()
+    d = PolicyDriver()
     assert d.gatekeeper.pool.rating == len(SERVERS)
 
 
@@ -99,7 +99,7 @@
     """The slow attempts were cancelled and left out: the usual latency fell to a third, more attempts looked
     silent and got copies, and a fleet of forty stayed so, with a probe for every second request.
     """
-    d = Drive()
+    d = PolicyDriver()
     d.serve(40)
     for _ in range(60):
         first = d.sent()
--- a/tests/standalone/test_fleet.py
+++ b/tests/standalone/test_fleet.py
@@ -6,11 +6,11 @@
 import pytest
 
 from pewterring.standalone.policy import interface
-from tests.standalone.helpers import RULES, SERVERS, Drive, sends, server, settings
+from tests.standalone.helpers import RULES, SERVERS, PolicyDriver, sends, server, settings
 
 
 def first_sends(
-    driver: Drive,
+    driver: PolicyDriver,
     count: int,
     latency: dict[int, float] | None = None,
     codes: dict[int, interface.Code] | None = None,
@@ -41,13 +41,13 @@
 
 
 def test_equal_servers_get_equal_traffic() -> None:
-    counts = first_sends(Drive(), 800)
+    counts = first_sends(PolicyDriver(), 800)
     assert set(counts) == set(range(8))
     assert max(counts.values()) < 2 * min(counts.values())
 
 
 def test_servers_that_drain_or_left_the_list_get_no_traffic() -> None:
-    driver = Drive()
+    driver = PolicyDriver()
     changes = (
         interface.Server(0, "a", 0, interface.Mode.DRAINING),
         interface.Server(1, "b", 1, interface.Mode.DELETED),
@@ -61,7 +61,7 @@
 
 
 def test_a_retry_does_not_go_to_a_server_that_has_begun_to_drain() -> None:
-    driver = Drive(servers=SERVERS[:2])
+    driver = PolicyDriver(servers=SERVERS[:2])
     first = driver.sent()
     other = 1 - first.server
     driver.do(
@@ -74,7 +74,7 @@
 
 def test_a_cold_server_gets_traffic_but_is_never_overloaded() -> None:
     """In any window a gateway sends no more than its part of what the guarantee allows."""
-    driver = Drive()
+    driver = PolicyDriver()
     first_sends(driver, 600)
     driver.do(interface.ServerList(interface.ListForm.CHANGES, (server(9, came_up=driver.now),)))
     started_at, cold_sends, warm = driver.now, [], 0
@@ -97,7 +97,7 @@
 
 
 def test_a_cold_server_that_rejects_at_once_is_not_overloaded() -> None:
-    driver = Drive()
+    driver = PolicyDriver()
     first_sends(driver, 300)
     driver.do(interface.ServerList(interface.ListForm.CHANGES, (server(9, came_up=driver.now),)))
     counts = first_sends(driver, 200, codes={9: interface.Code.RESOURCE_EXHAUSTED})
@@ -105,7 +105,7 @@
 
 
 def test_a_slow_server_gets_less_and_recovers_by_real_traffic() -> None:
-    driver = Drive()
+    driver = PolicyDriver()
     first_sends(driver, 200)
     slow = first_sends(driver, 800, latency={3: 1.0})
     assert slow.get(3, 0) < 50
@@ -115,24 +115,24 @@
 
 
 def test_fast_errors_attract_no_traffic() -> None:
-    counts = first_sends(Drive(), 800, codes={3: interface.Code.INTERNAL})
+    counts = first_sends(PolicyDriver(), 800, codes={3: interface.Code.INTERNAL})
     assert 0 < counts.get(3, 0) < 40
 
 
 def test_a_rejection_counts_less_than_an_error() -> None:
-    full = first_sends(Drive(), 800, codes={3: interface.Code.RESOURCE_EXHAUSTED}).get(3, 0)
-    error = first_sends(Drive(), 800, codes={3: interface.Code.INTERNAL}).get(3, 0)
+    full = first_sends(PolicyDriver(), 800, codes={3: interface.Code.RESOURCE_EXHAUSTED}).get(3, 0)
+    error = first_sends(PolicyDriver(), 800, codes={3: interface.Code.INTERNAL}).get(3, 0)
     assert full > error
 
 
 def test_servers_that_all_fail_are_all_still_used() -> None:
     """Servers are judged relative to each other: when all return errors none is ejected."""
-    driver = Drive()
+    driver = PolicyDriver()
     counts = first_sends(driver, 400, codes=dict.fromkeys(range(8), interface.Code.INTERNAL))
     assert set(counts) == set(range(8))
 
 
-def stop_answers(driver: Drive) -> tuple[interface.Send, list[interface.Action]]:
+def stop_answers(driver: PolicyDriver) -> tuple[interface.Send, list[interface.Action]]:
     """One server stops answering while the others go on."""
     driver.serve(40)
     first = driver.sent()
@@ -144,7 +144,7 @@
 
 
 def test_an_unresponsive_server_is_avoided_and_probed_and_its_request_duplicated() -> None:
-    driver = Drive()
+    driver = PolicyDriver()
     first, actions = stop_answers(driver)
     (duplicate,) = sends(actions)
     assert duplicate.id == first.id
@@ -154,11 +154,11 @@
 
 
 def test_no_duplicate_where_limits_or_effects_forbid_it() -> None:
-    driver = Drive(settings(limits=interface.Limits(max_attempts=3)))
+    driver = PolicyDriver(settings(limits=interface.Limits(max_attempts=3)))
     _, actions = stop_answers(driver)
     assert not sends(actions)
     assert not [a for a in actions if isinstance(a, interface.Probe)]
-    driver = Drive()
+    driver = PolicyDriver()
     driver.serve(40)
     driver.sent("once")
     driver.now += 3.0
@@ -166,7 +166,7 @@
 
 
 def test_a_server_that_responds_again_counts_as_cold() -> None:
-    driver = Drive()
+    driver = PolicyDriver()
     first, _ = stop_answers(driver)
     driver.do(interface.ProbeResult(first.server, interface.Code.OK, 0.01))
     state = driver.gatekeeper.pool.servers[first.server]
@@ -175,7 +175,7 @@
 
 
 def test_a_brief_pause_does_not_count_as_a_restart() -> None:
-    driver = Drive()
+    driver = PolicyDriver()
     first, _ = stop_answers(driver)
     state = driver.gatekeeper.pool.servers[first.server]
     state.health_of("pure").unresponsive_since = driver.now - RULES.tip_after / 2
@@ -184,7 +184,7 @@
 
 
 def test_servers_that_are_all_unresponsive_are_still_used() -> None:
-    driver = Drive()
+    driver = PolicyDriver()
     driver.serve(20)
     for _ in range(5):
         driver.sent()
@@ -195,7 +195,7 @@
 
 @pytest.mark.parametrize("form", list(interface.ListForm))
 def test_a_policy_that_requests_the_list_does_so_again_after_a_failure(form: interface.ListForm) -> None:
-    driver = Drive(settings(ask=True))
+    driver = PolicyDriver(settings(ask=True))
     assert interface.Subscribe() in driver.first
     timers = [a for a in driver.do(interface.ServerList(form, SERVERS)) if isinstance(a, interface.SetTimer)]
     if form != interface.ListForm.FAILED:
@@ -207,7 +207,7 @@
 
 
 def test_removed_servers_are_forgotten_once_their_attempts_end() -> None:
-    driver = Drive()
+    driver = PolicyDriver()
     first = driver.sent()
     rest = tuple(s for s in SERVERS if s.id != first.server)
     driver.do(interface.ServerList(interface.ListForm.WHOLE, rest))
@@ -222,14 +222,14 @@
     costly = interface.Settings(
         0, 3, "a", base.classes, base.plans, base.limits, base.rules, price_cross_zone=0.01
     )
-    driver = Drive(costly)
+    driver = PolicyDriver(costly)
     driver.serve(50)
     used = {id for id, state in driver.gatekeeper.pool.servers.items() if state.last_answer > 0}
     assert used == {0, 2, 4, 6}
 
 
 def test_a_long_stream_does_not_make_its_server_unresponsive() -> None:
-    driver = Drive()
+    driver = PolicyDriver()
     driver.serve(20)
     first = driver.sent("stream")
     driver.do(interface.StreamStarted(first.id, 0, first.server, 0.1))
@@ -245,7 +245,7 @@
     overloaded.
     """
     servers = tuple(server(n, came_up=0.0 if n < 8 else 100.0) for n in range(20))
-    driver = Drive(settings(fleet=20), servers)
+    driver = PolicyDriver(settings(fleet=20), servers)
     tried: set[int] = set()
     for _ in range(120):  # six seconds, of a warm-up of ten
         driver.now += 0.05
@@ -263,7 +263,7 @@
     """
     servers = tuple(server(n, came_up=0.0 if n < 24 else 100.0) for n in range(60))
     setups = [dataclasses.replace(settings(me=n, fleet=40), mail_per_s=100.0) for n in range(40)]
-    drivers = [Drive(setup, servers, seed=n) for n, setup in enumerate(setups)]
+    drivers = [PolicyDriver(setup, servers, seed=n) for n, setup in enumerate(setups)]
     sent, fair_share, rng = dict.fromkeys(range(60), 0), 0.0, random.Random(3)
     for step in range(1, 401):  # eight seconds, seven requests a second at each gateway
         for driver in drivers:
--- a/tests/standalone/test_health.py
+++ b/tests/standalone/test_health.py
@@ -6,12 +6,12 @@
 
 from pewterring.standalone.policy import interface
 from pewterring.standalone.policy.decisions import HEALTH_TICK
-from tests.standalone.helpers import LIMITS, Drive, sends, server, settings
+from tests.standalone.helpers import LIMITS, PolicyDriver, sends, server, settings
 
 TWO_SERVERS = (server(1), server(3))
 
 
-def warm_up(driver: Drive) -> None:
+def warm_up(driver: PolicyDriver) -> None:
     driver.serve(40)
     for _ in range(20):
         driver.now += 0.1
@@ -19,7 +19,7 @@
 
 
 def leave_unanswered(
-    driver: Drive, cls: str, duration: float = 1.5
+    driver: PolicyDriver, cls: str, duration: float = 1.5
 ) -> tuple[interface.Send, list[interface.Action]]:
     """Leaves a request unanswered for `duration` seconds, while others are answered."""
     first = driver.sent(cls)
@@ -33,7 +33,7 @@
     return first, actions
 
 
-def count_sends(driver: Drive, server: int, cls: str, count: int) -> int:
+def count_sends(driver: PolicyDriver, server: int, cls: str, count: int) -> int:
     """Counts how many of `count` consecutive requests go to that server."""
     total = 0
     for _ in range(count):
@@ -48,7 +48,7 @@
     """Each answer to another class made the server count as healthy again: half of one class's requests
     waited at servers that served the rest as usual (cludo-main rough-2).
     """
-    driver = Drive(servers=TWO_SERVERS)
+    driver = PolicyDriver(servers=TWO_SERVERS)
     warm_up(driver)
     first, _ = leave_unanswered(driver, "once")
     driver.do(interface.Outcome(first.id, 0, first.server, interface.Code.CANCELLED, 1.0))
@@ -57,7 +57,7 @@
 
 
 def test_a_request_that_must_not_run_twice_is_cancelled_once_its_answer_is_worthless() -> None:
-    driver = Drive(servers=TWO_SERVERS)
+    driver = PolicyDriver(servers=TWO_SERVERS)
     warm_up(driver)
     first, actions = leave_unanswered(driver, "once")
     assert interface.Cancel(first.id, 0) in actions
@@ -67,7 +67,7 @@
 
 
 def test_a_request_is_not_cancelled_while_its_answer_still_has_value() -> None:
-    driver = Drive(servers=TWO_SERVERS)
+    driver = PolicyDriver(servers=TWO_SERVERS)
     warm_up(driver)
     _, actions = leave_unanswered(driver, "once", duration=0.9)  # the latency target is one second
     assert not [a for a in actions if isinstance(a, interface.Cancel)]
@@ -79,7 +79,7 @@
 ) -> None:
     """Without duplicates a request used to wait at an unresponsive server until its client gave up."""
     limits = dataclasses.replace(LIMITS, may_duplicate=duplicate)
-    driver = Drive(settings(limits=limits), TWO_SERVERS)
+    driver = PolicyDriver(settings(limits=limits), TWO_SERVERS)
     warm_up(driver)
     first, actions = leave_unanswered(driver, "pure")
     if duplicate:
@@ -95,7 +95,7 @@
 
 
 def test_an_error_counts_for_classes_without_a_recent_outcome() -> None:
-    driver = Drive(servers=TWO_SERVERS)
+    driver = PolicyDriver(servers=TWO_SERVERS)
     driver.serve(10)
     driver.end(driver.sent("once"), interface.Code.OK)
     driver.now += 60.0
--- a/tests/standalone/test_quota.py
+++ b/tests/standalone/test_quota.py
@@ -9,7 +9,7 @@
 from pewterring.standalone.peer_messages import HEARTBEAT_FORMAT, USAGE_FORMAT, plan_number
 from pewterring.standalone.policy import interface
 from pewterring.standalone.policy.decisions import Quota
-from tests.standalone.helpers import LIMITS, PLANS, Drive, sends, settings
+from tests.standalone.helpers import LIMITS, PLANS, PolicyDriver, sends, settings
 
 SMALL = PLANS["small"]
 
@@ -18,7 +18,7 @@
     """Three gateways whose messages arrive at once, unless a network partition separates them."""
 
     def __init__(self, plan: str = "small") -> None:
-        self.drivers = [Drive(settings(me=n), seed=n) for n in range(3)]
+        self.drivers = [PolicyDriver(settings(me=n), seed=n) for n in range(3)]
         self.partitioned, self.plan, self.rng = False, PLANS[plan], random.Random(5)
         # Units left of the quota, and requests forwarded when none was left.
         self.units_left, self.beyond = self.plan.depth, 0
@@ -51,7 +51,7 @@
 
 
 def test_within_the_quota_nothing_is_rejected() -> None:
-    driver = Drive()
+    driver = PolicyDriver()
     for _ in range(40):
         driver.now += 2.0
         (send,) = sends(driver.ask(plan="small", size=2))
@@ -84,7 +84,7 @@
     fleet = SmallFleet()
     fleet.forwarded_rate({0: 20, 1: 20}, 10.0)
     before_restart = fleet.drivers[0]
-    fleet.drivers[0] = Drive(settings(me=0), seed=99)
+    fleet.drivers[0] = PolicyDriver(settings(me=0), seed=99)
     fleet.drivers[0].now = before_restart.now
     assert fleet.forwarded_rate({0: 20, 1: 20}, 10.0) <= 1.6 * SMALL.refill
 
@@ -96,7 +96,7 @@
     fleet.pass_time(5 * 0.1)
     reporter = fleet.drivers[0].gatekeeper
     assert not reporter.quota.unsent
-    fleet.drivers[1] = Drive(settings(me=1), seed=99)
+    fleet.drivers[1] = PolicyDriver(settings(me=1), seed=99)
     fleet.drivers[1].now = fleet.drivers[0].now
     for _ in range(12):
         fleet.pass_time(0.1)
@@ -109,7 +109,7 @@
 def test_former_incarnations_are_dropped_when_their_usage_is_refilled() -> None:
     fleet = SmallFleet()
     for n in range(6):
-        fleet.drivers[1] = Drive(settings(me=1), seed=100 + n)
+        fleet.drivers[1] = PolicyDriver(settings(me=1), seed=100 + n)
         fleet.drivers[1].now = fleet.drivers[0].now
         fleet.forwarded_rate({1: 20}, 2.0)
         fleet.pass_time(8.0)
@@ -125,7 +125,7 @@
 
 
 def test_demand_is_sent_only_to_the_set_and_only_after_new_usage() -> None:
-    driver = Drive(settings(me=0))
+    driver = PolicyDriver(settings(me=0))
     driver.tick()
     driver.ask(plan="small", size=2)
     assert [message.peer for message in driver.tick(0.1)] == [1]
@@ -133,7 +133,7 @@
 
 
 def test_usage_of_more_customers_than_fit_in_a_message_is_sent_in_turn() -> None:
-    driver = Drive(settings(me=0))
+    driver = PolicyDriver(settings(me=0))
     for customer in range(50):
         driver.ask(plan="small", customer=customer)
     reported: set[int] = set()
@@ -148,7 +148,7 @@
 
 
 def test_usage_of_an_unknown_customer_counts_when_it_arrives() -> None:
-    driver = Drive(settings(me=0))
+    driver = PolicyDriver(settings(me=0))
     usage = USAGE_FORMAT.pack(5, plan_number("small"), 3, 0, 20_000, 1000)
     heartbeat = HEARTBEAT_FORMAT.pack(b"B", 9, 1, 30.0, 0, 1.0, 1.0)
     driver.do(interface.PeerMail(1, heartbeat + usage))
@@ -156,7 +156,7 @@
 
 
 def test_malformed_usage_is_dropped() -> None:
-    driver = Drive(settings(me=0))
+    driver = PolicyDriver(settings(me=0))
     heartbeat = HEARTBEAT_FORMAT.pack(b"B", 9, 1, 30.0, 0, 1.0, 1.0)
     driver.do(interface.PeerMail(1, heartbeat + USAGE_FORMAT.pack(5, 200, 3, 0, 1, 1)))
     driver.do(
@@ -166,7 +166,7 @@
 
 
 def test_accounts_without_recent_usage_are_dropped() -> None:
-    driver = Drive()
+    driver = PolicyDriver()
     for customer in range(300):
         driver.ask(plan="small", customer=customer)
     driver.tick(1000.0)
@@ -174,7 +174,7 @@
 
 
 def test_actual_units_replace_the_estimate() -> None:
-    driver = Drive(settings(me=0, fleet=1))
+    driver = PolicyDriver(settings(me=0, fleet=1))
     request = interface.Request(900, "pure", "small", 1, driver.now + 4, 3.0, 1, 0)
     (send,) = sends(driver.do(request))
     spent = driver.gatekeeper.quota.accounts[1].spent()
@@ -186,14 +186,14 @@
 def test_the_hard_limit_holds_without_peers_and_through_restarts(restarts: bool) -> None:
     """Three gateways without messages, some killed and restarted, against one common limit."""
     plan, rng = PLANS["capped"], random.Random(5)
-    drivers = [Drive(settings(me=n), seed=n) for n in range(3)]
+    drivers = [PolicyDriver(settings(me=n), seed=n) for n in range(3)]
     units_left, now, used = plan.cap_depth, drivers[0].now, 0
     for step in range(3000):
         now += 0.02
         units_left = min(plan.cap_depth, units_left + 0.02 * plan.cap_rate)
         n = rng.randrange(3)
         if restarts and step % 250 == 0:
-            drivers[n] = Drive(settings(me=n), seed=step)
+            drivers[n] = PolicyDriver(settings(me=n), seed=step)
         driver = drivers[n]
         driver.now = now
         if restarts and step % 250 == 0:
@@ -207,7 +207,7 @@
 
 
 def test_without_peers_each_gateway_gets_an_even_part_of_the_slots() -> None:
-    driver = Drive(settings(fleet=2, limits=dataclasses.replace(LIMITS, peers=False)))
+    driver = PolicyDriver(settings(fleet=2, limits=dataclasses.replace(LIMITS, peers=False)))
     first = [driver.ask(plan="narrow", size=2)[0] for _ in range(4)]
     assert [type(a) for a in first] == [interface.Send, interface.Send, interface.Refuse, interface.Refuse]
     assert isinstance(first[0], interface.Send)
@@ -230,7 +230,7 @@
 
 
 def test_an_unknown_plan_has_no_quota() -> None:
-    driver = Drive()
+    driver = PolicyDriver()
     assert len(sends([a for _ in range(10) for a in driver.ask(plan="stranger")])) == 10
     assert driver.tick()
 
@@ -241,7 +241,7 @@
     configured = dataclasses.replace(settings(me=0, fleet=1), plans={"pays": plan})
     admitted = {True: 0, False: 0}
     for idle in (True, False):
-        driver = Drive(configured)
+        driver = PolicyDriver(configured)
         driver.ask(plan="free", customer=2, size=1)  # one request is in flight
         for _ in range(40):
             driver.now += 0.01
@@ -255,7 +255,7 @@
 
 
 def test_an_empty_set_counts_as_one_gateway() -> None:
-    driver = Drive()
+    driver = PolicyDriver()
     driver.ask(plan="capped", size=0)
     driver.now += 1.0
     assert sends(driver.ask(plan="capped", size=0))
--- a/tests/standalone/test_shares.py
+++ b/tests/standalone/test_shares.py
@@ -8,7 +8,7 @@
 from pewterring.admission.shares import LEASE_S, Shares
 from pewterring.standalone.peer_messages import HEARTBEAT_FORMAT
 from pewterring.standalone.policy import interface as i
-from tests.standalone.helpers import Drive, settings
+from tests.standalone.helpers import PolicyDriver, settings
 
 
 def beat(incarnation: int, sequence: int, limit: float = 30.0, out: int = 0, share: float = 10.0) -> bytes:
@@ -16,7 +16,7 @@
 
 
 def test_a_heartbeat_goes_to_each_peer_every_half_second_though_nothing_is_new() -> None:
-    d = Drive()
+    d = PolicyDriver()
     assert [t.peer for t in d.tick()] == [1, 2]
     told = [t for _ in range(50) for t in d.tick(0.1)]
     assert 18 <= len(told) <= 26
@@ -24,7 +24,7 @@
 
 def test_no_mail_where_peers_may_not_be_told_or_there_are_none() -> None:
     for setup in (settings(limits=i.Limits()), settings(fleet=1)):
-        d = Drive(setup)
+        d = PolicyDriver(setup)
         assert d.tick() == []
         assert d.tick(1.0) == []
 
@@ -78,7 +78,7 @@
 
 
 def test_malformed_mail_is_dropped() -> None:
-    d = Drive()
+    d = PolicyDriver()
     rng = random.Random(3)
     good = beat(11, 1)
     bad = [good[:n] for n in range(len(good))] + [b"D", b"D" + bytes(8) + b"123"]
@@ -110,7 +110,7 @@
 
 def test_alone_the_whole_ceiling_becomes_its_own() -> None:
     """Nobody was ever heard: an even part at first, the whole as the memory of a fleet fades."""
-    d = Drive()
+    d = PolicyDriver()
     limit = d.gatekeeper.ceiling.limit
     assert d.gatekeeper.shares.share == pytest.approx(limit / 3)
     for _ in range(400):
@@ -141,7 +141,7 @@
     """Its peers have shared the whole ceiling out among them, and its demand would grow from nought: with the
     floor of one slot it refused most of its first seconds.
     """
-    d = Drive()
+    d = PolicyDriver()
     for peer in (1, 2):
         d.do(i.PeerMail(peer, beat(peer, 1, limit=32.0, share=16.0)))
     assert d.gatekeeper.shares.share == pytest.approx(32 / 3)  # its demand is unknown: an even part
--- a/tests/standalone/test_sparse.py
+++ b/tests/standalone/test_sparse.py
@@ -8,13 +8,13 @@
 from pewterring.standalone.peer_messages import HEARTBEAT_TAG, Heartbeat, encode_heartbeat
 from pewterring.standalone.policy import interface
 from pewterring.standalone.policy.decisions import ServerPool
-from tests.standalone.helpers import CLASSES, SERVERS, Drive, sends, server, settings
+from tests.standalone.helpers import CLASSES, SERVERS, PolicyDriver, sends, server, settings
 
 FLEET_SIZE = 300
 
 
-def start_gateway(me: int, seed: int = 7) -> Drive:
-    return Drive(settings(me=me, fleet=FLEET_SIZE), seed=seed)
+def start_gateway(me: int, seed: int = 7) -> PolicyDriver:
+    return PolicyDriver(settings(me=me, fleet=FLEET_SIZE), seed=seed)
 
 
 def heartbeat(in_flight: int, incarnation: int, limit: float = 400.0) -> bytes:
@@ -67,7 +67,8 @@
 
 def test_at_first_only_a_few_gateways_send_to_a_cold_server() -> None:
     drivers = [
-        Drive(settings(me=n, fleet=FLEET_SIZE), (server(9, came_up=99.9),), seed=n) for n in range(FLEET_SIZE)
+        PolicyDriver(settings(me=n, fleet=FLEET_SIZE), (server(9, came_up=99.9),), seed=n)
+        for n in range(FLEET_SIZE)
     ]
     at_once = sum(len(sends(driver.ask())) for driver in drivers)
     assert at_once <= 4 * ServerPool.COLD_SENDERS
@@ -99,7 +100,7 @@
         servers = tuple(
             dataclasses.replace(server(id), common=names[n], zone=str(n)) for id, n in enumerate(order, 1)
         )
-        gatekeeper = Drive(settings(me=me, fleet=40), servers, seed=me).gatekeeper
+        gatekeeper = PolicyDriver(settings(me=me, fleet=40), servers, seed=me).gatekeeper
         for id in gatekeeper.pool.subset:
             counts[order[id - 1]] += 1
     assert min(counts) >= 7
@@ -114,7 +115,7 @@
         subsets = []
         for listed in (names, names_after):
             servers = tuple(dataclasses.replace(server(n), common=n) for n in listed)
-            subsets.append(Drive(settings(me=me, fleet=40), servers).gatekeeper.pool.subset)
+            subsets.append(PolicyDriver(settings(me=me, fleet=40), servers).gatekeeper.pool.subset)
         moved += len(subsets[1] - subsets[0] - set(names_after[-18:]))
     assert moved <= 40 * 12 / 4  # of the servers that stay, this many joined a subset
 
@@ -126,4 +127,4 @@
     for intake, largest in ((100.0, 13), (200.0, 25)):
         for fleet in (2, 4, largest, largest + 1, 41, 42, 200):
             setup = dataclasses.replace(settings(fleet=fleet), mail_per_s=intake)
-            assert Drive(setup).gatekeeper.sparse == (fleet > largest)
+            assert PolicyDriver(setup).gatekeeper.sparse == (fleet > largest)
--- a/tests/standalone/test_switch.py
+++ b/tests/standalone/test_switch.py
@@ -16,7 +16,7 @@
 from pewterring.standalone.policy.decisions import TICK, GatewayPolicy
 from pewterring.standalone.proxy.service import Service
 from pewterring.standalone.proxy.switch import FOLLOWS, renew
-from tests.standalone.helpers import CLASSES, PLANS, Drive, sends, settings
+from tests.standalone.helpers import CLASSES, PLANS, PolicyDriver, sends, settings
 from tests.standalone.stand_ins import OK, Caller, Quiet, StandIn, Talk, asking, entry, listing, run, until
 from tests.standalone.test_service import SETTINGS, configured
 
@@ -58,14 +58,14 @@
 def test_values_derived_from_the_settings_equal_those_of_a_new_policy() -> None:
     small, large = settings(fleet=3), settings(fleet=60)
     for old, new in ((small, large), (large, small)):
-        gatekeeper = Drive(old).gatekeeper
+        gatekeeper = PolicyDriver(old).gatekeeper
         renew(gatekeeper, 101.0, new)
-        assert derived_values(gatekeeper) == derived_values(Drive(new).gatekeeper)
-        assert gatekeeper.pool.subset == Drive(new).gatekeeper.pool.subset
+        assert derived_values(gatekeeper) == derived_values(PolicyDriver(new).gatekeeper)
+        assert gatekeeper.pool.subset == PolicyDriver(new).gatekeeper.pool.subset
 
 
 def test_usage_attempts_and_health_are_kept_and_no_hard_limit_is_granted_anew() -> None:
-    driver = Drive()
+    driver = PolicyDriver()
     driver.serve(20)
     driver.ask(plan="small")
     once = driver.sent("once")
@@ -92,7 +92,7 @@
 
 
 def test_a_request_keeps_the_class_and_plan_that_it_arrived_with() -> None:
-    driver = Drive()
+    driver = PolicyDriver()
     send = driver.sent("once")
     reduced = interface.Settings(0, 3, "a", {"pure": CLASSES["pure"]}, {}, mail_per_s=60.0)
     renew(driver.gatekeeper, driver.now, reduced)
@@ -250,11 +250,11 @@
 def test_gateways_with_old_and_new_settings_mean_the_same_plan() -> None:
     """Plans used to be numbered by their position: with one more in front usage counted for another plan."""
     more_plans = {"first": interface.Plan("first", refill=1.0, depth=9.0), **PLANS}
-    switched = Drive(dataclasses.replace(settings(me=1), plans=more_plans))
+    switched = PolicyDriver(dataclasses.replace(settings(me=1), plans=more_plans))
     for _ in range(3):
         switched.ask(plan="busy")
     messages = [message for message in switched.tick(0.2) if message.peer == 0]
-    other = Drive(settings(me=0))
+    other = PolicyDriver(settings(me=0))
     for message in messages:
         other.do(interface.PeerMail(1, message.data))
     assert other.gatekeeper.quota.accounts[1].plan.name == "busy"
