--- a/tests/standalone/helpers.py
+++ b/tests/standalone/helpers.py
@@ -63,13 +63,13 @@
         servers: tuple[interface.Server, ...] = SERVERS,
         seed: int = 7,
     ) -> None:
-        self.gatekeeper = GatewayPolicy(setup or settings(), seed)
+        self.policy = GatewayPolicy(setup or settings(), seed)
         self.now = 100.0
         self.last_id = 0
         self.first = self.do(interface.ServerList(interface.ListForm.REMEMBERED, servers))
 
     def do(self, event: interface.Event) -> list[interface.Action]:
-        return self.gatekeeper.handle(self.now, event)
+        return self.policy.handle(self.now, event)
 
     def ask(
         self, cls: str = "pure", plan: str = "free", customer: int = 1, size: int = 3
--- a/tests/standalone/test_accounts.py
+++ b/tests/standalone/test_accounts.py
@@ -132,7 +132,7 @@
     id = network.request(1, "narrow", time_left=left)
     network.run_for(min(left, 1.0) - 1e-4)
     assert [s.id for _, s in network.sent] == [id]
-    assert network.gateways[1].gatekeeper.awaiting_owner == {}
+    assert network.gateways[1].policy.awaiting_owner == {}
 
 
 def test_a_grant_that_comes_too_late_sends_nothing() -> None:
@@ -171,7 +171,7 @@
         if n == 200:
             requests_sent = 0
     assert requests_sent < 0.4 * 200
-    account = network.gateways[OWNER].gatekeeper.quota.accounts[7]
+    account = network.gateways[OWNER].policy.quota.accounts[7]
     assert account.demand() > 60.0  # and all of it was reported
 
 
@@ -220,7 +220,7 @@
 def test_actual_units_reach_the_account() -> None:
     network = GatewayNetwork()
     assert network.is_forwarded(1, "steady", 4.0)
-    account = network.gateways[OWNER].gatekeeper.quota.accounts[7]
+    account = network.gateways[OWNER].policy.quota.accounts[7]
     spent = account.spent()
     network.finish(*network.sent[0], actual=9.0)
     assert account.spent() == pytest.approx(spent + 5.0)
@@ -237,16 +237,16 @@
     assert network.is_forwarded(1, "steady", 4.0)
     network.finish(*network.sent[-1], actual=1.0)
     network.now += 0.001
-    network.gateways[1].gatekeeper.quota.accounts[7].own.spent = -3.0
+    network.gateways[1].policy.quota.accounts[7].own.spent = -3.0
     network.handle(1, interface.TimerDue(TICK))
     network.deliver()
 
 
 def test_units_granted_but_not_used_are_released() -> None:
     network = GatewayNetwork()
-    network.gateways[1].gatekeeper.pool.serving = []  # no server can take it
+    network.gateways[1].policy.pool.serving = []  # no server can take it
     assert not network.is_forwarded(1, "steady", 5.0)
-    assert network.gateways[OWNER].gatekeeper.quota.accounts[7].spent() == pytest.approx(0.0)
+    assert network.gateways[OWNER].policy.quota.accounts[7].spent() == pytest.approx(0.0)
 
 
 def test_a_restarted_owner_learns_what_is_spent() -> None:
@@ -269,7 +269,7 @@
         if step % 400 == 399:
             gateway = rng.randrange(6)
             network.gateways[gateway] = network.start_gateway(gateway, step)
-            network.gateways[gateway].gatekeeper.quota.began = network.now
+            network.gateways[gateway].policy.quota.began = network.now
         network.request(0 if rng.random() < 0.8 else rng.randrange(6), "capped")
         rng.shuffle(network.messages)
         network.messages += [message for message in network.messages if rng.random() < 0.2]
@@ -368,7 +368,7 @@
 def test_an_owner_that_answers_slowly_is_awaited_but_not_asked_again() -> None:
     """Slow answers were useless as the wait ended after a third of its time (calm+mass, a price of 0.16)."""
     network = GatewayNetwork()
-    network.gateways[1].gatekeeper.answer_rate = 0.1
+    network.gateways[1].policy.answer_rate = 0.1
     network.request(1, "narrow")
     network.gateways[1].now = network.now = network.now + 0.15  # two thirds of a fifth of the latency target
     for _ in range(2):
--- a/tests/standalone/test_answers.py
+++ b/tests/standalone/test_answers.py
@@ -17,8 +17,8 @@
 def test_served_needs_no_answer_of_ours() -> None:
     d = PolicyDriver()
     assert d.end(d.sent(), i.Code.OK) == []
-    assert not d.gatekeeper.requests
-    assert d.gatekeeper.in_flight == 0
+    assert not d.policy.requests
+    assert d.policy.in_flight == 0
 
 
 @pytest.mark.parametrize("cls", CLASSES)
@@ -140,10 +140,10 @@
     d = PolicyDriver()
     first = d.sent()
     assert d.do(i.Expired(first.id)) == [i.Cancel(first.id, 0)]
-    assert d.gatekeeper.in_flight == 1
+    assert d.policy.in_flight == 1
     assert d.end(first, i.Code.CANCELLED) == []
-    assert d.gatekeeper.in_flight == 0
-    assert not d.gatekeeper.attempts
+    assert d.policy.in_flight == 0
+    assert not d.policy.attempts
 
 
 def test_cancel_only_where_allowed() -> None:
@@ -160,7 +160,7 @@
     assert d.do(i.Expired(999)) == []
     assert d.do(i.Outcome(999, 0, 1, i.Code.OK, 0.1, True)) == []
     assert d.do(i.ProbeResult(999, i.Code.OK, 0.1)) == []
-    assert d.gatekeeper.in_flight == 0
+    assert d.policy.in_flight == 0
 
 
 def test_started_stream_drops_its_copies_and_is_not_sent_again() -> None:
@@ -172,7 +172,7 @@
     assert d.do(i.StreamStarted(first.id, 0, first.server, 3.0)) == [i.Cancel(first.id, 1)]
     assert d.end(copy, i.Code.CANCELLED, attempt=1) == []
     assert d.end(first, i.Code.ABORTED, last=True) == []
-    assert not d.gatekeeper.requests
+    assert not d.policy.requests
 
 
 def test_unknown_class_is_never_sent_twice() -> None:
@@ -202,13 +202,13 @@
         extras += len(more)
         for a in more:
             d.end(a, i.Code.OK, attempt=1)
-    assert 0 < extras <= 200 * d.gatekeeper.RETRY_RATIO + 1
+    assert 0 < extras <= 200 * d.policy.RETRY_RATIO + 1
 
 
 def test_a_further_attempt_needs_a_slot() -> None:
     d = PolicyDriver()
     first = d.sent()
-    d.gatekeeper.shares.share = 0.0
+    d.policy.shares.share = 0.0
     assert kinds(d.end(first, i.Code.INTERNAL)) == [i.Refuse]
 
 
@@ -216,21 +216,21 @@
     d = PolicyDriver()
     d.serve(40)
     endless = [d.sent("once") for _ in range(5)]
-    assert d.gatekeeper.in_flight == 5
-    d.now += d.gatekeeper.LOST * 0.1 + 0.1
+    assert d.policy.in_flight == 5
+    d.now += d.policy.LOST * 0.1 + 0.1
     d.do(i.TimerDue(2))
-    assert d.gatekeeper.in_flight == 0
+    assert d.policy.in_flight == 0
     for s in endless:
         assert kinds(d.end(s, i.Code.DEADLINE_EXCEEDED)) == [i.Fail]
     d.do(i.TimerDue(2))
-    assert d.gatekeeper.in_flight == 0
+    assert d.policy.in_flight == 0
 
 
 def test_who_finds_no_slot_is_told_to_come_back_when_one_comes_free() -> None:
     """After a usual latency: told half a second, its next try came past the time in which it is wanted."""
     d = PolicyDriver()
     d.serve(20, latency=0.1)
-    d.gatekeeper.ceiling.limit = 0.0
+    d.policy.ceiling.limit = 0.0
     (refusal,) = d.ask()
     assert isinstance(refusal, i.Refuse)
     assert refusal.retry_after == pytest.approx(0.1)
--- a/tests/standalone/test_ceiling.py
+++ b/tests/standalone/test_ceiling.py
@@ -70,19 +70,19 @@
     """A fast error is no good latency, a cancel no slow one, a time-out belongs to its server."""
     d = PolicyDriver()
     d.end(d.sent("once"), code, took=0.001)
-    assert d.gatekeeper.ceiling.count == {}
+    assert d.policy.ceiling.count == {}
 
 
 def test_past_the_ceiling_is_refused_at_once() -> None:
     d = PolicyDriver()
-    d.gatekeeper.ceiling.limit = 3.0
+    d.policy.ceiling.limit = 3.0
     answers = [d.ask()[0] for _ in range(5)]
     assert [type(a) for a in answers] == [i.Send] * 3 + [i.Refuse] * 2
 
 
 def test_live_ratings_do_not_scale_the_ceiling() -> None:
     d = PolicyDriver()
-    assert d.gatekeeper.pool.rating == len(SERVERS)
+    assert d.policy.pool.rating == len(SERVERS)
 
 
 def test_large_fleets_adapt_as_fast_as_small_ones() -> None:
@@ -106,4 +106,4 @@
         d.now += 1.5
         d.do(i.TimerDue(2))
         d.end(first, i.Code.CANCELLED, took=1.5)
-    assert d.gatekeeper.latency() > 0.8
+    assert d.policy.latency() > 0.8
--- a/tests/standalone/test_fleet.py
+++ b/tests/standalone/test_fleet.py
@@ -169,18 +169,18 @@
     driver = PolicyDriver()
     first, _ = stop_answers(driver)
     driver.do(interface.ProbeResult(first.server, interface.Code.OK, 0.01))
-    state = driver.gatekeeper.pool.servers[first.server]
+    state = driver.policy.pool.servers[first.server]
     assert not state.unresponsive
-    assert driver.gatekeeper.pool.warmth(state, driver.now) < 0.5
+    assert driver.policy.pool.warmth(state, driver.now) < 0.5
 
 
 def test_a_brief_pause_does_not_count_as_a_restart() -> None:
     driver = PolicyDriver()
     first, _ = stop_answers(driver)
-    state = driver.gatekeeper.pool.servers[first.server]
+    state = driver.policy.pool.servers[first.server]
     state.health_of("pure").unresponsive_since = driver.now - RULES.tip_after / 2
     driver.end(first, interface.Code.OK)
-    assert driver.gatekeeper.pool.warmth(state, driver.now) == 1.0
+    assert driver.policy.pool.warmth(state, driver.now) == 1.0
 
 
 def test_servers_that_are_all_unresponsive_are_still_used() -> None:
@@ -211,10 +211,10 @@
     first = driver.sent()
     rest = tuple(s for s in SERVERS if s.id != first.server)
     driver.do(interface.ServerList(interface.ListForm.WHOLE, rest))
-    assert first.server in driver.gatekeeper.pool.servers
+    assert first.server in driver.policy.pool.servers
     driver.end(first, interface.Code.OK)
     driver.do(interface.ServerList(interface.ListForm.WHOLE, rest))
-    assert first.server not in driver.gatekeeper.pool.servers
+    assert first.server not in driver.policy.pool.servers
 
 
 def test_servers_of_the_same_zone_come_first_where_crossing_zones_costs() -> None:
@@ -224,7 +224,7 @@
     )
     driver = PolicyDriver(costly)
     driver.serve(50)
-    used = {id for id, state in driver.gatekeeper.pool.servers.items() if state.last_answer > 0}
+    used = {id for id, state in driver.policy.pool.servers.items() if state.last_answer > 0}
     assert used == {0, 2, 4, 6}
 
 
@@ -235,7 +235,7 @@
     driver.do(interface.StreamStarted(first.id, 0, first.server, 0.1))
     driver.now += 100.0
     driver.do(interface.TimerDue(2))
-    assert not driver.gatekeeper.pool.servers[first.server].unresponsive
+    assert not driver.policy.pool.servers[first.server].unresponsive
     assert driver.end(first, interface.Code.OK) == []
 
 
--- a/tests/standalone/test_health.py
+++ b/tests/standalone/test_health.py
@@ -103,5 +103,5 @@
         driver.now += 0.01
         send = driver.sent("pure")
         driver.end(send, interface.Code.INTERNAL if send.server == 1 else interface.Code.OK, last=True)
-    state = driver.gatekeeper.pool.servers[1]
-    assert driver.gatekeeper.pool.symptoms(state.health_of("once"), driver.now)[1] > 0.05
+    state = driver.policy.pool.servers[1]
+    assert driver.policy.pool.symptoms(state.health_of("once"), driver.now)[1] > 0.05
--- a/tests/standalone/test_quota.py
+++ b/tests/standalone/test_quota.py
@@ -28,8 +28,8 @@
             messages = driver.tick(duration)
             for message in messages if not self.partitioned else ():
                 assert message.peer is not None
-                receiver = self.drivers[message.peer].gatekeeper
-                receiver.handle(driver.now, interface.PeerMail(driver.gatekeeper.settings.me, message.data))
+                receiver = self.drivers[message.peer].policy
+                receiver.handle(driver.now, interface.PeerMail(driver.policy.settings.me, message.data))
 
     def forwarded_rate(
         self, rates: dict[int, int], seconds: float, size: int = 3, in_bursts: bool = False
@@ -94,13 +94,13 @@
     fleet = SmallFleet()
     fleet.forwarded_rate({0: 20}, 10.0)
     fleet.pass_time(5 * 0.1)
-    reporter = fleet.drivers[0].gatekeeper
+    reporter = fleet.drivers[0].policy
     assert not reporter.quota.unsent
     fleet.drivers[1] = PolicyDriver(settings(me=1), seed=99)
     fleet.drivers[1].now = fleet.drivers[0].now
     for _ in range(12):
         fleet.pass_time(0.1)
-    (account,) = fleet.drivers[1].gatekeeper.quota.accounts.values()
+    (account,) = fleet.drivers[1].policy.quota.accounts.values()
     (reported,) = account.reported.values()
     assert reported.spent == pytest.approx(reporter.quota.accounts[1].own.spent, abs=0.2)
     assert reported.spent > 1.0
@@ -114,7 +114,7 @@
         fleet.forwarded_rate({1: 20}, 2.0)
         fleet.pass_time(8.0)
     fleet.forwarded_rate({0: 1, 1: 20}, 1.0)
-    assert len(fleet.drivers[0].gatekeeper.quota.accounts[1].reported) <= 2
+    assert len(fleet.drivers[0].policy.quota.accounts[1].reported) <= 2
 
 
 def test_without_messages_each_gateway_forwards_at_most_its_own_quota() -> None:
@@ -162,7 +162,7 @@
     driver.do(
         interface.PeerMail(2, heartbeat + USAGE_FORMAT.pack(5, plan_number("small"), 77, 0, 1, 1) + b"x")
     )
-    assert driver.gatekeeper.quota.accounts == {}
+    assert driver.policy.quota.accounts == {}
 
 
 def test_accounts_without_recent_usage_are_dropped() -> None:
@@ -170,16 +170,16 @@
     for customer in range(300):
         driver.ask(plan="small", customer=customer)
     driver.tick(1000.0)
-    assert driver.gatekeeper.quota.accounts == {}
+    assert driver.policy.quota.accounts == {}
 
 
 def test_actual_units_replace_the_estimate() -> None:
     driver = PolicyDriver(settings(me=0, fleet=1))
     request = interface.Request(900, "pure", "small", 1, driver.now + 4, 3.0, 1, 0)
     (send,) = sends(driver.do(request))
-    spent = driver.gatekeeper.quota.accounts[1].spent()
+    spent = driver.policy.quota.accounts[1].spent()
     driver.do(interface.Outcome(900, 0, send.server, interface.Code.OK, 0.1, True, actual=4.0))
-    assert driver.gatekeeper.quota.accounts[1].spent() == pytest.approx(spent + 1.0)
+    assert driver.policy.quota.accounts[1].spent() == pytest.approx(spent + 1.0)
 
 
 @pytest.mark.parametrize("restarts", [False, True])
@@ -197,7 +197,7 @@
         driver = drivers[n]
         driver.now = now
         if restarts and step % 250 == 0:
-            driver.gatekeeper.quota.began = now
+            driver.policy.quota.began = now
         for send in sends(driver.ask(plan="capped")):
             units_left -= 1.0
             used += 1
@@ -249,7 +249,7 @@
             admitted[idle] += len(sent)
             for send in sent:
                 driver.end(send, interface.Code.OK)
-            driver.gatekeeper.shares.share = 100.0 if idle else 1.5
+            driver.policy.shares.share = 100.0 if idle else 1.5
     assert (admitted[True] == 40) == served
     assert admitted[False] < 10
 
@@ -259,4 +259,4 @@
     driver.ask(plan="capped", size=0)
     driver.now += 1.0
     assert sends(driver.ask(plan="capped", size=0))
-    assert driver.gatekeeper.quota.accounts[1].size == 1
+    assert driver.policy.quota.accounts[1].size == 1
--- a/tests/standalone/test_rules.py
+++ b/tests/standalone/test_rules.py
@@ -19,7 +19,7 @@
     def __init__(self, seed: int, limits: interface.Limits) -> None:
         self.rng, self.now = random.Random(seed), 50.0
         self.limits = limits
-        self.gatekeeper = GatewayPolicy(settings(limits=limits, ask=seed % 2 == 1), seed)
+        self.policy = GatewayPolicy(settings(limits=limits, ask=seed % 2 == 1), seed)
         self.requests: dict[int, interface.Request] = {}
         self.unanswered: set[int] = set()
         self.sent: dict[int, list[tuple[float, int]]] = {}
@@ -30,7 +30,7 @@
         self.trace: list[str] = []
 
     def do(self, event: interface.Event) -> None:
-        for action in self.gatekeeper.handle(self.now, event):
+        for action in self.policy.handle(self.now, event):
             self.trace.append(repr(action))
             self.check(action)
 
@@ -178,9 +178,9 @@
         checker.now = max(checker.now, checker.requests[id].not_after)
         checker.outcome(id, attempt, interface.Code.DEADLINE_EXCEEDED)
     assert not checker.unanswered
-    assert not checker.gatekeeper.requests
-    assert checker.gatekeeper.in_flight == 0
-    assert not any(state.in_flight for state in checker.gatekeeper.pool.servers.values())
+    assert not checker.policy.requests
+    assert checker.policy.in_flight == 0
+    assert not any(state.in_flight for state in checker.policy.pool.servers.values())
 
 
 def test_equal_events_give_equal_actions() -> None:
--- a/tests/standalone/test_shares.py
+++ b/tests/standalone/test_shares.py
@@ -86,9 +86,9 @@
     bad += [HEARTBEAT_FORMAT.pack(b"B", 1, 1, x, 0, 1.0, 1.0) for x in (float("nan"), float("inf"), -1.0)]
     for data in bad:
         d.do(i.PeerMail(1, data))
-    assert d.gatekeeper.shares.peers == {}
+    assert d.policy.shares.peers == {}
     d.do(i.PeerMail(7, good))  # nobody of this fleet
-    assert 7 not in d.gatekeeper.shares.peers
+    assert 7 not in d.policy.shares.peers
 
 
 def test_fleet_stays_below_its_ceiling_once_heartbeats_are_through() -> None:
@@ -111,12 +111,12 @@
 def test_alone_the_whole_ceiling_becomes_its_own() -> None:
     """Nobody was ever heard: an even part at first, the whole as the memory of a fleet fades."""
     d = PolicyDriver()
-    limit = d.gatekeeper.ceiling.limit
-    assert d.gatekeeper.shares.share == pytest.approx(limit / 3)
+    limit = d.policy.ceiling.limit
+    assert d.policy.shares.share == pytest.approx(limit / 3)
     for _ in range(400):
         d.serve(2, latency=0.01)
         d.tick(0.25)
-    assert d.gatekeeper.shares.share == pytest.approx(d.gatekeeper.ceiling.limit)
+    assert d.policy.shares.share == pytest.approx(d.policy.ceiling.limit)
 
 
 def test_lapse_of_all_mail_leaves_each_side_about_its_part() -> None:
@@ -144,13 +144,13 @@
     d = PolicyDriver()
     for peer in (1, 2):
         d.do(i.PeerMail(peer, beat(peer, 1, limit=32.0, share=16.0)))
-    assert d.gatekeeper.shares.share == pytest.approx(32 / 3)  # its demand is unknown: an even part
+    assert d.policy.shares.share == pytest.approx(32 / 3)  # its demand is unknown: an even part
     for _ in range(5):
         for _ in range(2):
             d.sent()
         d.tick(0.1)
-    assert d.gatekeeper.shares.demand == pytest.approx(20.0)  # the mean, not a tenth of it
-    assert d.gatekeeper.shares.share == pytest.approx(32 / 2)  # of 40 a second in all
+    assert d.policy.shares.demand == pytest.approx(20.0)  # the mean, not a tenth of it
+    assert d.policy.shares.share == pytest.approx(32 / 2)  # of 40 a second in all
     d.tick(LEASE_S)
     d.do(i.PeerMail(1, beat(1, 2, limit=32.0, share=30.0)))
-    assert d.gatekeeper.shares.share <= 2.0  # from then on what peers reserve binds
+    assert d.policy.shares.share <= 2.0  # from then on what peers reserve binds
--- a/tests/standalone/test_sparse.py
+++ b/tests/standalone/test_sparse.py
@@ -35,7 +35,7 @@
         for peer in range(10, 30):
             driver.do(interface.PeerMail(peer, heartbeat(in_flight, peer)))
         driver.tick(BEAT_S)
-        driver.gatekeeper.shares.share = 1.0
+        driver.policy.shares.share = 1.0
         count = sum(len(sends(driver.ask())) for _ in range(10))
         assert count >= 3 if in_flight == 0 else count == expected
 
@@ -100,7 +100,7 @@
         servers = tuple(
             dataclasses.replace(server(id), common=names[n], zone=str(n)) for id, n in enumerate(order, 1)
         )
-        gatekeeper = PolicyDriver(settings(me=me, fleet=40), servers, seed=me).gatekeeper
+        gatekeeper = PolicyDriver(settings(me=me, fleet=40), servers, seed=me).policy
         for id in gatekeeper.pool.subset:
             counts[order[id - 1]] += 1
     assert min(counts) >= 7
@@ -115,7 +115,7 @@
         subsets = []
         for listed in (names, names_after):
             servers = tuple(dataclasses.replace(server(n), common=n) for n in listed)
-            subsets.append(PolicyDriver(settings(me=me, fleet=40), servers).gatekeeper.pool.subset)
+            subsets.append(PolicyDriver(settings(me=me, fleet=40), servers).policy.pool.subset)
         moved += len(subsets[1] - subsets[0] - set(names_after[-18:]))
     assert moved <= 40 * 12 / 4  # of the servers that stay, this many joined a subset
 
@@ -127,4 +127,4 @@
     for intake, largest in ((100.0, 13), (200.0, 25)):
         for fleet in (2, 4, largest, largest + 1, 41, 42, 200):
             setup = dataclasses.replace(settings(fleet=fleet), mail_per_s=intake)
-            assert PolicyDriver(setup).gatekeeper.sparse == (fleet > largest)
+            assert PolicyDriver(setup).policy.sparse == (fleet > largest)
--- a/tests/standalone/test_switch.py
+++ b/tests/standalone/test_switch.py
@@ -58,10 +58,10 @@
 def test_values_derived_from_the_settings_equal_those_of_a_new_policy() -> None:
     small, large = settings(fleet=3), settings(fleet=60)
     for old, new in ((small, large), (large, small)):
-        gatekeeper = PolicyDriver(old).gatekeeper
+        gatekeeper = PolicyDriver(old).policy
         renew(gatekeeper, 101.0, new)
-        assert derived_values(gatekeeper) == derived_values(PolicyDriver(new).gatekeeper)
-        assert gatekeeper.pool.subset == PolicyDriver(new).gatekeeper.pool.subset
+        assert derived_values(gatekeeper) == derived_values(PolicyDriver(new).policy)
+        assert gatekeeper.pool.subset == PolicyDriver(new).policy.pool.subset
 
 
 def test_usage_attempts_and_health_are_kept_and_no_hard_limit_is_granted_anew() -> None:
@@ -70,7 +70,7 @@
     driver.ask(plan="small")
     once = driver.sent("once")
     capped = sends(driver.ask(plan="capped", customer=9))
-    gatekeeper = driver.gatekeeper
+    gatekeeper = driver.policy
     spent, mean, nodes = (
         gatekeeper.quota.accounts[1].own.spent,
         gatekeeper.ceiling.mean["pure"],
@@ -95,7 +95,7 @@
     driver = PolicyDriver()
     send = driver.sent("once")
     reduced = interface.Settings(0, 3, "a", {"pure": CLASSES["pure"]}, {}, mail_per_s=60.0)
-    renew(driver.gatekeeper, driver.now, reduced)
+    renew(driver.policy, driver.now, reduced)
     # A request with side effects is never sent twice.
     assert driver.end(send, interface.Code.ABORTED, last=False) == [interface.Fail(send.id)]
     driver.do(interface.TimerDue(TICK))
@@ -257,7 +257,7 @@
     other = PolicyDriver(settings(me=0))
     for message in messages:
         other.do(interface.PeerMail(1, message.data))
-    assert other.gatekeeper.quota.accounts[1].plan.name == "busy"
+    assert other.policy.quota.accounts[1].plan.name == "busy"
     # Two of three units are refilled.
-    assert other.gatekeeper.quota.accounts[1].spent() == pytest.approx(1.0, abs=0.1)
+    assert other.policy.quota.accounts[1].spent() == pytest.approx(1.0, abs=0.1)
     assert len({plan_number(name) for name in more_plans}) == len(more_plans)
