--- a/tests/standalone/helpers.py
+++ b/tests/standalone/helpers.py
@@ -110,7 +110,7 @@
         return [a for a in self.do(interface.TimerDue(TICK)) if isinstance(a, interface.Tell)]
 
 
-def finals(actions: list[interface.Action]) -> list[interface.Action]:
+def final_answers(actions: list[interface.Action]) -> list[interface.Action]:
     return [a for a in actions if isinstance(a, interface.Refuse | interface.Fail)]
 
 
--- a/tests/standalone/test_accounts.py
+++ b/tests/standalone/test_accounts.py
@@ -9,7 +9,7 @@
 from pewterring.standalone.peer_messages import QuotaGrant, QuotaRelease, QuotaRequest, decode_quota
 from pewterring.standalone.policy import interface
 from pewterring.standalone.policy.decisions import ANSWER_TIMEOUT, TICK
-from tests.standalone.helpers import DEADLINE, PLANS, PolicyDriver, finals, settings
+from tests.standalone.helpers import DEADLINE, PLANS, PolicyDriver, final_answers, settings
 
 FLEET_SIZE, SET_SIZE = 40, 30  # gateways in all; gateways of the customer's set, from number 0 on
 PLAN = interface.Plan("steady", refill=10.0, depth=20.0)
@@ -141,7 +141,7 @@
     network.handle(1, interface.Expired(id))
     network.deliver()
     assert not network.sent
-    assert not finals(network.gateways[1].do(interface.TimerDue(ANSWER_TIMEOUT)))
+    assert not final_answers(network.gateways[1].do(interface.TimerDue(ANSWER_TIMEOUT)))
 
 
 def test_a_sparse_fleet_forwards_the_quota_wherever_requests_arrive() -> None:
--- a/tests/standalone/test_answers.py
+++ b/tests/standalone/test_answers.py
@@ -3,7 +3,16 @@
 import pytest
 
 from pewterring.standalone.policy import interface as i
-from tests.standalone.helpers import DEADLINE, LIMITS, SERVERS, PolicyDriver, finals, sends, server, settings
+from tests.standalone.helpers import (
+    DEADLINE,
+    LIMITS,
+    SERVERS,
+    PolicyDriver,
+    final_answers,
+    sends,
+    server,
+    settings,
+)
 
 MAY_HAVE_RUN = [i.Code.INTERNAL, i.Code.DEADLINE_EXCEEDED, i.Code.ABORTED, i.Code.CANCELLED]
 NEVER_RAN = [i.Code.RESOURCE_EXHAUSTED, i.Code.UNAVAILABLE, i.Code.TOO_LATE]
@@ -115,7 +124,7 @@
     d = PolicyDriver(servers=tuple(server(n, came_up=99.9) for n in range(4)))
     answers = [d.ask()[0] for _ in range(20)]
     assert 0 < len(sends(answers)) <= 8
-    assert len(finals(answers)) == 20 - len(sends(answers))
+    assert len(final_answers(answers)) == 20 - len(sends(answers))
 
 
 def test_deadline_reached_while_an_attempt_is_out() -> None:
