--- a/pewterring/admission/ceiling.py
+++ b/pewterring/admission/ceiling.py
@@ -40,7 +40,7 @@
         lows = self.lows.setdefault(name, deque(maxlen=self.WINDOW // self.batch))
         if n * self.MEMORY >= 2:  # the first answers to come back are the fastest: no baseline
             lows.append(mean)
-        tolerated = min(self.TOLERANCE * min(lows, default=math.inf), self.AIM_SHARE * cls.aim)
+        tolerated = min(self.TOLERANCE * min(lows, default=math.inf), self.AIM_SHARE * cls.latency_target)
         gradient = min(1.0, max(0.5, tolerated / max(mean, 1e-9)))
         new = self.limit * gradient + math.sqrt(self.limit)
         if new <= self.limit or fleet_out >= self.BUSY * self.limit:  # an idle fleet tells of no room above
--- a/pewterring/batch/dispatch.py
+++ b/pewterring/batch/dispatch.py
@@ -147,7 +147,7 @@
         ratio = elapsed_s / max(MIN_EXPECTED_S, expected_s)
         assignment.worker.note_ratio(ratio)
         assignment.worker.keep(assignment.prompt)
-        request_class = RequestClass("/".join(item.route), aim=math.inf, deadline=math.inf)
+        request_class = RequestClass("/".join(item.route), latency_target=math.inf, deadline=math.inf)
         self._admissions.of(assignment.service).observe(now, request_class, ratio)
 
     def load_reported(self, worker: WorkerRecord, load: Load) -> None:
--- a/pewterring/lab/loopback/processes.py
+++ b/pewterring/lab/loopback/processes.py
@@ -34,9 +34,9 @@
     return {
         "me": s.me, "fleet_size": s.fleet_size, "az": s.zone, "discovery": "push", "weight_kind": "nominal",
         "profiles": [
-            {"name": c.name, "effect": c.effect.value, "group": c.group.value, "objective": ns(c.aim),
-             "deadline": ns(c.deadline), "repeat_window": ns(c.repeat_window), "gain": c.worth,
-             "late_value": c.late_worth}
+            {"name": c.name, "effect": c.effect.value, "group": c.group.value,
+             "objective": ns(c.latency_target), "deadline": ns(c.deadline),
+             "repeat_window": ns(c.repeat_window), "gain": c.worth, "late_value": c.late_worth}
             for c in s.classes.values()
         ],
         "tiers_of_service": [
--- a/pewterring/standalone/policy/decisions.py
+++ b/pewterring/standalone/policy/decisions.py
@@ -16,7 +16,7 @@
 
 TICK, HEALTH_TICK, LIST_RETRY, ANSWER_TIMEOUT = 1, 2, 3, 4  # labels of timers
 UPDATE_INTERVAL_S = 0.1  # the shortest between usage updates; longer where peers can receive few messages
-CHECKS_PER_TARGET = 12  # checks for unresponsive servers within the shortest latency target
+TARGET_CHECKS = 12  # checks for unresponsive servers within the shortest latency target
 # A rejection costs a round trip and no work: weighted as an error it would overload the servers that accept.
 ERROR_WEIGHTS = {Code.INTERNAL: 1.0, Code.ABORTED: 1.0, Code.UNAVAILABLE: 1.0, Code.RESOURCE_EXHAUSTED: 0.25}
 HEARTBEAT_SHARE = 0.3  # of the messages received, for heartbeats of all peers: 13 gateways at 100 messages/s
@@ -337,8 +337,8 @@
         self.awaiting_owner: dict[int, PendingRequest] = {}  # by token of the quota request
         self.tick_s = BEAT_S / 2 if self.sparse else max(UPDATE_INTERVAL_S, others / max(self.intake, 1.0))
         self.last_tick, self.last_heartbeats = 0.0, dict[int, float]()
-        self.check_s = min((c.aim for c in settings.classes.values()), default=1.0) / CHECKS_PER_TARGET
-        self.wait_s = self.check_s * CHECKS_PER_TARGET * self.OWNER_WAIT
+        self.check_s = min((c.latency_target for c in settings.classes.values()), default=1.0) / TARGET_CHECKS
+        self.wait_s = self.check_s * TARGET_CHECKS * self.OWNER_WAIT
 
     @property
     def in_flight(self) -> int:
@@ -348,7 +348,7 @@
         return self.in_flight >= min(self.shares.room(self.in_flight), self.ceiling.limit)
 
     def latency(self) -> float:  # mean of the slowest class; the shortest latency target while none is known
-        return max(self.ceiling.mean.values(), default=self.check_s * CHECKS_PER_TARGET)
+        return max(self.ceiling.mean.values(), default=self.check_s * TARGET_CHECKS)
 
     def handle(self, now: float, event: Event) -> list[Action]:
         self.actions = []
@@ -426,7 +426,7 @@
     def recover_unanswered(self, now: float, call: PendingRequest, attempt: int) -> None:
         """Duplicates an attempt, or cancels it for a retry; what must not run twice fails past its target."""
         if call.cls.effect == Effect.SIDE_EFFECT:
-            if call.cls.late_worth == 0 and now - call.attempts[attempt][1] >= call.cls.aim:
+            if call.cls.late_worth == 0 and now - call.attempts[attempt][1] >= call.cls.latency_target:
                 self.cancel(call.request.id, {attempt})
         elif self.settings.limits.may_duplicate:
             self.retry(now, call)
--- a/pewterring/standalone/policy/interface.py
+++ b/pewterring/standalone/policy/interface.py
@@ -63,7 +63,7 @@
     """A class of requests with common targets and rules for repeated execution."""
 
     name: str
-    aim: float  # latency target
+    latency_target: float
     deadline: float  # from arrival
     effect: Effect = Effect.PURE
     group: Group = Group.ALL
--- a/pewterring/standalone/settings.py
+++ b/pewterring/standalone/settings.py
@@ -119,7 +119,7 @@
     f.within("fleet_size", settings.fleet_size, 1)
     f.within("me", settings.me, 0, settings.fleet_size - 1)
     for n, cls in enumerate(settings.classes.values()):
-        f.within(f"profiles.{n}.deadline", cls.deadline, cls.aim)
+        f.within(f"profiles.{n}.deadline", cls.deadline, cls.latency_target)
     for n, plan in enumerate(settings.plans.values()):
         p = f"tiers_of_service.{n}."
         if plan.refill > 0 and plan.depth <= 0:
@@ -137,7 +137,7 @@
         name = f.text(p + "name")
         classes[name] = i.RequestClass(
             name=name,
-            aim=f.seconds(p + "objective"),
+            latency_target=f.seconds(p + "objective"),
             deadline=f.seconds(p + "deadline"),
             effect=f.word(p + "effect", EFFECTS),
             group=f.word(p + "group", GROUPS, "all"),
--- a/tests/admission/test_service.py
+++ b/tests/admission/test_service.py
@@ -8,7 +8,7 @@
 from pewterring.standalone.peer_messages import Heartbeat, encode_heartbeat
 from pewterring.standalone.policy import interface as i
 
-ROUTE = i.RequestClass("r", aim=100.0, deadline=100.0)
+ROUTE = i.RequestClass("r", latency_target=100.0, deadline=100.0)
 
 
 def admission(slots: int = 100, gateways: int = 4) -> ServiceAdmission:
--- a/tests/standalone/test_ceiling.py
+++ b/tests/standalone/test_ceiling.py
@@ -41,7 +41,7 @@
     c = grown(0.05)
     for _ in range(Ceiling.WINDOW + 400):
         c.observe(PURE, 0.9, 1e9)
-    assert min(c.lows["pure"]) > Ceiling.AIM_SHARE * PURE.aim
+    assert min(c.lows["pure"]) > Ceiling.AIM_SHARE * PURE.latency_target
     low = c.limit
     for _ in range(500):
         c.observe(PURE, 0.9, 1e9)
