--- a/pewterring/lab/calls.py
+++ b/pewterring/lab/calls.py
@@ -37,7 +37,7 @@
     ) -> None:
         self.request, self.intent, self.cls = request, intent, cls
         self.gatekeeper, self.life = gatekeeper, life
-        self.id, self.not_after = request.id, request.not_after
+        self.id, self.not_after = request.id, request.deadline
         self.attempts: list[Attempt] = []
         self.answered = False  # its final answer is given
         self.gone = False  # its client has given up, or its gatekeeper is dead
--- a/pewterring/standalone/policy/decisions.py
+++ b/pewterring/standalone/policy/decisions.py
@@ -452,7 +452,7 @@
                 self.actions.append(Tell(peer, heartbeat + updates.get(peer, b"")))
 
     def on_request(self, now: float, request: Request) -> None:
-        ttl = request.not_after - now  # a class that the settings don't name falls under the strictest rules
+        ttl = request.deadline - now  # a class that the settings don't name falls under the strictest rules
         cls = (self.settings.classes.get(request.cls)
                or RequestClass(request.cls, ttl, ttl, Effect.SIDE_EFFECT))  # fmt: skip
         plan = self.settings.plans.get(request.plan, Plan(request.plan))
@@ -482,7 +482,7 @@
         self.ask_owner(now, call, account.owner, call.query)
 
     def ask_owner(self, now: float, call: PendingRequest, owner: int, query: QuotaRequest) -> None:
-        wait = min(self.wait_s, (call.request.not_after - now) / 2) / self.MAX_ASKED  # deadlines may be near
+        wait = min(self.wait_s, (call.request.deadline - now) / 2) / self.MAX_ASKED  # deadlines may be near
         call.answer_due, call.times_asked = now + wait - 1e-6, call.times_asked + 1
         messages = ([Tell(owner, encode_quota(query))]
                     if call.times_asked == 1 or self.answer_rate > self.MIN_ANSWER_RATE else [])  # fmt: skip
@@ -523,7 +523,7 @@
         else:
             allowed = (call.query is None or not self.sparse
                        or self.quota.admits(account, request.units) or self.may_exceed(call))  # fmt: skip
-        if not allowed or now >= request.not_after:
+        if not allowed or now >= request.deadline:
             return self.refuse(call, "quota")
         # Without a grant only this gateway's own parts of the slots and of the hard limit may be used.
         slot = (answer.granted if answer else now >= account.full_until
@@ -596,7 +596,7 @@
     def retry(self, now: float, call: PendingRequest) -> bool:  # if limits, deadline, budget and slots allow
         cost = 1.0 if call.may_have_run or call.in_flight else self.UNRUN_COST
         exhausted = len(call.attempts) >= self.settings.limits.max_attempts or self.retry_budget < cost
-        if exhausted or call.streaming or now >= call.request.not_after or self.is_full():
+        if exhausted or call.streaming or now >= call.request.deadline or self.is_full():
             return False
         if server := self.pool.choose(now, self.allowed_servers(now, call), call):
             self.retry_budget -= cost
@@ -606,7 +606,7 @@
     def refuse_or_fail(self, now: float, call: PendingRequest) -> None:
         everywhere = (call.cls.effect, call.cls.group) == (Effect.TOKEN, Group.ALL)
         harmless = everywhere or call.cls.effect == Effect.PURE or not call.may_have_run
-        if harmless and now < call.request.not_after:
+        if harmless and now < call.request.deadline:
             return self.refuse(call, "tries")
         self.actions.append(Fail(call.request.id))
         self.finish(call)
--- a/pewterring/standalone/policy/interface.py
+++ b/pewterring/standalone/policy/interface.py
@@ -162,7 +162,7 @@
     cls: str
     plan: str
     customer: int
-    not_after: float  # deadline on the monotonic clock
+    deadline: float  # on the monotonic clock
     units: float = 1.0
     set_size: int = 1
     set_from: int = 0
--- a/pewterring/standalone/proxy/gateway.py
+++ b/pewterring/standalone/proxy/gateway.py
@@ -102,7 +102,7 @@
             return client.answer(REFUSED, [], b"")
         call = Call(asked, request, client, self.settings.classes[asked.cls])
         self.calls[asked.id] = self.by_client[client] = call
-        call.timer = self.loop.call_at(asked.not_after, self.gather, Overdue(call))
+        call.timer = self.loop.call_at(asked.deadline, self.gather, Overdue(call))
         self.gather(Arrived(call))
 
     def is_known(self, their_id: bytes) -> bool:
@@ -285,7 +285,7 @@
             self.gather(Ended(attempt, ending, response))
 
         target = self.directory.targets.get(server)
-        left = call.request.not_after - now
+        left = call.request.deadline - now
         if call.finished or left <= 0 or len(call.attempts) > self.settings.limits.max_attempts:
             return done(Ending.TOO_LATE, None)
         if target is None:
@@ -339,7 +339,7 @@
 
     def fail(self, call: Call, now: float) -> None:
         self.failed += 1
-        self.answer(call, OVERDUE if now >= call.request.not_after else FAILED, [], b"")
+        self.answer(call, OVERDUE if now >= call.request.deadline else FAILED, [], b"")
 
     def finish(self, call: Call) -> None:
         call.finished = True
--- a/pewterring/standalone/proxy/intake.py
+++ b/pewterring/standalone/proxy/intake.py
@@ -69,7 +69,7 @@
         plan=plan,
         customer=int(customer, 16),
         # No client waits for longer than its class says: a slip in the number must not hold a place for days.
-        not_after=min(now + min(int(wait) / 1000, cls.deadline), ends_at),
+        deadline=min(now + min(int(wait) / 1000, cls.deadline), ends_at),
         units=quota.units,
         set_size=quota.spread,
         set_from=quota.first,
--- a/pewterring/standalone/simulator/codec.py
+++ b/pewterring/standalone/simulator/codec.py
@@ -63,7 +63,7 @@
         cls=f.text("profile"),
         plan=f.text("package", ""),
         customer=f.whole("account", 0),
-        not_after=f.seconds("not_after"),
+        deadline=f.seconds("not_after"),
         units=f.number("quota_units", 1.0),
         set_size=round(f.number("set_size", 1.0)),
         set_from=round(f.number("set_from", 0.0)),
--- a/tests/standalone/test_gateway.py
+++ b/tests/standalone/test_gateway.py
@@ -706,7 +706,7 @@
             before = rig.gateway.loop.time()
             assert (await rig.ask(asking(X_Deadline_Ms=b"999999999"))).status == 429
             (asked,) = module.of(i.Request)
-            assert asked.not_after <= before + DEADLINE + PATIENCE
+            assert asked.deadline <= before + DEADLINE + PATIENCE
 
     run(test)
 
--- a/tests/standalone/test_rules.py
+++ b/tests/standalone/test_rules.py
@@ -39,7 +39,7 @@
             case interface.Send(id, target):
                 request, cls = self.requests[id], CLASSES[self.requests[id].cls]
                 assert id in self.unanswered
-                assert self.now <= request.not_after
+                assert self.now <= request.deadline
                 assert self.listed[target].mode == interface.Mode.SERVING
                 attempts = self.sent.setdefault(id, [])
                 number = len(attempts)
@@ -84,7 +84,7 @@
 
     def finish(self, id: int) -> None:
         assert id in self.unanswered, "the request was answered twice"
-        assert self.now <= self.requests[id].not_after + MAX_STEP_S
+        assert self.now <= self.requests[id].deadline + MAX_STEP_S
         self.unanswered.remove(id)
 
     def step(self) -> None:
@@ -97,7 +97,7 @@
 
     def expire_attempts(self) -> None:
         for id, attempt in sorted(self.in_flight):
-            expired = self.now >= self.requests[id].not_after
+            expired = self.now >= self.requests[id].deadline
             if expired and id in self.unanswered and (id, attempt) in self.in_flight:
                 self.outcome(id, attempt, interface.Code.DEADLINE_EXCEEDED)
 
@@ -174,8 +174,8 @@
         checker.expire_attempts()
         checker.do(interface.TimerDue(ANSWER_TIMEOUT))
     while checker.in_flight:
-        id, attempt = min(checker.in_flight, key=lambda key: (checker.requests[key[0]].not_after, key))
-        checker.now = max(checker.now, checker.requests[id].not_after)
+        id, attempt = min(checker.in_flight, key=lambda key: (checker.requests[key[0]].deadline, key))
+        checker.now = max(checker.now, checker.requests[id].deadline)
         checker.outcome(id, attempt, interface.Code.DEADLINE_EXCEEDED)
     assert not checker.unanswered
     assert not checker.policy.requests
