--- a/pewterring/lab/peer_network.py
+++ b/pewterring/lab/peer_network.py
@@ -19,7 +19,7 @@
         """Sends a message to one gatekeeper or to all others."""
         world = self._world
         world.rules.message(world.engine.now, host.number, action.data)
-        message = i.PeerMail(host.number, action.data)
+        message = i.PeerMessage(host.number, action.data)
         others = (
             [each for each in world.hosts if each is not host]
             if action.peer is None
@@ -32,7 +32,7 @@
             after_s = host.stream.uniform(*self._usual_s) + self.delay_s
             world.engine.after(after_s, self._receive, host.zone, other, message)
 
-    def _receive(self, zone: str, host: Host, message: i.PeerMail) -> None:
+    def _receive(self, zone: str, host: Host, message: i.PeerMessage) -> None:
         world = self._world
         if not host.up or (world.cut and not world.reaches(zone, host.zone)):
             return
--- a/pewterring/standalone/policy/decisions.py
+++ b/pewterring/standalone/policy/decisions.py
@@ -9,9 +9,9 @@
 from pewterring.standalone.peer_messages import (MAX_USAGE_ENTRIES, QuotaGrant, QuotaRelease, QuotaRequest,
     QuotaUsage, decode_quota, decode_usage, encode_quota, encode_usage, plan_number)  # fmt: skip
 from pewterring.standalone.policy.interface import (
-    NEVER_RAN, Action, Cancel, Code, Effect, Event, Expired, Fail, Group, ListForm, Mode, Outcome, PeerMail,
-    Plan, Probe, ProbeResult, Refuse, Request, RequestClass, Send, ServerList, SetTimer, Settings,
-    StreamStarted, Subscribe, Tell, TimerDue)  # fmt: skip
+    NEVER_RAN, Action, Cancel, Code, Effect, Event, Expired, Fail, Group, ListForm, Mode, Outcome,
+    PeerMessage, Plan, Probe, ProbeResult, Refuse, Request, RequestClass, Send, ServerList, SetTimer,
+    Settings, StreamStarted, Subscribe, Tell, TimerDue)  # fmt: skip
 from pewterring.standalone.policy.state import Account, Health, PendingRequest, ServerState, Usage
 
 TICK, HEALTH_TICK, LIST_RETRY, ANSWER_TIMEOUT = 1, 2, 3, 4  # labels of timers
@@ -367,7 +367,7 @@
                     self.settings.rules.ask_within * self.rng.uniform(0.1, 0.4), LIST_RETRY))  # fmt: skip
             case TimerDue():
                 self.on_timer(now, event.label)
-            case PeerMail(peer, data) if peer != self.settings.me and 0 <= peer < self.settings.fleet_size:
+            case PeerMessage(peer, data) if peer != self.settings.me and 0 <= peer < self.settings.fleet_size:
                 if message := decode_quota(data):
                     self.on_message(now, peer, message)
                 elif self.shares.hear(now, peer, data, self.ceiling.limit):
--- a/pewterring/standalone/policy/interface.py
+++ b/pewterring/standalone/policy/interface.py
@@ -216,7 +216,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PeerMail:
+class PeerMessage:
     """An event: a message from another gateway."""
 
     peer: int
@@ -233,7 +233,9 @@
     total: float
 
 
-Event = ServerList | Request | StreamStarted | Outcome | Expired | TimerDue | ProbeResult | PeerMail | Counted
+Event = (
+    ServerList | Request | StreamStarted | Outcome | Expired | TimerDue | ProbeResult | PeerMessage | Counted
+)
 
 
 @dataclass(frozen=True, slots=True)
--- a/pewterring/standalone/proxy/calls.py
+++ b/pewterring/standalone/proxy/calls.py
@@ -64,4 +64,6 @@
     call: Call
 
 
-Item = Arrived | Ended | Gone | Overdue | Unanswered | i.ServerList | i.TimerDue | i.PeerMail | i.ProbeResult
+Item = (
+    Arrived | Ended | Gone | Overdue | Unanswered | i.ServerList | i.TimerDue | i.PeerMessage | i.ProbeResult
+)
--- a/pewterring/standalone/proxy/gateway.py
+++ b/pewterring/standalone/proxy/gateway.py
@@ -144,7 +144,7 @@
             self.gather(i.ServerList(i.ListForm.FAILED))
 
     def heard(self, peer: int, data: bytes) -> None:
-        self.gather(i.PeerMail(peer, data))
+        self.gather(i.PeerMessage(peer, data))
 
     @property
     def ready(self) -> bool:
--- a/pewterring/standalone/proxy/tally.py
+++ b/pewterring/standalone/proxy/tally.py
@@ -32,7 +32,7 @@
             case i.Outcome(code=code, took=took):
                 counts[f"ended_{code.value}"] += 1
                 self.took += took if code is i.Code.OK else 0.0
-            case i.PeerMail():
+            case i.PeerMessage():
                 counts["heard"] += 1
             case i.ServerList(form):
                 counts[f"list_{form.value}"] += 1
--- a/pewterring/standalone/simulator/codec.py
+++ b/pewterring/standalone/simulator/codec.py
@@ -100,7 +100,7 @@
         case "echo":
             return i.ProbeResult(f.whole("worker"), f.word("state_code", CODES), f.seconds("time_taken", 0.0))
         case "mail":
-            return i.PeerMail(f.whole("neighbour"), f.octets("msg"))
+            return i.PeerMessage(f.whole("neighbour"), f.octets("msg"))
         case "added":
             return i.Counted(
                 f.whole("slot_name"),
--- a/tests/golden/simulator_wire_cases.py
+++ b/tests/golden/simulator_wire_cases.py
@@ -38,8 +38,8 @@
     i.Expired(9),
     i.TimerDue(77),
     i.ProbeResult(5, i.Code.OK, 0.25),
-    i.PeerMail(1, b"hi 7"),
-    i.PeerMail(1, b""),
+    i.PeerMessage(1, b"hi 7"),
+    i.PeerMessage(1, b""),
     i.Counted(3, i.Code.OK, 0.25, 38.5),
 )
 BATCHES = [
--- a/tests/standalone/test_accounts.py
+++ b/tests/standalone/test_accounts.py
@@ -48,7 +48,7 @@
         while self.messages:
             peer, sent = self.messages.pop(0)
             if sent.peer is not None and self.receives(sent.peer):
-                self.handle(sent.peer, interface.PeerMail(peer, sent.data))
+                self.handle(sent.peer, interface.PeerMessage(peer, sent.data))
 
     def receives(self, peer: int) -> bool:
         return True
--- a/tests/standalone/test_quota.py
+++ b/tests/standalone/test_quota.py
@@ -29,7 +29,7 @@
             for message in messages if not self.partitioned else ():
                 assert message.peer is not None
                 receiver = self.drivers[message.peer].policy
-                receiver.handle(driver.now, interface.PeerMail(driver.policy.settings.me, message.data))
+                receiver.handle(driver.now, interface.PeerMessage(driver.policy.settings.me, message.data))
 
     def forwarded_rate(
         self, rates: dict[int, int], seconds: float, size: int = 3, in_bursts: bool = False
@@ -151,16 +151,16 @@
     driver = PolicyDriver(settings(me=0))
     usage = USAGE_FORMAT.pack(5, plan_number("small"), 3, 0, 20_000, 1000)
     heartbeat = HEARTBEAT_FORMAT.pack(b"B", 9, 1, 30.0, 0, 1.0, 1.0)
-    driver.do(interface.PeerMail(1, heartbeat + usage))
+    driver.do(interface.PeerMessage(1, heartbeat + usage))
     assert not sends([a for _ in range(3) for a in driver.ask(plan="small", customer=5)])
 
 
 def test_malformed_usage_is_dropped() -> None:
     driver = PolicyDriver(settings(me=0))
     heartbeat = HEARTBEAT_FORMAT.pack(b"B", 9, 1, 30.0, 0, 1.0, 1.0)
-    driver.do(interface.PeerMail(1, heartbeat + USAGE_FORMAT.pack(5, 200, 3, 0, 1, 1)))
+    driver.do(interface.PeerMessage(1, heartbeat + USAGE_FORMAT.pack(5, 200, 3, 0, 1, 1)))
     driver.do(
-        interface.PeerMail(2, heartbeat + USAGE_FORMAT.pack(5, plan_number("small"), 77, 0, 1, 1) + b"x")
+        interface.PeerMessage(2, heartbeat + USAGE_FORMAT.pack(5, plan_number("small"), 77, 0, 1, 1) + b"x")
     )
     assert driver.policy.quota.accounts == {}
 
--- a/tests/standalone/test_rules.py
+++ b/tests/standalone/test_rules.py
@@ -114,7 +114,9 @@
         elif draw < 0.93:
             self.change_list()
         elif draw < 0.97:
-            self.do(interface.PeerMail(self.rng.randrange(-1, 5), self.rng.randbytes(self.rng.randrange(60))))
+            self.do(
+                interface.PeerMessage(self.rng.randrange(-1, 5), self.rng.randbytes(self.rng.randrange(60)))
+            )
         else:
             self.do(interface.ProbeResult(self.rng.randrange(10), self.rng.choice(CODES), 0.01))
 
--- a/tests/standalone/test_shares.py
+++ b/tests/standalone/test_shares.py
@@ -85,9 +85,9 @@
     bad += [rng.randbytes(rng.randrange(257)) for _ in range(500)]
     bad += [HEARTBEAT_FORMAT.pack(b"B", 1, 1, x, 0, 1.0, 1.0) for x in (float("nan"), float("inf"), -1.0)]
     for data in bad:
-        d.do(i.PeerMail(1, data))
+        d.do(i.PeerMessage(1, data))
     assert d.policy.shares.peers == {}
-    d.do(i.PeerMail(7, good))  # nobody of this fleet
+    d.do(i.PeerMessage(7, good))  # nobody of this fleet
     assert 7 not in d.policy.shares.peers
 
 
@@ -143,7 +143,7 @@
     """
     d = PolicyDriver()
     for peer in (1, 2):
-        d.do(i.PeerMail(peer, beat(peer, 1, limit=32.0, share=16.0)))
+        d.do(i.PeerMessage(peer, beat(peer, 1, limit=32.0, share=16.0)))
     assert d.policy.shares.share == pytest.approx(32 / 3)  # its demand is unknown: an even part
     for _ in range(5):
         for _ in range(2):
@@ -152,5 +152,5 @@
     assert d.policy.shares.demand == pytest.approx(20.0)  # the mean, not a tenth of it
     assert d.policy.shares.share == pytest.approx(32 / 2)  # of 40 a second in all
     d.tick(LEASE_S)
-    d.do(i.PeerMail(1, beat(1, 2, limit=32.0, share=30.0)))
+    d.do(i.PeerMessage(1, beat(1, 2, limit=32.0, share=30.0)))
     assert d.policy.shares.share <= 2.0  # from then on what peers reserve binds
--- a/tests/standalone/test_sparse.py
+++ b/tests/standalone/test_sparse.py
@@ -33,7 +33,7 @@
     for in_flight, expected in ((0, 3), (3, 1)):
         driver = start_gateway(3)
         for peer in range(10, 30):
-            driver.do(interface.PeerMail(peer, heartbeat(in_flight, peer)))
+            driver.do(interface.PeerMessage(peer, heartbeat(in_flight, peer)))
         driver.tick(BEAT_S)
         driver.policy.shares.share = 1.0
         count = sum(len(sends(driver.ask())) for _ in range(10))
--- a/tests/standalone/test_switch.py
+++ b/tests/standalone/test_switch.py
@@ -256,7 +256,7 @@
     messages = [message for message in switched.tick(0.2) if message.peer == 0]
     other = PolicyDriver(settings(me=0))
     for message in messages:
-        other.do(interface.PeerMail(1, message.data))
+        other.do(interface.PeerMessage(1, message.data))
     assert other.policy.quota.accounts[1].plan.name == "busy"
     # Two of three units are refilled.
     assert other.policy.quota.accounts[1].spent() == pytest.approx(1.0, abs=0.1)
--- a/tests/standalone/test_trace.py
+++ b/tests/standalone/test_trace.py
@@ -63,7 +63,7 @@
                     at(now + delay, n, i.TimerDue(label))
                 case i.Tell(peer, data):
                     if peer is not None and rng.random() > 0.05:
-                        at(now + rng.uniform(0.004, 0.02), peer, i.PeerMail(n, data))
+                        at(now + rng.uniform(0.004, 0.02), peer, i.PeerMessage(n, data))
                     lines.append(f"{n} tell {peer} {len(data)}")
     return lines, kinds
 
