--- a/pewterring/standalone/policy/decisions.py
+++ b/pewterring/standalone/policy/decisions.py
@@ -19,7 +19,7 @@
 TARGET_CHECKS = 12  # checks for unresponsive servers within the shortest latency target
 # A rejection costs a round trip and no work: weighted as an error it would overload the servers that accept.
 ERROR_WEIGHTS = {Code.INTERNAL: 1.0, Code.ABORTED: 1.0, Code.UNAVAILABLE: 1.0, Code.RESOURCE_EXHAUSTED: 0.25}
-HEARTBEAT_SHARE = 0.3  # of the messages received, for heartbeats of all peers: 13 gateways at 100 messages/s
+MAX_OVERHEAD = 0.3  # of messages, for heartbeats to all: more isn't worth it; 13 gateways at 100 messages/s
 
 
 class CustomerAccount(Account):
@@ -312,11 +312,9 @@
 
 
 class GatewayPolicy:
-    """Turns each event into actions, with the state kept between events."""
-
     LOST = 8.0  # typical latencies after which an attempt counts as lost: one in 3,000 if exponential
     IDLE_FRACTION = 0.5  # of this gateway's share: below it in flight, the share counts as idle
-    OWNER_WAIT, MAX_ASKED = 0.2, 3  # for an owner's answer, in shortest latency targets; requests sent to it
+    OWNER_WAIT, MAX_ASKED = 0.2, 3  # wait for an owner, in shortest latency targets; times that it is asked
     ANSWER_WEIGHT = 1 / 32  # of one quota request, answered or not, in the answer rate
     MIN_ANSWER_RATE = 0.75  # below it quota requests are not repeated: that would overload peers
     RETRY_RATIO, UNRUN_COST = 0.2, 0.25  # retries per first attempt; cost of one if none was executed yet
@@ -324,9 +322,8 @@
     def __init__(self, settings: Settings, seed: int) -> None:
         self.settings, self.rng = settings, random.Random(seed)
         self.ceiling = Ceiling(settings.fleet_size)
-        # In a sparse fleet heartbeats to all cost more than they are worth, long before they overload peers.
-        self.intake, others = 0.8 * settings.mail_per_s, settings.fleet_size - 1  # messages/s to use
-        self.sparse = settings.limits.peers and 0.0 < HEARTBEAT_SHARE * self.intake * BEAT_S < others
+        self.intake, others = 0.8 * settings.mail_per_s, settings.fleet_size - 1  # messages/s
+        self.sparse = settings.limits.peers and 0.0 < MAX_OVERHEAD * self.intake * BEAT_S < others
         self.shares = Shares(settings.fleet_size, self.rng.getrandbits(32), self.sparse)
         self.pool = ServerPool(settings, self.rng, self.sparse)
         self.quota = Quota(settings, self.rng, self.sparse)
--- a/tests/standalone/test_belief.py
+++ b/tests/standalone/test_belief.py
@@ -67,16 +67,14 @@
             HoldingWorker() as second,
             without_duplicates(first.address, second.address) as rig,
         ):
-            gatekeeper = policy_of(rig)
-            await until(lambda: gatekeeper.pool.servers)
-            gatekeeper.ceiling.limit = 300.0
-            await until(lambda: gatekeeper.shares.share > 50)
+            policy = policy_of(rig)
+            await until(lambda: policy.pool.servers)
+            policy.ceiling.limit = 300.0
+            await until(lambda: policy.shares.share > 50)
 
             def counts_agree() -> bool:
                 in_flight = {1: first.in_flight(), 2: second.in_flight()}
-                return counted_attempts(rig) == in_flight and len(gatekeeper.attempts) == sum(
-                    in_flight.values()
-                )
+                return counted_attempts(rig) == in_flight and len(policy.attempts) == sum(in_flight.values())
 
             callers = [await rig.caller() for _ in range(12)]
             for caller in callers:
@@ -110,11 +108,11 @@
             await until(lambda: first.in_flight() == 1 and counted_attempts(rig)[3] == 1)
             for worker in (first, second):
                 worker.end(answer, worker.in_flight())
-            await until(lambda: not gatekeeper.attempts and not gatekeeper.requests)
+            await until(lambda: not policy.attempts and not policy.requests)
             await until(lambda: not rig.gateway.calls and not rig.gateway.by_client)
             rig.gateway.listed(listing(entry("s-3", first.address), entry("s-2", second.address), version=4))
             await until(lambda: counted_attempts(rig) == {2: 0, 3: 0})
-            assert all(account.in_flight == 0 for account in gatekeeper.quota.accounts.values())
+            assert all(account.in_flight == 0 for account in policy.quota.accounts.values())
             used = len(rig.listener.clients) + sum(map(len, rig.service.pool.idle.values()))
             await until(lambda: rig.service.descriptors.used == used)
 
@@ -124,11 +122,11 @@
 def test_an_unresponsive_worker_is_responsive_after_its_first_answer() -> None:
     async def test() -> None:
         async with HoldingWorker() as worker, Rig(None, worker.address) as rig:
-            gatekeeper = policy_of(rig)
+            policy = policy_of(rig)
             caller = await rig.caller()
             caller.write(asking())
             await until(lambda: worker.in_flight() == 1)
-            (state,) = gatekeeper.pool.servers.values()
+            (state,) = policy.pool.servers.values()
             state.health_of("pure").unresponsive_since = rig.gateway.loop.time()
             worker.end(answer)
             assert (await caller.answer()).status == 200
@@ -142,11 +140,11 @@
 def test_the_start_time_is_the_same_in_the_policy_and_the_list() -> None:
     async def test() -> None:
         async with HoldingWorker() as worker, Rig(None, worker.address) as rig:
-            gatekeeper = policy_of(rig)
+            policy = policy_of(rig)
             born_ms = rig.gateway.directory.unix() * 1000 - 5000
             rig.gateway.listed(listing(entry("s-1", worker.address, born_ms=born_ms), version=2))
-            await until(lambda: any(n.came_up for n in gatekeeper.pool.servers.values()))
-            (state,) = gatekeeper.pool.servers.values()
+            await until(lambda: any(n.came_up for n in policy.pool.servers.values()))
+            (state,) = policy.pool.servers.values()
             assert abs(rig.gateway.loop.time() - state.came_up - 5.0) < 2.0
             assert isinstance(state.entry, interface.Server)
             assert state.entry.came_up == state.came_up
--- a/tests/standalone/test_rules.py
+++ b/tests/standalone/test_rules.py
@@ -198,21 +198,21 @@
 
 def test_several_gateways_do_not_overload_a_cold_server() -> None:
     """Three gateways without messages to each other, and a cold server that rejects at once."""
-    gatekeepers = [GatewayPolicy(settings(me=n, limits=TWO_ATTEMPTS), n) for n in range(3)]
+    policies = [GatewayPolicy(settings(me=n, limits=TWO_ATTEMPTS), n) for n in range(3)]
     rules, now, cold_sends, warm, id = settings().rules, 50.0, [], 0, 0
     servers = (*SERVERS, server(9, came_up=60.0))
-    for gatekeeper in gatekeepers:
-        gatekeeper.handle(now, interface.ServerList(interface.ListForm.REMEMBERED, SERVERS))
+    for policy in policies:
+        policy.handle(now, interface.ServerList(interface.ListForm.REMEMBERED, SERVERS))
     while now < 72.0:
         now += 0.005
-        for gatekeeper in gatekeepers:
+        for policy in policies:
             if 60.0 <= now < 60.005:
-                gatekeeper.handle(now, interface.ServerList(interface.ListForm.WHOLE, servers))
+                policy.handle(now, interface.ServerList(interface.ListForm.WHOLE, servers))
             if round(now * 1000) % 100 == 0:
-                gatekeeper.handle(now, interface.TimerDue(1))
-        gatekeeper = gatekeepers[id % 3]
+                policy.handle(now, interface.TimerDue(1))
+        policy = policies[id % 3]
         id += 1
-        actions = gatekeeper.handle(now, interface.Request(id, "pure", "free", 1, now + 4, 1.0, 3))
+        actions = policy.handle(now, interface.Request(id, "pure", "free", 1, now + 4, 1.0, 3))
         for attempt in range(2):
             for action in [action for action in actions if isinstance(action, interface.Send)]:
                 if action.server == 9:
@@ -220,7 +220,7 @@
                 elif now > 60:
                     warm += 1
                 code = interface.Code.RESOURCE_EXHAUSTED if action.server == 9 else interface.Code.OK
-                actions = gatekeeper.handle(
+                actions = policy.handle(
                     now,
                     interface.Outcome(
                         action.id, attempt, action.server, code, 0.05, code == interface.Code.OK
--- a/tests/standalone/test_sparse.py
+++ b/tests/standalone/test_sparse.py
@@ -100,8 +100,8 @@
         servers = tuple(
             dataclasses.replace(server(id), common=names[n], zone=str(n)) for id, n in enumerate(order, 1)
         )
-        gatekeeper = PolicyDriver(settings(me=me, fleet=40), servers, seed=me).policy
-        for id in gatekeeper.pool.subset:
+        policy = PolicyDriver(settings(me=me, fleet=40), servers, seed=me).policy
+        for id in policy.pool.subset:
             counts[order[id - 1]] += 1
     assert min(counts) >= 7
     assert max(counts) <= 9
--- a/tests/standalone/test_switch.py
+++ b/tests/standalone/test_switch.py
@@ -47,9 +47,9 @@
     return None
 
 
-def derived_values(gatekeeper: GatewayPolicy) -> dict[str, object]:
+def derived_values(policy: GatewayPolicy) -> dict[str, object]:
     return {
-        f"{component}.{name}": getattr(getattr(gatekeeper, component) if component else gatekeeper, name)
+        f"{component}.{name}": getattr(getattr(policy, component) if component else policy, name)
         for component, names in FOLLOWS.items()
         for name in names
     }
@@ -58,10 +58,10 @@
 def test_values_derived_from_the_settings_equal_those_of_a_new_policy() -> None:
     small, large = settings(fleet=3), settings(fleet=60)
     for old, new in ((small, large), (large, small)):
-        gatekeeper = PolicyDriver(old).policy
-        renew(gatekeeper, 101.0, new)
-        assert derived_values(gatekeeper) == derived_values(PolicyDriver(new).policy)
-        assert gatekeeper.pool.subset == PolicyDriver(new).policy.pool.subset
+        policy = PolicyDriver(old).policy
+        renew(policy, 101.0, new)
+        assert derived_values(policy) == derived_values(PolicyDriver(new).policy)
+        assert policy.pool.subset == PolicyDriver(new).policy.pool.subset
 
 
 def test_usage_attempts_and_health_are_kept_and_no_hard_limit_is_granted_anew() -> None:
@@ -70,23 +70,23 @@
     driver.ask(plan="small")
     once = driver.sent("once")
     capped = sends(driver.ask(plan="capped", customer=9))
-    gatekeeper = driver.policy
+    policy = driver.policy
     spent, mean, nodes = (
-        gatekeeper.quota.accounts[1].own.spent,
-        gatekeeper.ceiling.mean["pure"],
-        gatekeeper.pool.servers,
+        policy.quota.accounts[1].own.spent,
+        policy.ceiling.mean["pure"],
+        policy.pool.servers,
     )
     for fleet in (60, 3, 60, 3):
-        renew(gatekeeper, driver.now, settings(fleet=fleet))
-        assert gatekeeper.quota.accounts[1].own.spent == spent
-        assert gatekeeper.ceiling.mean["pure"] == mean
-        assert gatekeeper.pool.servers is nodes
-        assert (once.id, 0) in gatekeeper.attempts
-        assert gatekeeper.in_flight == 2 + len(capped)
-        for account in gatekeeper.quota.accounts.values():
+        renew(policy, driver.now, settings(fleet=fleet))
+        assert policy.quota.accounts[1].own.spent == spent
+        assert policy.ceiling.mean["pure"] == mean
+        assert policy.pool.servers is nodes
+        assert (once.id, 0) in policy.attempts
+        assert policy.in_flight == 2 + len(capped)
+        for account in policy.quota.accounts.values():
             assert account.own_cap <= account.plan.cap_depth / 2 / account.size
             assert account.shared_cap <= account.plan.cap_depth / 2
-    assert gatekeeper.quota.get_account(driver.now, 77, PLANS["capped"], 3, 0).own_cap == 0.0
+    assert policy.quota.get_account(driver.now, 77, PLANS["capped"], 3, 0).own_cap == 0.0
     assert driver.end(once, interface.Code.OK) == []
     assert driver.tick(1.0)
 
@@ -153,10 +153,10 @@
             await service.start()
             assert service.listener is not None
             assert isinstance(service.module, GatewayPolicy)
-            gatekeeper, total = service.module, 0
+            policy, total = service.module, 0
             await until(lambda: service.gateway.ready and not service.gateway.inbox)
-            gatekeeper.ceiling.limit = 4000.0  # so that only quotas decide
-            gatekeeper.shares.divide(service.loop.time(), 4000.0)
+            policy.ceiling.limit = 4000.0  # so that only quotas decide
+            policy.shares.divide(service.loop.time(), 4000.0)
             # Of a burst of four units three are forwarded, as a tenth is kept back; of six then two more.
             for document, forwarded in (
                 (NEW_SETTINGS, 3),
@@ -171,7 +171,7 @@
                     caller.write(asking(method, X_Class=cls, Plan=b"small", Quota_Info=quota))
                 total += forwarded
                 await until(lambda want=total: len(worker.requests) == want)  # type: ignore[misc]
-                await until(lambda: len(gatekeeper.attempts) == len(gatekeeper.requests))
+                await until(lambda: len(policy.attempts) == len(policy.requests))
                 configured(tmp_path, settings=document)
                 service.reload()
                 service.reload()  # two in a row
@@ -179,7 +179,7 @@
                 assert (reloaded["event"], unchanged["changed"]) == ("reloaded", []), reloaded
                 assert "plans" in str(reloaded["settings"])
                 assert "limits" in str(reloaded["settings"])
-                assert gatekeeper.settings.limits.may_duplicate == (document is OLD_SETTINGS)
+                assert policy.settings.limits.may_duplicate == (document is OLD_SETTINGS)
                 path.write_text("{")
                 service.reload()
                 assert [line["event"] for line in log.lines[-1:]] == ["reload_failed"]
@@ -192,7 +192,7 @@
                 assert statuses.count(429) == 4 - forwarded
                 for caller in callers:
                     caller.close()
-                assert gatekeeper.quota.accounts[0xB4D65521].own.spent == pytest.approx(total, abs=0.1)
+                assert policy.quota.accounts[0xB4D65521].own.spent == pytest.approx(total, abs=0.1)
             ids = [dict(r.headers)[b"x-request-id"] for r in worker.requests]
             assert len(ids) == len(set(ids)) == 5
             assert service.gateway.faults == 0
