--- a/pewterring/standalone/policy/decisions.py
+++ b/pewterring/standalone/policy/decisions.py
@@ -60,13 +60,13 @@
     that gateways report to each other; in a sparse fleet the owner of the account decides."""
 
     # The quota varies by GAIN refill rates per burst left or overdrawn; 1 / GAIN of a burst is kept back, so
-    GAIN = 10.0  # that it is zero when nothing is left: use beyond it costs and gains nothing
+    GAIN = 10.0  # that it is zero when nothing is left: admitting a request too early only costs
     ANSWER_TTL_S, MAX_MISSED = 2.0, 2.0  # validity of an owner's answer; most missed answers that are counted
     GRANT_TTL = 4.0  # typical latencies after which an owner frees a slot whose release did not arrive
 
     def __init__(self, settings: Settings, rng: random.Random, sparse: bool = False) -> None:
         self.settings, self.rng, self.began, self.sparse = settings, rng, 0.0, sparse
-        self.accounts, self.incarnations = dict[int, CustomerAccount](), dict[int, int]()  # by peer
+        self.accounts, self.incarnations = dict[int, CustomerAccount](), dict[int, int]()  # of peers
         self.unsent: dict[int, CustomerAccount] = {}  # those with usage not yet sent to peers
         self.answers: dict[tuple[int, int, int], tuple[float, QuotaGrant]] = {}  # given recently, as owner
         self.plans = {plan_number(name): plan for name, plan in settings.plans.items()}
@@ -86,7 +86,7 @@
         return account
 
     def admits(self, account: CustomerAccount, units: float, reserve: float = 1 / GAIN) -> bool:
-        plan = account.plan  # from a full burst nothing is kept back
+        plan = account.plan  # nothing is kept back from a full burst
         spare = plan.depth - account.spent() - min(plan.depth, units + plan.depth * reserve)
         is_owner = self.sparse and account.owner == self.settings.me
         if not plan.refill or (spare >= 0 and account.own.spent + units
@@ -169,7 +169,7 @@
         return encode_usage(usages)
 
     def receive(self, now: float, peer: int, incarnation: int, data: bytes) -> None:
-        if self.incarnations.setdefault(peer, incarnation) != incarnation:  # restarted: it needs all
+        if self.incarnations.setdefault(peer, incarnation) != incarnation:  # a restarted peer needs all
             self.incarnations[peer] = incarnation
             self.unsent.update({id: a for id, a in self.accounts.items() if a.sent.pop(peer, None)})
         for entry in decode_usage(data):
@@ -215,7 +215,7 @@
             del self.servers[id]
         self.serving = [s for s in self.servers.values() if s.listed and s.entry.mode == Mode.SERVING]
         order = sorted(self.serving, key=lambda s: (s.entry.common or s.entry.id) * 2654435761 % 2**32)
-        pos = len(order) * self.settings.me // self.settings.fleet_size  # every gateway uses this order
+        pos = len(order) * self.settings.me // self.settings.fleet_size  # an even range of a common order
         self.subset = {s.entry.id for s in ((order * 2)[pos : pos + self.SUBSET] if self.sparse else order)}
         self.rating = sum(1.0 if self.settings.live_ratings else s.entry.rating for s in self.serving)
 
@@ -242,7 +242,7 @@
             return True
         rules = self.settings.rules
         rate = warm * server.entry.rating * self.pace * min(1.25 - self.unseen / 4, rules.fall_multiple / 2)
-        rate = max(rate, 1 / (rules.tip_after * self.settings.fleet_size))  # no pace while all are cold
+        rate = max(rate, 1 / (rules.tip_after * self.settings.fleet_size))  # pace is 0 while all are cold
         server.tokens = min(1.0 + rate * rules.tip_after / 2, server.tokens + rate * (now - server.filled_at))
         server.filled_at = now
         return server.tokens >= 1.0
@@ -255,7 +255,7 @@
         """Expected wait: attempts in flight by present capacity, scaled by slowness and errors."""
         health = server.health_of(cls)
         slowness, error_rate = self.symptoms(health, now)
-        # The random load stands for other gateways' attempts: with few of its own one chooses by rating.
+        # The random load stands for peers' attempts: with few of its own a gateway chooses by rating.
         # Tokens limit the share of a cold server: a random load on top would halve it.
         warmth, random_load = self.warmth(server, now), self.rng.expovariate(1.0)
         ahead = 0.0 if warmth < 1.0 and self.unseen else 1 + self.unseen * (random_load - 1)
@@ -277,7 +277,7 @@
         health.in_flight.pop((outcome.id, outcome.attempt), None)
         if outcome.code in (Code.OK, Code.INTERNAL, Code.RESOURCE_EXHAUSTED):
             self.mark_responsive(server, now, health)
-        # It counts for classes without a recent outcome too, not for all: one may be unserved, others served.
+        # Classes without a recent outcome take it over too: a server may answer some classes and not others.
         for each in server.health.values():
             if each is not health and now - each.last_outcome < self.decay_s:
                 continue
@@ -299,7 +299,7 @@
             health.unresponsive_since = 0.0
         server.last_answer = now
 
-    def check_silence(self, now: float, means: dict[str, float], typical: float) -> None:  # of latency
+    def check_silence(self, now: float, means: dict[str, float], typical: float) -> None:  # mean latencies
         for server in self.servers.values():
             for cls, health in server.health.items():
                 if health.unresponsive_since or not health.in_flight:
@@ -317,18 +317,18 @@
     OWNER_WAIT, MAX_ASKED = 0.2, 3  # wait for an owner, in shortest latency targets; times that it is asked
     ANSWER_WEIGHT = 1 / 32  # of one quota request, answered or not, in the answer rate
     MIN_ANSWER_RATE = 0.75  # below it quota requests are not repeated: that would overload peers
-    RETRY_RATIO, UNRUN_COST = 0.2, 0.25  # retries per first attempt; cost of one if none was executed yet
+    RETRY_RATIO, UNRUN_COST = 0.2, 0.25  # retries per first attempt; cost of one if no attempt was executed
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.settings, self.rng = settings, random.Random(seed)
         self.ceiling = Ceiling(settings.fleet_size)
-        self.intake, others = 0.8 * settings.mail_per_s, settings.fleet_size - 1  # messages/s
+        self.intake, others = 0.8 * settings.mail_per_s, settings.fleet_size - 1  # intake: messages/s
         self.sparse = settings.limits.peers and 0.0 < MAX_OVERHEAD * self.intake * BEAT_S < others
         self.shares = Shares(settings.fleet_size, self.rng.getrandbits(32), self.sparse)
         self.pool = ServerPool(settings, self.rng, self.sparse)
         self.quota = Quota(settings, self.rng, self.sparse)
         self.requests: dict[int, PendingRequest] = {}
-        self.attempts: dict[tuple[int, int], PendingRequest] = {}  # in flight, even past their request's end
+        self.attempts: dict[tuple[int, int], PendingRequest] = {}  # in flight, also after their request ended
         self.actions: list[Action] = []
         self.lost, self.retry_budget, self.last_token, self.answer_rate = 0, 1.0, 0, 1.0
         self.awaiting_owner: dict[int, PendingRequest] = {}  # by token of the quota request
