--- a/pewterring/standalone/policy/decisions.py
+++ b/pewterring/standalone/policy/decisions.py
@@ -332,7 +332,8 @@
         self.actions: list[Action] = []
         self.lost, self.retry_budget, self.last_token, self.answer_rate = 0, 1.0, 0, 1.0
         self.awaiting_owner: dict[int, PendingRequest] = {}  # by token of the quota request
-        self.tick_s = BEAT_S / 2 if self.sparse else max(UPDATE_INTERVAL_S, others / max(self.intake, 1.0))
+        self.tick_s = (BEAT_S / 2 if self.sparse
+                       else max(UPDATE_INTERVAL_S, others / max(self.intake, 1.0)))  # fmt: skip
         self.last_tick, self.last_heartbeats = 0.0, dict[int, float]()
         self.check_s = min((c.latency_target for c in settings.classes.values()), default=1.0) / TARGET_CHECKS
         self.wait_s = self.check_s * TARGET_CHECKS * self.OWNER_WAIT
@@ -444,7 +445,8 @@
             return self.actions.append(Tell(peer, heartbeat))
         updates = self.quota.usage_updates(now)
         for peer in [n for n in range(self.settings.fleet_size) if n != self.settings.me]:
-            if peer in updates or now + self.tick_s / 2 - self.last_heartbeats.get(peer, -math.inf) > BEAT_S:
+            if (peer in updates or now + self.tick_s / 2
+                    - self.last_heartbeats.get(peer, -math.inf) > BEAT_S):  # fmt: skip
                 self.last_heartbeats[peer] = now
                 self.actions.append(Tell(peer, heartbeat + updates.get(peer, b"")))
 
@@ -522,8 +524,7 @@
                        or self.quota.admits(account, request.units) or self.may_exceed(call))  # fmt: skip
         if not allowed or now >= request.deadline:
             return self.refuse(call, "quota")
-        # Without a grant only this gateway's own parts of the slots and of the hard limit may be used.
-        slot = (answer.granted if answer else now >= account.full_until
+        slot = (answer.granted if answer else now >= account.full_until  # no grant: own part of the slots
                 and account.in_flight < max(1, plan.parallel // account.size))  # fmt: skip
         if (plan.parallel and not slot) or (plan.cap_rate and not pooled and account.own_cap < request.units):
             return self.refuse(call, "limit")
