--- a/pewterring/standalone/policy/decisions.py
+++ b/pewterring/standalone/policy/decisions.py
@@ -5,7 +5,7 @@
 import random
 
 from pewterring.admission.ceiling import Ceiling
-from pewterring.admission.shares import BEAT_S, Shares
+from pewterring.admission.shares import HEARTBEAT_PERIOD_S, Shares
 from pewterring.standalone.peer_messages import (MAX_USAGE_ENTRIES, QuotaGrant, QuotaRelease, QuotaRequest,
     QuotaUsage, decode_quota, decode_usage, encode_quota, encode_usage, plan_number)  # fmt: skip
 from pewterring.standalone.policy.interface import (
@@ -323,7 +323,7 @@
         self.settings, self.rng = settings, random.Random(seed)
         self.ceiling = Ceiling(settings.fleet_size)
         self.intake, others = 0.8 * settings.mail_per_s, settings.fleet_size - 1  # intake: messages/s
-        self.sparse = settings.limits.peers and 0.0 < MAX_OVERHEAD * self.intake * BEAT_S < others
+        self.sparse = settings.limits.peers and 0.0 < MAX_OVERHEAD * self.intake * HEARTBEAT_PERIOD_S < others
         self.shares = Shares(settings.fleet_size, self.rng.getrandbits(32), self.sparse)
         self.pool = ServerPool(settings, self.rng, self.sparse)
         self.quota = Quota(settings, self.rng, self.sparse)
@@ -332,7 +332,7 @@
         self.actions: list[Action] = []
         self.lost, self.retry_budget, self.last_token, self.answer_rate = 0, 1.0, 0, 1.0
         self.awaiting_owner: dict[int, PendingRequest] = {}  # by token of the quota request
-        self.tick_s = (BEAT_S / 2 if self.sparse
+        self.tick_s = (HEARTBEAT_PERIOD_S / 2 if self.sparse
                        else max(UPDATE_INTERVAL_S, others / max(self.intake, 1.0)))  # fmt: skip
         self.last_tick, self.last_heartbeats = 0.0, dict[int, float]()
         self.check_s = min((c.latency_target for c in settings.classes.values()), default=1.0) / TARGET_CHECKS
@@ -343,7 +343,7 @@
         return max(0, len(self.attempts) - self.lost)
 
     def is_full(self) -> bool:
-        return self.in_flight >= min(self.shares.room(self.in_flight), self.ceiling.limit)
+        return self.in_flight >= min(self.shares.capacity(self.in_flight), self.ceiling.limit)
 
     def latency(self) -> float:  # mean of the slowest class; the shortest latency target while none is known
         return max(self.ceiling.mean.values(), default=self.check_s * TARGET_CHECKS)
@@ -353,7 +353,7 @@
         if isinstance(event, ServerList):
             self.pool.update(now, event)
             self.ceiling.rescale(self.pool.rating, len(self.pool.serving))
-        if self.shares.began == -math.inf:
+        if self.shares.started_at == -math.inf:
             self.start(now)
         match event:
             case Request():
@@ -368,14 +368,14 @@
             case PeerMessage(peer, data) if peer != self.settings.me and 0 <= peer < self.settings.fleet_size:
                 if message := decode_quota(data):
                     self.on_message(now, peer, message)
-                elif self.shares.hear(now, peer, data, self.ceiling.limit):
+                elif self.shares.receive(now, peer, data, self.ceiling.limit):
                     self.quota.receive(now, peer, self.shares.peers[peer].beat.incarnation, data)
             case ProbeResult(id, Code.OK) if id in self.pool.servers:
                 self.pool.mark_responsive(self.pool.servers[id], now)
             case StreamStarted() if event.id in self.requests:
                 call = self.requests[event.id]
                 call.streaming = True
-                self.ceiling.observe(call.cls, event.took, self.shares.elsewhere + self.in_flight)
+                self.ceiling.observe(call.cls, event.took, self.shares.peers_in_flight + self.in_flight)
                 if server := self.pool.servers.get(event.server):
                     self.pool.mark_responsive(server, now, server.health_of(call.cls.name))
                     server.health_of(call.cls.name).in_flight[event.id, event.attempt] = math.inf
@@ -385,8 +385,8 @@
         return self.actions
 
     def start(self, now: float) -> None:
-        self.shares.began = self.quota.began = self.last_tick = now
-        self.shares.divide(now, self.ceiling.limit)
+        self.shares.started_at = self.quota.began = self.last_tick = now
+        self.shares.update_share(now, self.ceiling.limit)
         self.actions += [SetTimer(self.tick_s * self.rng.random(), TICK), SetTimer(self.check_s, HEALTH_TICK)]
         if self.settings.ask_discovery:
             self.actions.append(Subscribe())
@@ -433,12 +433,12 @@
 
     def tick(self, now: float) -> None:
         elapsed, self.last_tick = max(1e-3, now - self.last_tick), now
-        self.shares.settle(now, elapsed, self.ceiling.limit)
-        self.pool.measure_rate(now, self.shares.flow)
+        self.shares.update_demand(now, elapsed, self.ceiling.limit)
+        self.pool.measure_rate(now, self.shares.forwarding_rate)
         self.quota.expire(now)
         if not self.settings.limits.peers or self.settings.fleet_size < 2:
             return
-        heartbeat = self.shares.beat(self.ceiling.limit, self.in_flight)
+        heartbeat = self.shares.heartbeat(self.ceiling.limit, self.in_flight)
         if self.sparse:  # to a random peer, without updates: senders of updates are busier than the rest
             peer = ((self.settings.me + self.rng.randrange(1, self.settings.fleet_size))
                     % self.settings.fleet_size)  # fmt: skip
@@ -446,7 +446,7 @@
         updates = self.quota.usage_updates(now)
         for peer in [n for n in range(self.settings.fleet_size) if n != self.settings.me]:
             if (peer in updates or now + self.tick_s / 2
-                    - self.last_heartbeats.get(peer, -math.inf) > BEAT_S):  # fmt: skip
+                    - self.last_heartbeats.get(peer, -math.inf) > HEARTBEAT_PERIOD_S):  # fmt: skip
                 self.last_heartbeats[peer] = now
                 self.actions.append(Tell(peer, heartbeat + updates.get(peer, b"")))
 
@@ -528,12 +528,12 @@
                 and account.in_flight < max(1, plan.parallel // account.size))  # fmt: skip
         if (plan.parallel and not slot) or (plan.cap_rate and not pooled and account.own_cap < request.units):
             return self.refuse(call, "limit")
-        self.shares.wanted += 1
+        self.shares.requested += 1
         if self.is_full():
             return self.refuse(call, "ceiling")
         if (server := self.pool.choose(now, self.pool.serving, call)) is None:
             return self.refuse(call, "workers")
-        self.shares.passed += 1
+        self.shares.forwarded += 1
         account.own_cap -= 0.0 if pooled or not plan.cap_rate else request.units
         if not (answer and self.sparse):
             call.charged = account.spend(request.units)
@@ -563,7 +563,7 @@
         # more servers look unresponsive, more attempts are duplicated and cancelled, and the mean stays low.
         slow = result.code == Code.CANCELLED and result.took > self.ceiling.mean.get(call.cls.name, math.inf)
         if (result.code == Code.OK or slow) and not call.streaming:
-            self.ceiling.observe(call.cls, result.took, self.shares.elsewhere + self.in_flight + 1)
+            self.ceiling.observe(call.cls, result.took, self.shares.peers_in_flight + self.in_flight + 1)
         if account := self.quota.accounts.get(call.request.customer):
             account.in_flight = max(0, account.in_flight - 1)
         if result.actual > 0 and call.charged:
@@ -610,7 +610,7 @@
         self.finish(call)
 
     def refuse(self, call: PendingRequest, reason: str) -> None:
-        refill, slot = call.plan.refill, BEAT_S if reason == "tries" else self.latency()
+        refill, slot = call.plan.refill, HEARTBEAT_PERIOD_S if reason == "tries" else self.latency()
         after = call.request.units / refill if reason == "quota" and refill else slot
         advice = min(after, self.settings.limits.max_retry_after) if self.settings.limits.retry_after else 0.0
         self.actions.append(Refuse(call.request.id, advice, reason))
--- a/pewterring/standalone/proxy/switch.py
+++ b/pewterring/standalone/proxy/switch.py
@@ -11,7 +11,7 @@
 
 # By part of the module: what follows from the settings and nothing else.
 FOLLOWS = {
-    "ceiling": ("batch", "smooth"),
+    "ceiling": ("update_samples", "step"),
     "shares": ("fleet", "sparse", "lease"),
     "pool": ("settings", "unseen", "sparse", "weight", "decay_s"),
     "quota": ("settings", "sparse", "plans"),
--- a/tests/batch/test_dispatch.py
+++ b/tests/batch/test_dispatch.py
@@ -19,7 +19,7 @@
 from pewterring.configuration.model import Engine, Service, WeightedService
 from pewterring.distribution.messages import NodeRecord, WorkerRecord
 from pewterring.distribution.tables import Tables
-from pewterring.routing.chooser import PER_TOKEN_S, WorkerChooser
+from pewterring.routing.chooser import DEFAULT_PER_TOKEN_S, WorkerChooser
 from pewterring.routing.load_report import Load
 from pewterring.standalone.peer_messages import Heartbeat, encode_heartbeat
 from tests.batch.stand_ins import ROUTE, ManualClock, item, route, tables, worker
@@ -59,7 +59,7 @@
 
     def heartbeat(self, peer: int, in_flight: int, limit: float = 2 * SLOTS, kind: int = GATEWAY) -> None:
         data = encode_heartbeat(Heartbeat(peer, 1, limit, in_flight, 1.0, 1.0))
-        self.admissions.hear(self.clock.now, kind, peer, SERVICE, data)
+        self.admissions.receive(self.clock.now, kind, peer, SERVICE, data)
 
 
 def two_workers(gateways: int = 1) -> Fixture:
@@ -126,7 +126,7 @@
     fixture = two_workers()
     fixture.heartbeat(1, in_flight=0)
     admission = fixture.admissions.of("s")
-    before = admission.room(fixture.clock.now)
+    before = admission.free_slots(fixture.clock.now)
     for seconds in [0.02] * 200 + [0.5] * 200:
         fixture.assign()
         fixture.clock.now += seconds
@@ -134,8 +134,8 @@
         fixture.dispatcher.finished(fixture.items[-1], ExchangeOutcome.ANSWERED)
         fixture.admissions.tick(fixture.clock.now)
         fixture.heartbeat(1, in_flight=0, limit=0.0)
-    assert admission.out == 0
-    assert admission.room(fixture.clock.now) < before
+    assert admission.in_flight == 0
+    assert admission.free_slots(fixture.clock.now) < before
 
 
 def test_items_use_half_of_the_concurrency_limit_without_heartbeats_of_gateways() -> None:
@@ -163,10 +163,10 @@
     fixture.assign()
     other = BatchAdmissions(random.Random(3))
     other.update(fixture.clock.now, fixture.tables, fixture.chooser)
-    capacity = other.of("s").room(fixture.clock.now)
+    capacity = other.of("s").free_slots(fixture.clock.now)
     for number, heartbeat in fixture.admissions.tick(fixture.clock.now).items():
-        other.hear(fixture.clock.now, BATCH, 5, number, heartbeat)
-    assert other.of("s").room(fixture.clock.now) == capacity - 1
+        other.receive(fixture.clock.now, BATCH, 5, number, heartbeat)
+    assert other.of("s").free_slots(fixture.clock.now) == capacity - 1
 
 
 def test_a_worker_that_reports_itself_nearly_full_gets_no_item() -> None:
@@ -182,7 +182,7 @@
 def test_a_worker_gets_no_item_while_much_prefill_is_pending_there() -> None:
     fixture = Fixture(tables(worker("w1", capacity=100)), gateways=1)
     fixture.heartbeat(1, in_flight=0, limit=100.0)
-    tokens = int(0.7 * MAX_PREFILL_S / PER_TOKEN_S)
+    tokens = int(0.7 * MAX_PREFILL_S / DEFAULT_PER_TOKEN_S)
     assert fixture.assign(prompt_headers(tokens, "a")) is not None
     assert fixture.assign(prompt_headers(tokens, "b")) is not None
     assert fixture.assign(prompt_headers(tokens, "c")) is None
@@ -223,7 +223,7 @@
     for _ in range(5):
         assert fixture.assign() is not None
         fixture.dispatcher.finished(fixture.items.pop(), ExchangeOutcome.STALE)
-    assert not fixture.chooser.workers["w1"].suspect(fixture.clock.now)
+    assert not fixture.chooser.workers["w1"].is_suspect(fixture.clock.now)
 
 
 def test_items_truncated_together_count_as_one_failure_of_the_worker() -> None:
@@ -264,8 +264,8 @@
     first = fixture.assign()
     assert first is not None
     fixture.dispatcher.finished(fixture.items[0], ExchangeOutcome.TRUNCATED)
-    fixture.chooser.workers[first.id].failed(fixture.clock.now)
-    fixture.chooser.workers[first.id].failed(fixture.clock.now)
+    fixture.chooser.workers[first.id].record_failure(fixture.clock.now)
+    fixture.chooser.workers[first.id].record_failure(fixture.clock.now)
     fixture.clock.now += PROBE_AFTER_S + 0.01
     assigned = {found.id for found in iter(fixture.assign, None)}
     assert assigned == {"w1", "w22"} - {first.id}
@@ -300,8 +300,8 @@
         fixture.admissions.of(name).rescale(fixture.clock.now, 100, 0)
     for _ in range(40):
         fixture.assign()
-    assert fixture.admissions.of("s").out == 30
-    assert fixture.admissions.of("t").out == 10
+    assert fixture.admissions.of("s").in_flight == 30
+    assert fixture.admissions.of("t").in_flight == 10
 
 
 def test_an_item_that_was_never_assigned_changes_nothing() -> None:
@@ -309,7 +309,7 @@
     unassigned = QueuedItem("j", ROUTE, item("unassigned"))
     fixture.dispatcher.first_event(unassigned)
     fixture.dispatcher.finished(unassigned, ExchangeOutcome.TRUNCATED)
-    assert fixture.admissions.of("s").out == 0
+    assert fixture.admissions.of("s").in_flight == 0
 
 
 def test_items_with_a_shared_prefix_do_not_overload_the_worker_that_caches_it() -> None:
--- a/tests/standalone/test_sparse.py
+++ b/tests/standalone/test_sparse.py
@@ -4,7 +4,7 @@
 import random
 
 from pewterring.admission.ceiling import Ceiling
-from pewterring.admission.shares import BEAT_S, Shares
+from pewterring.admission.shares import HEARTBEAT_PERIOD_S, Shares
 from pewterring.standalone.peer_messages import HEARTBEAT_TAG, Heartbeat, encode_heartbeat
 from pewterring.standalone.policy import interface
 from pewterring.standalone.policy.decisions import ServerPool
@@ -23,7 +23,7 @@
 
 def test_each_heartbeat_goes_to_one_random_peer() -> None:
     driver = start_gateway(3)
-    messages = [message for _ in range(40) for message in driver.tick(BEAT_S / 2)]
+    messages = [message for _ in range(40) for message in driver.tick(HEARTBEAT_PERIOD_S / 2)]
     assert len(messages) == 40
     assert len({message.peer for message in messages}) > 20
     assert all(message.peer != 3 and message.data[:1] == HEARTBEAT_TAG for message in messages)
@@ -34,7 +34,7 @@
         driver = start_gateway(3)
         for peer in range(10, 30):
             driver.do(interface.PeerMessage(peer, heartbeat(in_flight, peer)))
-        driver.tick(BEAT_S)
+        driver.tick(HEARTBEAT_PERIOD_S)
         driver.policy.shares.share = 1.0
         count = sum(len(sends(driver.ask())) for _ in range(10))
         assert count >= 3 if in_flight == 0 else count == expected
@@ -42,14 +42,14 @@
 
 def test_peers_heard_represent_the_fleet_and_an_unheard_fleet_counts_as_busy() -> None:
     shares = Shares(FLEET_SIZE, 1, sparse=True)
-    shares.began = 0.0
+    shares.started_at = 0.0
     for n in range(10, 20):
-        shares.hear(1.0, n, heartbeat(1, n), 400.0)
-    shares.divide(1.0, 400.0)
-    assert shares.elsewhere == FLEET_SIZE - 1
-    shares.divide(100.0, 400.0)
-    assert shares.elsewhere == 400.0
-    assert shares.room(0) < 3.0
+        shares.receive(1.0, n, heartbeat(1, n), 400.0)
+    shares.update_share(1.0, 400.0)
+    assert shares.peers_in_flight == FLEET_SIZE - 1
+    shares.update_share(100.0, 400.0)
+    assert shares.peers_in_flight == 400.0
+    assert shares.capacity(0) < 3.0
 
 
 def test_servers_are_chosen_in_proportion_to_rating() -> None:
--- a/tests/standalone/test_switch.py
+++ b/tests/standalone/test_switch.py
@@ -156,7 +156,7 @@
             policy, total = service.module, 0
             await until(lambda: service.gateway.ready and not service.gateway.inbox)
             policy.ceiling.limit = 4000.0  # so that only quotas decide
-            policy.shares.divide(service.loop.time(), 4000.0)
+            policy.shares.update_share(service.loop.time(), 4000.0)
             # Of a burst of four units three are forwarded, as a tenth is kept back; of six then two more.
             for document, forwarded in (
                 (NEW_SETTINGS, 3),
