--- a/pewterring/admission/digests.py
+++ b/pewterring/admission/digests.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable, Mapping
 from typing import NamedTuple
 
-from pewterring.standalone.peer_messages import Beat
+from pewterring.standalone.peer_messages import Heartbeat
 
 GROUP_MAGIC = b"PG1"  # digest of one group of processes, sent between relays
 FLEET_MAGIC = b"PF1"  # totals of the whole fleet, sent from a relay to the members of its group
@@ -54,7 +54,7 @@
     totals: Mapping[int, Totals]
 
 
-def summarize(gateways: Iterable[Beat], batch: Iterable[Beat]) -> Digest:
+def summarize(gateways: Iterable[Heartbeat], batch: Iterable[Heartbeat]) -> Digest:
     """Sums the heartbeats of one service, from gateways and from processes that run batch items."""
     heartbeats = list(gateways)
     limits = sorted(heartbeat.limit for heartbeat in heartbeats)
--- a/pewterring/admission/shares.py
+++ b/pewterring/admission/shares.py
@@ -69,12 +69,12 @@
 
     def heartbeat(self, limit: float, in_flight: int) -> bytes:
         self.sequence += 1
-        beat = messages.Beat(self.incarnation, self.sequence, limit, in_flight, self.share, self.demand)
-        return messages.write_beat(beat)
+        beat = messages.Heartbeat(self.incarnation, self.sequence, limit, in_flight, self.share, self.demand)
+        return messages.encode_heartbeat(beat)
 
     def receive(self, now: float, peer: int, data: bytes, limit: float) -> bool:
         """Takes a heartbeat; False if it is malformed, out of order or of an earlier incarnation."""
-        beat, old = messages.read_beat(data), self.peers.get(peer)
+        beat, old = messages.decode_heartbeat(data), self.peers.get(peer)
         same = bool(beat and old and beat.incarnation == old.beat.incarnation)
         if not beat or (
             old and (beat.incarnation == old.before or (same and beat.sequence <= old.beat.sequence))
--- a/tests/admission/relayed_fleet.py
+++ b/tests/admission/relayed_fleet.py
@@ -7,7 +7,7 @@
 from pewterring.admission.relay_exchange import RelayExchange
 from pewterring.admission.relay_plan import HeartbeatSender, RelayPlan, make_plan
 from pewterring.admission.shares import HEARTBEAT_PERIOD_S
-from pewterring.standalone.peer_messages import Beat, write_beat
+from pewterring.standalone.peer_messages import Heartbeat, encode_heartbeat
 
 SERVICE = 7
 DELAY_S = 0.01
@@ -19,7 +19,7 @@
     def __init__(self, ip: str, kind: int, limit: float, in_flight: int) -> None:
         self.ip = ip
         self.kind = kind
-        self.beat = Beat(1, 1, limit, in_flight, 3.0, 2.0)
+        self.beat = Heartbeat(1, 1, limit, in_flight, 3.0, 2.0)
         self.totals: dict[int, Totals] = {}
         self.totals_at = -1.0
         self.now = 0.0
@@ -33,7 +33,7 @@
 
     def heartbeat(self) -> bytes:
         """Encodes the same heartbeat for each service."""
-        return write_heartbeat(self.kind, dict.fromkeys(self.services, write_beat(self.beat)))
+        return write_heartbeat(self.kind, dict.fromkeys(self.services, encode_heartbeat(self.beat)))
 
 
 class Fleet:
--- a/tests/admission/test_fleet_in_overload.py
+++ b/tests/admission/test_fleet_in_overload.py
@@ -6,7 +6,7 @@
 
 from pewterring.admission.service import ServiceAdmission
 from pewterring.admission.shares import HEARTBEAT_PERIOD_S
-from pewterring.standalone.peer_messages import Beat, write_beat
+from pewterring.standalone.peer_messages import Heartbeat, encode_heartbeat
 
 GATEWAYS, SLOTS, RUN_S = 8, 144, 0.75
 STEP_S = 0.01
@@ -87,7 +87,7 @@
     for third_in_flight in (20, 80):
         for peer, in_flight in ((1, 20), (2, 20), (3, third_in_flight)):
             admission.receive(
-                10.0, peer, write_beat(Beat(peer, third_in_flight, 100.0, in_flight, 25.0, 10.0))
+                10.0, peer, encode_heartbeat(Heartbeat(peer, third_in_flight, 100.0, in_flight, 25.0, 10.0))
             )
         if third_in_flight == 20:
             assert admission.shares.share == 25.0
--- a/tests/admission/test_relayed_shares.py
+++ b/tests/admission/test_relayed_shares.py
@@ -8,7 +8,7 @@
 from pewterring.admission.relayed_shares import TOTALS_EXPIRY_S, RelayedShares
 from pewterring.admission.service import ServiceAdmission
 from pewterring.admission.shares import DEMAND_DECAY_S, HEARTBEAT_PERIOD_S, LEASE_S, Shares
-from pewterring.standalone.peer_messages import Beat, write_beat
+from pewterring.standalone.peer_messages import Heartbeat, encode_heartbeat
 
 FLEET = 100
 LIMIT = 400.0
@@ -78,7 +78,7 @@
     shares, plain = new_shares(), Shares(FLEET, 1)
     plain.started_at, plain.lends, plain.demand = 0.0, True, 2.0
     shares.receive_totals(LATER, TOTALS, LIMIT)
-    heartbeat = write_beat(Beat(5, 1, LIMIT, 3, 4.0, 2.0))
+    heartbeat = encode_heartbeat(Heartbeat(5, 1, LIMIT, 3, 4.0, 2.0))
     shares.fleet_demand = plain.fleet_demand
     for each in (shares, plain):
         each.receive(LATER + HEARTBEAT_PERIOD_S, 9, heartbeat, LIMIT)
--- a/tests/admission/test_relays.py
+++ b/tests/admission/test_relays.py
@@ -19,14 +19,14 @@
 )
 from pewterring.admission.relay_exchange import EXPIRY_ROUNDS
 from pewterring.admission.relay_plan import MAX_MEMBERS, RELAYS, HeartbeatSender, make_plan
-from pewterring.standalone.peer_messages import Beat
+from pewterring.standalone.peer_messages import Heartbeat
 from tests.admission.relayed_fleet import SERVICE, Fleet
 
 CONVERGENCE_ROUNDS = 6  # from the first heartbeat until all totals include all processes
 
 
-def heartbeat(limit: float, in_flight: int = 0, share: float = 1.0) -> Beat:
-    return Beat(1, 1, limit, in_flight, share, 2.0)
+def heartbeat(limit: float, in_flight: int = 0, share: float = 1.0) -> Heartbeat:
+    return Heartbeat(1, 1, limit, in_flight, share, 2.0)
 
 
 # Digests
--- a/tests/standalone/test_races.py
+++ b/tests/standalone/test_races.py
@@ -14,7 +14,7 @@
 from pewterring.standalone.network.clients import Client
 from pewterring.standalone.network.connection import Address
 from pewterring.standalone.policy import interface as i
-from pewterring.standalone.policy.decisions import Gatekeeper
+from pewterring.standalone.policy.decisions import GatewayPolicy
 from pewterring.standalone.proxy import gateway as gateway_module
 from pewterring.standalone.proxy import service as service_module
 from tests.standalone.helpers import CLASSES, LIMITS, settings
@@ -43,7 +43,7 @@
     """Answers when the test says so."""
 
 
-class Heard(Gatekeeper):
+class Heard(GatewayPolicy):
     """The module, and what it was told."""
 
     def __init__(self, setup: i.Settings) -> None:
@@ -106,19 +106,19 @@
 ) -> None:
     async def test() -> None:
         module = Heard(settings(limits=limits))
-        async with StandIn() as worker, Rig(module, worker.address, setup=module.s) as rig:
+        async with StandIn() as worker, Rig(module, worker.address, setup=module.settings) as rig:
             gate = Gate(rig, monkeypatch)
             caller = await rig.caller()
             caller.write(asking(Plan=b"small", Quota_Info=b"units=2,spread=1,first=0"))
             await until(lambda: gate.waiting)
-            (customer,) = module.quota.customers.values()
-            assert (customer.open, round(customer.own.spent, 1)) == (1, 2.0)
+            (customer,) = module.quota.accounts.values()
+            assert (customer.in_flight, round(customer.own.spent, 1)) == (1, 2.0)
             caller.close()
             await until(lambda: rig.gateway.left)
             gate.open.set()
             await until(lambda: not rig.gateway.calls and not rig.service.pool.opening)
             assert [(o.code, o.no_more) for o in module.of(i.Outcome)] == [(i.Code.TOO_LATE, True)]
-            assert (customer.open, customer.own.spent, module.out) == (0, 0.0, 0)
+            assert (customer.in_flight, customer.own.spent, module.in_flight) == (0, 0.0, 0)
             assert (await rig.ask(asking(X_Request_Id=b"marker"))).status == 200
             assert [r.get(b"x-request-id") for r in worker.requests] == [b"marker"]
             await until(lambda: rig.service.descriptors.used == len(rig.service.pool.idle))
@@ -130,15 +130,15 @@
 def test_what_waits_for_its_account_s_keeper_is_not_sent_once_its_client_has_left(limits: i.Limits) -> None:
     async def test() -> None:
         module = Heard(settings(limits=limits))
-        async with StandIn() as worker, Rig(module, worker.address, setup=module.s) as rig:
-            customer = next(n for n in range(9) if (1 + n % 3) % 3 != module.s.me)
+        async with StandIn() as worker, Rig(module, worker.address, setup=module.settings) as rig:
+            customer = next(n for n in range(9) if (1 + n % 3) % 3 != module.settings.me)
             path, plan = b"/api/%016x" % customer, b"narrow"
             caller = await rig.caller()
             caller.write(asking(target=path, Plan=plan))
-            await until(lambda: module.asking)
+            await until(lambda: module.awaiting_owner)
             caller.close()
             await until(lambda: rig.gateway.left)
-            assert not module.asking
+            assert not module.awaiting_owner
             assert not rig.gateway.calls
             # The keeper says nothing to the next one either: when that one goes on, the first would have.
             answer = await rig.ask(asking(target=path, Plan=plan, X_Request_Id=b"marker"))
@@ -154,7 +154,7 @@
         module = Heard(settings(limits=limits))
         async with (
             StandIn(held) as one, StandIn(held) as two,
-            Rig(module, one.address, two.address, setup=module.s) as rig,
+            Rig(module, one.address, two.address, setup=module.settings) as rig,
         ):  # fmt: skip
             caller = await rig.caller()
             caller.write(asking())
