--- a/pewterring/admission/service.py
+++ b/pewterring/admission/service.py
@@ -11,7 +11,7 @@
 from pewterring.admission.digests import Totals
 from pewterring.admission.relayed_shares import RelayedShares
 from pewterring.admission.shares import LEASE_S
-from pewterring.standalone.peer_messages import Beat, read_beat
+from pewterring.standalone.peer_messages import Heartbeat, decode_heartbeat
 from pewterring.standalone.policy.interface import RequestClass
 
 # Fraction of the fleet's idle slots that one gateway may use beyond its share, so that a burst at one gateway
@@ -49,7 +49,7 @@
         self.shares.lends = True
         self.in_flight = 0
         # By peer number of processes that run batch items: the time of the last heartbeat, and the heartbeat.
-        self._batch_peers: dict[int, tuple[float, Beat]] = {}
+        self._batch_peers: dict[int, tuple[float, Heartbeat]] = {}
         self._demand_updated_at = -math.inf
 
     def rescale(self, now: float, slots: int, processes: int) -> None:
@@ -126,6 +126,6 @@
 
         Batch items give way to live requests, so they reserve no share.
         """
-        beat = read_beat(data)
+        beat = decode_heartbeat(data)
         if beat is not None:
             self._batch_peers[peer] = (now, beat)
--- a/pewterring/standalone/proxy/tally.py
+++ b/pewterring/standalone/proxy/tally.py
@@ -9,7 +9,7 @@
 
 from pewterring.standalone.log import Log
 from pewterring.standalone.policy import interface as i
-from pewterring.standalone.policy.decisions import Gatekeeper
+from pewterring.standalone.policy.decisions import GatewayPolicy
 from pewterring.standalone.proxy.gateway import Module
 
 
@@ -32,7 +32,7 @@
             case i.Outcome(code=code, took=took):
                 counts[f"ended_{code.value}"] += 1
                 self.took += took if code is i.Code.OK else 0.0
-            case i.PeerMail():
+            case i.PeerMessage():
                 counts["heard"] += 1
             case i.ServerList(form):
                 counts[f"list_{form.value}"] += 1
@@ -58,9 +58,9 @@
 
     def cold(self, server: int, now: float) -> bool:
         module = self.module
-        if not isinstance(module, Gatekeeper) or (node := module.fleet.nodes.get(server)) is None:
+        if not isinstance(module, GatewayPolicy) or (node := module.pool.servers.get(server)) is None:
             return False
-        return module.fleet.warmth(node, now) < 1.0
+        return module.pool.warmth(node, now) < 1.0
 
     def line(self, now: float) -> None:
         if self.since > -math.inf:
@@ -73,7 +73,7 @@
         state: dict[str, Any] = {}
         if served := self.counts["ended_ok"]:
             state["took_mean"] = round(self.took / served, 4)
-        if isinstance(module := self.module, Gatekeeper):
+        if isinstance(module := self.module, GatewayPolicy):
             shares = module.shares
             figures = {
                 "limit": module.ceiling.limit,
@@ -82,11 +82,11 @@
                 "elsewhere": shares.peers_in_flight,
                 "demand": shares.demand,
                 "demands": shares.fleet_demand,
-                "usual": module.usual(),
-                "out": module.out,
+                "usual": module.latency(),
+                "out": module.in_flight,
                 "peers": sum(now - p.heard < shares.lease for p in shares.peers.values()),
-                "workers": len(module.fleet.serving),
-                "customers": len(module.quota.customers),
+                "workers": len(module.pool.serving),
+                "customers": len(module.quota.accounts),
             }
             state |= {name: round(x, 3) for name, x in figures.items()}
         return state
--- a/pewterring/standalone/simulator/codec.py
+++ b/pewterring/standalone/simulator/codec.py
@@ -63,7 +63,7 @@
         cls=f.text("profile"),
         plan=f.text("package", ""),
         customer=f.whole("account", 0),
-        not_after=f.seconds("not_after"),
+        deadline=f.seconds("not_after"),
         units=f.number("quota_units", 1.0),
         set_size=round(f.number("set_size", 1.0)),
         set_from=round(f.number("set_from", 0.0)),
@@ -100,7 +100,7 @@
         case "echo":
             return i.ProbeResult(f.whole("worker"), f.word("state_code", CODES), f.seconds("time_taken", 0.0))
         case "mail":
-            return i.PeerMail(f.whole("neighbour"), f.octets("msg"))
+            return i.PeerMessage(f.whole("neighbour"), f.octets("msg"))
         case "added":
             return i.Counted(
                 f.whole("slot_name"),
--- a/tests/admission/test_service.py
+++ b/tests/admission/test_service.py
@@ -5,10 +5,10 @@
 import pytest
 
 from pewterring.admission.service import MAX_IDLE_FRACTION, URGENT_FRACTION, ServiceAdmission, SlotCeiling
-from pewterring.standalone.peer_messages import Beat, write_beat
+from pewterring.standalone.peer_messages import Heartbeat, encode_heartbeat
 from pewterring.standalone.policy.interface import RequestClass
 
-ROUTE = RequestClass("r", aim=100.0, deadline=100.0)
+ROUTE = RequestClass("r", latency_target=100.0, deadline=100.0)
 
 
 def new_admission(slots: int = 100, gateways: int = 4) -> ServiceAdmission:
@@ -19,10 +19,10 @@
 
 def send_heartbeat(to: ServiceAdmission, now: float, peer: int, **fields: float) -> None:
     fields = {"limit": 100.0, "out": 0, "share": 25.0, "demand": 10.0} | fields
-    beat = Beat(
+    beat = Heartbeat(
         peer, int(now * 10) + 1, fields["limit"], int(fields["out"]), fields["share"], fields["demand"]
     )
-    to.receive(now, peer, write_beat(beat))
+    to.receive(now, peer, encode_heartbeat(beat))
 
 
 def acquire_all(admission: ServiceAdmission) -> int:
@@ -109,7 +109,7 @@
 
 def test_batch_items_do_not_reduce_the_share() -> None:
     admission, unaffected = new_admission(), new_admission()
-    beat = write_beat(Beat(9, 1, 100.0, 60, 0.0, 0.0))
+    beat = encode_heartbeat(Heartbeat(9, 1, 100.0, 60, 0.0, 0.0))
     admission.receive_batch(1.0, 9, beat)
     assert admission.peers_in_flight(1.0) == 60
     assert acquire_all(admission) == acquire_all(unaffected)
--- a/tests/golden/datagram_cases.py
+++ b/tests/golden/datagram_cases.py
@@ -19,11 +19,11 @@
 
 GOLDEN_FILE = "datagrams.txt"
 INCARNATION = 0x89ABCDEF
-BEAT = peers.Beat(INCARNATION, 0x01020304, 12.5, 7, 3.25, 9.75)
-LEAST_BEAT = peers.Beat(0, 0, 0.0, 0, 0.0, 0.0)
+BEAT = peers.Heartbeat(INCARNATION, 0x01020304, 12.5, 7, 3.25, 9.75)
+LEAST_BEAT = peers.Heartbeat(0, 0, 0.0, 0, 0.0, 0.0)
 NEWS = (
-    peers.News(0x0102030405060708, 0xABCD, 3, 1, 0.25, -0.5),
-    peers.News(0xFFFFFFFFFFFFFFFF, 0xFFFF, 65535, 65535, 32.767, -32.767),
+    peers.QuotaUsage(0x0102030405060708, 0xABCD, 3, 1, 0.25, -0.5),
+    peers.QuotaUsage(0xFFFFFFFFFFFFFFFF, 0xFFFF, 65535, 65535, 32.767, -32.767),
 )
 LIMITS = (1.5, 2.5, 3.5, 4.5, 5.5, 6.5, 7.5)
 DIGEST = digests.Digest(9, LIMITS, 10.5, 20.25, 30.75, 4.5)
@@ -69,42 +69,49 @@
 
 
 def _peer_questions() -> list[Case]:
-    messages: dict[str, peers.Ask | peers.Grant | peers.Back] = {
-        "peer-ask": peers.Ask(0x0102, 0x0102030405060708, 0xABCD, 3, 1, 2.5, 4.75, 0.5, -0.25),
-        "peer-ask-least": peers.Ask(0, 0, 0, 0, 0, 0.0, 0.0, 0.0, 0.0),
-        "peer-grant": peers.Grant(0x0102, True, True, 1.5, -0.75),
-        "peer-grant-least": peers.Grant(0, False, False, 0.0, 0.0),
-        "peer-back": peers.Back(0x0102, 0x0102030405060708, -3.5),
-        "peer-back-least": peers.Back(0, 0, 0.0),
+    messages: dict[str, peers.QuotaRequest | peers.QuotaGrant | peers.QuotaRelease] = {
+        "peer-ask": peers.QuotaRequest(0x0102, 0x0102030405060708, 0xABCD, 3, 1, 2.5, 4.75, 0.5, -0.25),
+        "peer-ask-least": peers.QuotaRequest(0, 0, 0, 0, 0, 0.0, 0.0, 0.0, 0.0),
+        "peer-grant": peers.QuotaGrant(0x0102, True, True, 1.5, -0.75),
+        "peer-grant-least": peers.QuotaGrant(0, False, False, 0.0, 0.0),
+        "peer-back": peers.QuotaRelease(0x0102, 0x0102030405060708, -3.5),
+        "peer-back-least": peers.QuotaRelease(0, 0, 0.0),
     }
     return [
-        Case(name, partial(peers.write_ask, message), peers.read_ask, message)
+        Case(name, partial(peers.encode_quota, message), peers.decode_quota, message)
         for name, message in messages.items()
     ]
 
 
 def _peer_heartbeats() -> list[Case]:
     return [
-        Case("peer-heartbeat", lambda: peers.write_beat(BEAT), peers.read_beat, BEAT),
-        Case("peer-heartbeat-least", lambda: peers.write_beat(LEAST_BEAT), peers.read_beat, LEAST_BEAT),
+        Case("peer-heartbeat", lambda: peers.encode_heartbeat(BEAT), peers.decode_heartbeat, BEAT),
+        Case(
+            "peer-heartbeat-least",
+            lambda: peers.encode_heartbeat(LEAST_BEAT),
+            peers.decode_heartbeat,
+            LEAST_BEAT,
+        ),
         Case(
             "peer-heartbeat-with-news",
-            lambda: peers.write_beat(BEAT) + peers.write_news(NEWS),
-            lambda data: (peers.read_beat(data), tuple(peers.read_news(data))),
+            lambda: peers.encode_heartbeat(BEAT) + peers.encode_usage(NEWS),
+            lambda data: (peers.decode_heartbeat(data), tuple(peers.decode_usage(data))),
             (BEAT, NEWS),
         ),
     ]
 
 
-def _read_heartbeat(data: bytes) -> tuple[int, dict[int, peers.Beat | None]] | None:
+def _read_heartbeat(data: bytes) -> tuple[int, dict[int, peers.Heartbeat | None]] | None:
     """The kind of process and each service's heartbeat, decoded."""
     read = datagram.read_heartbeat(data)
-    return None if read is None else (read[0], {name: peers.read_beat(beat) for name, beat in read[1]})
+    return None if read is None else (read[0], {name: peers.decode_heartbeat(beat) for name, beat in read[1]})
 
 
-def _admission_heartbeat(name: str, kind: int, beats: dict[int, peers.Beat]) -> Case:
+def _admission_heartbeat(name: str, kind: int, beats: dict[int, peers.Heartbeat]) -> Case:
     def encode() -> bytes:
-        return datagram.write_heartbeat(kind, {key: peers.write_beat(beat) for key, beat in beats.items()})
+        return datagram.write_heartbeat(
+            kind, {key: peers.encode_heartbeat(beat) for key, beat in beats.items()}
+        )
 
     return Case(name, encode, _read_heartbeat, (kind, beats))
 
@@ -118,7 +125,7 @@
 
 def _admission_heartbeats() -> list[Case]:
     both = {datagram.service_number("chat"): BEAT, datagram.service_number("code"): LEAST_BEAT}
-    batch_beat = peers.Beat(INCARNATION, 1, 8.0, 3, 4.0, 0.0)
+    batch_beat = peers.Heartbeat(INCARNATION, 1, 8.0, 3, 4.0, 0.0)
     return [
         _admission_heartbeat("admission-heartbeat-gateway", datagram.GATEWAY, both),
         _admission_heartbeat("admission-heartbeat-batch", datagram.BATCH, both),
@@ -167,7 +174,7 @@
     relay = own.relays[0]
     exchange = RelayExchange(relay, INCARNATION, lambda *_: None)
     exchange.plan = plan
-    heartbeat = datagram.write_heartbeat(datagram.GATEWAY, {0x01020304: peers.write_beat(BEAT)})
+    heartbeat = datagram.write_heartbeat(datagram.GATEWAY, {0x01020304: peers.encode_heartbeat(BEAT)})
     digest = _only(
         digests.write_group_digest(plan.group_of["10.2.0.1"], 7, 1, {0x01020304: DIGEST, 0x05060708: DIGEST})
     )
--- a/tests/standalone/test_gateway.py
+++ b/tests/standalone/test_gateway.py
@@ -13,7 +13,7 @@
 from pewterring.standalone.network import clients as clients_module
 from pewterring.standalone.network.connection import Address
 from pewterring.standalone.policy import interface as i
-from pewterring.standalone.policy.decisions import Gatekeeper
+from pewterring.standalone.policy.decisions import GatewayPolicy
 from pewterring.standalone.settings import Transport
 from tests.standalone.helpers import DEADLINE
 from tests.standalone.stand_ins import (
@@ -125,8 +125,8 @@
             assert len(worker.requests) == int(stays)
             # Nor is there a mark on the customer that it names.
             gatekeeper = rig.gateway.module
-            assert isinstance(gatekeeper, Gatekeeper)
-            assert len(gatekeeper.quota.customers) == int(stays)
+            assert isinstance(gatekeeper, GatewayPolicy)
+            assert len(gatekeeper.quota.accounts) == int(stays)
 
     run(test)
 
@@ -706,7 +706,7 @@
             before = rig.gateway.loop.time()
             assert (await rig.ask(asking(X_Deadline_Ms=b"999999999"))).status == 429
             (asked,) = module.of(i.Request)
-            assert asked.not_after <= before + DEADLINE + PATIENCE
+            assert asked.deadline <= before + DEADLINE + PATIENCE
 
     run(test)
 
--- a/tests/standalone/test_shares.py
+++ b/tests/standalone/test_shares.py
@@ -6,19 +6,19 @@
 import pytest
 
 from pewterring.admission.shares import LEASE_S, Shares
-from pewterring.standalone.peer_messages import BEAT_FORM
+from pewterring.standalone.peer_messages import HEARTBEAT_FORMAT
 from pewterring.standalone.policy import interface
-from tests.standalone.helpers import Drive, settings
+from tests.standalone.helpers import PolicyDriver, settings
 
 
 def heartbeat(
     incarnation: int, sequence: int, limit: float = 30.0, in_flight: int = 0, share: float = 10.0
 ) -> bytes:
-    return BEAT_FORM.pack(b"B", incarnation, sequence, limit, in_flight, share, 10.0)
+    return HEARTBEAT_FORMAT.pack(b"B", incarnation, sequence, limit, in_flight, share, 10.0)
 
 
 def test_heartbeats_go_to_each_peer_every_half_second_even_if_nothing_changed() -> None:
-    driver = Drive()
+    driver = PolicyDriver()
     assert [message.peer for message in driver.tick()] == [1, 2]
     sent = [message for _ in range(50) for message in driver.tick(0.1)]
     assert 18 <= len(sent) <= 26
@@ -26,7 +26,7 @@
 
 def test_no_messages_are_sent_without_permission_or_without_peers() -> None:
     for setup in (settings(limits=interface.Limits()), settings(fleet=1)):
-        driver = Drive(setup)
+        driver = PolicyDriver(setup)
         assert driver.tick() == []
         assert driver.tick(1.0) == []
 
@@ -80,19 +80,19 @@
 
 
 def test_malformed_heartbeats_are_dropped() -> None:
-    driver = Drive()
+    driver = PolicyDriver()
     rng = random.Random(3)
     valid = heartbeat(11, 1)
     invalid = [valid[:size] for size in range(len(valid))] + [b"D", b"D" + bytes(8) + b"123"]
     invalid += [rng.randbytes(rng.randrange(257)) for _ in range(500)]
     invalid += [
-        BEAT_FORM.pack(b"B", 1, 1, limit, 0, 1.0, 1.0) for limit in (float("nan"), float("inf"), -1.0)
+        HEARTBEAT_FORMAT.pack(b"B", 1, 1, limit, 0, 1.0, 1.0) for limit in (float("nan"), float("inf"), -1.0)
     ]
     for data in invalid:
-        driver.do(interface.PeerMail(1, data))
-    assert driver.gatekeeper.shares.peers == {}
-    driver.do(interface.PeerMail(7, valid))  # not a member of this fleet
-    assert 7 not in driver.gatekeeper.shares.peers
+        driver.do(interface.PeerMessage(1, data))
+    assert driver.policy.shares.peers == {}
+    driver.do(interface.PeerMessage(7, valid))  # not a member of this fleet
+    assert 7 not in driver.policy.shares.peers
 
 
 def test_shares_sum_to_the_limit_once_heartbeats_have_arrived() -> None:
@@ -114,13 +114,13 @@
 
 def test_a_gateway_without_peers_comes_to_hold_the_whole_limit() -> None:
     """No peer was ever heard: the share is even at first, and grows as the assumed demand of peers decays."""
-    driver = Drive()
-    limit = driver.gatekeeper.ceiling.limit
-    assert driver.gatekeeper.shares.share == pytest.approx(limit / 3)
+    driver = PolicyDriver()
+    limit = driver.policy.ceiling.limit
+    assert driver.policy.shares.share == pytest.approx(limit / 3)
     for _ in range(400):
         driver.serve(2, latency=0.01)
         driver.tick(0.25)
-    assert driver.gatekeeper.shares.share == pytest.approx(driver.gatekeeper.ceiling.limit)
+    assert driver.policy.shares.share == pytest.approx(driver.policy.ceiling.limit)
 
 
 def test_in_a_network_partition_each_side_keeps_about_its_share() -> None:
@@ -129,7 +129,9 @@
         shares.requested = 10.0
         shares.update_demand(step * 0.5, 0.5, 30.0)
         for peer in (1, 2):
-            shares.receive(step * 0.5, peer, BEAT_FORM.pack(b"B", peer, step, 30.0, 5, 8.0, 20.0), 30.0)
+            shares.receive(
+                step * 0.5, peer, HEARTBEAT_FORMAT.pack(b"B", peer, step, 30.0, 5, 8.0, 20.0), 30.0
+            )
     before = shares.share
     shares.requested = 10.0
     shares.update_demand(9.5 + 2 * LEASE_S, 0.5, 30.0)
@@ -147,16 +149,16 @@
     Its peers have divided the whole limit among themselves, and its measured demand would grow from zero, so
     it would be left with the minimum of one slot.
     """
-    driver = Drive()
+    driver = PolicyDriver()
     for peer in (1, 2):
-        driver.do(interface.PeerMail(peer, heartbeat(peer, 1, limit=32.0, share=16.0)))
-    assert driver.gatekeeper.shares.share == pytest.approx(32 / 3)  # its demand is unknown: an even share
+        driver.do(interface.PeerMessage(peer, heartbeat(peer, 1, limit=32.0, share=16.0)))
+    assert driver.policy.shares.share == pytest.approx(32 / 3)  # its demand is unknown: an even share
     for _ in range(5):
         for _ in range(2):
             driver.sent()
         driver.tick(0.1)
-    assert driver.gatekeeper.shares.demand == pytest.approx(20.0)  # a plain mean, not a tenth of it
-    assert driver.gatekeeper.shares.share == pytest.approx(32 / 2)  # 20 of the fleet's 40 per second
+    assert driver.policy.shares.demand == pytest.approx(20.0)  # a plain mean, not a tenth of it
+    assert driver.policy.shares.share == pytest.approx(32 / 2)  # 20 of the fleet's 40 per second
     driver.tick(LEASE_S)
-    driver.do(interface.PeerMail(1, heartbeat(1, 2, limit=32.0, share=30.0)))
-    assert driver.gatekeeper.shares.share <= 2.0  # no longer new: slots that peers reserve are left to them
+    driver.do(interface.PeerMessage(1, heartbeat(1, 2, limit=32.0, share=30.0)))
+    assert driver.policy.shares.share <= 2.0  # no longer new: slots that peers reserve are left to them
