--- a/pewterring/gateway/front.py
+++ b/pewterring/gateway/front.py
@@ -22,7 +22,7 @@
     @property
     def requests_in_flight(self) -> int:
         """Number of requests that were received completely and are not answered yet."""
-        return self.http.requests_held
+        return self.http.requests_in_flight
 
     @property
     def open_connections(self) -> int:
--- a/pewterring/transport/http_server.py
+++ b/pewterring/transport/http_server.py
@@ -279,7 +279,7 @@
         self.now = now  # clock of the event loop, in seconds
         self.arrival_timeout_s = arrival_timeout_s
         self.draining = False
-        self.requests_held = 0  # requests read completely and not answered
+        self.requests_in_flight = 0  # requests read completely and not answered
         self.connections: set[ServerConnection] = set()
         self.loop: asyncio.AbstractEventLoop
         self._handler = handler
@@ -312,7 +312,7 @@
 
     async def wait_until_idle(self) -> None:
         """Waits until every request that was read completely has been answered."""
-        while self.requests_held:
+        while self.requests_in_flight:
             self._all_answered.clear()
             await self._all_answered.wait()
 
@@ -342,13 +342,13 @@
 
     def request_ended(self) -> None:
         """Called by a connection when its request was answered or abandoned."""
-        self.requests_held -= 1
-        if not self.requests_held:
+        self.requests_in_flight -= 1
+        if not self.requests_in_flight:
             self._all_answered.set()
 
     def handle(self, request: ServerRequest, responder: Responder) -> None:
         """Starts the handler; called by a connection that has read a complete request."""
-        self.requests_held += 1
+        self.requests_in_flight += 1
         task = self.loop.create_task(self._run_handler(request, responder))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
--- a/tests/transport/test_http_server.py
+++ b/tests/transport/test_http_server.py
@@ -74,7 +74,7 @@
             requests = [b"GET /%d HTTP/1.1\r\nHost: h\r\n\r\n" % number for number in (1, 2, 3)]
             wire.send(b"".join(requests))
             assert [(await read_answer(wire))[1] for _ in requests] == [b"/1|", b"/2|", b"/3|"]
-            assert server.requests_held == 0
+            assert server.requests_in_flight == 0
             assert server.open_connections == 1
 
     asyncio.run(run_scenario())
@@ -287,13 +287,13 @@
             wire = await server.connect()
             wire.send(GET)
             await handled.wait()
-            assert server.requests_held == 1
+            assert server.requests_in_flight == 1
             if reset:
                 wire.reset()
             else:
                 wire.close()
             await disconnected_event.wait()
-            assert server.requests_held == 0
+            assert server.requests_in_flight == 0
 
     asyncio.run(run_scenario())
 
@@ -344,7 +344,7 @@
             await streaming.until(b"one\r\n")
             await server.stop()
             assert (await partial.rest(), await streaming.rest()) == (b"", b"")
-            assert (server.open_connections, server.requests_held) == (0, 0)
+            assert (server.open_connections, server.requests_in_flight) == (0, 0)
 
     asyncio.run(run_scenario())
 
