--- a/pewterring/batch/runner.py
+++ b/pewterring/batch/runner.py
@@ -197,7 +197,7 @@
             # A resumed stream without further events is complete, but only if its head frames an empty body:
             # otherwise the end of the connection may also mean that the worker failed at once.
             is_complete = self._event_count > 0 or (self._resumed and self._framed)
-            return None if is_complete and not self._splitter.amid_event else Failure.TRUNCATED
+            return None if is_complete and not self._splitter.has_partial_event else Failure.TRUNCATED
         if self._status == MISDIRECTED and self._expects_version:
             return Failure.OTHER_VERSION
         if self._not_executed:
--- a/pewterring/gateway/live_attempt.py
+++ b/pewterring/gateway/live_attempt.py
@@ -306,7 +306,7 @@
         Raises:
             AnswerBrokenError: The stream is truncated.
         """
-        if splitter.amid_event:
+        if splitter.has_partial_event:
             raise AnswerBrokenError("the stream ended in the middle of an event")
         if not head.framed and not self._first_byte_received:
             raise AnswerBrokenError("the stream ended with its connection before its first event")
--- a/pewterring/transport/sse.py
+++ b/pewterring/transport/sse.py
@@ -40,7 +40,7 @@
         return self._pending
 
     @property
-    def amid_event(self) -> bool:
+    def has_partial_event(self) -> bool:
         """Whether the stream would be truncated within an event if it ended here."""
         return bool(self._pending.strip())
 
--- a/tests/transport/test_sse.py
+++ b/tests/transport/test_sse.py
@@ -50,18 +50,18 @@
     splitter = EventSplitter()
     assert splitter.feed(b"id: 1\rdata: a\r\r") == []
     assert [event.id for event in splitter.finish()] == [1]
-    assert not splitter.amid_event
+    assert not splitter.has_partial_event
     splitter = EventSplitter()
     assert splitter.feed(b"id: 1\r\ndata: a\r\n\r") == []
     assert splitter.finish() == []
-    assert splitter.amid_event
+    assert splitter.has_partial_event
 
 
 def test_empty_lines_after_the_last_event_are_no_event() -> None:
     splitter = EventSplitter()
     splitter.feed(b"id: 1\ndata: a\n\n\r\n")
     assert splitter.finish() == []
-    assert not splitter.amid_event
+    assert not splitter.has_partial_event
 
 
 def test_a_line_end_split_in_two_ends_no_event() -> None:
