--- a/pewterring/transport/http_connection.py
+++ b/pewterring/transport/http_connection.py
@@ -17,8 +17,8 @@
     ExchangeError,
     SendRequest,
     StaleConnectionError,
-    may_belong,
-    names_request,
+    may_answer_request,
+    repeats_request_id,
 )
 
 USER_TIMEOUT_MS = 5000  # the kernel closes the connection if sent bytes stay unacknowledged this long
@@ -119,7 +119,7 @@
             self._check_end()
 
     def _take_head(self, exchange: Exchange, head: AnswerHead) -> bool:
-        if not may_belong(head, exchange.request, exchange.reused):
+        if not may_answer_request(head, exchange.request, exchange.reused):
             self._abort_with_error(AnswerBrokenError("the answer is that to another request"))
             return False
         exchange.listener.on_head(head)
@@ -151,7 +151,11 @@
         the next request. If some are still in the transport's write buffer, they are sent and the connection
         closes.
         """
-        if not self._reader.reusable or self._reader.surplus or not names_request(head, exchange.request):
+        if (
+            not self._reader.reusable
+            or self._reader.surplus
+            or not repeats_request_id(head, exchange.request)
+        ):
             return False
         return self.up and not self.transport.get_write_buffer_size()
 
--- a/pewterring/transport/http_exchange.py
+++ b/pewterring/transport/http_exchange.py
@@ -62,12 +62,12 @@
 REQUEST_ID = b"request-id"
 
 
-def names_request(head: AnswerHead, request: SendRequest) -> bool:
+def repeats_request_id(head: AnswerHead, request: SendRequest) -> bool:
     """Whether an answer repeats the id of the request."""
     return request.request_id is not None and head.get(REQUEST_ID) == request.request_id
 
 
-def may_belong(head: AnswerHead, request: SendRequest, reused: bool) -> bool:
+def may_answer_request(head: AnswerHead, request: SendRequest, reused: bool) -> bool:
     """Whether an answer may belong to the request.
 
     Guards against a worker that sends more than one answer, when the surplus answer arrives after the next
@@ -75,7 +75,7 @@
     sometimes omit the id, and no connection is reused after an answer without it. Therefore a success without
     the id is rejected on a connection that has carried another request.
     """
-    if names_request(head, request):
+    if repeats_request_id(head, request):
         return True
     answer_id = head.get(REQUEST_ID)
     if answer_id is not None:
--- a/tests/transport/test_answer_breakages.py
+++ b/tests/transport/test_answer_breakages.py
@@ -68,12 +68,12 @@
 
 def answers_accepted_with_any_id(patch: pytest.MonkeyPatch) -> None:
     """An answer is accepted with any request id."""
-    patch.setattr(http_connection, "may_belong", lambda _head, _request, _reused: True)
+    patch.setattr(http_connection, "may_answer_request", lambda _head, _request, _reused: True)
 
 
 def answers_accepted_without_id(patch: pytest.MonkeyPatch) -> None:
     """An answer without an id is treated as if it had the right one."""
-    patch.setattr(http_connection, "names_request", lambda _head, _request: True)
+    patch.setattr(http_connection, "repeats_request_id", lambda _head, _request: True)
 
 
 def reset_ends_an_answer(patch: pytest.MonkeyPatch) -> None:
