--- a/tests/gateway/test_worker_resets.py
+++ b/tests/gateway/test_worker_resets.py
@@ -87,7 +87,7 @@
     @property
     def runs(self) -> list[ScriptedTransport]:
         """The connections on which the request line was written."""
-        return [transport for transport in self.network.transports if b"POST /p/x" in transport.taken]
+        return [transport for transport in self.network.transports if b"POST /p/x" in transport.accepted]
 
 
 def run_scenario(kind: RouteType, scenario: Callable[[Gateway], Awaitable[None]]) -> None:
@@ -128,7 +128,7 @@
 def test_a_request_truncated_at_any_byte_is_not_sent_again(ending: Ending) -> None:
     async def complete(gateway: Gateway) -> None:
         task = await gateway.request()
-        sizes.append(len(gateway.network.last.taken))
+        sizes.append(len(gateway.network.last.accepted))
         gateway.network.last.deliver(OK)
         await task
 
@@ -137,7 +137,7 @@
     for size in range(sizes[0] + 1):
 
         async def scenario(gateway: Gateway, size: int = size) -> None:
-            gateway.network.room = size
+            gateway.network.write_limit = size
             task = await gateway.request()
             gateway.network.last.end(ending)
             await task
@@ -151,13 +151,13 @@
     for capacity in (0, 1, 50, None):
 
         async def scenario(gateway: Gateway, capacity: int | None = capacity) -> None:
-            gateway.network.room = capacity
+            gateway.network.write_limit = capacity
             await (await gateway.request())
             assert gateway.client.status == b"504"
             (transport,) = gateway.network.transports
             assert transport.ended
-            transport.make_room()
-            assert capacity is None or len(transport.taken) == capacity  # buffered bytes are never sent
+            transport.accept_all()
+            assert capacity is None or len(transport.accepted) == capacity  # buffered bytes are never sent
 
         run_scenario(RouteType.NON_IDEMPOTENT, scenario)
 
--- a/tests/transport/scripted.py
+++ b/tests/transport/scripted.py
@@ -49,13 +49,13 @@
 class ScriptedTransport(asyncio.Transport):
     """Accepts written bytes up to a limit; the rest stays in the write buffer, as with a full socket."""
 
-    def __init__(self, protocol: asyncio.BaseProtocol, room: int | None = None) -> None:
+    def __init__(self, protocol: asyncio.BaseProtocol, write_limit: int | None = None) -> None:
         super().__init__()
-        self.taken = b""  # bytes accepted by the socket, all of which the peer reads in this order
+        self.accepted = b""  # bytes accepted by the socket, all of which the peer reads in this order
         self.ended = False
         self._protocol = protocol
-        self._room = room  # None for no limit
-        self._waiting = b""
+        self._write_limit = write_limit  # None for no limit
+        self._unsent = b""
         self._closing = False
         self._socket = _Socket()
 
@@ -63,11 +63,11 @@
 
     def write(self, data: Any) -> None:
         if not self._closing:
-            self._waiting += bytes(data)
+            self._unsent += bytes(data)
             self._flush()
 
     def get_write_buffer_size(self) -> int:
-        return len(self._waiting)
+        return len(self._unsent)
 
     def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
         pass
@@ -83,12 +83,12 @@
 
     def close(self) -> None:
         self._closing = True
-        if not self._waiting:
+        if not self._unsent:
             self._end(None)
 
     def abort(self) -> None:
         self._closing = True
-        self._waiting = b""
+        self._unsent = b""
         self._end(None)
 
     def get_extra_info(self, name: str, default: Any = None) -> Any:
@@ -96,11 +96,11 @@
 
     # Called by the test.
 
-    def make_room(self) -> None:
+    def accept_all(self) -> None:
         """Makes the socket accept all buffered and future bytes."""
-        self._room = None
+        self._write_limit = None
         self._flush()
-        if self._closing and not self._waiting:
+        if self._closing and not self._unsent:
             self._end(None)
 
     def deliver(self, data: bytes) -> None:
@@ -124,9 +124,11 @@
             self.close()
 
     def _flush(self) -> None:
-        room = len(self._waiting) if self._room is None else self._room - len(self.taken)
-        self.taken += self._waiting[:room]
-        self._waiting = self._waiting[room:]
+        free_bytes = (
+            len(self._unsent) if self._write_limit is None else self._write_limit - len(self.accepted)
+        )
+        self.accepted += self._unsent[:free_bytes]
+        self._unsent = self._unsent[free_bytes:]
 
     def _end(self, error: Exception | None) -> None:
         if not self.ended:
@@ -142,7 +144,7 @@
         self.transports: list[ScriptedTransport] = []
         self.refusing: set[str] = set()  # IPs that refuse connections
         self.refusals = 0
-        self.room: int | None = None  # socket limit of connections opened from now on, in bytes
+        self.write_limit: int | None = None  # socket limit of connections opened from now on, in bytes
 
     @property
     def last(self) -> ScriptedTransport:
@@ -157,7 +159,7 @@
             self.refusals += 1
             raise ConnectionRefusedError
         protocol = make_protocol()
-        transport = ScriptedTransport(protocol, self.room)
+        transport = ScriptedTransport(protocol, self.write_limit)
         self.transports.append(transport)
         protocol.connection_made(transport)
         return transport, protocol
--- a/tests/transport/test_answer_breakages.py
+++ b/tests/transport/test_answer_breakages.py
@@ -52,8 +52,8 @@
 
     def release(self: AddressConnections, connection: WorkerConnection, keep_alive_s: int | None) -> None:
         assert isinstance(connection.transport, ScriptedTransport)
-        connection.transport._waiting = b""
-        connection.transport._room = None
+        connection.transport._unsent = b""
+        connection.transport._write_limit = None
         original_release(self, connection, keep_alive_s)
 
     original_release = AddressConnections.release
--- a/tests/transport/test_http_resets.py
+++ b/tests/transport/test_http_resets.py
@@ -100,7 +100,7 @@
                 assert recorder.error is not None
                 assert recorder.error.sent
             assert worker.pool.connections_made == 1  # the client itself does not retry
-            assert transport.taken.endswith(RAW_REQUEST)
+            assert transport.accepted.endswith(RAW_REQUEST)
 
         run_scenario(scenario)
 
@@ -112,7 +112,7 @@
 
         async def scenario(worker: ScriptedWorker, size: int = size) -> None:
             before = len(RAW_NEXT) if reused else 0
-            worker.network.room = before + size
+            worker.network.write_limit = before + size
             if reused:
                 await worker.serve(NEXT, NEXT_OK)
             recorder, exchange = await worker.send(REQUEST)
@@ -122,7 +122,7 @@
             await settle()
             assert recorder.error is not None
             assert recorder.error.sent
-            assert transport.taken[before:] == RAW_REQUEST[:size]
+            assert transport.accepted[before:] == RAW_REQUEST[:size]
             assert worker.pool.connections_made == 1
 
         run_scenario(scenario)
@@ -149,7 +149,7 @@
         assert not exchange.sent
         exchange.cancel()
         await settle()
-        assert all(RAW_REQUEST not in transport.taken for transport in worker.network.transports[1:])
+        assert all(RAW_REQUEST not in transport.accepted for transport in worker.network.transports[1:])
 
     run_scenario(scenario)
 
@@ -186,7 +186,7 @@
                 assert worker.pool.counts(worker.address).open == 0
                 second = await worker.serve(NEXT, NEXT_OK)
                 assert second is not first
-                assert RAW_NEXT not in first.taken
+                assert RAW_NEXT not in first.accepted
 
             run_scenario(scenario)
 
@@ -257,18 +257,18 @@
 
 @pytest.mark.parametrize("name", EARLY)
 def test_after_an_early_answer_the_body_is_still_sent_completely(name: str) -> None:
-    for taken in range(len(RAW_REQUEST) + 1):
+    for size in range(len(RAW_REQUEST) + 1):
 
-        async def scenario(worker: ScriptedWorker, taken: int = taken) -> None:
-            worker.network.room = taken
+        async def scenario(worker: ScriptedWorker, size: int = size) -> None:
+            worker.network.write_limit = size
             first = await worker.serve(REQUEST, EARLY[name])
-            worker.network.room = None
-            second = await worker.serve(NEXT, NEXT_OK) if taken < len(RAW_REQUEST) else None
-            first.make_room()
+            worker.network.write_limit = None
+            second = await worker.serve(NEXT, NEXT_OK) if size < len(RAW_REQUEST) else None
+            first.accept_all()
             await settle()
-            assert first.taken == RAW_REQUEST  # the complete body and nothing after it
+            assert first.accepted == RAW_REQUEST  # the complete body and nothing after it
             assert first.ended == (second is not None)
-            assert second is None or second.taken == RAW_NEXT
+            assert second is None or second.accepted == RAW_NEXT
 
         run_scenario(scenario)
 
@@ -277,6 +277,6 @@
     async def scenario(worker: ScriptedWorker) -> None:
         first = await worker.serve(REQUEST, OK)
         assert await worker.serve(NEXT, NEXT_OK) is first
-        assert first.taken == RAW_REQUEST + RAW_NEXT
+        assert first.accepted == RAW_REQUEST + RAW_NEXT
 
     run_scenario(scenario)
--- a/tests/transport/test_line_resets.py
+++ b/tests/transport/test_line_resets.py
@@ -53,7 +53,7 @@
     @property
     def sent(self) -> bytes:
         """The bytes sent after the greeting."""
-        return self.transport.taken.removeprefix(CODEC.greeting)
+        return self.transport.accepted.removeprefix(CODEC.greeting)
 
     async def start_request(self, text: str) -> "asyncio.Task[msgspec.Struct]":
         """Starts a request."""
@@ -85,7 +85,7 @@
         async def scenario(size: int = size) -> None:
             requester, responder = Side(), Side()
             task = await requester.start_request("q")
-            assert requester.transport.taken == line
+            assert requester.transport.accepted == line
             responder.transport.deliver(line[:size])
             responder.transport.end(ending)
             requester.transport.end(ending)
