--- a/tests/control/test_http_server.py
+++ b/tests/control/test_http_server.py
@@ -75,12 +75,12 @@
                 wire.reset()
             else:
                 wire.writer.write_eof()
-                await wire.rest()
+                await wire.read_to_end()
                 await wire.closed()
         assert control.calls == []
         wire = await control.connect()
         wire.send(raw + LAST)
-        await wire.rest()
+        await wire.read_to_end()
         await wire.closed()
         assert len(control.calls) == 2
 
@@ -91,7 +91,7 @@
     async def scenario(control: Control) -> None:
         wire = await control.connect()
         wire.send(FIRST + CHUNKED + LAST)
-        answers = await wire.rest()
+        answers = await wire.read_to_end()
         await wire.closed()
         bodies = [b"/v1/Instances.Heartbeat/w first", b"/v1/Config.Replace second", b"/v1/Config.Get "]
         assert answers.count(b"HTTP/1.1 200") == 3
@@ -110,11 +110,11 @@
             wire = await control.connect()
             wire.send(b"POST /v1/Config.Replace HTTP/1.1\r\nHost: h\r\n")
             wire.send(framing % (len(body) + len(FIRST)) + body)
-            head = await wire.until(b"\r\n\r\n")
+            head = await wire.read_until(b"\r\n\r\n")
             assert b" 413 " in head.splitlines()[0]  # an early answer
             wire.send(FIRST)  # the rest of the body
             with contextlib.suppress(ConnectionResetError):
-                assert b"HTTP/1.1" not in await wire.rest()
+                assert b"HTTP/1.1" not in await wire.read_to_end()
             await wire.closed()
         assert control.calls == []
 
@@ -128,7 +128,7 @@
             wire = await control.connect()
             wire.send(raw)
             if raw == FIRST:
-                await wire.until(b"first")
+                await wire.read_until(b"first")
             await wire.closed()
         while control.server.open_connections:  # noqa: ASYNC110 - the server has no event for it
             await asyncio.sleep(0)
@@ -152,7 +152,7 @@
                 with contextlib.suppress(ConnectionRefusedError):
                     wire = await control.connect()
             wire.send(LAST)
-            assert b" 200 " in await wire.until(b"\r\n")
+            assert b" 200 " in await wire.read_until(b"\r\n")
             await wire.closed()
         await server.stop()
 
--- a/tests/gateway/test_drain.py
+++ b/tests/gateway/test_drain.py
@@ -92,7 +92,7 @@
             wire = await gateway.wire()
             request = b"POST /p/x HTTP/1.1\r\nHost: h\r\nRequest-Id: 7\r\nContent-Length: 0\r\n\r\n"
             wire.send(request)
-            assert b" 200 " in await wire.until(b"\r\n\r\n")
+            assert b" 200 " in await wire.read_until(b"\r\n\r\n")
             await wire.read(len(b"result"))
             gateway.program.chooser.workers["w0"].slowness = 9.0
             stream = start_request(gateway)
@@ -100,7 +100,7 @@
             drain_task = asyncio.create_task(gateway.program.drain())
             await asyncio.sleep(4.0)
             wire.send(request)
-            refused = (await wire.rest()).lower()
+            refused = (await wire.read_to_end()).lower()
             assert b" 503 " in refused
             assert b"retry-after" in refused
             assert b"connection: close" in refused
--- a/tests/gateway/test_timeouts.py
+++ b/tests/gateway/test_timeouts.py
@@ -33,7 +33,7 @@
     wire = await gateway.wire()
     started_at = now()
     wire.send(sent)
-    head = await wire.until(b"\r\n\r\n")
+    head = await wire.read_until(b"\r\n\r\n")
     assert now() - started_at < TIMEOUT_S + SLACK_S
     return int(head.split(b" ")[1])
 
@@ -88,7 +88,7 @@
             wire = await gateway.wire()
             started_at = now()
             wire.send(HEAD + b"body")
-            received = await wire.rest()
+            received = await wire.read_to_end()
             assert now() - started_at < TIMEOUT_S + SLACK_S
             assert b"id: 2" in received
             assert not received.endswith(b"0\r\n\r\n")
@@ -121,7 +121,7 @@
             started_at = now()
             wire.send(HEAD.replace(b": 4", b": 400"))
             send_task = asyncio.create_task(send_slowly(wire.send, pause_s))
-            head = await wire.until(b"\r\n\r\n")
+            head = await wire.read_until(b"\r\n\r\n")
             assert b" 408 " in head
             assert b"Connection: close" in head
             assert now() - started_at < TIMEOUT_S + SLACK_S
@@ -144,6 +144,6 @@
             wire.send(HEAD + b"bo")
             await asyncio.sleep(1.5)
             wire.send(b"dy")
-            assert b" 200 " in await wire.until(b"\r\n\r\n")
+            assert b" 200 " in await wire.read_until(b"\r\n\r\n")
 
     run(scenario())
--- a/tests/transport/http_stand_ins.py
+++ b/tests/transport/http_stand_ins.py
@@ -33,11 +33,11 @@
         async with asyncio.timeout(PATIENCE_S):
             return await self.reader.readexactly(size)
 
-    async def until(self, end: bytes) -> bytes:
+    async def read_until(self, end: bytes) -> bytes:
         async with asyncio.timeout(PATIENCE_S):
             return await self.reader.readuntil(end)
 
-    async def rest(self) -> bytes:
+    async def read_to_end(self) -> bytes:
         """Reads all bytes until the peer closes."""
         async with asyncio.timeout(PATIENCE_S):
             return await self.reader.read()
--- a/tests/transport/test_http_client.py
+++ b/tests/transport/test_http_client.py
@@ -39,7 +39,7 @@
 
 
 async def read_request(wire: Wire) -> bytes:
-    return await wire.until(b"\r\n\r\n") + await wire.read(4)
+    return await wire.read_until(b"\r\n\r\n") + await wire.read(4)
 
 
 def answering(*answers: bytes, close: bool = False) -> Script:
@@ -52,7 +52,7 @@
         if close:
             wire.close()
         else:
-            await wire.rest()
+            await wire.read_to_end()
             wire.close()
 
     return script
@@ -103,7 +103,7 @@
     async def script(wire: Wire) -> None:
         seen.append(await read_request(wire))
         wire.send(OK)
-        await wire.rest()
+        await wire.read_to_end()
 
     recorder = exchange_with(script)
     assert recorder.error is None
@@ -126,7 +126,7 @@
     async def script(wire: Wire) -> None:
         seen.append(await read_request(wire))
         wire.send(OK)
-        await wire.rest()
+        await wire.read_to_end()
 
     async def run() -> None:
         pool = WorkerPool(now=clock)
@@ -289,7 +289,7 @@
         await wire.writer.drain()
         await asyncio.sleep(0)
         wire.send(OK)
-        await wire.rest()
+        await wire.read_to_end()
 
     run_with_worker(answering(OK, close=True), surplus_answer, answering(OK, close=True), scenario=scenario)
 
@@ -377,7 +377,7 @@
         wire.send(CHUNKED[:FIRST_CHUNK_END])
         await send_rest.wait()
         wire.send(CHUNKED[FIRST_CHUNK_END:])
-        await wire.rest()
+        await wire.read_to_end()
 
     run_with_worker(script, scenario=scenario)
 
@@ -402,7 +402,7 @@
         await read_request(wire)
         wire.send(OK[:-1])
         with pytest.raises(ConnectionResetError):
-            await wire.rest()
+            await wire.read_to_end()
         closed.set()
 
     run_with_worker(script, scenario=scenario)
--- a/tests/transport/test_http_server.py
+++ b/tests/transport/test_http_server.py
@@ -17,7 +17,7 @@
 
 async def read_answer(wire: Wire) -> tuple[bytes, bytes]:
     """Reads the head and body of an answer with a Content-Length."""
-    head = await wire.until(b"\r\n\r\n")
+    head = await wire.read_until(b"\r\n\r\n")
     length = int(head.lower().split(b"content-length: ")[1].split(b"\r\n")[0])
     return head, await wire.read(length)
 
@@ -28,7 +28,7 @@
     async with serving(handler, limits) as server:
         wire = await server.connect()
         wire.send(sent)
-        return await wire.rest()
+        return await wire.read_to_end()
 
 
 def status(raw: bytes) -> int:
@@ -98,7 +98,7 @@
             while connection._keep_alive:
                 await asyncio.sleep(0)
             proceed.set()
-            head, _, body = (await wire.rest()).partition(b"\r\n\r\n")
+            head, _, body = (await wire.read_to_end()).partition(b"\r\n\r\n")
             assert (status(head), body) == (200, b"/a|")
             assert b"Connection: close" in head
 
@@ -149,7 +149,7 @@
         async with serving(handler) as server:
             wire = await server.connect()
             wire.send(GET)
-            assert status(await wire.until(b"\r\n\r\n")) == 200
+            assert status(await wire.read_until(b"\r\n\r\n")) == 200
             proceed.set()
             assert await wire.read(5) == b"0\r\n\r\n"
 
@@ -221,7 +221,7 @@
             assert len((await read_answer(wire))[1]) == 103
             server.limits = lambda: replace(LIMITS, max_body_bytes=99)
             wire.send(body_head % 100 + b"b" * 100)
-            assert status(await wire.rest()) == 413
+            assert status(await wire.read_to_end()) == 413
 
     asyncio.run(run_scenario())
 
@@ -241,7 +241,7 @@
         async with serving(echo) as server:
             wire = await server.connect()
             wire.send(b"POST /a HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n")
-            assert status(await wire.until(b"\r\n\r\n")) == 100
+            assert status(await wire.read_until(b"\r\n\r\n")) == 100
             wire.send(b"ok")
             assert (await read_answer(wire))[1] == b"/a|ok"
 
@@ -318,10 +318,10 @@
             assert b"close" not in (await read_answer(busy))[0]
             server.begin_drain()
             busy.send(GET)
-            raw = await busy.rest()
+            raw = await busy.read_to_end()
             assert b"Connection: close" in raw
             idle.send(GET)
-            assert b"Connection: close" in await idle.rest()
+            assert b"Connection: close" in await idle.read_to_end()
 
     asyncio.run(run_scenario())
 
@@ -341,9 +341,9 @@
             partial.send(GET[:10])
             streaming.send(GET)
             await handled.wait()
-            await streaming.until(b"one\r\n")
+            await streaming.read_until(b"one\r\n")
             await server.stop()
-            assert (await partial.rest(), await streaming.rest()) == (b"", b"")
+            assert (await partial.read_to_end(), await streaming.read_to_end()) == (b"", b"")
             assert (server.open_connections, server.requests_in_flight) == (0, 0)
 
     asyncio.run(run_scenario())
@@ -387,7 +387,7 @@
         async with serving(echo) as server:
             wire = await server.connect()
             wire.send(b"POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 1000000\r\n\r\n" + b"b" * 1000000)
-            assert status(await wire.rest()) == 413
+            assert status(await wire.read_to_end()) == 413
 
     asyncio.run(run_scenario())
 
@@ -412,7 +412,7 @@
             wire.send(closing_request())
             async with asyncio.timeout(PATIENCE_S):
                 await paused.wait()
-            raw = await wire.rest()
+            raw = await wire.read_to_end()
             assert raw.endswith(b"\r\n0\r\n\r\n")
             assert len(raw) > size
 
