--- a/tests/control/api_machine.py
+++ b/tests/control/api_machine.py
@@ -17,7 +17,7 @@
 from pewterring.transport.http_responder import Responder
 from pewterring.transport.lines import RequestNotSentError
 from tests.control.records import apply
-from tests.transport.http_stand_ins import AnswerTaker
+from tests.transport.http_stand_ins import AnswerRecorder
 
 HEARTBEAT = (
     b'{"backend":"huvo11a","address":"10.128.0.9:8080","zone":"z","capacity":48,"state":"ready","sequence":4}'
@@ -78,7 +78,7 @@
     async def call_api(self, method: str, path: str, body: bytes, headers: dict[str, str]) -> Answer:
         fields = {key.replace("_", "-").encode(): value.encode() for key, value in headers.items()}
         request = ServerRequest(method, path, list(fields.items()), fields, "h", body, 0.0, True, b"1.1")
-        caller = AnswerTaker()
+        caller = AnswerRecorder()
         await ControlApi(self.router.answer)(request, Responder(caller, request))
         return Answer(int(caller.status), caller.body)
 
--- a/tests/gateway/test_worker_resets.py
+++ b/tests/gateway/test_worker_resets.py
@@ -20,7 +20,7 @@
 from pewterring.transport.http_request import ServerRequest
 from pewterring.transport.http_responder import Responder
 from tests.consensus import virtual_time
-from tests.transport.http_stand_ins import AnswerTaker
+from tests.transport.http_stand_ins import AnswerRecorder
 from tests.transport.scripted import (
     Ending,
     ScriptedNetwork,
@@ -49,7 +49,7 @@
 
     network: ScriptedNetwork
     kind: RouteType
-    client: AnswerTaker = field(default_factory=AnswerTaker)
+    client: AnswerRecorder = field(default_factory=AnswerRecorder)
 
     def __post_init__(self) -> None:
         services = (WeightedService("s", 1.0),)
--- a/tests/golden/control_http_cases.py
+++ b/tests/golden/control_http_cases.py
@@ -15,7 +15,7 @@
 from tests.control.records import apply, store
 from tests.golden.golden_files import DIRECTORY
 from tests.golden.http_transcripts import Transcript
-from tests.transport.http_stand_ins import AnswerTaker
+from tests.transport.http_stand_ins import AnswerRecorder
 
 INPUTS = DIRECTORY / "inputs"
 STORES = 4
@@ -84,7 +84,7 @@
 async def _answer(machine: Machine, call: bytes) -> bytes:
     request = RequestReader(LIMITS, 0.0).feed(call)
     assert request is not None, "not a complete request"
-    recorder = AnswerTaker()
+    recorder = AnswerRecorder()
     await ControlApi(machine.router.answer)(request, Responder(recorder, request))
     return recorder.answer
 
--- a/tests/simulation/http.py
+++ b/tests/simulation/http.py
@@ -14,7 +14,7 @@
 from pewterring.transport.http_server import Handler
 from tests.simulation.network import OUTSIDE
 from tests.simulation.virtual_loop import Process
-from tests.transport.http_stand_ins import AnswerTaker
+from tests.transport.http_stand_ins import AnswerRecorder
 
 if TYPE_CHECKING:
     from tests.simulation.world import World
@@ -29,7 +29,7 @@
     request = ServerRequest(
         call.method, call.path, list(fields.items()), fields, "h", call.body, 0.0, True, b"1.1"
     )
-    caller = AnswerTaker()
+    caller = AnswerRecorder()
     await handler(request, Responder(caller, request))
     return Answer(int(caller.status), caller.body)
 
--- a/tests/transport/http_stand_ins.py
+++ b/tests/transport/http_stand_ins.py
@@ -147,7 +147,7 @@
         return self.error
 
 
-class AnswerTaker:
+class AnswerRecorder:
     """The connection of a client, which records the bytes sent to it."""
 
     unsent = False
