--- a/pewterring/standalone/proxy/__init__.py
+++ b/pewterring/standalone/proxy/__init__.py
@@ -1,1 +1,1 @@
-"""The gatekeeper on sockets: requests, timers and the turn that hands events to the module."""
+"""The gateway on sockets: client requests, timers, and the turns that pass events to the policy."""
--- a/tests/standalone/test_gateway.py
+++ b/tests/standalone/test_gateway.py
@@ -428,7 +428,7 @@
             gather = rig.gateway.gather
 
             def with_timer(item: object) -> None:
-                if type(item).__name__ == "Ended" and not module.of(i.TimerDue):
+                if type(item).__name__ == "AttemptEnded" and not module.of(i.TimerDue):
                     gather(i.TimerDue(9))
                 gather(item)  # type: ignore[arg-type]
 
