--- a/pewterring/standalone/proxy/gateway.py
+++ b/pewterring/standalone/proxy/gateway.py
@@ -63,7 +63,7 @@
         self.by_client: dict[Client, Call] = {}
         self.ids = itertools.count(1)
         # Recently used X-Request-Id values, in two generations that each cover the longest deadline. A
-        # repeated id belongs to a request in flight or just answered, and would reach the workers a second time.
+        # repeated id belongs to a request in flight or just answered, which must not reach the workers twice.
         self.recent: tuple[set[bytes], set[bytes]] = (set(), set())
         self.turned_over = loop.time()
         self.inbox: list[Item] = []
--- a/pewterring/standalone/proxy/service.py
+++ b/pewterring/standalone/proxy/service.py
@@ -1,4 +1,4 @@
-"""One gatekeeper, put together: starts, serves, takes a new file at SIGHUP, ends in good order at SIGTERM."""
+"""The gateway process: starts, serves, reloads its configuration at SIGHUP, drains at SIGTERM."""
 
 import asyncio
 import gc
@@ -20,39 +20,42 @@
 from pewterring.standalone.proxy.switch import renew
 
 SWEEP_S = 0.25
-BUFFERS = 8  # one part in so many of the memory is for answers that have not come whole, one for requests
-FIGURES_S = 10.0  # between two lines of figures in the log
-# At SIGTERM clients go on using the connections that they have for as long as these stay open, and find
-# nobody in its place before the next start. So it serves on, connections and all, for the longest deadline
-# (LONGEST_S where that is longer) and ON_S more. No kill comes before KILL_S past that deadline: what is
-# taken meanwhile is answered SPARE_S earlier. It ends sooner where, AT_LEAST_S having passed, nobody is
-# connected and nothing came for QUIET_S: who has a connection may use it at any moment.
+BUFFER_DIVISOR = 8  # 1/8 of the memory limit buffers incomplete responses, another 1/8 incomplete requests
+COUNTERS_INTERVAL_S = 10.0  # interval between log lines with counters
+# After SIGTERM clients keep using their open connections, and no replacement listens before the next start.
+# The process therefore keeps serving for the longest deadline (at most LONGEST_S) plus ON_S. A kill comes
+# KILL_S after that deadline at the earliest, so requests accepted until then are answered SPARE_S before the kill.
+# The process ends earlier if AT_LEAST_S have passed, no client is connected and nothing arrived for QUIET_S:
+# a client with an open connection may use it at any moment.
 LONGEST_S, ON_S, KILL_S, SPARE_S = 3.0, 0.2, 0.7, 0.2
 AT_LEAST_S, QUIET_S, POLL_S = 0.6, 0.3, 0.02
-# A request that crosses the close of its connection comes again on a new one, while the door is open. The
-# first on a new connection comes at once: a connection is closed only when it has idled for so long.
+# Seconds. A client whose request crosses the close of its connection sends it again on a new one, while the
+# listener is open. The first request follows immediately, so a connection idle for this long may be closed.
 CROSSING_S = 0.1
 
 
-# What a new file changes while the program runs; all else in it needs a restart. `known` and `seed` are for
-# starts only and change with each file.
-MOVABLE = frozenset({"discovery", "settings", "transport", "peers", "peers_all"})
-FOR_STARTS = frozenset({"known", "seed"})
+# Fields that a reload applies to the running process; other changes need a restart. `known` and `seed` are
+# only used at start and differ in every file.
+RELOADABLE = frozenset({"discovery", "settings", "transport", "peers", "peers_all"})
+START_ONLY = frozenset({"known", "seed"})
 
 
 C = TypeVar("C", Config, Settings)
 
 
 def pushed_within(config: Config) -> float | None:
-    """Where lists are pushed: how soon what is in them must be acted on."""
+    """Seconds within which a change pushed by discovery must take effect; None if lists are polled."""
     return None if config.settings.ask_discovery else config.settings.rules.stop_sending_within
 
 
 def differing(one: C, other: C) -> set[str]:
+    """Names of the fields whose values differ."""
     return {f.name for f in fields(one) if getattr(one, f.name) != getattr(other, f.name)}
 
 
 class Service:
+    """Connects the listener, gateway, worker pool, discovery and peers of one gateway process."""
+
     def __init__(
         self,
         config: Config,
@@ -64,7 +67,7 @@
         self.loop = asyncio.get_running_loop()
         self.descriptors = Descriptors(config.sockets)
         transport = config.transport
-        self.room = config.memory_mb * 1024 * 1024 // BUFFERS
+        self.room = config.memory_mb * 1024 * 1024 // BUFFER_DIVISOR
         self.pool = Pool(
             self.loop, self.descriptors, transport.connect_timeout, transport.conn_idle, room=self.room
         )
@@ -77,8 +80,8 @@
         self.listener: Listener | None = None
         self.discovery: Discovery | None = None
         self.stop = asyncio.Event()
-        self.sweeping: asyncio.TimerHandle | None = None
-        self.figured = self.loop.time()
+        self.sweep_timer: asyncio.TimerHandle | None = None
+        self.counters_logged_at = self.loop.time()
         self.closed = False
 
     async def start(self) -> None:
@@ -96,21 +99,22 @@
         self.listener.start()
         self.follow(config.known.version if config.known else None)
         self.sweep()
-        gc.freeze()  # what was built at the start stays: collections need not look through it
+        gc.freeze()  # objects built at start live as long as the process: excluded from collections
         self.log("started", name=config.name, listen=str(self.listener.address), ready=gateway.ready)
 
     def follow(self, version: int | None) -> None:
-        """Follows the list of workers where the configuration has it now, from that version on."""
+        """Starts to follow the worker list at the configured discovery address, from `version` on."""
         address, gateway = self.config.discovery, self.gateway
-        told, failed = gateway.listed, gateway.discovery_failed
-        self.discovery = address and Discovery(self.loop, address, told, failed, pushed_within(self.config))
+        on_list, on_failure = gateway.listed, gateway.discovery_failed
+        self.discovery = address and Discovery(
+            self.loop, address, on_list, on_failure, pushed_within(self.config)
+        )
         if self.discovery:
             self.discovery.start(version)
 
     def reload(self) -> None:
-        """Reads the file again (SIGHUP) and goes on by it. Nothing that is held is dropped; a file that can't
-        be used changes nothing. The list at a new address is another's: its versions say nothing of the
-        former's."""
+        """Reads the configuration file again (SIGHUP) and applies it. Requests in flight are kept; an
+        invalid file changes nothing. At a new discovery address the list versions start anew."""
         if self.closed or not self.read_again:
             return
         try:
@@ -118,7 +122,7 @@
         except ConfigError as error:
             return self.log("reload_failed", why=str(error))
         restart = []
-        if new.settings.me != self.config.settings.me:  # peers know it by its number
+        if new.settings.me != self.config.settings.me:  # peers identify this gateway by its number
             restart.append("settings.me")
             me, fleet = self.config.settings.me, new.settings.fleet_size
             if me >= fleet:
@@ -126,24 +130,24 @@
                 return self.log("reload_failed", why=why)
             new = replace(new, settings=replace(new.settings, me=me))
         changed = differing(new, self.config)
-        moved, old = changed & MOVABLE, self.config
+        applied, old = changed & RELOADABLE, self.config
         if not self.gateway.peers:
-            moved -= {"peers", "peers_all"}  # there is no socket for them
-        self.config = replace(old, **{name: getattr(new, name) for name in moved})
-        if moved & {"settings", "transport"}:
+            applied -= {"peers", "peers_all"}  # no peer socket is open
+        self.config = replace(old, **{name: getattr(new, name) for name in applied})
+        if applied & {"settings", "transport"}:
             self.switch(self.config)
-        if moved & {"peers", "peers_all"} and self.gateway.peers:
+        if applied & {"peers", "peers_all"} and self.gateway.peers:
             self.gateway.peers.renew(new.peers, new.peers_all)
-        if "discovery" in moved and self.listener:  # else the start, still on its way, follows the new one
+        if "discovery" in applied and self.listener:  # otherwise start() has yet to follow the new address
             if self.discovery:
                 self.discovery.close()
             self.follow(None)
-        restart += sorted(changed - moved - FOR_STARTS)
-        within = sorted(differing(old.settings, self.config.settings))
-        self.log("reloaded", changed=sorted(moved), settings=within, needs_restart=restart)
+        restart += sorted(changed - applied - START_ONLY)
+        changed_settings = sorted(differing(old.settings, self.config.settings))
+        self.log("reloaded", changed=sorted(applied), settings=changed_settings, needs_restart=restart)
 
     def switch(self, config: Config) -> None:
-        """From here on by these settings. What was read by the former ones is handed to the module first."""
+        """Applies new settings. Requests read under the former settings are passed to the policy first."""
         gateway = self.gateway
         if gateway.inbox:
             gateway.turn()
@@ -155,28 +159,28 @@
             renew(self.module, self.loop.time(), config.settings)
 
     def unexpected(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-        """What no code here caught: the loop goes on, and the log says it in the form of all else."""
+        """Logs an exception that nothing caught; the event loop continues."""
         self.log("unexpected", what=context.get("message"), error=repr(context.get("exception")))
 
     def sweep(self) -> None:
         self.pool.sweep()
         if self.listener:
             self.listener.sweep(self.gateway.patience)
-        if self.loop.time() - self.figured >= FIGURES_S:
-            self.figured += FIGURES_S
+        if self.loop.time() - self.counters_logged_at >= COUNTERS_INTERVAL_S:
+            self.counters_logged_at += COUNTERS_INTERVAL_S
             self.log("figures", **self.figures())
-        self.sweeping = self.loop.call_later(SWEEP_S, self.sweep)
+        self.sweep_timer = self.loop.call_later(SWEEP_S, self.sweep)
 
     async def run(self) -> None:
         self.loop.set_exception_handler(self.unexpected)
-        for sign in (signal.SIGTERM, signal.SIGINT):
-            self.loop.add_signal_handler(sign, self.stop.set)
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            self.loop.add_signal_handler(signal_number, self.stop.set)
         await self.start()
         await self.stop.wait()
         await self.end()
 
     async def end(self) -> None:
-        """Goes on serving while requests still come, answers all, ends when nothing is held."""
+        """Keeps serving while requests may arrive, answers all of them, then closes everything."""
         gateway, listener, began = self.gateway, self.listener, self.loop.time()
         assert listener is not None
         self.log("stopping", held=len(gateway.by_client))
@@ -186,14 +190,14 @@
         while not self.quiet(began, longest):
             await asyncio.sleep(POLL_S)
         listener.closing = True
-        # Idle connections are closed now and not before: their clients may have gone on using them. The door
-        # stays open for what crosses such a close, the last one too.
-        left = self.loop.time()
+        # Idle connections are closed only now, as their clients may have kept using them. The listener stays
+        # open for requests that cross such a close, including the last one.
+        last_closed = self.loop.time()
         while gateway.by_client or listener.opening or listener.socket or listener.stays:
             now = self.loop.time()
             if listener.close_idle(CROSSING_S) or listener.idle:
-                left = now
-            if now - left >= CROSSING_S or now >= gateway.ends_at:
+                last_closed = now
+            if now - last_closed >= CROSSING_S or now >= gateway.ends_at:
                 listener.close()
             await asyncio.sleep(POLL_S)
         while listener.clients:
@@ -202,7 +206,7 @@
         self.log("stopped", **self.figures())
 
     def figures(self) -> dict[str, object]:
-        """What was done since the start, and what is held now."""
+        """Counters since the start, and the current numbers of requests and connections."""
         gateway, pool = self.gateway, self.pool
         return {
             "taken": gateway.taken,
@@ -223,8 +227,8 @@
 
     def close(self) -> None:
         self.closed = True
-        if self.sweeping:
-            self.sweeping.cancel()
+        if self.sweep_timer:
+            self.sweep_timer.cancel()
         if self.listener:
             self.listener.close()
         if self.discovery:
@@ -235,9 +239,9 @@
 
     def quiet(self, began: float, longest: float) -> bool:
         now, listener = self.loop.time(), self.listener
-        past = now - began
-        if past >= longest + ON_S or listener is None:
+        elapsed = now - began
+        if elapsed >= longest + ON_S or listener is None:
             return True
-        came = max(self.gateway.asked_at, listener.accepted_at)
-        nobody = not listener.clients and not listener.opening
-        return nobody and past >= AT_LEAST_S and now - came >= QUIET_S
+        last_arrival = max(self.gateway.asked_at, listener.accepted_at)
+        no_clients = not listener.clients and not listener.opening
+        return no_clients and elapsed >= AT_LEAST_S and now - last_arrival >= QUIET_S
--- a/pewterring/standalone/proxy/switch.py
+++ b/pewterring/standalone/proxy/switch.py
@@ -1,15 +1,15 @@
-"""New settings for a module that runs: what follows from them changes, what it holds and knows lives on.
+"""Applies new settings to a running policy and keeps its requests and learned state.
 
-Nothing is decided here. A gatekeeper is built from the new settings, and what it reckoned from them goes into
-the running one: which of its values follow from settings alone is written down once, in FOLLOWS.
+A second policy is built from the new settings, and the values that it derived from them are copied to the
+running one. FOLLOWS lists the values that depend on settings alone.
 """
 
 from collections.abc import Iterable
 
-from pewterring.standalone.policy import interface as i
+from pewterring.standalone.policy import interface
 from pewterring.standalone.policy.decisions import CustomerAccount, GatewayPolicy
 
-# By part of the module: what follows from the settings and nothing else.
+# By component of the policy ("" is the policy itself): attributes derived from the settings alone.
 FOLLOWS = {
     "ceiling": ("update_samples", "step"),
     "shares": ("fleet", "sparse", "lease"),
@@ -19,24 +19,32 @@
 }
 
 
-def renew(keeper: GatewayPolicy, now: float, settings: i.Settings) -> None:
-    """Between two events. Requests held keep the class and the plan that they came with."""
+def renew(policy: GatewayPolicy, now: float, settings: interface.Settings) -> None:
+    """Must be called between two events. Requests in flight keep the class and plan they arrived with."""
     new = GatewayPolicy(settings, 0)
-    for part, names in FOLLOWS.items():
-        follow(getattr(keeper, part) if part else keeper, getattr(new, part) if part else new, names)
-    # Customers met from now on start with no part of a hard ceiling: the switch grants nothing anew.
-    keeper.quota.began = now
-    for c in keeper.quota.accounts.values():
-        plan = settings.plans.get(c.plan.name)
-        if plan and plan != c.plan:
-            c.advance(now)
-            follow(c, CustomerAccount(now, plan, c.size, c.first, c.owner), ("plan", "window", "idle_s"))
-            c.own_cap, c.shared_cap = (
-                min(c.own_cap, plan.cap_depth / 2 / c.size),
-                min(c.shared_cap, plan.cap_depth / 2),
+    for component, names in FOLLOWS.items():
+        follow(
+            getattr(policy, component) if component else policy,
+            getattr(new, component) if component else new,
+            names,
+        )
+    # New accounts start without a share of a hard limit, so that new settings do not grant it twice.
+    policy.quota.began = now
+    for account in policy.quota.accounts.values():
+        plan = settings.plans.get(account.plan.name)
+        if plan and plan != account.plan:
+            account.advance(now)
+            follow(
+                account,
+                CustomerAccount(now, plan, account.size, account.first, account.owner),
+                ("plan", "window", "idle_s"),
             )
-    # The list is the same, but what of it is near may not be.
-    keeper.handle(now, i.ServerList(i.ListForm.CHANGES))
+            account.own_cap, account.shared_cap = (
+                min(account.own_cap, plan.cap_depth / 2 / account.size),
+                min(account.shared_cap, plan.cap_depth / 2),
+            )
+    # The worker list is unchanged, but which workers are near may have changed.
+    policy.handle(now, interface.ServerList(interface.ListForm.CHANGES))
 
 
 def follow(old: object, new: object, names: Iterable[str]) -> None:
--- a/pewterring/standalone/proxy/tally.py
+++ b/pewterring/standalone/proxy/tally.py
@@ -1,6 +1,6 @@
-"""What a gatekeeper decided, counted: one line in the log a period, to be summed over a fleet.
+"""Counts the decisions of a gateway and logs them once per period, to be summed over a fleet.
 
-It stands around the module and changes nothing: events go in and actions come out as they are.
+It wraps the policy and passes events and actions through unchanged.
 """
 
 import math
@@ -8,51 +8,51 @@
 from typing import Any
 
 from pewterring.standalone.log import Log
-from pewterring.standalone.policy import interface as i
+from pewterring.standalone.policy import interface
 from pewterring.standalone.policy.decisions import GatewayPolicy
 from pewterring.standalone.proxy.gateway import Module
 
 
 class Tally:
-    """Counts what passes; `period` in seconds. Lines come with events; who gets none is silent."""
+    """Counts events and actions; `period` in seconds. Lines are written on events: no event, no line."""
 
     def __init__(self, module: Module, log: Log, period: float) -> None:
         self.module, self.log, self.period = module, log, period
         self.counts: Counter[str] = Counter()
-        self.took, self.since = 0.0, -math.inf
+        self.latency_sum, self.since = 0.0, -math.inf
 
-    def handle(self, now: float, event: i.Event) -> list[i.Action]:
+    def handle(self, now: float, event: interface.Event) -> list[interface.Action]:
         if now - self.since >= self.period:
             self.line(now)
         counts = self.counts
         match event:
-            case i.Request(is_retry=again):
+            case interface.Request(is_retry=again):
                 counts["asked"] += 1
                 counts["asked_again"] += again
-            case i.Outcome(code=code, took=took):
+            case interface.Outcome(code=code, took=took):
                 counts[f"ended_{code.value}"] += 1
-                self.took += took if code is i.Code.OK else 0.0
-            case i.PeerMessage():
+                self.latency_sum += took if code is interface.Code.OK else 0.0
+            case interface.PeerMessage():
                 counts["heard"] += 1
-            case i.ServerList(form):
+            case interface.ServerList(form):
                 counts[f"list_{form.value}"] += 1
-            case i.Expired():
+            case interface.Expired():
                 counts["expired"] += 1
         actions = self.module.handle(now, event)
         for action in actions:
             match action:
-                case i.Send(server=server):
+                case interface.Send(server=server):
                     counts["sent"] += 1
                     counts["sent_cold"] += self.cold(server, now)
-                    counts["sent_further"] += not isinstance(event, i.Request)
-                case i.Refuse(why=why):
+                    counts["sent_further"] += not isinstance(event, interface.Request)
+                case interface.Refuse(why=why):
                     counts[f"refused_{why or 'unsaid'}"] += 1
-                case i.Fail():
+                case interface.Fail():
                     counts["failed"] += 1
-                case i.Tell(data=data):
+                case interface.Tell(data=data):
                     counts["told"] += 1
                     counts["told_bytes"] += len(data)
-                case i.Probe():
+                case interface.Probe():
                     counts["probed"] += 1
         return actions
 
@@ -64,15 +64,15 @@
 
     def line(self, now: float) -> None:
         if self.since > -math.inf:
-            self.log("tally", **{k: n for k, n in self.counts.items() if n}, **self.state(now))
-        self.since, self.took = now, 0.0
+            self.log("tally", **{name: n for name, n in self.counts.items() if n}, **self.state(now))
+        self.since, self.latency_sum = now, 0.0
         self.counts.clear()
 
     def state(self, now: float) -> dict[str, Any]:
-        """What it holds of the fleet at the end of the period: in slots, attempts a second and seconds."""
+        """The view of the fleet at the end of the period, in slots, attempts per second and seconds."""
         state: dict[str, Any] = {}
         if served := self.counts["ended_ok"]:
-            state["took_mean"] = round(self.took / served, 4)
+            state["took_mean"] = round(self.latency_sum / served, 4)
         if isinstance(module := self.module, GatewayPolicy):
             shares = module.shares
             figures = {
@@ -84,9 +84,9 @@
                 "demands": shares.fleet_demand,
                 "usual": module.latency(),
                 "out": module.in_flight,
-                "peers": sum(now - p.heard < shares.lease for p in shares.peers.values()),
+                "peers": sum(now - peer.heard < shares.lease for peer in shares.peers.values()),
                 "workers": len(module.pool.serving),
                 "customers": len(module.quota.accounts),
             }
-            state |= {name: round(x, 3) for name, x in figures.items()}
+            state |= {name: round(value, 3) for name, value in figures.items()}
         return state
