--- a/pewterring/standalone/config.py
+++ b/pewterring/standalone/config.py
@@ -1,4 +1,4 @@
-"""What a gatekeeper is told at its start: the configuration file, its limits and settings."""
+"""Reads the configuration of a gateway: its file, environment variables, limits and settings."""
 
 import os
 from collections.abc import Mapping
@@ -9,19 +9,21 @@
 
 from pewterring.standalone.network.connection import Address, read_address
 from pewterring.standalone.network.discovery import Listing, read_listing
-from pewterring.standalone.policy import interface as i
+from pewterring.standalone.policy import interface
 from pewterring.standalone.settings import Transport, read_json
 
 CONFIG, LISTEN, DISCOVERY, NAME = "ROUTER_CONFIG", "ROUTER_LISTEN", "ROUTER_DISCOVERY", "ROUTER_NAME"
-TALLY = "ROUTER_TALLY_S"  # the period of the lines that docs/oncall.md tells how to sum; unset or 0: none
+TALLY = "ROUTER_TALLY_S"  # seconds between tally lines (docs/oncall.md sums them); unset or 0: no lines
 
 
 class ConfigError(ValueError):
-    """The configuration cannot be used; the text says why."""
+    """The configuration cannot be used; the message gives the reason."""
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
+    """The parsed configuration of one gateway process."""
+
     name: str
     listen: Address
     discovery: Address | None
@@ -32,14 +34,17 @@
     peers: tuple[Address, ...]
     peers_all: Address | None
     known: Listing | None
-    settings: i.Settings
+    settings: interface.Settings
     transport: Transport
     tally_s: float = 0.0
 
 
 def load(path: str | None = None, env: Mapping[str, str] = os.environ, strict: bool = False) -> Config:
-    """Reads the file at `path`, or the one that the environment names. `strict` refuses likely slips in the
-    settings: at a reload the former file serves on, at a start a refusal would leave nobody serving."""
+    """Reads the file at `path`, or the one that the environment names. Raises ConfigError.
+
+    `strict` rejects setting names that are probably misspelt. It is meant for reloads, where the former
+    settings stay in force; at start such an error would leave no gateway running.
+    """
     path = path or env.get(CONFIG)
     if not path:
         raise ConfigError(f"no configuration: name a file, or set {CONFIG}")
@@ -58,6 +63,7 @@
 
 
 def read(tree: dict[str, object], env: Mapping[str, str], strict: bool = False) -> Config:
+    """Builds the configuration from parsed JSON; environment variables supply values that it lacks."""
     listen = tree.get("listen") or env.get(LISTEN)
     if not listen:
         raise ConfigError("listen is missing")
--- a/pewterring/standalone/log.py
+++ b/pewterring/standalone/log.py
@@ -1,4 +1,4 @@
-"""The log: one JSON line an event, on standard error. No line per request."""
+"""Writes one JSON line per event to standard error. Single requests are not logged."""
 
 import sys
 import time
@@ -9,7 +9,8 @@
 
 
 class Log:
-    """`log(event, name=value, ...)`. What repeats fast is thinned out: a fault must not flood the log."""
+    """Called as `log(event, name=value, ...)`. Writes at most `per_s` lines per second, so that a fault
+    cannot flood the log; the number of skipped lines is logged afterwards."""
 
     def __init__(
         self, out: BinaryIO | None = None, clock: Callable[[], float] = time.time, per_s: int = 20
@@ -34,4 +35,4 @@
             self.out.write(orjson.dumps(line, default=str, option=orjson.OPT_APPEND_NEWLINE))
             self.out.flush()
         except (OSError, ValueError, TypeError):
-            pass  # nobody reads the log any more; serving goes on
+            pass  # the log has no reader any more; serving continues
--- a/pewterring/standalone/proxy/service.py
+++ b/pewterring/standalone/proxy/service.py
@@ -24,7 +24,7 @@
 COUNTERS_INTERVAL_S = 10.0  # interval between log lines with counters
 # After SIGTERM clients keep using their open connections, and no replacement listens before the next start.
 # The process therefore keeps serving for the longest deadline (at most LONGEST_S) plus ON_S. A kill comes
-# KILL_S after that deadline at the earliest, so requests accepted until then are answered SPARE_S before the kill.
+# KILL_S after that deadline at the earliest, so requests accepted until then are answered SPARE_S before it.
 # The process ends earlier if AT_LEAST_S have passed, no client is connected and nothing arrived for QUIET_S:
 # a client with an open connection may use it at any moment.
 LONGEST_S, ON_S, KILL_S, SPARE_S = 3.0, 0.2, 0.7, 0.2
