--- a/pewterring/standalone/proxy/gateway.py
+++ b/pewterring/standalone/proxy/gateway.py
@@ -36,7 +36,7 @@
 CONFLICT, REFUSED, FAILED, OVERDUE = 409, 429, 502, 504
 
 
-class Module(Protocol):
+class Policy(Protocol):
     """The policy: takes an event and returns the actions that the gateway executes."""
 
     def handle(self, now: float, event: interface.Event) -> list[interface.Action]: ...
@@ -50,11 +50,11 @@
         loop: asyncio.AbstractEventLoop,
         settings: interface.Settings,
         transport: Transport,
-        module: Module,
+        policy: Policy,
         pool: Pool,
         log: Log,
     ) -> None:
-        self.loop, self.module, self.pool, self.log = loop, module, pool, log
+        self.loop, self.policy, self.pool, self.log = loop, policy, pool, log
         self.calls: dict[int, Call] = {}
         self.patience = 0.0
         self.renew(settings, transport)
@@ -233,7 +233,7 @@
 
     def decide(self, now: float, event: interface.Event) -> list[interface.Action]:
         try:
-            return list(self.module.handle(now, event))
+            return list(self.policy.handle(now, event))
         except Exception as error:  # affects only the request or timer of this event
             self.fault(repr(error), traceback.format_exc(limit=-4))
             return self.after_fault(event)
--- a/pewterring/standalone/proxy/service.py
+++ b/pewterring/standalone/proxy/service.py
@@ -16,7 +16,7 @@
 from pewterring.standalone.network.workers import Pool
 from pewterring.standalone.policy.decisions import GatewayPolicy
 from pewterring.standalone.policy.interface import Settings
-from pewterring.standalone.proxy.gateway import Gateway, Module
+from pewterring.standalone.proxy.gateway import Gateway, Policy
 from pewterring.standalone.proxy.switch import renew
 
 SWEEP_S = 0.25
@@ -60,7 +60,7 @@
         self,
         config: Config,
         log: Log,
-        module: Module | None = None,
+        policy: Policy | None = None,
         read_again: Callable[[], Config] | None = None,
     ) -> None:
         self.config, self.log, self.read_again = config, log, read_again
@@ -71,12 +71,12 @@
         self.pool = Pool(
             self.loop, self.descriptors, transport.connect_timeout, transport.conn_idle, room=self.room
         )
-        module = self.module = module or GatewayPolicy(config.settings, config.seed)
+        policy = self.policy = policy or GatewayPolicy(config.settings, config.seed)
         if config.tally_s > 0:
             from pewterring.standalone.proxy.tally import Tally
 
-            module = Tally(module, log, config.tally_s)
-        self.gateway = Gateway(self.loop, config.settings, transport, module, self.pool, log)
+            policy = Tally(policy, log, config.tally_s)
+        self.gateway = Gateway(self.loop, config.settings, transport, policy, self.pool, log)
         self.listener: Listener | None = None
         self.discovery: Discovery | None = None
         self.stop = asyncio.Event()
@@ -155,8 +155,8 @@
         self.pool.renew(config.transport.connect_timeout, config.transport.conn_idle)
         if self.discovery:
             self.discovery.renew(pushed_within(config))
-        if isinstance(self.module, GatewayPolicy):
-            renew(self.module, self.loop.time(), config.settings)
+        if isinstance(self.policy, GatewayPolicy):
+            renew(self.policy, self.loop.time(), config.settings)
 
     def unexpected(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
         """Logs an exception that nothing caught; the event loop continues."""
--- a/pewterring/standalone/proxy/tally.py
+++ b/pewterring/standalone/proxy/tally.py
@@ -10,14 +10,14 @@
 from pewterring.standalone.log import Log
 from pewterring.standalone.policy import interface
 from pewterring.standalone.policy.decisions import GatewayPolicy
-from pewterring.standalone.proxy.gateway import Module
+from pewterring.standalone.proxy.gateway import Policy
 
 
 class Tally:
     """Counts events and actions; `period` in seconds. Lines are written on events: no event, no line."""
 
-    def __init__(self, module: Module, log: Log, period: float) -> None:
-        self.module, self.log, self.period = module, log, period
+    def __init__(self, policy: Policy, log: Log, period: float) -> None:
+        self.policy, self.log, self.period = policy, log, period
         self.counts: Counter[str] = Counter()
         self.latency_sum, self.since = 0.0, -math.inf
 
@@ -38,7 +38,7 @@
                 counts[f"list_{form.value}"] += 1
             case interface.Expired():
                 counts["expired"] += 1
-        actions = self.module.handle(now, event)
+        actions = self.policy.handle(now, event)
         for action in actions:
             match action:
                 case interface.Send(server=server):
@@ -57,10 +57,10 @@
         return actions
 
     def cold(self, server: int, now: float) -> bool:
-        module = self.module
-        if not isinstance(module, GatewayPolicy) or (node := module.pool.servers.get(server)) is None:
+        policy = self.policy
+        if not isinstance(policy, GatewayPolicy) or (node := policy.pool.servers.get(server)) is None:
             return False
-        return module.pool.warmth(node, now) < 1.0
+        return policy.pool.warmth(node, now) < 1.0
 
     def line(self, now: float) -> None:
         if self.since > -math.inf:
@@ -73,20 +73,20 @@
         state: dict[str, Any] = {}
         if served := self.counts["ended_ok"]:
             state["took_mean"] = round(self.latency_sum / served, 4)
-        if isinstance(module := self.module, GatewayPolicy):
-            shares = module.shares
+        if isinstance(policy := self.policy, GatewayPolicy):
+            shares = policy.shares
             figures = {
-                "limit": module.ceiling.limit,
+                "limit": policy.ceiling.limit,
                 "whole": shares.fleet_limit,
                 "share": shares.share,
                 "elsewhere": shares.peers_in_flight,
                 "demand": shares.demand,
                 "demands": shares.fleet_demand,
-                "usual": module.latency(),
-                "out": module.in_flight,
+                "usual": policy.latency(),
+                "out": policy.in_flight,
                 "peers": sum(now - peer.heard < shares.lease for peer in shares.peers.values()),
-                "workers": len(module.pool.serving),
-                "customers": len(module.quota.accounts),
+                "workers": len(policy.pool.serving),
+                "customers": len(policy.quota.accounts),
             }
             state |= {name: round(value, 3) for name, value in figures.items()}
         return state
--- a/tests/standalone/stand_ins.py
+++ b/tests/standalone/stand_ins.py
@@ -19,7 +19,7 @@
 from pewterring.standalone.network.discovery import Entry, Listing
 from pewterring.standalone.network.workers import Pool
 from pewterring.standalone.policy import interface as i
-from pewterring.standalone.proxy.gateway import Module
+from pewterring.standalone.proxy.gateway import Policy
 from pewterring.standalone.proxy.service import Service
 from pewterring.standalone.settings import Transport
 from tests.standalone.helpers import settings
@@ -196,7 +196,7 @@
 
 
 class Script:
-    """A module that does what a test says, and notes what it was told."""
+    """A policy that does what a test says, and notes what it was told."""
 
     def __init__(self, *steps: Callable[[i.Event], list[i.Action]]) -> None:
         self.told: list[i.Event] = []
@@ -236,7 +236,7 @@
 
     def __init__(
         self,
-        module: Module | None,
+        policy: Policy | None,
         *workers: Address,
         discovery: Address | None = None,
         sockets: int = 1024,
@@ -251,10 +251,10 @@
             settings=setup or settings(),
             transport=transport or Transport(connect_timeout=1.0, conn_idle=60.0),
         )  # fmt: skip
-        self.module, self.log = module, Quiet()
+        self.policy, self.log = policy, Quiet()
 
     async def __aenter__(self) -> Self:
-        self.service = Service(self.config, self.log, self.module)
+        self.service = Service(self.config, self.log, self.policy)
         self.gateway = self.service.gateway
         await self.service.start()
         assert self.service.listener is not None
--- a/tests/standalone/test_belief.py
+++ b/tests/standalone/test_belief.py
@@ -43,8 +43,8 @@
 
 
 def policy_of(rig: Rig) -> GatewayPolicy:
-    assert isinstance(rig.gateway.module, GatewayPolicy)
-    return rig.gateway.module
+    assert isinstance(rig.gateway.policy, GatewayPolicy)
+    return rig.gateway.policy
 
 
 def without_duplicates(*workers: Address) -> Rig:
--- a/tests/standalone/test_gateway.py
+++ b/tests/standalone/test_gateway.py
@@ -124,7 +124,7 @@
                 assert await caller.ended()
             assert len(worker.requests) == int(stays)
             # Nor is there a mark on the customer that it names.
-            gatekeeper = rig.gateway.module
+            gatekeeper = rig.gateway.policy
             assert isinstance(gatekeeper, GatewayPolicy)
             assert len(gatekeeper.quota.accounts) == int(stays)
 
--- a/tests/standalone/test_switch.py
+++ b/tests/standalone/test_switch.py
@@ -152,8 +152,8 @@
             service.gateway.remembered(listing(entry("s-1", worker.address)))
             await service.start()
             assert service.listener is not None
-            assert isinstance(service.module, GatewayPolicy)
-            policy, total = service.module, 0
+            assert isinstance(service.policy, GatewayPolicy)
+            policy, total = service.policy, 0
             await until(lambda: service.gateway.ready and not service.gateway.inbox)
             policy.ceiling.limit = 4000.0  # so that only quotas decide
             policy.shares.update_share(service.loop.time(), 4000.0)
