--- a/tests/standalone/stand_ins.py
+++ b/tests/standalone/stand_ins.py
@@ -1,4 +1,4 @@
-"""Stand-ins for what a gatekeeper meets on sockets, written from the protocol pages."""
+"""Emulated workers, clients, discovery and policies for tests of a gateway on loopback sockets."""
 
 import asyncio
 import itertools
@@ -18,13 +18,13 @@
 from pewterring.standalone.network.connection import Address
 from pewterring.standalone.network.discovery import Entry, Listing
 from pewterring.standalone.network.workers import Pool
-from pewterring.standalone.policy import interface as i
+from pewterring.standalone.policy import interface
 from pewterring.standalone.proxy.gateway import Policy
 from pewterring.standalone.proxy.service import Service
 from pewterring.standalone.settings import Transport
 from tests.standalone.helpers import settings
 
-PATIENCE = 20.0  # for events that must come; no test measures it
+PATIENCE = 20.0  # seconds; bounds waits for events that must happen, no test measures it
 OK = write_response(200, [(b"content-type", b"text/plain")], b"served")
 
 
@@ -37,21 +37,21 @@
 
 
 async def until(true: Callable[[], object]) -> None:
-    """Waits for what must come."""
+    """Waits until the condition is true; raises TimeoutError after PATIENCE."""
     async with asyncio.timeout(PATIENCE):
         while not true():
             await asyncio.sleep(0.002)
 
 
 def rested(pool: Pool) -> None:
-    """As if the idle connections had rested for long enough to be used again."""
+    """Ages the idle connections so that they may be reused now."""
     for idle in pool.idle.values():
         for connection in idle:
             connection.idle_since -= pool.rest_s
 
 
 class Talk:
-    """One connection of a stand-in."""
+    """One connection accepted by a stand-in server."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
@@ -66,7 +66,9 @@
 
     def reset(self) -> None:
         sock = self.writer.get_extra_info("socket")
-        if sock is not None and sock.fileno() >= 0:  # else an abort is a close in good order
+        if (
+            sock is not None and sock.fileno() >= 0
+        ):  # without SO_LINGER 0 an abort closes the connection normally
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.writer.transport.abort()
 
@@ -75,7 +77,7 @@
 
 
 class StandIn:
-    """A server on loopback. `answer` gives the bytes for a request, or None and does what it likes."""
+    """A loopback server. `answer` returns the response bytes, or None after acting on the Talk itself."""
 
     def __init__(self, answer: Answer = lambda talk, request: OK) -> None:
         self.answer = answer
@@ -125,7 +127,7 @@
         self.writer.write(data)
 
     async def answer(self) -> Response:
-        """The next whole answer."""
+        """The next complete response."""
         async with asyncio.timeout(PATIENCE):
             while (response := self.parser.next()) is None:
                 data = await self.reader.read(65536)
@@ -168,7 +170,7 @@
     more: bytes = b"",
     **headers: bytes | None,
 ) -> bytes:
-    """A request in the protocol's form, with an id of its own; X_Class=None leaves that header away."""
+    """Bytes of a valid request with a new id; X_Class=None omits that header."""
     changed = {name.replace("_", "-").encode(): value for name, value in headers.items()}
     changed.setdefault(b"X-Request-Id", b"%016x" % next(NUMBERS))
     lines = [b"%b: %b\r\n" % (n, v) for n, v in {**ASKED, **changed}.items() if v is not None]
@@ -196,13 +198,13 @@
 
 
 class Script:
-    """A policy that does what a test says, and notes what it was told."""
+    """A policy that takes its actions from the steps of a test and records the events it gets."""
 
-    def __init__(self, *steps: Callable[[i.Event], list[i.Action]]) -> None:
-        self.told: list[i.Event] = []
+    def __init__(self, *steps: Callable[[interface.Event], list[interface.Action]]) -> None:
+        self.told: list[interface.Event] = []
         self.steps = list(steps)
 
-    def handle(self, now: float, event: i.Event) -> list[i.Action]:
+    def handle(self, now: float, event: interface.Event) -> list[interface.Action]:
         self.told.append(event)
         return [action for step in self.steps for action in step(event)]
 
@@ -210,18 +212,20 @@
         return [event for event in self.told if isinstance(event, kind)]
 
 
-def send_to(*servers: int, timeout: float = 0.0) -> Callable[[i.Event], list[i.Action]]:
-    """Sends each request to these servers at once."""
-    return lambda e: [i.Send(e.id, n, timeout) for n in servers] if isinstance(e, i.Request) else []
+def send_to(*servers: int, timeout: float = 0.0) -> Callable[[interface.Event], list[interface.Action]]:
+    """A step that sends each request to these servers at once."""
+    return lambda e: (
+        [interface.Send(e.id, n, timeout) for n in servers] if isinstance(e, interface.Request) else []
+    )
 
 
-def fail_when_over(event: i.Event) -> list[i.Action]:
-    """Fails a request when an attempt ends badly."""
-    return [i.Fail(event.id)] if isinstance(event, i.Outcome) and not event.no_more else []
+def fail_when_over(event: interface.Event) -> list[interface.Action]:
+    """A step that fails a request when an attempt ends before the request has been answered."""
+    return [interface.Fail(event.id)] if isinstance(event, interface.Outcome) and not event.no_more else []
 
 
 class Quiet(Log):
-    """A log that a test can look at."""
+    """A log that keeps its lines in memory."""
 
     def __init__(self) -> None:
         super().__init__(per_s=10_000)
@@ -232,7 +236,7 @@
 
 
 class Rig:
-    """A gatekeeper in this process, on port 0, before the workers that it is told of."""
+    """A gateway in this process on a free port; the given workers are its initial list."""
 
     def __init__(
         self,
@@ -241,7 +245,7 @@
         discovery: Address | None = None,
         sockets: int = 1024,
         transport: Transport | None = None,
-        setup: i.Settings | None = None,
+        setup: interface.Settings | None = None,
     ) -> None:
         known = listing(*(entry(f"s-{n}", address) for n, address in enumerate(workers, 1)))
         self.config = Config(
--- a/tests/standalone/test_gateway.py
+++ b/tests/standalone/test_gateway.py
@@ -1,4 +1,4 @@
-"""The gatekeeper on loopback sockets, before stand-ins: what passes, what ends how, that all ends once."""
+"""The gateway on loopback sockets with emulated workers: forwarding, outcomes, and one answer per request."""
 
 import asyncio
 import contextlib
@@ -12,7 +12,7 @@
 from pewterring.standalone.http.writer import write_response
 from pewterring.standalone.network import clients as clients_module
 from pewterring.standalone.network.connection import Address
-from pewterring.standalone.policy import interface as i
+from pewterring.standalone.policy import interface
 from pewterring.standalone.policy.decisions import GatewayPolicy
 from pewterring.standalone.settings import Transport
 from tests.standalone.helpers import DEADLINE
@@ -38,7 +38,7 @@
     return None
 
 
-def test_a_request_passes_unchanged_and_so_does_its_answer() -> None:
+def test_requests_and_responses_are_forwarded_unchanged() -> None:
     async def test() -> None:
         body = bytes(range(256)) * 8
         answer = write_response(200, [(b"x-made-by", b"worker")], body[::-1])
@@ -112,18 +112,20 @@
         (b"\r\n" * 99, 400, False),
     ],
 )
-def test_what_cannot_be_read_reaches_no_worker(asked: bytes, status: int, stays: bool) -> None:
+def test_invalid_requests_reach_no_worker_and_no_customer_account(
+    asked: bytes, status: int, stays: bool
+) -> None:
     async def test() -> None:
         async with StandIn() as worker, Rig(None, worker.address) as rig:
             caller = await rig.caller()
             response = await caller.ask(asked)
             assert (response.status, response.keep_alive) == (status, stays)
-            if stays:  # the connection goes on
+            if stays:  # the connection stays open
                 assert (await caller.ask(asking())).status == 200
             else:
                 assert await caller.ended()
             assert len(worker.requests) == int(stays)
-            # Nor is there a mark on the customer that it names.
+            # Nothing was charged to the customer that the request names.
             gatekeeper = rig.gateway.policy
             assert isinstance(gatekeeper, GatewayPolicy)
             assert len(gatekeeper.quota.accounts) == int(stays)
@@ -131,8 +133,8 @@
     run(test)
 
 
-def test_the_id_of_an_open_request_or_of_one_just_answered_is_turned_away() -> None:
-    """Sent on it would be the same request once more: a second effect."""
+def test_the_id_of_a_request_in_flight_or_just_answered_is_rejected() -> None:
+    """If it were forwarded, the same request could take effect a second time."""
 
     async def test() -> None:
         async with StandIn(silent) as worker, Rig(Script(send_to(1)), worker.address) as rig:
@@ -149,7 +151,7 @@
     run(test)
 
 
-def test_ids_are_forgotten_after_a_while() -> None:
+def test_request_ids_are_forgotten_after_two_longest_deadlines() -> None:
     async def test() -> None:
         async with Rig(Script(), Address("127.0.0.1", 9)) as rig:
             gateway = rig.gateway
@@ -164,8 +166,8 @@
     run(test)
 
 
-def test_who_sends_what_cannot_be_used_again_and_again_waits_between() -> None:
-    """Each is answered at once; the pause before the next is read leaves the loop to others."""
+def test_a_client_that_keeps_sending_invalid_requests_is_slowed_down() -> None:
+    """Each is answered at once; the delay before the next is read leaves loop time to other clients."""
 
     async def test() -> None:
         async with StandIn() as worker, Rig(None, worker.address) as rig:
@@ -185,32 +187,32 @@
     run(test)
 
 
-def test_the_module_gets_what_the_headers_say() -> None:
+def test_the_policy_gets_the_values_of_the_headers() -> None:
     async def test() -> None:
-        module = Script(lambda e: [i.Refuse(e.id, 0.25)] if isinstance(e, i.Request) else [])
-        async with Rig(module, Address("127.0.0.1", 9)) as rig:
+        policy = Script(lambda e: [interface.Refuse(e.id, 0.25)] if isinstance(e, interface.Request) else [])
+        async with Rig(policy, Address("127.0.0.1", 9)) as rig:
             response = await rig.ask(asking(X_Retry=b"1"))
             assert (response.status, response.get(b"retry-after")) == (429, b"0.250")
-            (asked,) = module.of(i.Request)
+            (asked,) = policy.of(interface.Request)
             assert (asked.cls, asked.plan, asked.customer) == ("pure", "free", 0xB4D65521)
             assert (asked.units, asked.set_size, asked.set_from, asked.is_retry) == (2.0, 3, 1, True)
 
     run(test)
 
 
-def test_many_requests_on_one_connection_even_sent_ahead() -> None:
+def test_pipelined_requests_on_one_connection_are_all_answered() -> None:
     async def test() -> None:
         async with StandIn() as worker, Rig(None, worker.address) as rig:
-            rig.service.pool.rest_s = 0.0  # else the next one would find the worker's connection at rest
+            rig.service.pool.rest_s = 0.0  # otherwise the worker's connection would not be reused yet
             caller = await rig.caller()
             caller.write(b"".join(asking() for _ in range(5)))
             assert [(await caller.answer()).status for _ in range(5)] == [200] * 5
-            assert len(worker.talks) == 1  # one after the other, on one connection
+            assert len(worker.talks) == 1  # sequentially, on one connection
 
     run(test)
 
 
-def test_requests_sent_ahead_are_bounded_and_all_answered() -> None:
+def test_pipelined_requests_are_bounded_and_all_answered() -> None:
     async def test() -> None:
         async with Rig(Script(), Address("127.0.0.1", 9)) as rig:
             caller = await rig.caller()
@@ -220,9 +222,9 @@
     run(test)
 
 
-def outcome_of(answer: bytes | None, then: str = "") -> i.Outcome:
-    """How an attempt ends that gets this answer, after which the worker closes or resets."""
-    found: list[i.Outcome] = []
+def outcome_of(answer: bytes | None, then: str = "") -> interface.Outcome:
+    """The outcome of an attempt that gets this answer, after which the worker closes or resets."""
+    found: list[interface.Outcome] = []
 
     async def test() -> None:
         def give(talk: Talk, request: Request) -> None:
@@ -233,11 +235,11 @@
             elif then == "close":
                 talk.close()
 
-        module = Script(send_to(1), fail_when_over)
-        async with StandIn(give) as worker, Rig(module, worker.address) as rig:
+        policy = Script(send_to(1), fail_when_over)
+        async with StandIn(give) as worker, Rig(policy, worker.address) as rig:
             status = (await rig.ask(asking())).status
-            found.extend(module.of(i.Outcome))
-            assert (status == 200) == (found[0].code is i.Code.OK)
+            found.extend(policy.of(interface.Outcome))
+            assert (status == 200) == (found[0].code is interface.Code.OK)
             assert status not in (429, 503)
 
     run(test)
@@ -251,49 +253,51 @@
 @pytest.mark.parametrize(
     ("answer", "then", "code"),
     [
-        (OK, "", i.Code.OK),
-        (b"HTTP/1.1 200 OK\r\n\r\nuntil the end", "close", i.Code.OK),
-        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n", "", i.Code.OK),
-        (b"HTTP/1.1 100 Continue\r\n\r\n" + OK, "", i.Code.OK),
-        (write_response(500, []), "", i.Code.INTERNAL),
-        (write_response(404, []), "", i.Code.INTERNAL),
-        (write_response(503, NOT_RUN), "", i.Code.RESOURCE_EXHAUSTED),
-        (write_response(504, NOT_RUN), "", i.Code.RESOURCE_EXHAUSTED),
-        (write_response(503, []), "", i.Code.INTERNAL),
-        (write_response(504, [(b"x-not-run", b"0")]), "", i.Code.INTERNAL),
-        (write_response(500, NOT_RUN), "", i.Code.INTERNAL),
-        (None, "close", i.Code.ABORTED),
-        (None, "reset", i.Code.ABORTED),
-        (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ncut", "close", i.Code.ABORTED),
-        (b"HTTP/1.1 200 OK\r\n\r\nuntil a reset", "reset", i.Code.ABORTED),
-        (b"HTTP/1.1 200 OK\r\nContent-Le", "close", i.Code.ABORTED),
-        (b"what is this?\r\n\r\n", "", i.Code.ABORTED),
-        (b"HTTP/1.1 200 OK\r\nContent-Length: 999999\r\n\r\n", "", i.Code.ABORTED),
-        (b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nxx", "", i.Code.ABORTED),
+        (OK, "", interface.Code.OK),
+        (b"HTTP/1.1 200 OK\r\n\r\nuntil the end", "close", interface.Code.OK),
+        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n", "", interface.Code.OK),
+        (b"HTTP/1.1 100 Continue\r\n\r\n" + OK, "", interface.Code.OK),
+        (write_response(500, []), "", interface.Code.INTERNAL),
+        (write_response(404, []), "", interface.Code.INTERNAL),
+        (write_response(503, NOT_RUN), "", interface.Code.RESOURCE_EXHAUSTED),
+        (write_response(504, NOT_RUN), "", interface.Code.RESOURCE_EXHAUSTED),
+        (write_response(503, []), "", interface.Code.INTERNAL),
+        (write_response(504, [(b"x-not-run", b"0")]), "", interface.Code.INTERNAL),
+        (write_response(500, NOT_RUN), "", interface.Code.INTERNAL),
+        (None, "close", interface.Code.ABORTED),
+        (None, "reset", interface.Code.ABORTED),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ncut", "close", interface.Code.ABORTED),
+        (b"HTTP/1.1 200 OK\r\n\r\nuntil a reset", "reset", interface.Code.ABORTED),
+        (b"HTTP/1.1 200 OK\r\nContent-Le", "close", interface.Code.ABORTED),
+        (b"what is this?\r\n\r\n", "", interface.Code.ABORTED),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 999999\r\n\r\n", "", interface.Code.ABORTED),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nxx", "", interface.Code.ABORTED),
     ],
 )
-def test_how_attempts_end(answer: bytes | None, then: str, code: i.Code) -> None:
+def test_each_ending_of_an_attempt_has_its_outcome_code(
+    answer: bytes | None, then: str, code: interface.Code
+) -> None:
     assert outcome_of(answer, then).code is code
 
 
-def test_a_refused_connection_never_ran() -> None:
+def test_a_refused_connection_is_reported_as_unavailable() -> None:
     async def test() -> None:
         async with StandIn() as worker:
             address = worker.address
-        module = Script(send_to(1), fail_when_over)
-        async with Rig(module, address) as rig:
+        policy = Script(send_to(1), fail_when_over)
+        async with Rig(policy, address) as rig:
             assert (await rig.ask(asking())).status == 502
-            assert [o.code for o in module.of(i.Outcome)] == [i.Code.UNAVAILABLE]
+            assert [o.code for o in policy.of(interface.Outcome)] == [interface.Code.UNAVAILABLE]
 
     run(test)
 
 
-def test_a_time_out_closes_the_connection_and_late_bytes_go_nowhere() -> None:
+def test_a_timeout_closes_the_connection_and_late_bytes_are_dropped() -> None:
     async def test() -> None:
-        module = Script(send_to(1, timeout=0.05), fail_when_over)
-        async with StandIn(silent) as worker, Rig(module, worker.address) as rig:
+        policy = Script(send_to(1, timeout=0.05), fail_when_over)
+        async with StandIn(silent) as worker, Rig(policy, worker.address) as rig:
             assert (await rig.ask(asking())).status == 502
-            assert [o.code for o in module.of(i.Outcome)] == [i.Code.DEADLINE_EXCEEDED]
+            assert [o.code for o in policy.of(interface.Outcome)] == [interface.Code.DEADLINE_EXCEEDED]
             await until(lambda: worker.talks[0].ended)
             worker.talks[0].write(OK)
             worker.answer = lambda talk, request: write_response(200, [], b"second")
@@ -303,86 +307,90 @@
     run(test)
 
 
-def test_the_first_whole_200_is_the_answer_and_the_other_attempt_is_cancelled() -> None:
+def test_the_first_complete_200_is_the_answer_and_the_other_attempt_is_cancelled() -> None:
     async def test() -> None:
-        def cancel_rest(e: i.Event) -> list[i.Action]:
-            return [i.Cancel(e.id, 1 - e.attempt)] if isinstance(e, i.Outcome) and e.no_more else []
+        def cancel_rest(e: interface.Event) -> list[interface.Action]:
+            return (
+                [interface.Cancel(e.id, 1 - e.attempt)]
+                if isinstance(e, interface.Outcome) and e.no_more
+                else []
+            )
 
-        module = Script(send_to(1, 2), cancel_rest)
-        async with StandIn(silent) as slow, StandIn() as fast, Rig(module, slow.address, fast.address) as rig:
+        policy = Script(send_to(1, 2), cancel_rest)
+        async with StandIn(silent) as slow, StandIn() as fast, Rig(policy, slow.address, fast.address) as rig:
             assert (await rig.ask(asking())).body == b"served"
-            await until(lambda: len(module.of(i.Outcome)) == 2)
-            codes = {o.attempt: (o.code, o.no_more) for o in module.of(i.Outcome)}
-            assert codes == {1: (i.Code.OK, True), 0: (i.Code.CANCELLED, True)}
+            await until(lambda: len(policy.of(interface.Outcome)) == 2)
+            codes = {o.attempt: (o.code, o.no_more) for o in policy.of(interface.Outcome)}
+            assert codes == {1: (interface.Code.OK, True), 0: (interface.Code.CANCELLED, True)}
             await until(lambda: slow.talks[0].ended)
             await until(lambda: not rig.gateway.calls)
 
     run(test)
 
 
-def test_a_second_200_after_the_answer_is_told_but_goes_nowhere() -> None:
+def test_a_second_200_is_reported_to_the_policy_but_not_sent_to_the_client() -> None:
     async def test() -> None:
-        module = Script(send_to(1, 2))  # cancels nothing
-        async with StandIn() as one, StandIn() as two, Rig(module, one.address, two.address) as rig:
+        policy = Script(send_to(1, 2))  # cancels nothing
+        async with StandIn() as one, StandIn() as two, Rig(policy, one.address, two.address) as rig:
             caller = await rig.caller()
             assert (await caller.ask(asking())).status == 200
-            await until(lambda: len(module.of(i.Outcome)) == 2)
-            assert [o.no_more for o in module.of(i.Outcome)] == [True, True]
+            await until(lambda: len(policy.of(interface.Outcome)) == 2)
+            assert [o.no_more for o in policy.of(interface.Outcome)] == [True, True]
             assert (await caller.ask(b"GET /healthz HTTP/1.1\r\n\r\n")).body == b""
 
     run(test)
 
 
-def test_a_client_gone_is_expired_once_and_its_attempts_still_end() -> None:
+def test_a_disconnected_client_expires_once_and_its_attempts_still_end() -> None:
     async def test() -> None:
-        def cancel(e: i.Event) -> list[i.Action]:
-            return [i.Cancel(e.id, 0)] if isinstance(e, i.Expired) else []
+        def cancel(e: interface.Event) -> list[interface.Action]:
+            return [interface.Cancel(e.id, 0)] if isinstance(e, interface.Expired) else []
 
-        module = Script(send_to(1), cancel)
-        async with StandIn(silent) as worker, Rig(module, worker.address) as rig:
+        policy = Script(send_to(1), cancel)
+        async with StandIn(silent) as worker, Rig(policy, worker.address) as rig:
             caller = await rig.caller()
             caller.write(asking())
             await until(lambda: worker.requests)
             caller.close()
-            await until(lambda: module.of(i.Outcome))
-            assert len(module.of(i.Expired)) == 1
-            (outcome,) = module.of(i.Outcome)
-            assert (outcome.code, outcome.no_more) == (i.Code.CANCELLED, True)
+            await until(lambda: policy.of(interface.Outcome))
+            assert len(policy.of(interface.Expired)) == 1
+            (outcome,) = policy.of(interface.Outcome)
+            assert (outcome.code, outcome.no_more) == (interface.Code.CANCELLED, True)
             await until(lambda: worker.talks[0].ended and not rig.gateway.calls)
 
     run(test)
 
 
-def test_the_deadline_ends_attempts_and_the_module_answers() -> None:
+def test_the_deadline_ends_attempts_and_the_policy_answers() -> None:
     async def test() -> None:
-        module = Script(send_to(1), fail_when_over)
-        async with StandIn(silent) as worker, Rig(module, worker.address) as rig:
+        policy = Script(send_to(1), fail_when_over)
+        async with StandIn(silent) as worker, Rig(policy, worker.address) as rig:
             assert (await rig.ask(asking(X_Deadline_Ms=b"80"))).status == 504
-            (outcome,) = module.of(i.Outcome)
-            assert (outcome.code, outcome.no_more) == (i.Code.DEADLINE_EXCEEDED, False)
-            assert not module.of(i.Expired)
+            (outcome,) = policy.of(interface.Outcome)
+            assert (outcome.code, outcome.no_more) == (interface.Code.DEADLINE_EXCEEDED, False)
+            assert not policy.of(interface.Expired)
             assert not rig.log.lines[1:]
 
     run(test)
 
 
 @pytest.mark.parametrize("attempts", [0, 1])
-def test_a_module_that_forgets_a_request_is_answered_for(attempts: int) -> None:
+def test_a_request_that_the_policy_forgets_is_answered_at_its_deadline(attempts: int) -> None:
     async def test() -> None:
-        module = Script(send_to(*[1] * attempts))
-        async with StandIn(silent) as worker, Rig(module, worker.address) as rig:
+        policy = Script(send_to(*[1] * attempts))
+        async with StandIn(silent) as worker, Rig(policy, worker.address) as rig:
             assert (await rig.ask(asking(X_Deadline_Ms=b"50"))).status == 504
-            assert len(module.of(i.Expired)) == 1
+            assert len(policy.of(interface.Expired)) == 1
             assert not rig.gateway.calls
             assert rig.gateway.faults == 1
 
     run(test)
 
 
-def test_a_request_whose_time_is_over_is_never_begun() -> None:
+def test_a_request_past_its_deadline_is_never_sent() -> None:
     async def test() -> None:
-        module = Script(send_to(1), fail_when_over)
-        async with StandIn() as worker, Rig(module, worker.address) as rig:
+        policy = Script(send_to(1), fail_when_over)
+        async with StandIn() as worker, Rig(policy, worker.address) as rig:
             turn = rig.gateway.turn
 
             def late() -> None:
@@ -391,59 +399,64 @@
 
             rig.gateway.turn = late  # type: ignore[method-assign]
             assert (await rig.ask(asking(X_Deadline_Ms=b"1"))).status in (502, 504)
-            assert [o.code for o in module.of(i.Outcome)] == [i.Code.TOO_LATE]
+            assert [o.code for o in policy.of(interface.Outcome)] == [interface.Code.TOO_LATE]
             assert not worker.talks
 
     run(test)
 
 
-def test_more_attempts_than_allowed_are_never_begun() -> None:
+def test_attempts_beyond_the_limit_are_never_sent() -> None:
     async def test() -> None:
-        module = Script(send_to(1, 1, 1, 1))
-        async with StandIn() as worker, Rig(module, worker.address) as rig:
+        policy = Script(send_to(1, 1, 1, 1))
+        async with StandIn() as worker, Rig(policy, worker.address) as rig:
             assert (await rig.ask(asking())).status == 200
-            await until(lambda: len(module.of(i.Outcome)) == 4)
-            assert [o.code for o in module.of(i.Outcome) if o.attempt == 3] == [i.Code.TOO_LATE]
+            await until(lambda: len(policy.of(interface.Outcome)) == 4)
+            assert [o.code for o in policy.of(interface.Outcome) if o.attempt == 3] == [
+                interface.Code.TOO_LATE
+            ]
 
     run(test)
 
 
-def test_a_worker_that_nobody_listed_gets_nothing() -> None:
+def test_nothing_is_sent_to_an_unlisted_worker() -> None:
     async def test() -> None:
-        module = Script(send_to(77), fail_when_over)
-        async with Rig(module, Address("127.0.0.1", 9)) as rig:
+        policy = Script(send_to(77), fail_when_over)
+        async with Rig(policy, Address("127.0.0.1", 9)) as rig:
             assert (await rig.ask(asking())).status == 502
-            assert [o.code for o in module.of(i.Outcome)] == [i.Code.UNAVAILABLE]
+            assert [o.code for o in policy.of(interface.Outcome)] == [interface.Code.UNAVAILABLE]
 
     run(test)
 
 
-def test_a_copy_sent_in_the_turn_that_brings_the_answer_gets_its_outcome() -> None:
-    """The module sends a copy and then hears of the answer, all in one turn: the copy is too late."""
+def test_an_attempt_sent_in_the_turn_of_the_answer_gets_its_outcome() -> None:
+    """The policy sends a second attempt and gets the answer in the same turn: the attempt is too late."""
 
     async def test() -> None:
-        module = Script(send_to(1))
-        async with StandIn() as worker, Rig(module, worker.address) as rig:
-            module.steps.append(lambda e: [i.Send(1, 1)] if isinstance(e, i.TimerDue) else [])
+        policy = Script(send_to(1))
+        async with StandIn() as worker, Rig(policy, worker.address) as rig:
+            policy.steps.append(lambda e: [interface.Send(1, 1)] if isinstance(e, interface.TimerDue) else [])
             gather = rig.gateway.gather
 
             def with_timer(item: object) -> None:
-                if type(item).__name__ == "AttemptEnded" and not module.of(i.TimerDue):
-                    gather(i.TimerDue(9))
+                if type(item).__name__ == "AttemptEnded" and not policy.of(interface.TimerDue):
+                    gather(interface.TimerDue(9))
                 gather(item)  # type: ignore[arg-type]
 
             rig.gateway.gather = with_timer  # type: ignore[method-assign]
             assert (await rig.ask(asking())).status == 200
-            await until(lambda: len(module.of(i.Outcome)) == 2)
-            assert [o.code for o in module.of(i.Outcome)] == [i.Code.OK, i.Code.TOO_LATE]
+            await until(lambda: len(policy.of(interface.Outcome)) == 2)
+            assert [o.code for o in policy.of(interface.Outcome)] == [
+                interface.Code.OK,
+                interface.Code.TOO_LATE,
+            ]
             await until(lambda: not rig.gateway.calls)
             assert len(worker.requests) == 1
 
     run(test)
 
 
-def broken(kind: type[i.Event]) -> Script:
-    def fault(e: i.Event) -> list[i.Action]:
+def broken(kind: type[interface.Event]) -> Script:
+    def fault(e: interface.Event) -> list[interface.Action]:
         if isinstance(e, kind):
             raise RuntimeError("a fault")
         return []
@@ -451,100 +464,110 @@
     return Script(send_to(1), fault)
 
 
-def test_a_fault_of_the_module_costs_one_request_a_refusal() -> None:
+def test_an_error_in_the_policy_rejects_only_one_request() -> None:
     async def test() -> None:
-        module = broken(i.Request)
-        async with StandIn() as worker, Rig(module, worker.address) as rig:
+        policy = broken(interface.Request)
+        async with StandIn() as worker, Rig(policy, worker.address) as rig:
             caller = await rig.caller()
             assert (await caller.ask(asking())).status == 429
-            module.steps[1:] = []
+            policy.steps[1:] = []
             assert (await caller.ask(asking())).status == 200
             assert [line["event"] for line in rig.log.lines] == ["started", "module_fault"]
 
     run(test)
 
 
-def test_a_fault_over_an_outcome_ends_its_request_at_once() -> None:
+def test_an_error_on_an_outcome_fails_the_request_at_once() -> None:
     async def test() -> None:
         answer = write_response(500, [])
         async with (
             StandIn(lambda talk, request: answer) as worker,
-            Rig(broken(i.Outcome), worker.address) as rig,
+            Rig(broken(interface.Outcome), worker.address) as rig,
         ):
             assert (await rig.ask(asking())).status == 502
 
     run(test)
 
 
-def test_a_fault_in_a_timer_leaves_it_ticking() -> None:
+def test_an_error_on_a_timer_keeps_the_timer_running() -> None:
     async def test() -> None:
-        module = broken(i.TimerDue)
-        module.steps.insert(0, lambda e: [i.SetTimer(0.01, 5)] if isinstance(e, i.ServerList) else [])
-        async with Rig(module, Address("127.0.0.1", 9)):
-            await until(lambda: len(module.of(i.TimerDue)) >= 3)
-            assert {e.label for e in module.of(i.TimerDue)} == {5}
+        policy = broken(interface.TimerDue)
+        policy.steps.insert(
+            0, lambda e: [interface.SetTimer(0.01, 5)] if isinstance(e, interface.ServerList) else []
+        )
+        async with Rig(policy, Address("127.0.0.1", 9)):
+            await until(lambda: len(policy.of(interface.TimerDue)) >= 3)
+            assert {e.label for e in policy.of(interface.TimerDue)} == {5}
 
     run(test)
 
 
-def test_nonsense_of_the_module_harms_nobody() -> None:
+def test_invalid_actions_of_the_policy_are_ignored() -> None:
     async def test() -> None:
-        unfit: Any = None  # what the types forbid may still come
-        odd: list[i.Action] = [
-            i.Tell(0, unfit),
-            i.Send(99, 1),
-            i.Cancel(99, 0),
-            i.Refuse(99),
-            i.Fail(99),
-            i.Probe(99),
-            i.Tell(5, b"x" * 300),
+        unfit: Any = None  # a value that the types forbid
+        odd: list[interface.Action] = [
+            interface.Tell(0, unfit),
+            interface.Send(99, 1),
+            interface.Cancel(99, 0),
+            interface.Refuse(99),
+            interface.Fail(99),
+            interface.Probe(99),
+            interface.Tell(5, b"x" * 300),
         ]
-        module = Script(lambda e: [*odd, i.Refuse(e.id), i.Fail(e.id)] if isinstance(e, i.Request) else [])
-        async with Rig(module, Address("127.0.0.1", 9)) as rig:
+        policy = Script(
+            lambda e: (
+                [*odd, interface.Refuse(e.id), interface.Fail(e.id)]
+                if isinstance(e, interface.Request)
+                else []
+            )
+        )
+        async with Rig(policy, Address("127.0.0.1", 9)) as rig:
             caller = await rig.caller()
             assert (await caller.ask(asking())).status == 429
             assert (await caller.ask(asking())).status == 429
-            await until(lambda: [p.code for p in module.of(i.ProbeResult)] == [i.Code.UNAVAILABLE] * 2)
+            await until(
+                lambda: [p.code for p in policy.of(interface.ProbeResult)] == [interface.Code.UNAVAILABLE] * 2
+            )
 
     run(test)
 
 
-def test_events_of_one_turn_share_one_time() -> None:
+def test_events_of_one_turn_have_the_same_time() -> None:
     async def test() -> None:
         times: list[float] = []
 
         class Timed(Script):
-            def handle(self, now: float, event: i.Event) -> list[i.Action]:
+            def handle(self, now: float, event: interface.Event) -> list[interface.Action]:
                 times.append(now)
                 return super().handle(now, event)
 
-        module = Timed(send_to(1))
-        async with Rig(module, Address("127.0.0.1", 9)) as rig:
+        policy = Timed(send_to(1))
+        async with Rig(policy, Address("127.0.0.1", 9)) as rig:
             await until(lambda: times)
             times.clear()
             for n in range(5):
-                rig.gateway.gather(i.TimerDue(n))
+                rig.gateway.gather(interface.TimerDue(n))
             await until(lambda: len(times) == 5)
             assert len(set(times)) == 1
 
     run(test)
 
 
-def test_probes_ask_for_health_on_a_new_connection() -> None:
+def test_probes_send_health_checks_on_a_new_connection() -> None:
     async def test() -> None:
-        module = Script(send_to(1))
-        async with StandIn() as worker, Rig(module, worker.address) as rig:
+        policy = Script(send_to(1))
+        async with StandIn() as worker, Rig(policy, worker.address) as rig:
             assert (await rig.ask(asking())).status == 200
-            rig.gateway.carry_out(0.0, i.Probe(1))
-            await until(lambda: module.of(i.ProbeResult))
-            assert [(p.server, p.code) for p in module.of(i.ProbeResult)] == [(1, i.Code.OK)]
+            rig.gateway.carry_out(0.0, interface.Probe(1))
+            await until(lambda: policy.of(interface.ProbeResult))
+            assert [(p.server, p.code) for p in policy.of(interface.ProbeResult)] == [(1, interface.Code.OK)]
             assert worker.requests[1].target == b"/healthz"
             assert len(worker.talks) == 2
 
     run(test)
 
 
-def test_health_says_whether_requests_can_be_decided() -> None:
+def test_the_health_check_fails_without_workers_and_during_shutdown() -> None:
     async def test() -> None:
         health = b"GET /healthz HTTP/1.1\r\n\r\n"
         async with Rig(Script()) as rig:  # no worker known yet
@@ -558,7 +581,7 @@
     run(test)
 
 
-def test_too_many_open_requests_are_turned_away() -> None:
+def test_too_many_requests_in_flight_are_rejected() -> None:
     async def test() -> None:
         transport = Transport(connect_timeout=1.0, conn_idle=60.0, max_open=1)
         async with (
@@ -573,7 +596,7 @@
     run(test)
 
 
-def test_a_client_that_waits_for_100_gets_it() -> None:
+def test_a_client_that_expects_100_continue_gets_it() -> None:
     async def test() -> None:
         async with StandIn() as worker, Rig(None, worker.address) as rig:
             caller = await rig.caller()
@@ -588,8 +611,8 @@
     run(test)
 
 
-def test_a_request_that_does_not_come_whole_in_time_is_ended(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The time runs from connecting, for later requests from their first byte: trickled bytes win none."""
+def test_an_incomplete_request_times_out(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Time counts from the connect, later from the first byte of a request; more bytes do not extend it."""
     monkeypatch.setattr(clients_module, "WHOLE_S", 0.3)
 
     async def test() -> None:
@@ -611,14 +634,14 @@
     run(test)
 
 
-def test_who_connects_and_says_nothing_or_nothing_more_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_idle_client_connections_are_closed(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(clients_module, "IDLE_S", 0.1)
 
     async def test() -> None:
         async with Rig(Script(), Address("127.0.0.1", 9)) as rig:
             silent, asked, busy = [await rig.caller() for _ in range(3)]
             assert (await asked.ask(HEALTH)).keep_alive
-            busy.write(asking())  # held by a module that says nothing
+            busy.write(asking())  # the policy never answers it
             await until(lambda: rig.gateway.by_client)
             assert await silent.ended()
             assert await asked.ended()
@@ -629,8 +652,8 @@
     run(test)
 
 
-def test_a_body_refused_by_its_length_is_dropped_within_bounds() -> None:
-    """The answer comes before the body is read; not more than some of the body ever is."""
+def test_a_body_rejected_by_its_length_is_read_only_up_to_a_bound() -> None:
+    """The answer is sent before the body is read, and only a bounded part of the body is ever read."""
 
     async def test() -> None:
         async with Rig(Script(), Address("127.0.0.1", 9)) as rig:
@@ -643,13 +666,13 @@
                     caller.write(b"x" * 100_000)
                     await asyncio.sleep(0)
             assert client.discarded <= clients_module.DISCARD + 64 * 1024
-            await until(lambda: not rig.listener.clients)  # its descriptor comes free all the same
+            await until(lambda: not rig.listener.clients)  # its descriptor is still released
 
     run(test)
 
 
-def test_unfinished_requests_fill_no_more_than_their_part_of_the_memory() -> None:
-    """Hundreds of bodies that never end, each within its bound, would add up past the limit."""
+def test_incomplete_requests_stay_within_their_share_of_the_memory() -> None:
+    """Hundreds of incomplete bodies, each within its bound, would together exceed the memory limit."""
 
     async def test() -> None:
         async with StandIn() as worker, Rig(None, worker.address) as rig:
@@ -671,7 +694,7 @@
     run(test)
 
 
-def test_what_a_gone_client_sent_ahead_is_nobodys() -> None:
+def test_pipelined_requests_of_a_disconnected_client_are_dropped() -> None:
     async def test() -> None:
         async with StandIn(silent) as worker, Rig(None, worker.address) as rig:
             caller = await rig.caller()
@@ -686,7 +709,7 @@
     run(test)
 
 
-def test_connection_cannot_take_the_id_or_the_key_away() -> None:
+def test_the_connection_header_cannot_remove_the_request_id_or_idempotency_key() -> None:
     async def test() -> None:
         async with StandIn() as worker, Rig(None, worker.address) as rig:
             more = b"Connection: X-Request-Id, idempotency-key, X-Mine\r\nX-Mine: 1\r\n"
@@ -699,19 +722,19 @@
     run(test)
 
 
-def test_no_request_is_held_for_longer_than_its_class_says() -> None:
+def test_no_request_waits_longer_than_the_deadline_of_its_class() -> None:
     async def test() -> None:
-        module = Script(lambda e: [i.Refuse(e.id)] if isinstance(e, i.Request) else [])
-        async with Rig(module, Address("127.0.0.1", 9)) as rig:
+        policy = Script(lambda e: [interface.Refuse(e.id)] if isinstance(e, interface.Request) else [])
+        async with Rig(policy, Address("127.0.0.1", 9)) as rig:
             before = rig.gateway.loop.time()
             assert (await rig.ask(asking(X_Deadline_Ms=b"999999999"))).status == 429
-            (asked,) = module.of(i.Request)
+            (asked,) = policy.of(interface.Request)
             assert asked.deadline <= before + DEADLINE + PATIENCE
 
     run(test)
 
 
-def test_a_client_that_half_closes_or_resets_leaves_nothing_behind() -> None:
+def test_clients_that_half_close_or_reset_leave_no_state() -> None:
     async def test() -> None:
         async with StandIn(silent) as worker, Rig(None, worker.address) as rig:
             for how in ("eof", "reset"):
@@ -727,7 +750,7 @@
     run(test)
 
 
-def test_everything_is_answered_once_under_many_requests_at_once() -> None:
+def test_many_concurrent_requests_are_each_answered_once() -> None:
     async def test() -> None:
         async def one(rig: Rig, n: int) -> int:
             with contextlib.suppress(ConnectionError):
--- a/tests/standalone/test_service.py
+++ b/tests/standalone/test_service.py
@@ -1,4 +1,4 @@
-"""The program as operators run it: configuration, log, peers, descriptors, and its end at SIGTERM."""
+"""The gateway process: configuration, log, peers, file descriptors, shutdown and reload."""
 
 import asyncio
 import contextlib
@@ -23,7 +23,7 @@
 from pewterring.standalone.network import clients as clients_module
 from pewterring.standalone.network.connection import Address, read_address
 from pewterring.standalone.network.peers import Peers
-from pewterring.standalone.policy import interface as i
+from pewterring.standalone.policy import interface
 from pewterring.standalone.proxy import service as service_module
 from pewterring.standalone.settings import FieldError, Fields, flatten, read_json, read_settings
 from tests.standalone.helpers import DEADLINE
@@ -73,14 +73,14 @@
     return path
 
 
-def test_nested_settings_are_read_as_pairs_are() -> None:
+def test_nested_settings_equal_settings_read_from_pairs() -> None:
     pairs = dict(flatten(SETTINGS))
     assert pairs["profiles.count"] == "2"
     assert pairs["zones"] == "a,b"
     assert pairs["policy_limits.cancel"] == "true"
     settings, transport = read_json(SETTINGS)
     assert settings == read_settings(Fields("init", pairs))
-    assert settings.classes["kept"].group is i.Group.CELL
+    assert settings.classes["kept"].group is interface.Group.CELL
     assert settings.classes["kept"].repeat_window == 4.0
     assert (settings.rules.tip_after, settings.limits.max_attempts, settings.mail_per_s) == (1.0, 3, 100.0)
     assert (transport.conn_idle, transport.connect_timeout, transport.max_open) == (15.0, 0.25, 20000)
@@ -117,7 +117,7 @@
         ({"peers": "127.0.0.1:1"}, "peers"),
     ],
 )
-def test_a_configuration_that_cannot_be_used_says_why(
+def test_an_invalid_configuration_is_rejected_with_the_reason(
     tmp_path: Path, changes: dict[str, object], word: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
     path = configured(tmp_path, **changes)
@@ -127,7 +127,7 @@
     assert word in capsys.readouterr().err
 
 
-def test_no_configuration_and_no_json(tmp_path: Path) -> None:
+def test_a_missing_configuration_and_invalid_json_are_rejected(tmp_path: Path) -> None:
     (tmp_path / "x").write_text("{")
     for path, env in ((None, {}), (str(tmp_path / "none"), {}), (str(tmp_path / "x"), {})):
         with pytest.raises(ConfigError):
@@ -151,7 +151,7 @@
             read_address(bad)
 
 
-def test_the_log_is_one_line_an_event_and_bounded() -> None:
+def test_the_log_has_one_line_per_event_and_a_bounded_rate() -> None:
     out, now = io.BytesIO(), [5.25]
     log = Log(out, lambda: now[0], per_s=3)
     for n in range(10):
@@ -164,7 +164,7 @@
     assert lines[3]["count"] == 7
 
 
-def test_a_log_that_nobody_reads_harms_nothing() -> None:
+def test_a_log_without_a_reader_raises_no_error() -> None:
     class Closed(io.BytesIO):
         def write(self, data: object) -> int:
             raise BrokenPipeError
@@ -179,7 +179,7 @@
     return one
 
 
-def test_datagrams_come_from_peers_only_and_go_out_short() -> None:
+def test_datagrams_are_accepted_from_peers_only_and_bounded_in_size() -> None:
     async def test() -> None:
         loop = asyncio.get_running_loop()
         with udp() as one, udp() as two, udp() as stranger:
@@ -212,7 +212,7 @@
     run(test)
 
 
-def test_all_are_told_at_the_address_for_all() -> None:
+def test_messages_to_all_peers_go_to_the_common_address() -> None:
     async def test() -> None:
         with udp() as everyone, udp() as one:
             peers = Peers(
@@ -228,19 +228,19 @@
     run(test)
 
 
-def held(talk: Talk, request: Request) -> None:
-    """Answers when the test says so."""
+def leave_unanswered(talk: Talk, request: Request) -> None:
+    """Never answers; the test writes the response itself."""
 
 
-def few(rig: Rig, all: int, hard: int, soft: int) -> None:
+def limit_descriptors(rig: Rig, all: int, hard: int, soft: int) -> None:
     budget = rig.service.descriptors
     budget.all, budget.hard, budget.soft = all, hard, soft
 
 
-def test_near_the_limit_connections_end_with_their_answers_and_idle_ones_go_last() -> None:
+def test_near_the_descriptor_limit_connections_close_after_their_answers_and_idle_ones_last() -> None:
     async def test() -> None:
         async with Rig(Script(), Address("127.0.0.1", 9)) as rig:
-            few(rig, 5, 3, 2)
+            limit_descriptors(rig, 5, 3, 2)
             idle = await rig.caller()
             assert (await idle.ask(HEALTH)).keep_alive
             for _ in range(3):
@@ -249,21 +249,21 @@
                 assert await other.ended()
             busy = [await rig.caller() for _ in range(3)]
             for caller in busy:
-                caller.write(asking())  # held by a module that says nothing
+                caller.write(asking())  # the policy never answers it
             assert await idle.ended()
 
     run(test)
 
 
-def test_who_only_holds_a_connection_gives_it_up_before_workers_connections_go(
+def test_idle_client_connections_are_closed_before_worker_connections(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Hundreds that say nothing made answers end their connections, and attempts open new ones."""
+    """Hundreds of idle clients caused connections to be closed after answers and reopened for attempts."""
     monkeypatch.setattr(clients_module, "RESTED_S", 0.0)
 
     async def test() -> None:
         async with StandIn() as worker, Rig(None, worker.address) as rig:
-            few(rig, 12, 10, 8)
+            limit_descriptors(rig, 12, 10, 8)
             caller = await rig.caller()
             assert (await caller.ask(asking())).status == 200
             silent = [await rig.caller() for _ in range(20)]
@@ -289,7 +289,7 @@
                 assert (await caller.ask(HEALTH)).status == 200
             os.write(
                 asking_now.writer.get_extra_info("socket").fileno(), HEALTH
-            )  # past the loop: nothing has read it yet
+            )  # sent directly: nothing has read it yet
             assert rig.listener.shed()
             assert (await asking_now.answer()).status == 200
             assert await idle.ended()
@@ -300,13 +300,16 @@
     run(test)
 
 
-def test_who_comes_when_descriptors_are_few_is_told_no_and_not_left_in_the_queue() -> None:
-    """A request is taken as soon as the system accepts its connection: unread it would be lost."""
+def test_clients_are_rejected_and_not_left_in_the_accept_queue_when_descriptors_run_out() -> None:
+    """Once the system accepts a connection, its request must be read: unread it would be lost."""
 
     async def test() -> None:
-        async with StandIn(held) as worker, Rig(Script(send_to(1)), worker.address, sockets=40) as rig:
+        async with (
+            StandIn(leave_unanswered) as worker,
+            Rig(Script(send_to(1)), worker.address, sockets=40) as rig,
+        ):
             rig.gateway.max_open = 2
-            few(rig, 6, 4, 3)
+            limit_descriptors(rig, 6, 4, 3)
             busy = [await rig.caller() for _ in range(2)]
             for caller in busy:
                 caller.write(asking())
@@ -321,10 +324,10 @@
     run(test)
 
 
-def test_clients_that_never_finish_their_requests_shut_nobody_out() -> None:
+def test_clients_with_incomplete_requests_do_not_block_others() -> None:
     async def test() -> None:
         async with StandIn() as worker, Rig(None, worker.address) as rig:
-            few(rig, 6, 4, 3)
+            limit_descriptors(rig, 6, 4, 3)
             slow = [await rig.caller() for _ in range(6)]
             for caller in slow:
                 caller.write(asking()[:-3])
@@ -335,12 +338,12 @@
     run(test)
 
 
-def test_accepting_goes_on_when_a_descriptor_comes_free() -> None:
+def test_accepting_resumes_when_a_descriptor_is_free() -> None:
     async def test() -> None:
         async with Rig(Script(), Address("127.0.0.1", 9)) as rig:
-            few(rig, 1, 1, 1)
+            limit_descriptors(rig, 1, 1, 1)
             first = await rig.caller()
-            first.write(asking())  # held by a module that says nothing
+            first.write(asking())  # the policy never answers it
             await until(lambda: rig.gateway.by_client)
             waiting = await rig.caller()
             waiting.write(HEALTH)
@@ -351,7 +354,7 @@
     run(test)
 
 
-def test_no_more_requests_are_held_than_have_descriptors_on_both_sides() -> None:
+def test_requests_in_flight_are_bounded_by_descriptors_on_both_sides() -> None:
     async def test() -> None:
         async with Rig(Script(), Address("127.0.0.1", 9), sockets=60) as rig:
             budget = rig.service.descriptors
@@ -367,7 +370,7 @@
             real, tries = rig.listener.socket, []
 
             class Short:
-                """A listening socket for which there is no descriptor the first times."""
+                """A listening socket whose first accept() calls fail for lack of descriptors."""
 
                 def accept(self) -> tuple[socket.socket, Any]:
                     tries.append(1)
@@ -392,14 +395,14 @@
     run(test)
 
 
-def test_at_a_stop_all_is_answered_and_new_connections_are_still_served(
+def test_during_shutdown_all_requests_are_answered_and_new_connections_served(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(service_module, "LONGEST_S", 0.2)  # while somebody is connected it ends no sooner
+    monkeypatch.setattr(service_module, "LONGEST_S", 0.2)  # with a client connected it does not end earlier
     monkeypatch.setattr(service_module, "KILL_S", 10.0)
 
     async def test() -> None:
-        async with StandIn(held) as worker, Rig(Script(send_to(1)), worker.address) as rig:
+        async with StandIn(leave_unanswered) as worker, Rig(Script(send_to(1)), worker.address) as rig:
             idle, busy = await rig.caller(), await rig.caller()
             assert (await idle.ask(HEALTH)).keep_alive
             busy.write(asking())
@@ -411,7 +414,7 @@
             idle.write(asking())
             await until(lambda: len(worker.requests) == 3)
             assert not end.done()
-            await until(lambda: rig.listener.socket is None)  # the door is closed, all is still held
+            await until(lambda: rig.listener.socket is None)  # all requests are still in flight
             with pytest.raises(ConnectionError):
                 await rig.caller()
             for talk in worker.talks:
@@ -427,7 +430,7 @@
     run(test)
 
 
-def test_sigterm_ends_the_program_in_good_order(tmp_path: Path) -> None:
+def test_sigterm_shuts_the_process_down_gracefully(tmp_path: Path) -> None:
     async def test() -> None:
         async with StandIn() as worker:
             known = json.loads(as_json(1, True, entry("s", worker.address)))
@@ -460,9 +463,9 @@
     run(test)
 
 
-def test_what_is_taken_at_a_stop_is_answered_before_a_kill_may_come() -> None:
+def test_requests_accepted_during_shutdown_are_answered_before_a_possible_kill() -> None:
     async def test() -> None:
-        async with StandIn(held) as worker, Rig(Script(send_to(1)), worker.address) as rig:
+        async with StandIn(leave_unanswered) as worker, Rig(Script(send_to(1)), worker.address) as rig:
             rig.gateway.ends_at = rig.gateway.loop.time() + 0.1
             response = await rig.ask(asking(X_Deadline_Ms=b"4000"))
             assert response.status == 504
@@ -471,8 +474,8 @@
     run(test)
 
 
-def test_under_traffic_a_stop_loses_nothing(tmp_path: Path) -> None:
-    """Clients go on asking on the connections they have, and for a while on new ones."""
+def test_shutdown_under_traffic_loses_no_request(tmp_path: Path) -> None:
+    """Clients keep sending requests on open connections, and for a while on new ones."""
 
     async def test() -> None:
         def slowly(talk: Talk, request: Request) -> None:
@@ -519,7 +522,7 @@
     run(test)
 
 
-def test_an_address_that_is_taken_is_said(tmp_path: Path) -> None:
+def test_a_listen_address_in_use_is_reported(tmp_path: Path) -> None:
     with socket.socket() as taken:
         taken.bind(("127.0.0.1", 0))
         taken.listen()
@@ -531,19 +534,19 @@
 
 
 class Lists(StandIn):
-    """Discovery at one address: the whole list at once, watches held until the test ends."""
+    """Discovery at one address: sends the full list at once, leaves watches open until the test ends."""
 
     def __init__(self, version: int, *hosts: tuple[str, Address]) -> None:
         whole = write_response(200, [], as_json(version, True, *(entry(*host) for host in hosts)))
         super().__init__(lambda talk, request: None if b"index" in request.target else whole)
 
 
-def test_sighup_moves_discovery_at_once_and_drops_nothing(tmp_path: Path) -> None:
-    """The program that knows no SIGHUP ends by it, with all that it holds."""
+def test_sighup_changes_the_discovery_address_at_once_and_drops_no_request(tmp_path: Path) -> None:
+    """Without a handler SIGHUP would end the process with all requests in flight."""
 
     async def test() -> None:
         async with (
-            StandIn(held) as old, StandIn() as new, Lists(9, ("s-1", old.address)) as first,
+            StandIn(leave_unanswered) as old, StandIn() as new, Lists(9, ("s-1", old.address)) as first,
             Lists(3, ("s-2", new.address)) as second,
         ):  # fmt: skip
             path = configured(tmp_path, discovery=str(first.address))
@@ -559,14 +562,14 @@
                 return dict(line)
 
             address = read_address((await logged("started"))["listen"])
-            await until(lambda: len(first.requests) == 2)  # the whole list, then a watch
+            await until(lambda: len(first.requests) == 2)  # the full list, then a watch
             holding = await Caller.to(address)
             holding.write(asking())
             await until(lambda: old.requests)
             configured(tmp_path, discovery=str(second.address), peers=["127.0.0.1:9"])
             process.send_signal(signal.SIGHUP)
             line = await logged("reloaded")
-            assert (line["changed"], line["needs_restart"]) == (["discovery"], ["peers"])  # it has no socket
+            assert (line["changed"], line["needs_restart"]) == (["discovery"], ["peers"])  # no peer socket
             await until(lambda: len(second.requests) == 2)
             assert [b"index" in request.target for request in second.requests] == [False, True]
             await until(lambda: all(talk.ended for talk in first.talks))
@@ -580,7 +583,7 @@
             assert "JSON" in (await logged("reload_failed"))["why"]
             assert (await caller.ask(asking())).status == 200
             process.send_signal(signal.SIGTERM)
-            process.send_signal(signal.SIGHUP)  # the two may meet
+            process.send_signal(signal.SIGHUP)  # may coincide with the reload before
             assert (await logged("stopped"))["served"] == 3
             assert await process.wait() == 0
             assert len(first.requests) == 2
@@ -588,7 +591,7 @@
     run(test)
 
 
-def test_a_reload_before_the_start_is_the_start_s_own_file(tmp_path: Path) -> None:
+def test_a_reload_before_the_start_determines_the_configuration_of_the_start(tmp_path: Path) -> None:
     async def test() -> None:
         async with StandIn() as worker, Lists(1, ("s-1", worker.address)) as lists:
             config = load(str(configured(tmp_path)), {})
@@ -599,7 +602,7 @@
             await service.start()
             await until(lambda: service.gateway.ready)
             service.close()
-            service.reload()  # after the end it begins nothing
+            service.reload()  # after the end it starts nothing
             assert service.discovery is not None
             assert service.discovery.closed
 
