--- a/pewterring/standalone/proxy/gateway.py
+++ b/pewterring/standalone/proxy/gateway.py
@@ -33,7 +33,7 @@
 T = TypeVar("T")
 R = TypeVar("R")
 HEALTH_PATH = b"/healthz"
-CONFLICT, REFUSED, FAILED, OVERDUE = 409, 429, 502, 504
+CONFLICT, TOO_MANY_REQUESTS, BAD_GATEWAY, GATEWAY_TIMEOUT = 409, 429, 502, 504
 
 
 class Policy(Protocol):
@@ -65,7 +65,7 @@
         # Recently used X-Request-Id values, in two generations that each cover the longest deadline. A
         # repeated id belongs to a request in flight or just answered, which must not reach the workers twice.
         self.recent: tuple[set[bytes], set[bytes]] = (set(), set())
-        self.turned_over = loop.time()
+        self.generations_rotated_at = loop.time()
         self.inbox: list[Item] = []
         self.ended_calls: list[Call] = []  # calls that may be removed at the end of this turn
         self.turn_scheduled = False
@@ -98,7 +98,9 @@
             return client.answer(status, [], b"", request.method == b"HEAD")
         try:
             now = self.asked_at = self.loop.time()
-            asked, client_request_id = read_request(request, self.settings, now, next(self.ids), self.ends_at)
+            policy_request, client_request_id = read_request(
+                request, self.settings, now, next(self.ids), self.ends_at
+            )
         except Malformed as fault:
             self.unusable += 1
             return client.turn_away(fault.status, f"{fault}\n")
@@ -108,16 +110,16 @@
         self.taken += 1
         if len(self.by_client) >= self.max_open:
             self.refused += 1
-            return client.answer(REFUSED, [], b"")
-        call = Call(asked, request, client, self.settings.classes[asked.cls])
-        self.calls[asked.id] = self.by_client[client] = call
-        call.timer = self.loop.call_at(asked.deadline, self.gather, DeadlineReached(call))
+            return client.answer(TOO_MANY_REQUESTS, [], b"")
+        call = Call(policy_request, request, client, self.settings.classes[policy_request.cls])
+        self.calls[policy_request.id] = self.by_client[client] = call
+        call.timer = self.loop.call_at(policy_request.deadline, self.gather, DeadlineReached(call))
         self.gather(RequestArrived(call))
 
     def is_known(self, client_request_id: bytes) -> bool:
         """Returns whether the id was used recently; if it was not, records it."""
-        if (now := self.loop.time()) - self.turned_over > self.patience:
-            self.recent, self.turned_over = (set(), self.recent[0]), now
+        if (now := self.loop.time()) - self.generations_rotated_at > self.patience:
+            self.recent, self.generations_rotated_at = (set(), self.recent[0]), now
         current, previous = self.recent
         if client_request_id in current or client_request_id in previous:
             return True
@@ -266,7 +268,7 @@
                 if (call := self.calls.get(id)) and not call.finished:
                     self.refused += 1
                     advice = [(b"retry-after", b"%.3f" % after)] if after > 0 else []
-                    self.answer(call, REFUSED, advice, b"")
+                    self.answer(call, TOO_MANY_REQUESTS, advice, b"")
             case interface.Fail(id):
                 if (call := self.calls.get(id)) and not call.finished:
                     self.fail(call, now)
@@ -299,15 +301,15 @@
             self.gather(AttemptEnded(attempt, ending, response))
 
         target = self.directory.targets.get(server)
-        left = call.request.deadline - now
-        if call.finished or left <= 0 or len(call.attempts) > self.settings.limits.max_attempts:
+        remaining_s = call.request.deadline - now
+        if call.finished or remaining_s <= 0 or len(call.attempts) > self.settings.limits.max_attempts:
             return done(Ending.TOO_LATE, None)
         if target is None:
             return done(Ending.UNKNOWN, None)
-        if 0 < timeout < left:
-            left = timeout
+        if 0 < timeout < remaining_s:
+            remaining_s = timeout
         try:
-            data = for_worker(call.http, left)
+            data = for_worker(call.http, remaining_s)
             head, within = call.http.method == b"HEAD", self.start_within(call, now)
             exchange = self.pool.start(target, data, done, head, within=within)
         except Exception:
@@ -353,7 +355,7 @@
 
     def fail(self, call: Call, now: float) -> None:
         self.failed += 1
-        self.answer(call, OVERDUE if now >= call.request.deadline else FAILED, [], b"")
+        self.answer(call, GATEWAY_TIMEOUT if now >= call.request.deadline else BAD_GATEWAY, [], b"")
 
     def finish(self, call: Call) -> None:
         call.finished = True
--- a/pewterring/standalone/proxy/switch.py
+++ b/pewterring/standalone/proxy/switch.py
@@ -1,7 +1,7 @@
 """Applies new settings to a running policy and keeps its requests and learned state.
 
 A second policy is built from the new settings, and the values that it derived from them are copied to the
-running one. FOLLOWS lists the values that depend on settings alone.
+running one. DERIVED_ATTRIBUTES lists the values that depend on settings alone.
 """
 
 from collections.abc import Iterable
@@ -10,7 +10,7 @@
 from pewterring.standalone.policy.decisions import CustomerAccount, GatewayPolicy
 
 # By component of the policy ("" is the policy itself): attributes derived from the settings alone.
-FOLLOWS = {
+DERIVED_ATTRIBUTES = {
     "ceiling": ("update_samples", "step"),
     "shares": ("fleet", "sparse", "lease"),
     "pool": ("settings", "unseen", "sparse", "weight", "decay_s"),
@@ -22,8 +22,8 @@
 def renew(policy: GatewayPolicy, now: float, settings: interface.Settings) -> None:
     """Must be called between two events. Requests in flight keep the class and plan they arrived with."""
     new = GatewayPolicy(settings, 0)
-    for component, names in FOLLOWS.items():
-        follow(
+    for component, names in DERIVED_ATTRIBUTES.items():
+        copy_attributes(
             getattr(policy, component) if component else policy,
             getattr(new, component) if component else new,
             names,
@@ -34,7 +34,7 @@
         plan = settings.plans.get(account.plan.name)
         if plan and plan != account.plan:
             account.advance(now)
-            follow(
+            copy_attributes(
                 account,
                 CustomerAccount(now, plan, account.size, account.first, account.owner),
                 ("plan", "window", "idle_s"),
@@ -47,6 +47,6 @@
     policy.handle(now, interface.ServerList(interface.ListForm.CHANGES))
 
 
-def follow(old: object, new: object, names: Iterable[str]) -> None:
+def copy_attributes(target: object, source: object, names: Iterable[str]) -> None:
     for name in names:
-        setattr(old, name, getattr(new, name))
+        setattr(target, name, getattr(source, name))
--- a/pewterring/standalone/proxy/tally.py
+++ b/pewterring/standalone/proxy/tally.py
@@ -23,7 +23,7 @@
 
     def handle(self, now: float, event: interface.Event) -> list[interface.Action]:
         if now - self.since >= self.period:
-            self.line(now)
+            self.log_counts(now)
         counts = self.counts
         match event:
             case interface.Request(is_retry=again):
@@ -43,7 +43,7 @@
             match action:
                 case interface.Send(server=server):
                     counts["sent"] += 1
-                    counts["sent_cold"] += self.cold(server, now)
+                    counts["sent_cold"] += self.is_warming_up(server, now)
                     counts["sent_further"] += not isinstance(event, interface.Request)
                 case interface.Refuse(why=why):
                     counts[f"refused_{why or 'unsaid'}"] += 1
@@ -56,13 +56,13 @@
                     counts["probed"] += 1
         return actions
 
-    def cold(self, server: int, now: float) -> bool:
+    def is_warming_up(self, server: int, now: float) -> bool:
         policy = self.policy
         if not isinstance(policy, GatewayPolicy) or (node := policy.pool.servers.get(server)) is None:
             return False
         return policy.pool.warmth(node, now) < 1.0
 
-    def line(self, now: float) -> None:
+    def log_counts(self, now: float) -> None:
         if self.since > -math.inf:
             self.log("tally", **{name: n for name, n in self.counts.items() if n}, **self.state(now))
         self.since, self.latency_sum = now, 0.0
--- a/tests/standalone/test_gateway.py
+++ b/tests/standalone/test_gateway.py
@@ -158,7 +158,7 @@
             assert not gateway.is_known(b"7")
             assert gateway.is_known(b"7")
             for _ in range(2):
-                gateway.turned_over -= gateway.patience
+                gateway.generations_rotated_at -= gateway.patience
                 gateway.is_known(b"8")
             assert not gateway.is_known(b"7")
             assert sum(map(len, gateway.recent)) == 2
--- a/tests/standalone/test_switch.py
+++ b/tests/standalone/test_switch.py
@@ -15,7 +15,7 @@
 from pewterring.standalone.policy import interface
 from pewterring.standalone.policy.decisions import TICK, GatewayPolicy
 from pewterring.standalone.proxy.service import Service
-from pewterring.standalone.proxy.switch import FOLLOWS, renew
+from pewterring.standalone.proxy.switch import DERIVED_ATTRIBUTES, renew
 from tests.standalone.helpers import CLASSES, PLANS, PolicyDriver, sends, settings
 from tests.standalone.stand_ins import OK, Caller, Quiet, StandIn, Talk, asking, entry, listing, run, until
 from tests.standalone.test_service import SETTINGS, configured
@@ -50,7 +50,7 @@
 def derived_values(policy: GatewayPolicy) -> dict[str, object]:
     return {
         f"{component}.{name}": getattr(getattr(policy, component) if component else policy, name)
-        for component, names in FOLLOWS.items()
+        for component, names in DERIVED_ATTRIBUTES.items()
         for name in names
     }
 
