--- a/pewterring/__main__.py
+++ b/pewterring/__main__.py
@@ -1,4 +1,4 @@
-"""python -m pewterring: calls the command line."""
+"""Entry point of `python -m pewterring`."""
 
 import sys
 
@@ -9,25 +9,33 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    given = sys.argv[1:] if argv is None else argv
-    # A gatekeeper's own start goes without the command line's library: time and memory (docs/lab.md).
-    if given[:1] == ["serve"] and len(given) <= 2 and not given[-1].startswith("-"):
+    arguments_given = sys.argv[1:] if argv is None else argv
+    # A gatekeeper starts without importing argparse, to save start-up time and memory (docs/lab.md).
+    if (
+        arguments_given[:1] == ["serve"]
+        and len(arguments_given) <= 2
+        and not arguments_given[-1].startswith("-")
+    ):
         try:
-            return serve(given[1] if len(given) > 1 else None)
+            return serve(arguments_given[1] if len(arguments_given) > 1 else None)
         except ConfigError as error:
             print(f"pewterring: {error}", file=sys.stderr)
             return 2
-    if given[:1] and given[0] in TIER_PROGRAMS and (settings := settings_of(given[1:])) is not None:
+    if (
+        arguments_given[:1]
+        and arguments_given[0] in TIER_PROGRAMS
+        and (settings := parse_settings_argument(arguments_given[1:])) is not None
+    ):
         from pewterring.cli.tier import run_program
 
-        return run_program(given[0], settings or None)
+        return run_program(arguments_given[0], settings or None)
     from pewterring.cli.main import main as command_line
 
-    return command_line(given)
+    return command_line(arguments_given)
 
 
-def settings_of(arguments: list[str]) -> str | None:
-    """The settings file that a program is called with, "" without one; None for other arguments."""
+def parse_settings_argument(arguments: list[str]) -> str | None:
+    """Returns the path after `--settings`, "" without arguments, or None for any other arguments."""
     if not arguments:
         return ""
     if len(arguments) == 2 and arguments[0] == "--settings" and not arguments[1].startswith("-"):
--- a/pewterring/cli/__init__.py
+++ b/pewterring/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The command line: sub-commands on argparse.
+"""The command line: sub-commands built on argparse.
 
-`serve` and the tier's programs do not come this way (see `__main__`).
+`__main__` starts `serve` and the programs of the serving tier directly, without argparse.
 """
--- a/pewterring/cli/cluster.py
+++ b/pewterring/cli/cluster.py
@@ -1,4 +1,4 @@
-"""`pewterring cluster`: asks a running tier how it is, and sends it configurations and patches."""
+"""`pewterring cluster`: shows the status of a running tier, and sends it configurations and patches."""
 
 import argparse
 import json
@@ -21,27 +21,31 @@
 from pewterring.node.address import parse_address
 from pewterring.node.errors import SettingsError
 
-TIMEOUT_S = 3.0
+REQUEST_TIMEOUT_S = 3.0
 NOT_FOUND = 404
 
 
 def configure(parser: argparse.ArgumentParser) -> None:
-    """Adds the commands to the parser."""
+    """Adds the sub-commands of `cluster` to its parser."""
     commands = add_subcommands(parser)
-    about = "configuration, processes, workers and batch partitions, as the control group has them committed"
+    about = "show the committed configuration, processes, workers and batch partitions"
     status = commands.add_parser("status", help=about, description=about)
     _add_control(status)
     status.add_argument("--json", action="store_true", help="print JSON instead of a table")
     status.set_defaults(run=_status)
-    about = "sends a whole configuration, or a patch of named items, on top of the version that is in force"
+    about = "send a complete configuration, or a patch of named items, based on the current version"
     configure = commands.add_parser("configure", help=about, description=about)
-    configure.add_argument("file", metavar="FILE", help="JSON as operators send it")
+    configure.add_argument("file", metavar="FILE", help="JSON file with the configuration or patch")
     configure.add_argument(
-        "--base-version", type=int, required=True, metavar="N", help="the version it builds on; 0: the first"
+        "--base-version",
+        type=int,
+        required=True,
+        metavar="N",
+        help="the version it is based on; 0 if there is none yet",
     )
     _add_control(configure)
     configure.set_defaults(run=_configure)
-    about = "has one control machine go on alone after a majority of them has lost its disks"
+    about = "continue with one control machine after a majority of them has lost its disks"
     recover.configure(commands.add_parser("recover", help=about, description=about))
 
 
@@ -49,54 +53,58 @@
     parser.add_argument(
         "--control", required=True, metavar="IP:PORT", help="listen_addrs.control of any control machine"
     )
-    parser.add_argument("--timeout-s", type=float, default=TIMEOUT_S, metavar="S", help="seconds to wait")
+    parser.add_argument(
+        "--timeout-s", type=float, default=REQUEST_TIMEOUT_S, metavar="S", help="seconds to wait"
+    )
 
 
-def _address(given: argparse.Namespace) -> str:
+def _control_address(arguments: argparse.Namespace) -> str:
     try:
-        return str(parse_address("--control", given.control))
+        return str(parse_address("--control", arguments.control))
     except SettingsError as error:
         raise UsageError(str(error)) from error
 
 
-def _configure(given: argparse.Namespace) -> None:
-    """Sends an order once: after no clear answer the same command may be given again, to any machine."""
+def _configure(arguments: argparse.Namespace) -> None:
+    """Sends the file once. After an unclear response the command may be repeated, on any control machine."""
     try:
-        body = Path(given.file).read_bytes()
+        body = Path(arguments.file).read_bytes()
     except OSError as error:
-        raise UsageError(f"{given.file}: {error.strerror}") from error
+        raise UsageError(f"{arguments.file}: {error.strerror}") from error
     for problem in document_errors(body):
-        raise UsageError(f"{given.file}: {problem}")
+        raise UsageError(f"{arguments.file}: {problem}")
     path = UPDATE_PATH if is_patch(orjson.loads(body)) else REPLACE_PATH
-    headers = {"Base-Version": str(given.base_version), "Content-Type": "application/json"}
-    order = urllib.request.Request(f"http://{_address(given)}{path}", body, headers)
-    code, answer = _send(order, given.timeout_s)
+    headers = {"Base-Version": str(arguments.base_version), "Content-Type": "application/json"}
+    request = urllib.request.Request(f"http://{_control_address(arguments)}{path}", body, headers)
+    code, response = _send(request, arguments.timeout_s)
     if code != 200:
-        raise CommandError(f"{given.control} answered {code}: {answer.decode('utf-8', 'replace')}")
+        raise CommandError(
+            f"{arguments.control} responded with status {code}: {response.decode('utf-8', 'replace')}"
+        )
     print("taken")
 
 
-def _status(given: argparse.Namespace) -> None:
-    address = _address(given)
-    code, body = _get(address, STATUS_PATH, given.timeout_s)
-    if code == NOT_FOUND:  # a control of an earlier version
-        print(_configuration_line(address, given.timeout_s))
+def _status(arguments: argparse.Namespace) -> None:
+    address = _control_address(arguments)
+    code, body = _get(address, STATUS_PATH, arguments.timeout_s)
+    if code == NOT_FOUND:  # this control machine runs an earlier version
+        print(_configuration_summary(address, arguments.timeout_s))
         return
     if code != 200:
-        raise CommandError(f"{address} answered {code}: {body.decode('utf-8', 'replace')}")
+        raise CommandError(f"{address} responded with status {code}: {body.decode('utf-8', 'replace')}")
     try:
         status = msgspec.json.decode(body, type=TierStatus)
     except msgspec.DecodeError as error:
-        raise CommandError(f"{address} answered what is no status: {error}") from error
-    print(json.dumps(msgspec.to_builtins(status)) if given.json else "\n".join(table(status)))
+        raise CommandError(f"{address} sent an invalid status: {error}") from error
+    print(json.dumps(msgspec.to_builtins(status)) if arguments.json else "\n".join(table(status)))
 
 
 def table(status: TierStatus) -> list[str]:
-    """The lines that are printed."""
+    """Returns the status as lines of text."""
     lines = [f"configuration  version {status.version}" if status.version else "configuration  none yet"]
     programs = Counter(node.program for node in status.nodes)
-    counted = ", ".join(f"{count} {name}" for name, count in sorted(programs.items()))
-    lines.append(f"processes      {counted or 'none'}")
+    counts_text = ", ".join(f"{count} {name}" for name, count in sorted(programs.items()))
+    lines.append(f"processes      {counts_text or 'none'}")
     for node in sorted(status.nodes, key=lambda node: (node.program, node.node_id)):
         retiring = "  retiring" if node.decommissioning else ""
         lines.append(f"  {node.program:<9}{node.node_id:<28}{node.ip:<16}{node.zone}{retiring}")
@@ -105,20 +113,23 @@
         slots = f"{worker.capacity} slots"
         lines.append(f"  {worker.service:<16}{worker.id:<20}{worker.address:<22}{worker.state:<10}{slots}")
     lines.append(f"partitions     {len(status.placements)}")
-    lines += [f"  {place.group:<16}first voters {', '.join(place.voters)}" for place in status.placements]
+    lines += [
+        f"  {placement.group:<16}first voters {', '.join(placement.voters)}"
+        for placement in status.placements
+    ]
     for retirement in status.decommissionings:
         lines.append(f"retirement     {retirement.node_id}: {'ended' if retirement.ended else 'running'}")
     return lines
 
 
-def _configuration_line(address: str, timeout_s: float) -> str:
+def _configuration_summary(address: str, timeout_s: float) -> str:
     code, body = _get(address, READ_PATH, timeout_s)
     if code == NOT_FOUND:
         return "configuration  none yet"
     if code != 200:
-        raise CommandError(f"{address} answered {code}")
+        raise CommandError(f"{address} responded with status {code}")
     document: Any = json.loads(body)
-    return f"configuration  version {document.get('version')}; this control tells no more"
+    return f"configuration  version {document.get('version')}; this control machine reports nothing else"
 
 
 def _get(address: str, path: str, timeout_s: float) -> tuple[int, bytes]:
@@ -127,8 +138,8 @@
 
 def _send(request: urllib.request.Request, timeout_s: float) -> tuple[int, bytes]:
     try:
-        with urllib.request.urlopen(request, timeout=timeout_s) as answer:
-            return answer.status, answer.read()
+        with urllib.request.urlopen(request, timeout=timeout_s) as response:
+            return response.status, response.read()
     except urllib.error.HTTPError as error:
         return error.code, error.read()
     except OSError as error:
--- a/pewterring/cli/config.py
+++ b/pewterring/cli/config.py
@@ -1,4 +1,4 @@
-"""`pewterring config`: checks and shows settings and configurations, and prints their schemas."""
+"""`pewterring config`: checks and shows settings files and configurations, and prints their schemas."""
 
 import argparse
 import os
@@ -21,7 +21,7 @@
 
 GATEKEEPER, SETTINGS, CONFIGURATION = KINDS = ("gatekeeper", "settings", "configuration")
 ABOUT = f"""\
-Three kinds of files, told apart by what is in them:
+There are three kinds of files, distinguished by their content:
   settings       a process of the serving tier: lines of a.b=value ({SETTINGS_VARIABLE} names it by default)
   configuration  routes and services of the serving tier, as operators send them: JSON with "routes",
                  or a patch of them: JSON with "upsert" or "delete"
@@ -30,37 +30,42 @@
 
 
 def configure(parser: argparse.ArgumentParser) -> None:
-    """Adds the commands to the parser."""
+    """Adds the sub-commands of `config` to its parser."""
     parser.description = ABOUT
     commands = add_subcommands(parser)
-    check = commands.add_parser("check", help="refuse what cannot be used, and keys that look like slips")
+    check = commands.add_parser("check", help="report errors, and keys that look misspelled")
     _add_path(check)
     check.add_argument(
-        "--program", choices=sorted(REQUIRED_BY), default="", help="settings: also what it needs"
+        "--program",
+        choices=sorted(REQUIRED_BY),
+        default="",
+        help="for settings: also check the keys that this program requires",
     )
     check.set_defaults(run=_check)
-    show = commands.add_parser("show", help="each value in force, and what gave it")
+    show = commands.add_parser("show", help="show each effective value and its origin")
     _add_path(show)
     show.add_argument("--json", action="store_true", help="print JSON instead of a table")
     show.set_defaults(run=_show)
-    schema = commands.add_parser("schema", help="print the JSON Schema of one kind of files")
-    schema.add_argument("--kind", choices=KINDS, default=GATEKEEPER, help="which files")
+    schema = commands.add_parser("schema", help="print the JSON Schema of one kind of file")
+    schema.add_argument("--kind", choices=KINDS, default=GATEKEEPER, help="kind of file")
     schema.set_defaults(run=_schema)
 
 
 def _add_path(parser: argparse.ArgumentParser) -> None:
     parser.add_argument("path", nargs="?", metavar="FILE")
-    parser.add_argument("--kind", choices=KINDS, default="", help="instead of what the content says")
+    parser.add_argument(
+        "--kind", choices=KINDS, default="", help="kind of file; detected from the content if omitted"
+    )
 
 
-def kind_of(given: str | None) -> str:
-    """The kind of a file by its content; without a file, by the variable that names one."""
-    if given is None:
+def detect_kind(path: str | None) -> str:
+    """Detects the kind of a file from its content, or without a path from the environment."""
+    if path is None:
         return SETTINGS if os.environ.get(SETTINGS_VARIABLE) and not os.environ.get(CONFIG) else GATEKEEPER
     try:
-        content = Path(given).read_bytes()
+        content = Path(path).read_bytes()
     except OSError:
-        return GATEKEEPER  # whose reader says what is wrong with the file
+        return GATEKEEPER  # the check of this kind reports why the file cannot be read
     if not content.lstrip().startswith((b"{", b"[")):
         return SETTINGS if b"=" in content else GATEKEEPER
     try:
@@ -72,8 +77,8 @@
     return GATEKEEPER
 
 
-def _check(given: argparse.Namespace) -> int:
-    findings = _findings(given)
+def _check(arguments: argparse.Namespace) -> int:
+    findings = _findings(arguments)
     for problem in findings.problems:
         print(f"pewterring: {findings.path}: {problem}", file=sys.stderr)
     if findings.problems:
@@ -82,75 +87,75 @@
     return DONE
 
 
-def _findings(given: argparse.Namespace) -> Findings:
-    kind = given.kind or kind_of(given.path)
+def _findings(arguments: argparse.Namespace) -> Findings:
+    kind = arguments.kind or detect_kind(arguments.path)
     if kind == SETTINGS:
         from pewterring.cli import node_settings
         from pewterring.node.errors import SettingsError
         from pewterring.node.settings_file import settings_path
 
-        path = settings_path(given.path)
+        path = settings_path(arguments.path)
         try:
-            return node_settings.check(path, given.program)
+            return node_settings.check(path, arguments.program)
         except SettingsError as error:
             return Findings(str(path), error.problems)
     if kind == CONFIGURATION:
         from pewterring.cli import operator_configuration
 
-        return operator_configuration.check(_needed(given.path))
-    return gatekeeper_settings.check(given.path)
+        return operator_configuration.check(_require_file(arguments.path))
+    return gatekeeper_settings.check(arguments.path)
 
 
-def _needed(path: str | None) -> Path:
+def _require_file(path: str | None) -> Path:
     if path is None:
-        raise UsageError("name a file")
+        raise UsageError("a FILE argument is required")
     if not Path(path).is_file():
         raise UsageError(f"{path}: no such file")
     return Path(path)
 
 
-def _show(given: argparse.Namespace) -> int:
-    rows = _rows(given)
-    if given.json:
-        said = {key: {"value": value, "from": origin} for key, value, origin in rows}
-        _print_json(said)
+def _show(arguments: argparse.Namespace) -> int:
+    rows = _rows(arguments)
+    if arguments.json:
+        values_by_key = {key: {"value": value, "from": origin} for key, value, origin in rows}
+        _print_json(values_by_key)
         return DONE
-    wide = max(len(key) for key, _, _ in rows)
+    width = max(len(key) for key, _, _ in rows)
     for key, value, origin in rows:
-        print(f"{key:<{wide}}  {origin:<16}  {'-' if value is None else value}")
+        print(f"{key:<{width}}  {origin:<16}  {'-' if value is None else value}")
     return DONE
 
 
-def _rows(given: argparse.Namespace) -> list[tuple[str, object, str]]:
-    kind = given.kind or kind_of(given.path)
+def _rows(arguments: argparse.Namespace) -> list[tuple[str, object, str]]:
+    kind = arguments.kind or detect_kind(arguments.path)
     if kind == SETTINGS:
         from pewterring.cli import node_settings
         from pewterring.node.errors import SettingsError
         from pewterring.node.settings_file import settings_path
 
         try:
-            return node_settings.show(settings_path(given.path))
+            return node_settings.show(settings_path(arguments.path))
         except SettingsError as error:
             raise UsageError(str(error)) from error
     if kind == CONFIGURATION:
         from pewterring.cli import operator_configuration
 
-        _refuse(operator_configuration.check(_needed(given.path)).problems)
-        return operator_configuration.show(_needed(given.path))
-    return gatekeeper_settings.show(given.path)
+        _raise_first(operator_configuration.check(_require_file(arguments.path)).problems)
+        return operator_configuration.show(_require_file(arguments.path))
+    return gatekeeper_settings.show(arguments.path)
 
 
-def _refuse(problems: Iterable[str]) -> None:
+def _raise_first(problems: Iterable[str]) -> None:
     for problem in problems:
         raise UsageError(problem)
 
 
-def _schema(given: argparse.Namespace) -> int:
-    if given.kind == SETTINGS:
+def _schema(arguments: argparse.Namespace) -> int:
+    if arguments.kind == SETTINGS:
         from pewterring.cli import node_settings
 
         _print_json(node_settings.json_schema())
-    elif given.kind == CONFIGURATION:
+    elif arguments.kind == CONFIGURATION:
         from pewterring.cli import operator_configuration
 
         _print_json(operator_configuration.json_schema())
--- a/pewterring/cli/errors.py
+++ b/pewterring/cli/errors.py
@@ -1,19 +1,19 @@
-"""How a command ends otherwise than well. `main` turns these into one line on standard error and a status."""
+"""Exit statuses and errors of commands. `main` prints an error as one line and returns its status."""
 
 DONE = 0
-FAILED = 1  # it ran and did not succeed
-USAGE_ERROR = 2  # arguments, settings or a configuration that cannot be used
-RULE_BROKEN = 3  # of `lab`: a rule broke in a run
+FAILED = 1  # the command ran but did not succeed
+USAGE_ERROR = 2  # invalid arguments, settings or configuration
+RULE_BROKEN = 3  # `lab`: a run violated a rule
 INTERRUPTED = 130
 
 
 class CommandError(Exception):
-    """A command cannot go on; the text is for its user."""
+    """A command cannot continue; the text is shown to the user."""
 
     status = FAILED
 
 
 class UsageError(CommandError):
-    """Arguments, settings or a configuration cannot be used."""
+    """Arguments, settings or a configuration are invalid."""
 
     status = USAGE_ERROR
--- a/pewterring/cli/gatekeeper_settings.py
+++ b/pewterring/cli/gatekeeper_settings.py
@@ -1,7 +1,7 @@
-"""A gatekeeper's configuration: what it comes to, what in it is unknown, and its JSON Schema.
+"""A gatekeeper's configuration: its effective values, its unknown keys and its JSON Schema.
 
-The names, kinds and defaults are not written down a second time: the one reader of settings is run over
-fields that note what it asks for.
+Names, types and defaults are not duplicated here: the reader of settings is run on fields that record
+each value it reads.
 """
 
 import difflib
@@ -19,32 +19,37 @@
 from pewterring.standalone.settings import Fields, flatten, read_all, slips
 
 Value = TypeVar("Value")
-# The file's own keys: kind, the environment's variable that stands in, the default, what it is.
-TOP: dict[str, tuple[str, str, object, str]] = {
+# Top-level keys of the file: type, environment variable used if the key is missing, default, description.
+TOP_LEVEL_KEYS: dict[str, tuple[str, str, object, str]] = {
     "name": ("string", NAME, "", "the gatekeeper's name"),
     "listen": ("string", LISTEN, None, "HOST:PORT where clients connect"),
     "discovery": ("string", DISCOVERY, None, "HOST:PORT of the agent that has the list of workers"),
     "seed": ("string", "", 0, "hexadecimal, for random numbers"),
-    "limits.cores": ("number", "", 1.0, "the share of a core that the platform gives; not used"),
+    "limits.cores": ("number", "", 1.0, "processor cores given by the platform; not used"),
     "limits.memory_mb": (
         "integer",
         "",
         192,
-        "memory in MiB; an eighth each for answers and requests not whole yet",
+        "memory in MiB; an eighth each for incomplete responses and incomplete requests",
     ),
     "limits.sockets": ("integer", "", 1024, "file descriptors"),
     "peer_listen": ("string", "", None, "HOST:PORT for the peers' datagrams"),
-    "peers": ("array", "", [], "HOST:PORT of each gatekeeper of the fleet, the own one included, by number"),
+    "peers": (
+        "array",
+        "",
+        [],
+        "HOST:PORT of each gatekeeper of the fleet, including this one, ordered by number",
+    ),
     "peers_all": ("string", "", None, "HOST:PORT that reaches every peer"),
     "counter": ("string", "", None, "HOST:PORT of the counter service; not used"),
-    "known": ("object", "", None, "the list of workers as last known, in discovery's form"),
+    "known": ("object", "", None, "the last known list of workers, in the format of discovery"),
     "settings": ("object", "", {}, "classes, plans, rules and limits"),
 }
 
 
 @dataclass(frozen=True, slots=True)
 class Read:
-    """One value that the reader asked for."""
+    """One value that the reader of settings has read."""
 
     kind: str
     value: object
@@ -54,50 +59,54 @@
 
 
 class RecordingFields(Fields):
-    """Fields that record what is read of them. Each method reads as the one of `Fields` does."""
+    """Fields that record each read. Each method returns the same value as that of `Fields`."""
 
     def __init__(self, values: Mapping[str, str]) -> None:
         super().__init__("settings", values)
-        self.seen: dict[str, Read] = {}
+        self.reads: dict[str, Read] = {}
 
     def record(
         self, name: str, kind: str, value: Value, default: object, choices: tuple[str, ...] = ()
     ) -> Value:
-        """Records what was read; returns the value."""
-        self.seen[name] = Read(kind, value, name in self.values, default is None, choices)
+        """Records a read and returns its value."""
+        self.reads[name] = Read(kind, value, name in self.values, default is None, choices)
         return value
 
     def text(self, name: str, default: str | None = None) -> str:
-        """A text."""
+        """Reads a string."""
         return self.record(name, "string", super().text(name, default), default)
 
     def whole(self, name: str, default: int | None = None) -> int:
-        """An integer."""
+        """Reads an integer."""
         return self.record(name, "integer", super().whole(name, default), default)
 
     def number(
         self, name: str, default: float | None = None, least: float = -math.inf, most: float = math.inf
     ) -> float:
-        """A number between `least` and `most`."""
+        """Reads a number between `least` and `most`."""
         return self.record(name, "number", super().number(name, default, least, most), default)
 
     def seconds(self, name: str, default: float | None = None) -> float:
-        """Seconds; the file has nanoseconds."""
+        """Reads a duration, in nanoseconds in the file, and returns seconds."""
         return self.record(name, "nanoseconds", super().seconds(name, default), default)
 
     def flag(self, name: str, default: bool | None = None) -> bool:
-        """True or false."""
+        """Reads a boolean."""
         return self.record(name, "boolean", super().flag(name, default), default)
 
     def word(self, name: str, words: dict[str, Value], default: str | None = None) -> Value:
-        """What one of `words` stands for."""
+        """Reads one of the keys of `words` and returns its value."""
         found = super().word(name, words, default)
         self.record(name, "word", self.values.get(name, default), default, tuple(words))
         return found
 
 
-def noted(tree: object) -> RecordingFields:
-    """What the reader of settings asks of them. Raises ConfigError."""
+def record_reads(tree: object) -> RecordingFields:
+    """Runs the reader of settings on `tree`; returns the fields with all recorded reads.
+
+    Raises:
+        ConfigError: The settings are invalid.
+    """
     if not isinstance(tree, dict):
         raise ConfigError("settings: not an object")
     fields = RecordingFields(dict(flatten(tree)))
@@ -109,7 +118,7 @@
 
 
 def read_tree(path: str | None) -> tuple[str, dict[str, Any]]:
-    """The file as it is, once `load` has found that it can be used."""
+    """Returns the path and the decoded file, after `load` has validated it."""
     load(path)
     path = path or os.environ[CONFIG]
     tree = orjson.loads(Path(path).read_bytes())
@@ -118,7 +127,7 @@
 
 
 def given_keys(tree: dict[str, Any]) -> Iterator[str]:
-    """The keys of a configuration, those of `limits` with their path."""
+    """Yields the top-level keys of a configuration, and the keys of `limits` as `limits.NAME`."""
     for key, value in tree.items():
         if key == "limits" and isinstance(value, dict):
             yield from (f"limits.{name}" for name in value)
@@ -126,38 +135,44 @@
             yield key
 
 
-def unknown(tree: dict[str, Any]) -> tuple[list[str], list[str]]:
-    """Keys that are refused, each with the nearest known one, and settings that are another program's."""
-    refused, unused = [], []
+def find_unknown_keys(tree: dict[str, Any]) -> tuple[list[str], list[str]]:
+    """Returns messages for rejected keys, and unknown settings that may belong to another program."""
+    rejected, unused = [], []
     for key in given_keys(tree):
-        if key not in TOP:
-            near = difflib.get_close_matches(key, TOP, 1, 0.5)
-            refused.append(f"{key}: not known" + (f"; did you mean {near[0]}?" if near else ""))
-    fields = noted(tree.get("settings") or {})
-    wrong = slips(fields, fields.seen)
-    refused += [f"settings.{key}: not known; did you mean {meant}?" for key, meant in wrong.items()]
-    unused += [f"settings.{key}" for key in fields.values if key not in fields.seen and key not in wrong]
-    return refused, unused
-
-
-def effective(tree: dict[str, Any], env: Mapping[str, str]) -> list[tuple[str, object, str]]:
-    """Each value in force and where it came from: the file, a variable of the environment, or the default."""
+        if key not in TOP_LEVEL_KEYS:
+            suggestions = difflib.get_close_matches(key, TOP_LEVEL_KEYS, 1, 0.5)
+            rejected.append(
+                f"{key}: not known" + (f"; did you mean {suggestions[0]}?" if suggestions else "")
+            )
+    fields = record_reads(tree.get("settings") or {})
+    misspelled = slips(fields, fields.reads)
+    rejected += [
+        f"settings.{key}: not known; did you mean {suggestion}?" for key, suggestion in misspelled.items()
+    ]
+    unused += [
+        f"settings.{key}" for key in fields.values if key not in fields.reads and key not in misspelled
+    ]
+    return rejected, unused
+
+
+def effective_values(tree: dict[str, Any], env: Mapping[str, str]) -> list[tuple[str, object, str]]:
+    """Returns each effective value with its origin: file, environment variable or default."""
     rows: list[tuple[str, object, str]] = []
-    for key, (_, variable, default, _) in TOP.items():
+    for key, (_, variable, default, _) in TOP_LEVEL_KEYS.items():
         if key in ("settings", "known"):
             continue
-        here: Any = tree
+        file_value: Any = tree
         for step in key.split("."):
-            here = (here or {}).get(step)
-        if here not in (None, "", []):
-            rows.append((key, here, "file"))
+            file_value = (file_value or {}).get(step)
+        if file_value not in (None, "", []):
+            rows.append((key, file_value, "file"))
         elif variable and env.get(variable):
             rows.append((key, env[variable], variable))
         else:
             rows.append((key, default, "default"))
     known = tree.get("known") or {}
     rows.append(("known", f"{len(known.get('hosts', []))} workers", "file" if known else "default"))
-    for name, read in noted(tree.get("settings") or {}).seen.items():
+    for name, read in record_reads(tree.get("settings") or {}).reads.items():
         value = (
             f"{read.value:g} s"
             if isinstance(read.value, float) and read.kind == "nanoseconds"
@@ -167,7 +182,7 @@
     return rows
 
 
-KINDS: dict[str, dict[str, object]] = {
+SCHEMA_BY_KIND: dict[str, dict[str, object]] = {
     "string": {"type": "string"},
     "integer": {"type": "integer"},
     "number": {"type": "number"},
@@ -177,8 +192,8 @@
     "array": {"type": "array", "items": {"type": "string"}},
     "object": {"type": "object"},
 }
-# One class and one plan, so that the reader asks for all that they may say.
-SAMPLE: dict[str, Any] = {
+# Has one class and one plan, so that the reader reads every setting of classes and plans.
+SAMPLE_SETTINGS: dict[str, Any] = {
     "me": 0, "fleet_size": 1,
     "profiles": [{"name": "c", "objective": 1, "deadline": 1, "effect": "token", "repeat_window": 1}],
     "tiers_of_service": [{"name": "p"}],
@@ -186,21 +201,25 @@
 
 
 def check(path: str | None) -> Findings:
-    """What is wrong with a gatekeeper's configuration. Raises ConfigError for what nobody can read."""
-    where, tree = read_tree(path)
-    refused, unused = unknown(tree)
+    """Returns the problems of a gatekeeper's configuration.
+
+    Raises:
+        ConfigError: The configuration cannot be read.
+    """
+    config_path, tree = read_tree(path)
+    rejected, unused = find_unknown_keys(tree)
     return Findings(
-        where, refused, f"{len(unused)} settings that a gatekeeper has no use for" if unused else ""
+        config_path, rejected, f"{len(unused)} settings that a gatekeeper has no use for" if unused else ""
     )
 
 
 def show(path: str | None) -> list[tuple[str, object, str]]:
-    """Each value in force and its origin."""
-    return effective(read_tree(path)[1], os.environ)
+    """Returns each effective value with its origin."""
+    return effective_values(read_tree(path)[1], os.environ)
 
 
 def json_schema() -> dict[str, Any]:
-    """A JSON Schema of the configuration."""
+    """Returns the JSON Schema of the configuration."""
     root: dict[str, Any] = {
         "$schema": "https://json-schema.org/draft/2020-12/schema",
         "title": "pewterring configuration",
@@ -208,15 +227,15 @@
         "properties": {},
         "required": ["settings"],
     }
-    for key, (kind, variable, _, about) in TOP.items():
-        description = f"{about}; {variable} stands in where it is missing" if variable else about
-        insert_leaf(root, key.split("."), {**KINDS[kind], "description": description}, False)
-    root["properties"]["seed"] = {"type": ["string", "integer"], "description": TOP["seed"][3]}
+    for key, (kind, variable, _, summary) in TOP_LEVEL_KEYS.items():
+        description = f"{summary}; {variable} is used if it is missing" if variable else summary
+        insert_leaf(root, key.split("."), {**SCHEMA_BY_KIND[kind], "description": description}, False)
+    root["properties"]["seed"] = {"type": ["string", "integer"], "description": TOP_LEVEL_KEYS["seed"][3]}
     settings = root["properties"]["settings"]
-    for name, read in noted(SAMPLE).seen.items():
+    for name, read in record_reads(SAMPLE_SETTINGS).reads.items():
         if name.endswith(".count"):
             continue
-        leaf = dict(KINDS[read.kind])
+        leaf = dict(SCHEMA_BY_KIND[read.kind])
         if read.choices:
             leaf["enum"] = list(read.choices)
         if not read.required and read.kind != "nanoseconds":
@@ -226,7 +245,7 @@
 
 
 def insert_leaf(node: dict[str, Any], steps: list[str], leaf: dict[str, Any], required: bool) -> None:
-    """Puts a leaf into a schema, with the objects and lists on its way."""
+    """Inserts a leaf into a schema, creating the objects and arrays on its path."""
     step, *rest = steps
     properties = node.setdefault("properties", {})
     if not rest:
--- a/pewterring/cli/inspect.py
+++ b/pewterring/cli/inspect.py
@@ -1,4 +1,4 @@
-"""`pewterring inspect`: what is in a data folder, or in logs of gateways. Changes nothing there."""
+"""`pewterring inspect`: shows the content of a data folder or of gateway logs, without changing it."""
 
 import argparse
 from collections.abc import Callable, Iterator
@@ -21,51 +21,57 @@
 from pewterring.storage.overlay import OverlayDisk
 from pewterring.storage.snapshots import SNAPSHOT_SUFFIX
 
-SHOWN_DATA_CHARACTERS = 100  # of an entry in the table; --json shows all
-COMMAND_TAG = "type"  # field that names a command
+MAX_SHOWN_CHARACTERS = 100  # data of one log entry in the table; --json shows all of it
+COMMAND_TAG = "type"  # JSON field with the type of a command
 
 Show = Callable[["StoredGroup", argparse.Namespace], None]
 
 
 @dataclass(frozen=True, slots=True)
 class StoredGroup:
-    """One replicated group as it is on disk."""
+    """A replicated group as stored on disk."""
 
     name: str
     loaded: LoadedGroup
 
     @property
     def membership(self) -> MembershipHistory:
-        """The members at each index that is kept."""
+        """The membership at each index that is still stored."""
         state = self.loaded.state
         return MembershipHistory(state.snapshot_membership, state.entries)
 
 
 def configure(parser: argparse.ArgumentParser) -> None:
-    """Adds the commands to the parser."""
-    parser.description = "Read the data folder of a control machine or a store, or logs of gateways."
+    """Adds the sub-commands of `inspect` to its parser."""
+    parser.description = "Show the content of a control machine's or store's data folder, or of gateway logs."
     commands = add_subcommands(parser)
-    for name, show, about in (
-        ("log", _show_log, "the entries of the log after the snapshot"),
-        ("snapshot", _show_snapshot, "what the snapshot stands for, and its content with --json"),
-        ("members", _show_members, "voters and learners, and the entries that changed them"),
+    for name, show, summary in (
+        ("log", _show_log, "show the log entries after the snapshot"),
+        (
+            "snapshot",
+            _show_snapshot,
+            "show the index, term and size of the snapshot, and its content with --json",
+        ),
+        ("members", _show_members, "show voters and learners, and the entries that changed them"),
     ):
-        added = commands.add_parser(name, help=about, description=about)
+        added = commands.add_parser(name, help=summary, description=summary)
         added.add_argument("data_dir", type=Path, metavar="DATA_DIR")
-        added.add_argument("--group", default="", help="only this group (without it, all in the folder)")
-        added.add_argument("--json", action="store_true", help="one JSON object a line")
+        added.add_argument(
+            "--group", default="", help="only this group (if omitted, all groups in the folder)"
+        )
+        added.add_argument("--json", action="store_true", help="print one JSON object per line")
         if name == "log":
             added.add_argument("--last", type=int, default=0, metavar="N", help="only the last N entries")
-        added.set_defaults(run=_guarded(show))
-    about = "late, refused and failed requests in logs of gateways (setting log.requests), by reason"
-    inspect_requests.configure(commands.add_parser("requests", help=about, description=about))
+        added.set_defaults(run=_with_command_errors(show))
+    summary = "count late, refused and failed requests in gateway logs (setting log.requests) by reason"
+    inspect_requests.configure(commands.add_parser("requests", help=summary, description=summary))
 
 
-def _guarded(show: Show) -> Callable[[argparse.Namespace], None]:
-    def run(given: argparse.Namespace) -> None:
+def _with_command_errors(show: Show) -> Callable[[argparse.Namespace], None]:
+    def run(arguments: argparse.Namespace) -> None:
         try:
-            for group in read_groups(given.data_dir, given.group):
-                show(group, given)
+            for group in read_groups(arguments.data_dir, arguments.group):
+                show(group, arguments)
         except StorageError as error:
             raise CommandError(str(error)) from error
 
@@ -73,7 +79,7 @@
 
 
 def read_groups(folder: Path, only: str = "") -> Iterator[StoredGroup]:
-    """The groups in a folder, by name."""
+    """Loads the groups stored in a folder, sorted by name; only the group `only` if it is not empty."""
     if not folder.is_dir():
         raise UsageError(f"{folder}: no such folder")
     suffixes = (SEGMENT_SUFFIX, SNAPSHOT_SUFFIX)
@@ -88,7 +94,7 @@
 
 
 def member_of(folder: Path) -> str:
-    """The tag of the member whose folder it is, or an empty string."""
+    """Returns the tag of the member that owns the folder, or an empty string."""
     disk = OverlayDisk(folder)
     return member_name(folder, "", disk) if IDENTITY_FILE in disk.names() else ""
 
@@ -97,31 +103,31 @@
     print(orjson.dumps(value).decode())
 
 
-def _show_log(group: StoredGroup, given: argparse.Namespace) -> None:
+def _show_log(group: StoredGroup, arguments: argparse.Namespace) -> None:
     entries = group.loaded.state.entries
-    if not given.json:
+    if not arguments.json:
         state = group.loaded.state
         vote = state.vote or "-"
         print(f"{group.name}: term {state.term}, vote {vote}, snapshot up to {state.snapshot_index}")
-    for entry in entries[-given.last :] if given.last > 0 else entries:
-        if given.json:
-            _print_json(_described(group.name, entry))
+    for entry in entries[-arguments.last :] if arguments.last > 0 else entries:
+        if arguments.json:
+            _print_json(_entry_object(group.name, entry))
             continue
         data = bytes(entry.data).decode("utf-8", "replace")
-        cut = data if len(data) <= SHOWN_DATA_CHARACTERS else data[:SHOWN_DATA_CHARACTERS] + "..."
-        print(f"{entry.index:>10}  term {entry.term:<6} {entry.kind:<8} {cut}")
+        shown_data = data if len(data) <= MAX_SHOWN_CHARACTERS else data[:MAX_SHOWN_CHARACTERS] + "..."
+        print(f"{entry.index:>10}  term {entry.term:<6} {entry.kind:<8} {shown_data}")
 
 
-def _described(group: str, entry: Entry) -> dict[str, Any]:
+def _entry_object(group: str, entry: Entry) -> dict[str, Any]:
     data = orjson.loads(bytes(entry.data))
     return {"group": group, "index": entry.index, "term": entry.term, "kind": entry.kind, "data": data}
 
 
-def _show_snapshot(group: StoredGroup, given: argparse.Namespace) -> None:
+def _show_snapshot(group: StoredGroup, arguments: argparse.Namespace) -> None:
     state, content = group.loaded.state, group.loaded.snapshot
-    if given.json:
-        said = {"group": group.name, "index": state.snapshot_index, "term": state.snapshot_term}
-        _print_json({**said, "content": None if content is None else orjson.loads(content)})
+    if arguments.json:
+        snapshot_fields = {"group": group.name, "index": state.snapshot_index, "term": state.snapshot_term}
+        _print_json({**snapshot_fields, "content": None if content is None else orjson.loads(content)})
         return
     if content is None:
         print(f"{group.name}: no snapshot")
@@ -134,26 +140,28 @@
         print(f"  {name:<16} {size}")
 
 
-def _show_members(group: StoredGroup, given: argparse.Namespace) -> None:
+def _show_members(group: StoredGroup, arguments: argparse.Namespace) -> None:
     state, history = group.loaded.state, group.membership
     changes = [(state.snapshot_index, state.snapshot_membership)]
     changes += [
         (entry.index, history.at(entry.index)) for entry in state.entries if entry.kind == ENTRY_MEMBERS
     ]
-    if given.json:
+    if arguments.json:
         _print_json(
             {
                 "group": group.name,
-                "own_tag": member_of(given.data_dir).removeprefix("#"),
-                "changes": [{"index": index, **_members(membership)} for index, membership in changes],
+                "own_tag": member_of(arguments.data_dir).removeprefix("#"),
+                "changes": [
+                    {"index": index, **_membership_object(membership)} for index, membership in changes
+                ],
             }
         )
         return
-    print(f"{group.name}: this folder is the member with tag {member_of(given.data_dir) or '-'}")
+    print(f"{group.name}: this folder is the member with tag {member_of(arguments.data_dir) or '-'}")
     for index, membership in changes:
         learners = f"; learners {', '.join(membership.learners)}" if membership.learners else ""
         print(f"{index:>10}  voters {', '.join(membership.voters) or '-'}{learners}")
 
 
-def _members(membership: Membership) -> dict[str, list[str]]:
+def _membership_object(membership: Membership) -> dict[str, list[str]]:
     return {"voters": list(membership.voters), "learners": list(membership.learners)}
--- a/pewterring/cli/inspect_requests.py
+++ b/pewterring/cli/inspect_requests.py
@@ -1,4 +1,4 @@
-"""`pewterring inspect requests`: sums up what gateways logged of late, refused and failed requests."""
+"""`pewterring inspect requests`: counts the late, refused and failed requests in gateway logs."""
 
 import argparse
 from collections import Counter
@@ -11,20 +11,20 @@
 from pewterring.cli.errors import UsageError
 from pewterring.observability.request_log import RECORD_FORMAT, REQUEST_EVENT, RequestRecord
 
-SMALLEST_BAND_TOKENS = 4096  # prompts are told apart by size in bands that double from here
+SMALLEST_BAND_TOKENS = 4096  # prompts are grouped into size bands; each is twice the previous one
 
 
 class _LogLine(msgspec.Struct):
-    """What all lines of the log have."""
+    """The fields that all log lines have."""
 
     event: str = ""
-    time: float = 0.0  # when the request ended
+    time: float = 0.0  # Unix time at which the request ended, in seconds
     format: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class LoggedRequest:
-    """One request and when it arrived, in seconds of the time of day."""
+    """A logged request and its arrival as Unix time in seconds."""
 
     line: RequestRecord
     arrived_at: float
@@ -32,13 +32,13 @@
 
 @dataclass(slots=True)
 class RequestLog:
-    """What was read of log files."""
+    """The requests read from log files."""
 
     requests: list[LoggedRequest] = field(default_factory=list)
-    unreadable: int = 0  # lines that are cut, or of another version
+    unreadable: int = 0  # truncated lines, and lines of another format version
 
     def add(self, line: bytes) -> None:
-        """Takes one line of a log; lines of other events are passed over."""
+        """Adds one log line; ignores lines of other events."""
         start = line.find(b"{")
         if start < 0 or f'"{REQUEST_EVENT}"'.encode() not in line:
             return
@@ -57,16 +57,20 @@
 
 
 def configure(parser: argparse.ArgumentParser) -> None:
-    """Adds the arguments of the command."""
-    parser.add_argument("files", nargs="+", type=Path, metavar="FILE", help="logs of gateways")
+    """Adds the arguments of `inspect requests` to its parser."""
+    parser.add_argument("files", nargs="+", type=Path, metavar="FILE", help="gateway logs")
     parser.add_argument(
-        "--plot", type=Path, metavar="IMAGE", help="also draw the requests by second and reason"
+        "--plot", type=Path, metavar="IMAGE", help="also plot the requests by second and reason"
     )
     parser.set_defaults(run=_run)
 
 
 def read_logs(paths: Iterable[Path]) -> RequestLog:
-    """Reads log files; raises `UsageError` where one cannot be read."""
+    """Reads log files.
+
+    Raises:
+        UsageError: A file cannot be read.
+    """
     log = RequestLog()
     for path in paths:
         try:
@@ -79,7 +83,7 @@
 
 
 def table(log: RequestLog) -> Iterator[str]:
-    """The lines that are printed."""
+    """Yields the summary as lines of text."""
     yield f"{len(log.requests)} requests that ended badly"
     if log.unreadable:
         yield f"{log.unreadable} lines cut or of another version, passed over"
@@ -88,7 +92,7 @@
     yield from _counts(
         "route, size of the prompt and reason",
         log.requests,
-        lambda each: f"{each.line.route} {_band(each.line.tokens)} {each.line.reason}",
+        lambda each: f"{each.line.route} {_size_band(each.line.tokens)} {each.line.reason}",
     )
     first = min((each.arrived_at for each in log.requests), default=0.0)
     yield from _counts(
@@ -99,12 +103,12 @@
     )
 
 
-def _band(tokens: int) -> str:
-    """The size of a prompt: a number that it is not above."""
-    most = SMALLEST_BAND_TOKENS
-    while most < tokens:
-        most *= 2
-    return f"up to {most} tokens"
+def _size_band(tokens: int) -> str:
+    """Returns the size band of a prompt, named by its upper limit."""
+    band_limit = SMALLEST_BAND_TOKENS
+    while band_limit < tokens:
+        band_limit *= 2
+    return f"up to {band_limit} tokens"
 
 
 def _counts(
@@ -119,14 +123,14 @@
         yield f"  {count:>7}  {name}"
 
 
-def _run(given: argparse.Namespace) -> None:
-    log = read_logs(given.files)
+def _run(arguments: argparse.Namespace) -> None:
+    log = read_logs(arguments.files)
     for line in table(log):
         print(line)
-    if given.plot is not None:
+    if arguments.plot is not None:
         from pewterring.lab.plots import plot_counts
 
-        moments: dict[str, list[float]] = {}
+        arrivals_by_reason: dict[str, list[float]] = {}
         for each in log.requests:
-            moments.setdefault(each.line.reason.value, []).append(each.arrived_at)
-        plot_counts(moments, given.plot)
+            arrivals_by_reason.setdefault(each.line.reason.value, []).append(each.arrived_at)
+        plot_counts(arrivals_by_reason, arguments.plot)
--- a/pewterring/cli/lab.py
+++ b/pewterring/cli/lab.py
@@ -1,4 +1,4 @@
-"""`pewterring lab`: emulate, sweep, compare, plot, hunt, explain."""
+"""`pewterring lab`: plays scenarios in emulation or on loopback sockets, and evaluates the results."""
 
 import argparse
 import json
@@ -22,37 +22,41 @@
 
 
 def configure(parser: argparse.ArgumentParser) -> None:
-    """Adds the commands to the parser."""
+    """Adds the sub-commands of `lab` to its parser."""
     parser.description = (
-        "Emulate what gatekeepers serve: the real decision module at sizes that sockets don't reach."
+        "Emulate fleets of gatekeepers with the real decision module, at sizes that sockets cannot reach."
     )
     commands = add_subcommands(parser)
 
-    def add(name: str, run: Handler, about: str) -> argparse.ArgumentParser:
-        added = commands.add_parser(name, help=about, description=about)
-        added.set_defaults(run=_guarded(run))
+    def add(name: str, run: Handler, summary: str) -> argparse.ArgumentParser:
+        added = commands.add_parser(name, help=summary, description=summary)
+        added.set_defaults(run=_with_usage_errors(run))
         return added
 
-    _configure_run(add("run", run, "play a scenario once; exit status 3 where a rule breaks"))
-    _configure_sweep(add("sweep", sweep, "play a grid of scenarios; the same call again goes on"))
+    _configure_run(add("run", run, "play a scenario once; exit status 3 if a rule is violated"))
+    _configure_sweep(add("sweep", sweep, "play a grid of scenarios; repeat the same command to resume"))
     _configure_compare(
-        add("compare", compare, "two sides on the same seeds: mean difference and its interval")
+        add("compare", compare, "compare two variants on the same seeds: mean difference and its interval")
+    )
+    _configure_plot(add("plot", plot, "plot a run or the folder of a sweep"))
+    _configure_explain(
+        add("explain", explain, "show all events of one request, through its retries and attempts")
+    )
+    _configure_hunt(add("hunt", hunt, "play random scenarios until one violates a rule, then minimise it"))
+    _configure_load(
+        add("load", load, "play a scenario in real time on loopback sockets, with 1 to 8 real processes")
     )
-    _configure_plot(add("plot", plot, "draw a run or a sweep's folder"))
-    _configure_explain(add("explain", explain, "one request's life, through all tries and attempts"))
-    _configure_hunt(add("hunt", hunt, "random scenarios until a rule breaks; keeps the smallest one"))
-    _configure_load(add("load", load, "a scenario in real time on loopback sockets, 1 to 8 real processes"))
     add("schema", show_schema, "print the scenario format as JSON Schema")
 
 
-def _guarded(run: Handler) -> Handler:
-    def guarded(given: argparse.Namespace) -> int:
+def _with_usage_errors(run: Handler) -> Handler:
+    def run_checked(arguments: argparse.Namespace) -> int:
         try:
-            return run(given)
+            return run(arguments)
         except schema.ScenarioError as error:
             raise UsageError(str(error)) from error
 
-    return guarded
+    return run_checked
 
 
 def _add_scenario(parser: argparse.ArgumentParser) -> None:
@@ -62,16 +66,21 @@
 
 def _add_sets(parser: argparse.ArgumentParser) -> None:
     parser.add_argument(
-        "--set", dest="sets", action="append", default=[], metavar="KEY=VALUE", help="change one value"
+        "--set",
+        dest="sets",
+        action="append",
+        default=[],
+        metavar="KEY=VALUE",
+        help="override one value of the scenario",
     )
 
 
 def _add_policy(parser: argparse.ArgumentParser) -> None:
-    parser.add_argument("--policy", default="", help=f"who decides: {', '.join(sorted(POLICIES))}")
+    parser.add_argument("--policy", default="", help=f"decision policy: {', '.join(sorted(POLICIES))}")
 
 
 def _add_seed(parser: argparse.ArgumentParser) -> None:
-    parser.add_argument("--seed", type=int, help="instead of the scenario's own")
+    parser.add_argument("--seed", type=int, help="random seed; overrides that of the scenario")
 
 
 def _add_seeds(parser: argparse.ArgumentParser, default: str) -> None:
@@ -79,7 +88,7 @@
 
 
 def _add_jobs(parser: argparse.ArgumentParser) -> None:
-    parser.add_argument("--jobs", type=int, default=0, help="processes; without it, one for each core")
+    parser.add_argument("--jobs", type=int, default=0, help="number of processes; 0: one per core")
 
 
 def _add_json(parser: argparse.ArgumentParser) -> None:
@@ -87,12 +96,12 @@
 
 
 def _add_outputs(parser: argparse.ArgumentParser) -> None:
-    parser.add_argument("--out", metavar="FILE", help="write the whole result as JSON")
-    parser.add_argument("--plot", metavar="FILE", help="draw the run, as .png or .svg")
+    parser.add_argument("--out", metavar="FILE", help="write the complete result as JSON")
+    parser.add_argument("--plot", metavar="FILE", help="plot the run, as .png or .svg")
 
 
-def seeds_of(text: str) -> list[int]:
-    """1..5, or 1,2,7."""
+def parse_seeds(text: str) -> list[int]:
+    """Parses seeds written as a range (`1..5`) or a list (`1,2,7`)."""
     try:
         if ".." in text:
             first, last = text.split("..")
@@ -102,13 +111,13 @@
     except ValueError as error:
         raise UsageError(f"{text}: not FIRST..LAST nor N,N,...") from error
     if not seeds or min(seeds) < 0:
-        raise UsageError(f"{text}: no seeds in it")
+        raise UsageError(f"{text}: contains no valid seeds")
     return seeds
 
 
-def progress(total: int, what: str) -> tuple[Any, Callable[[Any], None]]:
-    """A progress bar, and what moves it on by one run."""
-    bar = tqdm(total=total, desc=what, unit="run", disable=not sys.stderr.isatty())
+def progress(total: int, label: str) -> tuple[Any, Callable[[Any], None]]:
+    """Returns a progress bar and a callback that advances it by one run."""
+    bar = tqdm(total=total, desc=label, unit="run", disable=not sys.stderr.isatty())
     return bar, lambda _entry: bar.update(1)
 
 
@@ -118,27 +127,27 @@
     _add_seed(parser)
     _add_outputs(parser)
     parser.add_argument(
-        "--trail", action="store_true", help="where a rule breaks, print the life of its request"
+        "--trail", action="store_true", help="if a rule is violated, print the events of the request"
     )
     _add_json(parser)
 
 
-def run(given: argparse.Namespace) -> int:
-    """Plays a scenario once."""
-    if given.plot:
+def run(arguments: argparse.Namespace) -> int:
+    """Plays a scenario once; returns the exit status."""
+    if arguments.plot:
         from pewterring.lab import plots
 
-        plots.form_of(given.plot)
-    result, world = experiment.run(given.scenario, given.sets, given.seed, given.policy)
-    write_result(result, given.out, given.plot, given.json, world.scenario.faults)
+        plots.form_of(arguments.plot)
+    result, world = experiment.run(arguments.scenario, arguments.sets, arguments.seed, arguments.policy)
+    write_result(result, arguments.out, arguments.plot, arguments.json, world.scenario.faults)
     if not result.broken:
         return 0
     assert world.broken is not None
-    print(f"{result.broken}\nplay it again with --seed {result.seed}", file=sys.stderr)
-    if given.trail and world.broken.request:
+    print(f"{result.broken}\nreproduce with --seed {result.seed}", file=sys.stderr)
+    if arguments.trail and world.broken.request:
         number = world.broken.request
-        known = world.intent_of[number] if number < len(world.intent_of) else 0
-        show_trail(experiment.trail(world, known))
+        intent = world.intent_of[number] if number < len(world.intent_of) else 0
+        show_trail(experiment.trail(world, intent))
     return RULE_BROKEN
 
 
@@ -149,7 +158,7 @@
     as_json: bool,
     faults: Sequence[schema.Fault] = (),
 ) -> None:
-    """A run's result to where it was asked for."""
+    """Writes a result to the requested file and plot, and prints it."""
     if out:
         Path(out).write_bytes(result.to_json())
     if plot_to:
@@ -163,19 +172,19 @@
 
 
 def origin(result: Result) -> str:
-    """How the figures came about."""
+    """Returns whether the figures were emulated or measured."""
     return "measured on loopback" if result.policy == "loopback" else "emulated"
 
 
 def report(result: Result) -> list[str]:
-    """The lines of a run's report."""
+    """Returns the report of a run as lines of text."""
     counts = result.counts
-    ended = ("tries", "served", "late", "refused", "failed", "attempts")
+    count_names = ("tries", "served", "late", "refused", "failed", "attempts")
     return [
         f"{result.scenario}, {result.policy}, seed {result.seed}: {result.gatekeepers} gatekeepers, "
         f"{result.workers} workers, {result.duration_s:g} s ({origin(result)})",
         f"G {result.g:.3f}   served {result.served:.3f}",
-        f"asked {counts['intents']:.0f}, " + ", ".join(f"{name} {counts[name]:.0f}" for name in ended),
+        f"asked {counts['intents']:.0f}, " + ", ".join(f"{name} {counts[name]:.0f}" for name in count_names),
         "latency " + ", ".join(f"{name} {value:.3f} s" for name, value in result.latency.items()),
         "",
         f"{'taken off G':<24}{'':>8}",
@@ -197,7 +206,7 @@
 
 
 def show_trail(trail: Sequence[tuple[float, str]]) -> None:
-    """Prints what happened to one request, with the times in seconds."""
+    """Prints the events of one request, with times in seconds."""
     for at, text in trail:
         print(f"{at:10.4f} s  {text}")
 
@@ -206,31 +215,35 @@
     _add_scenario(parser)
     _add_policy(parser)
     parser.add_argument(
-        "--grid", action="append", default=[], metavar="KEY=V,V,...", help="an axis; several make a grid"
+        "--grid",
+        action="append",
+        default=[],
+        metavar="KEY=V,V,...",
+        help="an axis of the grid; may be repeated",
     )
     _add_seeds(parser, "1..3")
-    parser.add_argument("--out", required=True, metavar="FOLDER", help="the folder that holds the results")
+    parser.add_argument("--out", required=True, metavar="FOLDER", help="folder for the results")
     _add_jobs(parser)
 
 
-def sweep(given: argparse.Namespace) -> int:
-    """Plays a grid of scenarios on several seeds. Called again with the same folder, it goes on."""
-    points = experiment.grid(given.grid, seeds_of(given.seeds))
+def sweep(arguments: argparse.Namespace) -> int:
+    """Plays a grid of scenarios on several seeds. Resumes if called again with the same folder."""
+    points = experiment.grid(arguments.grid, parse_seeds(arguments.seeds))
     bar, done = progress(len(points), "sweep")
-    folder = Path(given.out)
+    folder = Path(arguments.out)
     try:
         with bar:
             entries = experiment.sweep(
-                given.scenario, points, folder, given.sets, given.policy, given.jobs, done
+                arguments.scenario, points, folder, arguments.sets, arguments.policy, arguments.jobs, done
             )
     except KeyboardInterrupt:
-        said = f"interrupted; what has ended is kept in {folder}, the same call goes on with the rest"
-        print(said, file=sys.stderr)
+        message = f"interrupted; finished runs are kept in {folder}; repeat the command to resume"
+        print(message, file=sys.stderr)
         return INTERRUPTED
     print(f"{len(entries)} runs in {folder / experiment.TABLE}")
-    broken = [e for e in entries if e["broken"]]
-    for e in broken:
-        print(f"{e['key']}: {e['broken']}", file=sys.stderr)
+    broken = [entry for entry in entries if entry["broken"]]
+    for entry in broken:
+        print(f"{entry['key']}: {entry['broken']}", file=sys.stderr)
     return RULE_BROKEN if broken else 0
 
 
@@ -239,27 +252,27 @@
     for side in ("a", "b"):
         only = f"only on side {side.upper()}"
         parser.add_argument(f"--{side}", action="append", default=[], metavar="KEY=VALUE", help=only)
-        parser.add_argument(f"--{side}-policy", default="", help=f"who decides on side {side.upper()}")
+        parser.add_argument(f"--{side}-policy", default="", help=f"decision policy of side {side.upper()}")
     _add_seeds(parser, "1..8")
     _add_jobs(parser)
     _add_json(parser)
 
 
-def compare(given: argparse.Namespace) -> int:
-    """Two sides on the same seeds: mean difference with its 95% bootstrap interval."""
-    numbers = seeds_of(given.seeds)
+def compare(arguments: argparse.Namespace) -> int:
+    """Compares two variants on the same seeds: mean difference with its 95% bootstrap interval."""
+    numbers = parse_seeds(arguments.seeds)
     bar, done = progress(2 * len(numbers), "compare")
-    side_a = ((*given.sets, *given.a), given.a_policy)
-    side_b = ((*given.sets, *given.b), given.b_policy)
+    side_a = ((*arguments.sets, *arguments.a), arguments.a_policy)
+    side_b = ((*arguments.sets, *arguments.b), arguments.b_policy)
     with bar:
-        table, broken = experiment.compare(given.scenario, side_a, side_b, numbers, given.jobs, done)
-    if given.json:
+        table, broken = experiment.compare(arguments.scenario, side_a, side_b, numbers, arguments.jobs, done)
+    if arguments.json:
         print(msgspec.json.encode({"differences": table, "broken": broken}).decode())
     else:
         print(f"{'metric':<28}{'A':>10}{'B':>10}{'B - A':>10}   95% of the mean, {len(numbers)} seeds")
-        for d in table:
-            bounds = f"{d.low:+.4f} to {d.high:+.4f}{' *' if d.sure else ''}"
-            print(f"{d.metric:<28}{d.a:>10.4f}{d.b:>10.4f}{d.mean:>+10.4f}   {bounds}")
+        for row in table:
+            bounds = f"{row.low:+.4f} to {row.high:+.4f}{' *' if row.sure else ''}"
+            print(f"{row.metric:<28}{row.a:>10.4f}{row.b:>10.4f}{row.mean:>+10.4f}   {bounds}")
     for line in broken:
         print(line, file=sys.stderr)
     return RULE_BROKEN if broken else 0
@@ -267,33 +280,33 @@
 
 def _configure_plot(parser: argparse.ArgumentParser) -> None:
     parser.add_argument(
-        "source", metavar="SOURCE", help="a scenario, a result of `run --out`, a sweep's folder"
+        "source", metavar="SOURCE", help="a scenario, a result of `run --out`, or the folder of a sweep"
     )
-    parser.add_argument("--to", required=True, metavar="FILE", help="the plot, .png or .svg")
+    parser.add_argument("--to", required=True, metavar="FILE", help="plot file, .png or .svg")
     _add_sets(parser)
     _add_policy(parser)
     _add_seed(parser)
-    parser.add_argument("--x", default="", help="for a sweep's folder: the axis")
-    parser.add_argument("--y", default="g", help="for a sweep's folder: the metric")
+    parser.add_argument("--x", default="", help="for a sweep: the axis")
+    parser.add_argument("--y", default="g", help="for a sweep: the metric")
 
 
-def plot(given: argparse.Namespace) -> int:
-    """Draws a run (a scenario, or a result that `run --out` wrote) or a sweep's folder."""
+def plot(arguments: argparse.Namespace) -> int:
+    """Plots a run (a scenario or a result of `run --out`) or the folder of a sweep."""
     from pewterring.lab import plots
 
-    plots.form_of(given.to)
-    source = Path(given.source)
+    plots.form_of(arguments.to)
+    source = Path(arguments.source)
     if source.is_dir():
         entries = list(experiment.finished(source).values())
         if not entries:
             raise schema.ScenarioError(f"{source}: no finished run of a sweep in it")
-        plots.plot_sweep(entries, given.x or next(iter(entries[0]["set"]), ""), given.y, given.to)
+        plots.plot_sweep(entries, arguments.x or next(iter(entries[0]["set"]), ""), arguments.y, arguments.to)
     elif source.suffix == ".json":
-        plots.plot_run(_read_result(source), given.to)
+        plots.plot_run(_read_result(source), arguments.to)
     else:
-        result, world = experiment.run(given.source, given.sets, given.seed, given.policy)
-        plots.plot_run(result, given.to, world.scenario.faults)
-    print(given.to)
+        result, world = experiment.run(arguments.source, arguments.sets, arguments.seed, arguments.policy)
+        plots.plot_run(result, arguments.to, world.scenario.faults)
+    print(arguments.to)
     return 0
 
 
@@ -308,24 +321,26 @@
     _add_scenario(parser)
     _add_policy(parser)
     _add_seed(parser)
-    parser.add_argument("--intent", type=int, help="the number of the client's request")
-    parser.add_argument("--request", type=int, help="or the id of one of its tries")
-    parser.add_argument("--pick", choices=MARKS, default="slowest", help="or the first such one")
-
-
-def explain(given: argparse.Namespace) -> int:
-    """One request's life, through all tries and attempts."""
-    result, world = experiment.run(given.scenario, given.sets, given.seed, given.policy)
-    intent = given.intent
-    if given.request is not None:
-        if not 0 < given.request < len(world.intent_of):
-            raise schema.ScenarioError(f"--request {given.request}: there were {len(world.intent_of) - 1}")
-        intent = world.intent_of[given.request]
+    parser.add_argument("--intent", type=int, help="number of the client request")
+    parser.add_argument("--request", type=int, help="or the id of one of its retries")
+    parser.add_argument("--pick", choices=MARKS, default="slowest", help="or the first request of this kind")
+
+
+def explain(arguments: argparse.Namespace) -> int:
+    """Prints all events of one client request, through its retries and attempts."""
+    result, world = experiment.run(arguments.scenario, arguments.sets, arguments.seed, arguments.policy)
+    intent = arguments.intent
+    if arguments.request is not None:
+        if not 0 < arguments.request < len(world.intent_of):
+            raise schema.ScenarioError(
+                f"--request {arguments.request}: there were {len(world.intent_of) - 1}"
+            )
+        intent = world.intent_of[arguments.request]
     if intent is None:
-        intent = world.marks.get(given.pick)
+        intent = world.marks.get(arguments.pick)
     if not intent or intent > result.counts["intents"]:
-        raise schema.ScenarioError(f"no such request in this run: --intent {intent}, --pick {given.pick}")
-    print(f"client's request {intent} of {given.scenario}, seed {result.seed}")
+        raise schema.ScenarioError(f"no such request in this run: --intent {intent}, --pick {arguments.pick}")
+    print(f"client request {intent} of {arguments.scenario}, seed {result.seed}")
     show_trail(experiment.trail(world, intent))
     return 0
 
@@ -334,30 +349,32 @@
     parser.add_argument("scenario", metavar="SCENARIO", help="a TOML file")
     _add_policy(parser)
     parser.add_argument("--first", type=int, default=1, help="the first seed")
-    parser.add_argument("--count", type=int, default=100, help="random scenarios at most")
-    parser.add_argument("--out", default="found.toml", metavar="FILE", help="where the smallest is written")
+    parser.add_argument("--count", type=int, default=100, help="maximum number of random scenarios")
+    parser.add_argument(
+        "--out", default="found.toml", metavar="FILE", help="output file for the minimised scenario"
+    )
     _add_jobs(parser)
 
 
-def hunt(given: argparse.Namespace) -> int:
-    """Plays random scenarios until a rule breaks; writes the smallest schedule that still breaks it."""
-    from pewterring.lab import hunt as hunting
+def hunt(arguments: argparse.Namespace) -> int:
+    """Plays random scenarios until one violates a rule; writes the minimised scenario that still does."""
+    from pewterring.lab import hunt as hunt_module
 
-    base = scenario_file.load(given.scenario)
-    bar, done = progress(given.count, "hunt")
+    base = scenario_file.load(arguments.scenario)
+    bar, done = progress(arguments.count, "hunt")
     with bar:
-        jobs = given.jobs or os.cpu_count() or 1
-        found = hunting.hunt(base, given.first, given.count, given.policy, jobs, done)
+        jobs = arguments.jobs or os.cpu_count() or 1
+        found = hunt_module.hunt(base, arguments.first, arguments.count, arguments.policy, jobs, done)
     if found is None:
-        print(f"{given.count} random scenarios from seed {given.first} on: no rule broken")
+        print(f"{arguments.count} random scenarios from seed {arguments.first} on: no rule broken")
         return 0
-    broken, rule, how = found
-    small, runs = hunting.shrink(broken, rule, given.policy)
-    Path(given.out).write_text(hunting.to_toml(small), encoding="utf-8")
-    print(f"seed {broken.seed}: {how}")
-    said = hunting.breaks(small, given.policy)[1]
-    print(f"{len(broken.faults)} faults shrunk to {len(small.faults)} in {runs} runs: {said}")
-    print(f"{given.out}; play it with: pewterring lab run {given.out} --trail")
+    broken, rule, description = found
+    minimised, runs = hunt_module.shrink(broken, rule, arguments.policy)
+    Path(arguments.out).write_text(hunt_module.to_toml(minimised), encoding="utf-8")
+    print(f"seed {broken.seed}: {description}")
+    message = hunt_module.breaks(minimised, arguments.policy)[1]
+    print(f"{len(broken.faults)} faults shrunk to {len(minimised.faults)} in {runs} runs: {message}")
+    print(f"{arguments.out}; reproduce with: pewterring lab run {arguments.out} --trail")
     return RULE_BROKEN
 
 
@@ -365,29 +382,36 @@
     _add_scenario(parser)
     _add_seed(parser)
     parser.add_argument(
-        "--target", default="", metavar="HOST:PORT", help="only clients, against what serves there (loopback)"
+        "--target",
+        default="",
+        metavar="HOST:PORT",
+        help="start only clients, against the gatekeepers at this loopback address",
     )
     _add_outputs(parser)
-    parser.add_argument("--logs", default="", metavar="FOLDER", help="keep gatekeepers' logs in this folder")
+    parser.add_argument(
+        "--logs", default="", metavar="FOLDER", help="folder in which the gatekeepers' logs are kept"
+    )
     _add_json(parser)
 
 
-def load(given: argparse.Namespace) -> int:
+def load(arguments: argparse.Namespace) -> int:
     """Plays a scenario in real time on loopback sockets, with 1 to 8 real gatekeeper processes."""
-    from pewterring.lab.loopback import load as loading
+    from pewterring.lab.loopback import load as load_module
 
-    if given.plot:
+    if arguments.plot:
         from pewterring.lab import plots
 
-        plots.form_of(given.plot)
-    result = loading.load(given.scenario, tuple(given.sets), given.seed, given.target, given.logs)
-    write_result(result, given.out, given.plot, given.json)
+        plots.form_of(arguments.plot)
+    result = load_module.load(
+        arguments.scenario, tuple(arguments.sets), arguments.seed, arguments.target, arguments.logs
+    )
+    write_result(result, arguments.out, arguments.plot, arguments.json)
     counts = result.counts
-    if not given.json:
+    if not arguments.json:
         names = ("wrong_bodies", "never_answered", "crashed")
-        ends = ", ".join(f"{name.replace('_', ' ')} {counts[name]:.0f}" for name in names)
-        late = f"loop late by {counts['latest_s'] * 1000:.0f} ms at most"
-        print(f"\n{ends}, most memory {counts['memory_kb'] / 1024:.1f} MB, {late}")
+        failures_text = ", ".join(f"{name.replace('_', ' ')} {counts[name]:.0f}" for name in names)
+        loop_delay_text = f"loop late by {counts['latest_s'] * 1000:.0f} ms at most"
+        print(f"\n{failures_text}, most memory {counts['memory_kb'] / 1024:.1f} MB, {loop_delay_text}")
     if result.broken:
         print(result.broken, file=sys.stderr)
     return RULE_BROKEN if result.broken or counts["wrong_bodies"] or counts["crashed"] else 0
--- a/pewterring/cli/main.py
+++ b/pewterring/cli/main.py
@@ -1,4 +1,4 @@
-"""Reads the command line and runs one command. Each command's module is loaded when it is used."""
+"""Parses the command line and runs one command. Only the module of that command is imported."""
 
 import os
 import sys
@@ -10,27 +10,27 @@
 
 
 def main(argv: Sequence[str]) -> int:
-    """Runs the command that `argv` asks for; returns the exit status."""
+    """Runs the command in `argv`; returns the exit status."""
     try:
         status = _run(list(argv))
         sys.stdout.flush()
     except (CommandError, ConfigError, ModuleNotFoundError) as error:
         return _report(error)
-    except BrokenPipeError:  # whoever reads the output has read enough
+    except BrokenPipeError:  # the reader of the output has closed the pipe
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
         return FAILED
     except KeyboardInterrupt:
         return INTERRUPTED
-    except SystemExit as end:  # of argparse, after help and version
+    except SystemExit as end:  # raised by argparse after printing help or the version
         return end.code if isinstance(end.code, int) else FAILED
     return status
 
 
 def _report(error: CommandError | ConfigError | ModuleNotFoundError) -> int:
-    """Prints why a command ended, in one line; returns the exit status.
+    """Prints an error as one line; returns the exit status.
 
     Raises:
-        ModuleNotFoundError: A module of this program is missing, which is a fault of its own.
+        ModuleNotFoundError: The missing module is one of this program, not an optional dependency.
     """
     text = str(error)
     if isinstance(error, ModuleNotFoundError):
@@ -42,16 +42,16 @@
 
 
 def _run(argv: list[str]) -> int:
-    name = next((each for each in argv if not each.startswith("-")), "")
+    name = next((argument for argument in argv if not argument.startswith("-")), "")
     parser = make_parser((name,))
-    given = parser.parse_args(argv)
-    run = getattr(given, "run", None)
+    arguments = parser.parse_args(argv)
+    run = getattr(arguments, "run", None)
     if run is None:
-        _used_parser(parser, argv).print_help(sys.stderr)
+        _parser_of_command(parser, argv).print_help(sys.stderr)
         return USAGE_ERROR
-    return int(run(given) or DONE)
+    return int(run(arguments) or DONE)
 
 
-def _used_parser(parser: Parser, argv: Sequence[str]) -> Parser:
-    """The parser of the command that was named without one of its own commands."""
+def _parser_of_command(parser: Parser, argv: Sequence[str]) -> Parser:
+    """Returns the parser of the command that was given without a sub-command."""
     return parser.parser_by_command.get(argv[0], parser) if argv else parser
--- a/pewterring/cli/node_settings.py
+++ b/pewterring/cli/node_settings.py
@@ -1,10 +1,10 @@
-"""Settings of the serving tier's processes: checked, shown, and as a JSON Schema."""
+"""Checks and shows settings files of the serving tier's processes, and generates their JSON Schema."""
 
 from collections.abc import Mapping, Sequence
 from pathlib import Path
 from typing import Any
 
-from pewterring.cli.findings import Findings, nearest, unknown_key
+from pewterring.cli.findings import Findings, nearest_key, unknown_key_problem
 from pewterring.node.errors import SettingsError
 from pewterring.node.keys import REQUIRED_BY
 from pewterring.node.settings import SettingsReport, examine_settings
@@ -13,27 +13,27 @@
 
 UNITS = {"_ms": "milliseconds", "_s": "seconds", "_mb": "MiB", "_fds": "descriptors", "cpu_share": "cores"}
 DESCRIPTIONS = {
-    "node_id": "name of this process in the tables",
+    "node_id": "name of this process in the tables of control",
     "ip": "address of this machine",
     "zone": "zone of this machine",
     "region": "region of this machine",
     "listen_addrs.front": "IP:PORT where clients connect; a gateway needs it",
     "listen_addrs.ready": "IP:PORT of readiness and metrics; a gateway needs it",
-    "listen_addrs.control": "IP:PORT of the operator's and workers' calls; control needs it",
-    "ephemeral_ports": "FIRST,LAST; processes of the tier talk on the first, by TCP and UDP",
-    "seed_nodes": "IP:PORT,... of some control machines; at the first start of all, its first voters",
+    "listen_addrs.control": "IP:PORT for calls of the operator and workers; control needs it",
+    "ephemeral_ports": "FIRST,LAST; processes of the tier communicate on the first, by TCP and UDP",
+    "seed_nodes": "IP:PORT,... of some control machines; the first voters at the first start of the tier",
     "bootstrap": "true only at the first start of the whole tier, with empty disks",
     "data_dir": "folder for the log and snapshots; control and store need it",
-    "cluster_name": "processes of the tier talk only with those of the same name; may be left out",
+    "cluster_name": "processes communicate only with those of the same cluster name; optional",
     "heartbeat_ms": "period of workers' heartbeats",
-    "fault_tolerance.machines": "f: how many machines with a disk may be lost at once; 2f + 1 hold each log",
+    "fault_tolerance.machines": "f: machines with a disk that may be lost at once; 2f + 1 store each log",
     "limits.memory_mb": "memory of the process",
     "limits.max_fds": "file descriptors of the process",
     "limits.cpu_share": "processor time of the process",
-    "limits.disk_mb": "room in data_dir; 0: not given",
-    "limits.copy_mb_per_s": "MB of state a second that a store copies to each of f new ones; 0: not given",
-    "batch.warm_learners": "stores that keep a copy of a partition beside its voters; f if not given",
-    "bounds.quota_overshoot": "part by which waiting tokens may pass a quota",
+    "limits.disk_mb": "disk space for data_dir; 0: unspecified",
+    "limits.copy_mb_per_s": "MB of state per second copied to each of f new stores; 0: unspecified",
+    "batch.warm_learners": "learners that replicate a partition besides its voters; f by default",
+    "bounds.quota_overshoot": "fraction by which pending tokens may exceed a quota",
 }
 TYPES: Mapping[str, Mapping[str, object]] = {
     "text": {"type": "string"},
@@ -46,26 +46,38 @@
 
 
 def check(path: Path, program: str = "") -> Findings:
-    """What is wrong with a settings file, slips of keys included. Raises `SettingsError`."""
+    """Returns the problems of a settings file, including misspelled keys.
+
+    Raises:
+        SettingsError: The file cannot be read.
+    """
     report = examine_settings(read_text(path), program)
-    slips = {key: nearest(key, report.reads) for key in report.unknown}
-    problems = [*report.problems, *(unknown_key(key, meant) for key, meant in slips.items() if meant)]
-    others = sum(not meant for meant in slips.values())
-    return Findings(str(path), problems, f"{others} keys that nothing here knows" if others else "")
+    suggestions = {key: nearest_key(key, report.reads) for key in report.unknown}
+    problems = [
+        *report.problems,
+        *(unknown_key_problem(key, suggestion) for key, suggestion in suggestions.items() if suggestion),
+    ]
+    unused = sum(not suggestion for suggestion in suggestions.values())
+    return Findings(str(path), problems, f"{unused} keys that nothing here knows" if unused else "")
 
 
 def show(path: Path) -> list[tuple[str, object, str]]:
-    """Each value in force and its origin. Raises `SettingsError`."""
+    """Returns each effective value with its origin.
+
+    Raises:
+        SettingsError: The file cannot be read, or has invalid settings.
+    """
     report = examine_settings(read_text(path))
     if report.problems:
         raise SettingsError(*report.problems)
     return [
-        (key, _shown(read.value), "file" if read.given else "default") for key, read in report.reads.items()
+        (key, _display_value(read.value), "file" if read.given else "default")
+        for key, read in report.reads.items()
     ]
 
 
 def json_schema() -> dict[str, Any]:
-    """The schema of the settings as an object of its keys; each value stands in the file as text."""
+    """Returns the schema of the settings as one JSON object; in the file each value is text."""
     report = examine_settings("")
     return {
         "$schema": "https://json-schema.org/draft/2020-12/schema",
@@ -83,14 +95,14 @@
 
 def _property(key: str, read: SettingRead) -> dict[str, object]:
     unit = next((unit for suffix, unit in UNITS.items() if key.endswith(suffix)), "")
-    words = [word for word in (DESCRIPTIONS.get(key, ""), unit and f"in {unit}") if word]
-    described = {**TYPES[read.kind], "description": ", ".join(words) or key}
+    phrases = [phrase for phrase in (DESCRIPTIONS.get(key, ""), unit and f"in {unit}") if phrase]
+    schema = {**TYPES[read.kind], "description": ", ".join(phrases) or key}
     if not read.required and isinstance(read.value, int | float):
-        described["default"] = read.value
-    return described
+        schema["default"] = read.value
+    return schema
 
 
-def _shown(value: object) -> object:
+def _display_value(value: object) -> object:
     if isinstance(value, tuple):
-        return ",".join(str(each) for each in value)
+        return ",".join(str(item) for item in value)
     return value if isinstance(value, int | float) or value is None else str(value)
--- a/pewterring/cli/parser.py
+++ b/pewterring/cli/parser.py
@@ -1,4 +1,4 @@
-"""The parser of the command line: one line an error, defaults in the help, commands filled when used."""
+"""The command-line parser. Arguments of a command are added only if that command is used."""
 
 import argparse
 import importlib
@@ -13,41 +13,43 @@
 STATUSES = """\
 exit status:
   0  done
-  1  it failed while it ran: a port, a disk, a call that nobody answered
-  2  arguments, settings or a configuration that cannot be used
-  3  lab: a rule broke in a run
+  1  the command failed while it ran, for example a port, a disk or a call without a response
+  2  invalid arguments, settings or configuration
+  3  lab: a run violated a rule
 """
 
 
 @dataclass(frozen=True, slots=True)
 class Command:
-    """A sub-command: `module` has `configure(parser)`, which adds arguments and sets `run`."""
+    """A sub-command. The function `configure(parser)` of `module` adds its arguments and sets `run`."""
 
     name: str
     module: str
     help: str
-    extra: str = ""  # the optional dependencies that it needs
+    extra: str = ""  # name of the extra with its optional dependencies
 
 
 COMMANDS = (
     Command("gateway", "pewterring.cli.programs", "run a gateway of the serving tier", "tier"),
     Command("control", "pewterring.cli.programs", "run a control machine of the serving tier", "tier"),
     Command("store", "pewterring.cli.programs", "run a store of batch jobs of the serving tier", "tier"),
-    Command("local", "pewterring.cli.local", "run a whole tier on this machine's loopback addresses", "tier"),
-    Command("cluster", "pewterring.cli.cluster", "ask a running tier how it is", "tier"),
-    Command("inspect", "pewterring.cli.inspect", "read what a process keeps on disk", "tier"),
+    Command(
+        "local", "pewterring.cli.local", "run a complete tier on loopback addresses of this machine", "tier"
+    ),
+    Command("cluster", "pewterring.cli.cluster", "show and change the state of a running tier", "tier"),
+    Command("inspect", "pewterring.cli.inspect", "show data folders and gateway logs", "tier"),
     Command("config", "pewterring.cli.config", "check or show settings and configurations, print schemas"),
     Command("serve", "pewterring.cli.gatekeeper", "run a gatekeeper"),
-    Command("check", "pewterring.cli.gatekeeper", "read a gatekeeper's configuration and say what is in it"),
-    Command("tally", "pewterring.cli.tally", "sum gatekeepers' tally lines over the fleet"),
-    Command("lab", "pewterring.cli.lab", "emulate, sweep, compare, plot, hunt and explain", "lab"),
-    Command("completion", "pewterring.cli.completion", "print a shell's completion script"),
+    Command("check", "pewterring.cli.gatekeeper", "validate and summarise a gatekeeper's configuration"),
+    Command("tally", "pewterring.cli.tally", "aggregate the tally lines of gatekeepers over the fleet"),
+    Command("lab", "pewterring.cli.lab", "play and evaluate scenarios", "lab"),
+    Command("completion", "pewterring.cli.completion", "print a completion script for a shell"),
     Command("version", "pewterring.cli.version", "print the version"),
 )
 
 
 class HelpFormatter(argparse.RawDescriptionHelpFormatter, argparse.ArgumentDefaultsHelpFormatter):
-    """Keeps line ends of descriptions, and says the defaults of options that have one."""
+    """Keeps line breaks of descriptions and shows the defaults of options that have one."""
 
     def _get_help_string(self, action: argparse.Action) -> str | None:
         if action.default in (None, False, "", []) or not action.option_strings:
@@ -56,68 +58,70 @@
 
 
 class Parser(argparse.ArgumentParser):
-    """A parser whose errors are `UsageError`."""
+    """A parser that raises `UsageError` instead of exiting."""
 
-    def __init__(self, *args: object, **named: object) -> None:
+    def __init__(self, *args: object, **options_by_name: object) -> None:
         self.commands: Subcommands | None = None
-        named = {"formatter_class": HelpFormatter, "allow_abbrev": False, **named}
-        super().__init__(*args, **named)  # type: ignore[arg-type]
+        options_by_name = {"formatter_class": HelpFormatter, "allow_abbrev": False, **options_by_name}
+        super().__init__(*args, **options_by_name)  # type: ignore[arg-type]
 
     @property
     def options(self) -> set[str]:
-        """All options of this command, in each of their forms."""
+        """All option strings of this command, short and long."""
         return {option for action in self._actions for option in action.option_strings}
 
     @property
     def parser_by_command(self) -> Mapping[str, "Parser"]:
-        """The parsers of its own commands."""
+        """The parsers of the sub-commands by name."""
         return {} if self.commands is None else self.commands.choices
 
     def error(self, message: str) -> NoReturn:
-        """Raises instead of printing the usage and ending the process."""
+        """Raises `UsageError` instead of printing the usage and exiting."""
         raise UsageError(f"{message}; see {self.prog} --help")
 
 
 class VersionAction(argparse.Action):
-    """Prints the version and ends."""
+    """Prints the version and exits."""
 
     def __call__(self, parser: argparse.ArgumentParser, *_: object) -> NoReturn:
-        """Part of `argparse.Action`."""
+        """Implements `argparse.Action`."""
         print(f"{PROGRAM} {__version__}")
         parser.exit(0)
 
 
 class Subcommands(Protocol):
-    """The commands of a command. The standard library gives the type no public name."""
+    """The sub-commands of a parser. The type has no public name in the standard library."""
 
     choices: Mapping[str, "Parser"]
 
-    def add_parser(self, name: str, **named: object) -> argparse.ArgumentParser:
-        """Adds a command, and returns its parser."""
+    def add_parser(self, name: str, **options_by_name: object) -> argparse.ArgumentParser:
+        """Adds a command and returns its parser."""
         ...
 
 
 def add_subcommands(parser: argparse.ArgumentParser) -> Subcommands:
-    """Where the commands of a command are added."""
-    made = parser.add_subparsers(title="Commands", metavar="COMMAND", dest="command", parser_class=Parser)
-    commands = cast(Subcommands, made)
+    """Adds a group of sub-commands to a parser and returns it."""
+    added = parser.add_subparsers(title="Commands", metavar="COMMAND", dest="command", parser_class=Parser)
+    commands = cast(Subcommands, added)
     cast(Parser, parser).commands = commands
     return commands
 
 
 def make_parser(names: Sequence[str]) -> Parser:
-    """The parser, with the arguments of those commands that `names` lists; of others only the help."""
+    """Returns the parser. Only the commands in `names` get arguments; others have just a help text."""
     parser = Parser(
         prog=PROGRAM,
         description="A serving tier in front of model workers, and the gatekeepers of older deployments.",
         epilog=STATUSES,
     )
-    parser.add_argument("-V", "--version", action=VersionAction, nargs=0, help="print the version and end")
+    parser.add_argument("-V", "--version", action=VersionAction, nargs=0, help="print the version and exit")
     commands = add_subcommands(parser)
     for command in COMMANDS:
-        made = commands.add_parser(command.name, help=command.help, description=command.help, epilog=STATUSES)
+        added = commands.add_parser(
+            command.name, help=command.help, description=command.help, epilog=STATUSES
+        )
         if command.name in names:
-            _configure(command, made)
+            _configure(command, added)
     return parser
 
 
--- a/pewterring/cli/programs.py
+++ b/pewterring/cli/programs.py
@@ -1,4 +1,4 @@
-"""`pewterring gateway`, `control` and `store` on the command line; `__main__` takes their usual way."""
+"""`pewterring gateway`, `control` and `store`. `__main__` starts their usual forms without this module."""
 
 import argparse
 
@@ -7,26 +7,26 @@
 
 ABOUT = {
     "gateway": "Run a gateway: clients at listen_addrs.front, readiness and metrics at listen_addrs.ready.",
-    "control": "Run a control machine: operator and workers at listen_addrs.control, its log in data_dir.",
-    "store": "Run a store of batch jobs: its log in data_dir.",
+    "control": "Run a control machine: operator and workers at listen_addrs.control, log in data_dir.",
+    "store": "Run a store of batch jobs, with its log in data_dir.",
 }
 SIGNALS = """
-SIGTERM drains for bounds.grace_s seconds at most and ends; SIGHUP reads the settings file again, which is
-also done within 2 seconds of a change without a signal. `pewterring config schema --kind settings` lists the
+SIGTERM drains for at most bounds.grace_s seconds and exits. SIGHUP reloads the settings file; a change to
+it is also noticed within 2 seconds without a signal. `pewterring config schema --kind settings` lists the
 settings with their units and defaults."""
 
 
 def configure(parser: argparse.ArgumentParser) -> None:
-    """Adds the command to its parser."""
+    """Adds the arguments of one program to its parser."""
     name = parser.prog.split()[-1]
     parser.description = ABOUT[name] + "\n" + SIGNALS
     parser.add_argument(
         "--settings",
         metavar="FILE",
-        help=f"lines of a.b=value (without it, the file that {SETTINGS_VARIABLE} names, else {DEFAULT_PATH})",
+        help=f"lines of a.b=value (if omitted, the file named by {SETTINGS_VARIABLE}, else {DEFAULT_PATH})",
     )
     parser.set_defaults(run=_run, program=name)
 
 
-def _run(given: argparse.Namespace) -> int:
-    return run_program(given.program, given.settings)
+def _run(arguments: argparse.Namespace) -> int:
+    return run_program(arguments.program, arguments.settings)
--- a/pewterring/cli/serving.py
+++ b/pewterring/cli/serving.py
@@ -1,6 +1,6 @@
-"""What `serve` and `check` do.
+"""Implements `serve` and `check`.
 
-Nothing here or on the way here imports the command line's library: see `__main__`.
+Neither this module nor its imports may import argparse: see `__main__`.
 """
 
 import asyncio
@@ -11,28 +11,28 @@
 
 
 def serve(path: str | None) -> int:
-    """Serves by the configuration at `path` until SIGTERM; returns the exit status."""
+    """Runs a gatekeeper with the configuration at `path` until SIGTERM; returns the exit status."""
     from pewterring.standalone.log import Log
     from pewterring.standalone.proxy.service import Service
 
     service: Service | None = None
-    hung_up = False
+    reload_requested = False
 
-    def on_hang_up(_number: int, _frame: object) -> None:
-        # Not the loop's own handler: that one goes with the loop, and one just before the end would kill.
-        nonlocal hung_up
-        hung_up = True
+    def on_sighup(_number: int, _frame: object) -> None:
+        # The loop's own handler would be removed with the loop: a SIGHUP just before exit would then kill it.
+        nonlocal reload_requested
+        reload_requested = True
         if service:
-            with contextlib.suppress(RuntimeError):  # the loop has ended
+            with contextlib.suppress(RuntimeError):  # the loop is closed
                 service.loop.call_soon_threadsafe(service.reload)
 
-    signal.signal(signal.SIGHUP, on_hang_up)
+    signal.signal(signal.SIGHUP, on_sighup)
     config, log = load(path), Log()
 
     async def run() -> None:
         nonlocal service
         service = Service(config, log, read_again=lambda: load(path, strict=True))
-        if hung_up:  # after the file was read, perhaps
+        if reload_requested:  # the signal may have come after the file was read
             service.reload()
         await service.run()
 
@@ -45,7 +45,7 @@
 
 
 def check(path: str | None) -> int:
-    """Prints what the configuration at `path` says; returns the exit status."""
+    """Prints a summary of the configuration at `path`; returns the exit status."""
     config = load(path)
     settings = config.settings
     workers = len(config.known.entries) if config.known else 0
--- a/pewterring/cli/tally.py
+++ b/pewterring/cli/tally.py
@@ -1,4 +1,4 @@
-"""`pewterring tally`: the lines of counts of many gatekeepers, summed over the fleet in windows."""
+"""`pewterring tally`: aggregates the tally lines of gatekeepers over the fleet, per time window."""
 
 import argparse
 import json
@@ -10,23 +10,25 @@
 
 from pewterring.cli.errors import CommandError, UsageError
 
-MEANS = ("limit", "whole", "demands", "elsewhere", "usual", "peers", "workers", "took_mean")  # not summed
-SUMS = ("share", "out", "demand", "customers")  # of the last line of each gatekeeper in the window
+# Averaged over gatekeepers.
+AVERAGED_FIELDS = ("limit", "whole", "demands", "elsewhere", "usual", "peers", "workers", "took_mean")
+# Summed over the last line of each gatekeeper in the window.
+SUMMED_FIELDS = ("share", "out", "demand", "customers")
 TallyRecord = dict[str, Any]
 
 
 def read(path: Path) -> Iterator[TallyRecord]:
-    """The tally records of one log.
+    """Yields the tally records of one log file.
 
-    What stands before a line's object is passed over, and so is what is no such record, as the truncated end
-    of a killed gatekeeper's log.
+    Ignores any text before the JSON object of a line, and lines without a tally record, for example the
+    truncated last line of a killed gatekeeper.
     """
-    for raw in path.read_bytes().splitlines():
-        start = raw.find(b"{")
+    for raw_line in path.read_bytes().splitlines():
+        start = raw_line.find(b"{")
         if start < 0:
             continue
         try:
-            line = orjson.loads(raw[start:])
+            line = orjson.loads(raw_line[start:])
         except orjson.JSONDecodeError:
             continue
         if (
@@ -38,54 +40,65 @@
 
 
 def windows(logs: Iterable[tuple[str, Iterable[TallyRecord]]], length: float) -> list[TallyRecord]:
-    """One row a window of `length` seconds, from the first record of all on.
+    """Returns one row per window of `length` seconds; the first begins at the earliest record.
 
-    Counts are summed over gatekeepers and records; what a gatekeeper has in force is taken from its last
-    record, then averaged (MEANS) or summed (SUMS).
+    Counts are summed over gatekeepers and records. Current values are taken from the last record of each
+    gatekeeper, then averaged (AVERAGED_FIELDS) or summed (SUMMED_FIELDS) over gatekeepers.
     """
     lines = [(float(line["time"]), name, line) for name, log in logs for line in log]
     if not lines:
         return []
-    first = min(at for at, _, _ in lines)
+    first = min(time for time, _, _ in lines)
     counts: dict[int, dict[str, float]] = {}
-    last: dict[int, dict[str, TallyRecord]] = {}
-    for at, name, line in sorted(lines, key=lambda entry: entry[:2]):
-        window = int((at - first) / length)
+    last_by_window: dict[int, dict[str, TallyRecord]] = {}
+    for time, name, line in sorted(lines, key=lambda entry: entry[:2]):
+        window = int((time - first) / length)
         row = counts.setdefault(window, {})
-        last.setdefault(window, {})[name] = line
+        last_by_window.setdefault(window, {})[name] = line
         for key, value in line.items():
-            if key not in ("time", "event", *MEANS, *SUMS) and isinstance(value, int | float):
+            if key not in ("time", "event", *AVERAGED_FIELDS, *SUMMED_FIELDS) and isinstance(
+                value, int | float
+            ):
                 row[key] = row.get(key, 0) + value
     rows = []
     for window, row in sorted(counts.items()):
-        held = last[window].values()
-        of = {key: [float(line[key]) for line in held if key in line] for key in (*MEANS, *SUMS)}
-        state = {key: sum(xs) / (len(xs) if key in MEANS else 1) for key, xs in of.items() if xs}
-        rows.append({"from_s": window * length, "gatekeepers": len(held), **row, **state})
+        last_records = last_by_window[window].values()
+        values_by_field = {
+            key: [float(line[key]) for line in last_records if key in line]
+            for key in (*AVERAGED_FIELDS, *SUMMED_FIELDS)
+        }
+        state = {
+            key: sum(values) / (len(values) if key in AVERAGED_FIELDS else 1)
+            for key, values in values_by_field.items()
+            if values
+        }
+        rows.append({"from_s": window * length, "gatekeepers": len(last_records), **row, **state})
     return rows
 
 
 def configure(parser: argparse.ArgumentParser) -> None:
-    """Adds the command to its parser."""
+    """Adds the arguments of `tally` to its parser."""
     parser.description = (
-        "Sum the tally lines of gatekeepers' LOGS over the fleet, window by window. Gatekeepers write such\n"
-        "lines where ROUTER_TALLY_S names a period in seconds."
+        "Aggregate the tally lines in gatekeepers' LOGS over the fleet, per window. Gatekeepers write them\n"
+        "if ROUTER_TALLY_S is set to a period in seconds."
     )
     parser.add_argument("logs", nargs="+", type=Path, metavar="LOGS", help="files, or folders of *.log")
     parser.add_argument(
         "--window", type=float, default=5.0, metavar="S", help="length of a window in seconds"
     )
-    parser.add_argument("--json", action="store_true", help="one JSON object a window instead of a table")
+    parser.add_argument(
+        "--json", action="store_true", help="print one JSON object per window instead of a table"
+    )
     parser.set_defaults(run=_tally)
 
 
-def _tally(given: argparse.Namespace) -> None:
-    if given.window <= 0:
-        raise UsageError("--window: a window has to be longer than nothing")
-    rows = windows([(str(file), read(file)) for file in _files(given.logs)], given.window)
+def _tally(arguments: argparse.Namespace) -> None:
+    if arguments.window <= 0:
+        raise UsageError("--window: the window must be longer than 0 seconds")
+    rows = windows([(str(file), read(file)) for file in _files(arguments.logs)], arguments.window)
     if not rows:
-        raise CommandError("no tally lines in these logs: was ROUTER_TALLY_S set for them?")
-    if given.json:
+        raise CommandError("no tally lines in these logs: was ROUTER_TALLY_S set for the gatekeepers?")
+    if arguments.json:
         for row in rows:
             print(json.dumps(row))
         return
--- a/pewterring/cli/tier.py
+++ b/pewterring/cli/tier.py
@@ -1,4 +1,4 @@
-"""What `gateway`, `control` and `store` do: read the settings, run the program until a signal ends it."""
+"""Implements `gateway`, `control` and `store`: reads the settings and runs the program until a signal."""
 
 import asyncio
 import contextlib
@@ -17,24 +17,28 @@
 from pewterring.observability.log import configure_log
 from pewterring.observability.request_log import REQUEST_EVENT
 
-STOP_S = 1.0  # for a program to stop
-# Start-up makes many objects that live for ever; collections are rarer after it, and pass them over.
+STOP_TIMEOUT_S = 1.0  # for a program to stop
+# Start-up creates many permanent objects: they are frozen, and garbage collection then runs less often.
 COLLECTION_THRESHOLDS = (20_000, 20, 50)
 
 
 class Program(Protocol):
-    """A program of the tier. `drain` and `reload(settings)` are called where it has them."""
+    """A program of the tier. The methods `drain()` and `reload(settings)` are optional."""
 
     async def start(self) -> None:
-        """Starts it; raises OSError where a port cannot be had."""
+        """Starts the program.
+
+        Raises:
+            OSError: A port cannot be bound.
+        """
 
     async def stop(self) -> None:
-        """Stops it."""
+        """Stops the program."""
 
 
 def run_program(name: str, path: str | None = None) -> int:
     """Runs one program with the settings file at `path`; returns the exit status."""
-    # A signal that comes before there is a loop must not end the process: the file is looked at later.
+    # SIGHUP before the event loop runs must not end the process; the file is checked for changes later.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     file = SettingsFile(settings_path(path), name)
     try:
@@ -44,62 +48,62 @@
         return USAGE_ERROR
     unthinned = (REQUEST_EVENT,) if report.settings.request_log is RequestLogMode.ALL else ()
     configure_log({"program": name, "node": report.settings.node_id}, unthinned=unthinned)
-    _tell_unknown(report)
+    _log_unknown_keys(report)
     try:
         return asyncio.run(_run(name, file, report.settings))
-    except Exception as error:  # noqa: BLE001 - the process's edge: whatever ends it is one log line and a status
-        logger.bind(event="program_failed").opt(exception=error).error("{} cannot go on: {}", name, error)
+    except Exception as error:  # noqa: BLE001 - outermost handler: any error becomes one log line and an exit status
+        logger.bind(event="program_failed").opt(exception=error).error("{} cannot continue: {}", name, error)
         return FAILED
 
 
-def _tell_unknown(report: SettingsReport) -> None:
+def _log_unknown_keys(report: SettingsReport) -> None:
     if report.unknown:
         log = logger.bind(event="settings_unknown_keys", count=len(report.unknown))
-        log.warning("unknown keys are ignored; pewterring config check names them")
+        log.warning("unknown keys are ignored; pewterring config check lists them")
 
 
 async def _run(name: str, file: SettingsFile, settings: NodeSettings) -> int:
     failed = asyncio.Event()
     stopped = asyncio.Event()
-    program = await _make_once_there_is_space(name, settings, failed)
-    reloader = _reloader(file, settings, program)
+    program = await _make_when_disk_has_space(name, settings, failed)
+    reloader = _make_reloader(file, settings, program)
     loop = asyncio.get_running_loop()
     loop.add_signal_handler(signal.SIGTERM, stopped.set)
     loop.add_signal_handler(signal.SIGINT, stopped.set)
     loop.add_signal_handler(signal.SIGHUP, reloader.reload)
-    if not await _started(program, stopped):
+    if not await _start_unless_stopped(program, stopped):
         return 0
     watch = asyncio.create_task(reloader.watch())
     gc.collect()
     gc.freeze()
     gc.set_threshold(*COLLECTION_THRESHOLDS)
-    waits = [asyncio.create_task(event.wait()) for event in (stopped, failed)]
-    await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
+    waiters = [asyncio.create_task(event.wait()) for event in (stopped, failed)]
+    await asyncio.wait(waiters, return_when=asyncio.FIRST_COMPLETED)
     watch.cancel()
     drain = getattr(program, "drain", None)
     if drain is not None and not failed.is_set():
         await drain()
     with contextlib.suppress(TimeoutError):
-        await asyncio.wait_for(program.stop(), STOP_S)
+        await asyncio.wait_for(program.stop(), STOP_TIMEOUT_S)
     return FAILED if failed.is_set() else 0
 
 
-async def _make_once_there_is_space(name: str, settings: NodeSettings, failed: asyncio.Event) -> Program:
+async def _make_when_disk_has_space(name: str, settings: NodeSettings, failed: asyncio.Event) -> Program:
     from pewterring.consensus.backpressure import retry_while_full
 
     async def make() -> Program:
-        return _make(name, settings, failed)
+        return _make_program(name, settings, failed)
 
     return await retry_while_full(name, make)
 
 
-async def _started(program: Program, stopped: asyncio.Event) -> bool:
-    """Starts the program; False if a signal ends it while its start waits, for room on a full disk, say."""
+async def _start_unless_stopped(program: Program, stopped: asyncio.Event) -> bool:
+    """Starts the program. Returns False if a signal comes while it waits, for example for disk space."""
     start = asyncio.ensure_future(program.start())
     signalled = asyncio.ensure_future(stopped.wait())
     await asyncio.wait((start, signalled), return_when=asyncio.FIRST_COMPLETED)
     if not start.done():
-        await asyncio.wait((start,), timeout=STOP_S)
+        await asyncio.wait((start,), timeout=STOP_TIMEOUT_S)
     signalled.cancel()
     if start.done():
         await start
@@ -108,24 +112,26 @@
     return False
 
 
-def _reloader(file: SettingsFile, settings: NodeSettings, program: Program) -> SettingsReloader:
+def _make_reloader(file: SettingsFile, settings: NodeSettings, program: Program) -> SettingsReloader:
     def apply(changed: NodeSettings) -> None:
-        take = getattr(program, "reload", None)
-        if take is not None:
-            take(changed)
-        logger.bind(event="settings_reloaded").info("the settings file has changed")
+        reload = getattr(program, "reload", None)
+        if reload is not None:
+            reload(changed)
+        logger.bind(event="settings_reloaded").info("reloaded the settings file")
 
     def on_refused(error: SettingsError) -> None:
         logger.bind(event="settings_refused").warning("settings kept as they were: {}", error)
 
     def on_restart_needed(names: tuple[str, ...]) -> None:
-        logger.bind(event="settings_need_restart", fields=names).warning("some changes wait for a new start")
+        logger.bind(event="settings_need_restart", fields=names).warning(
+            "some changes take effect only after a restart"
+        )
 
     return SettingsReloader(file, settings, ReloadCallbacks(apply, on_refused, on_restart_needed))
 
 
-def _make(name: str, settings: NodeSettings, failed: asyncio.Event) -> Program:
-    # Each program loads only what it uses.
+def _make_program(name: str, settings: NodeSettings, failed: asyncio.Event) -> Program:
+    # Local imports, so that each program loads only what it uses.
     if name == "gateway":
         from pewterring.gateway.program import GatewayProgram
 
--- a/pewterring/cli/version.py
+++ b/pewterring/cli/version.py
@@ -1,4 +1,4 @@
-"""`pewterring version`."""
+"""`pewterring version`: prints the version."""
 
 import argparse
 
@@ -6,7 +6,7 @@
 
 
 def configure(parser: argparse.ArgumentParser) -> None:
-    """Adds the command to its parser."""
+    """Sets the function of `version` on its parser."""
     parser.set_defaults(run=_version)
 
 
--- a/pewterring/durations.py
+++ b/pewterring/durations.py
@@ -1,4 +1,4 @@
-"""Constants of time that several packages share."""
+"""Time constants shared by several packages."""
 
 MILLISECONDS_PER_SECOND = 1000.0
-PAUSE_THRESHOLD_S = 0.5  # a longer time between two checks of a clock means that this process was paused
+PAUSE_THRESHOLD_S = 0.5  # a longer gap between two clock readings means that the process was paused
--- a/tests/cli/test_start.py
+++ b/tests/cli/test_start.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from pewterring.cli.tier import STOP_S, _make_once_there_is_space, _started
+from pewterring.cli.tier import STOP_TIMEOUT_S, _make_when_disk_has_space, _start_unless_stopped
 from pewterring.consensus.errors import StorageFullError
 from tests.consensus.virtual_time import run
 
@@ -35,12 +35,12 @@
     async def scenario() -> bool:
         stopped = asyncio.Event()
         asyncio.get_running_loop().call_later(SIGNAL_S, stopped.set)
-        return await _started(program, stopped)
+        return await _start_unless_stopped(program, stopped)
 
     return run(scenario())
 
 
-@pytest.mark.parametrize("start_s", [0.0, SIGNAL_S - 0.1, SIGNAL_S + STOP_S - 0.1])
+@pytest.mark.parametrize("start_s", [0.0, SIGNAL_S - 0.1, SIGNAL_S + STOP_TIMEOUT_S - 0.1])
 def test_a_start_that_ends_in_time_counts(start_s: float) -> None:
     program = SlowProgram(start_s)
     assert started(program)
@@ -70,9 +70,9 @@
         return program
 
     async def scenario() -> object:
-        return await _make_once_there_is_space("control", None, asyncio.Event())  # type: ignore[arg-type]
+        return await _make_when_disk_has_space("control", None, asyncio.Event())  # type: ignore[arg-type]
 
-    monkeypatch.setattr("pewterring.cli.tier._make", make)
+    monkeypatch.setattr("pewterring.cli.tier._make_program", make)
     assert run(scenario()) is program
     assert len(tries) == 4
     assert tries[-1] > tries[0]
