--- a/pewterring/cli/local.py
+++ b/pewterring/cli/local.py
@@ -87,15 +87,15 @@
             for result in await tier.batch_results():
                 print(json.dumps(result))
             return
-        _print_commands(layout, tier.front)
+        _print_commands(layout, tier.client_address)
         await tier.children.wait_for_end()
 
 
-def _print_commands(layout: Layout, front: str) -> None:
+def _print_commands(layout: Layout, client_address: str) -> None:
     job_file = layout.folder / sample.JOB_FILE
     job_file.write_text(json.dumps(sample.job()), encoding="utf-8")
     print(f"The tier is serving on {layout.network}.*; settings, logs and data are in {layout.folder}\n")
-    print(f"A stream:\n\n    {sample.stream_command(front)}\n")
-    print(f"A batch job and its results:\n\n    {sample.job_command(front, str(job_file))}\n")
+    print(f"A stream:\n\n    {sample.stream_command(client_address)}\n")
+    print(f"A batch job and its results:\n\n    {sample.job_command(client_address, str(job_file))}\n")
     print(f"Status of the tier:\n\n    pewterring cluster status --control {layout.control_addresses()[0]}\n")
     print("Press Ctrl-C to stop.", flush=True)
--- a/pewterring/local/__init__.py
+++ b/pewterring/local/__init__.py
@@ -1,1 +1,1 @@
-"""A whole tier on the loopback addresses of one machine, to try it out and to develop against."""
+"""A complete serving tier on loopback addresses of one machine, for demonstration and development."""
--- a/pewterring/local/engine.py
+++ b/pewterring/local/engine.py
@@ -1,4 +1,4 @@
-"""A stand-in for a model worker: streams the words of a request back, and sends heartbeats."""
+"""A stand-in for a model worker: streams the words of a request back and sends heartbeats."""
 
 import asyncio
 import contextlib
@@ -16,8 +16,8 @@
 from pewterring.transport.http_responder import Responder
 from pewterring.transport.http_server import HttpServer
 
-CAPACITY = 8  # requests at once
-EVENT_S = 0.05  # between events of a stream
+CAPACITY = 8  # concurrent requests
+EVENT_INTERVAL_S = 0.05  # between two events of a stream
 HEARTBEAT_TIMEOUT_S = 1.0
 LIMITS = ServerLimits(
     max_header_bytes=16384, max_body_bytes=4194304, header_timeout_s=3.0, idle_timeout_s=15.0
@@ -28,31 +28,38 @@
 
 
 def echoed_words(body: bytes) -> list[str]:
-    """The data of a request's events: the same at each worker, so that a stream can be taken up elsewhere."""
+    """Returns the data of each event of a response.
+
+    It is the same on every worker, so that a stream can be resumed on another one.
+    """
     return [*GREETING.split(), *body.decode("utf-8", "replace").split()]
 
 
 @dataclass(frozen=True, slots=True)
 class WorkerPlace:
-    """Where a worker serves, and which service."""
+    """The service of a worker, and its address and zone."""
 
     service: str
-    address: str  # `IP:port`; port 0 for one that is free
+    address: str  # `IP:port`; port 0 selects a free port
     zone: str
 
 
 class StandInWorker:
-    """One worker that sends heartbeats to `controls`. `registered` is set at its first acknowledgement.
+    """A worker that sends heartbeats to control. `registered` is set when the first one is acknowledged.
 
     Args:
-        place: What it serves, and where.
-        controls: Addresses of control machines, `IP:port`; the next one is called where one does not answer.
-        heartbeat_s: Period of its heartbeats, in seconds.
-        event_s: Seconds between two events of a stream.
+        place: Its service, address and zone.
+        controls: Addresses of control machines, `IP:port`; if one does not respond, the next is used.
+        heartbeat_s: Period of heartbeats in seconds.
+        event_interval_s: Seconds between two events of a stream.
     """
 
     def __init__(
-        self, place: WorkerPlace, controls: list[str], heartbeat_s: float, event_s: float = EVENT_S
+        self,
+        place: WorkerPlace,
+        controls: list[str],
+        heartbeat_s: float,
+        event_interval_s: float = EVENT_INTERVAL_S,
     ) -> None:
         self.id = f"i-{secrets.token_hex(4)}"
         self.registered = asyncio.Event()
@@ -60,18 +67,18 @@
         self._address = place.address
         self._controls = controls
         self._heartbeat_s = heartbeat_s
-        self._event_s = event_s
+        self._event_interval_s = event_interval_s
         self._sequence = 0
-        self._running = 0
+        self._in_flight = 0
         self._server = HttpServer(self._handle, lambda: LIMITS)
         self._pool = WorkerPool()
         self._heartbeats: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Listens and registers.
+        """Starts to listen and to send heartbeats.
 
         Raises:
-            OSError: The address cannot be had.
+            OSError: The address cannot be bound.
         """
         ip, _, port = self._address.rpartition(":")
         await self._server.start(ip, int(port))
@@ -80,7 +87,7 @@
         self._heartbeats = asyncio.create_task(self._send_heartbeats())
 
     async def stop(self) -> None:
-        """Says nothing any more."""
+        """Stops sending heartbeats and stops the server."""
         if self._heartbeats is not None:
             self._heartbeats.cancel()
             with contextlib.suppress(asyncio.CancelledError):
@@ -90,7 +97,7 @@
 
     @property
     def address(self) -> str:
-        """Where it listens."""
+        """The address `IP:port` on which the worker listens."""
         return self._address
 
     # Requests
@@ -99,41 +106,41 @@
         if request.method == "GET":
             await responder.respond(200, [(b"Served-By", self.id.encode())])
             return
-        target = request.get(b"target-instance")
+        target_instance = request.get(b"target-instance")
         request_id = request.get(REQUEST_ID)
         if request_id is None:
             await responder.respond(400, [NOT_EXECUTED])
-        elif target is not None and target != self.id.encode():
+        elif target_instance is not None and target_instance != self.id.encode():
             await responder.respond(421, [NOT_EXECUTED])
-        elif self._running >= CAPACITY:
-            await responder.respond(503, [NOT_EXECUTED, self._load()])
+        elif self._in_flight >= CAPACITY:
+            await responder.respond(503, [NOT_EXECUTED, self._load_header()])
         else:
-            self._running += 1
+            self._in_flight += 1
             try:
                 await self._stream(request, responder, request_id)
             finally:
-                self._running -= 1
+                self._in_flight -= 1
 
     async def _stream(self, request: ServerRequest, responder: Responder, request_id: bytes) -> None:
         words = echoed_words(request.body)
-        last = request.get(b"last-event-id") or b"0"
+        last_event_id = request.get(b"last-event-id") or b"0"
         headers = [
             (b"Content-Type", b"text/event-stream"),
             (b"Request-Id", request_id),
             (b"Response-Signature", b"stand-in." + self.id.encode()),
-            self._load(),
+            self._load_header(),
         ]
         responder.begin(200, headers)
-        for number in range(int(last) + 1 if last.isdigit() else 1, len(words) + 1):
-            await asyncio.sleep(self._event_s)
+        for event_id in range(int(last_event_id) + 1 if last_event_id.isdigit() else 1, len(words) + 1):
+            await asyncio.sleep(self._event_interval_s)
             if responder.disconnected:
                 return
-            responder.write(f"id: {number}\ndata: {words[number - 1]}\n\n".encode())
+            responder.write(f"id: {event_id}\ndata: {words[event_id - 1]}\n\n".encode())
             await responder.drain()
         responder.end()
 
-    def _load(self) -> tuple[bytes, bytes]:
-        return b"Instance-Load", b"%d,0,%d" % (self._running, CAPACITY)
+    def _load_header(self) -> tuple[bytes, bytes]:
+        return b"Instance-Load", b"%d,0,%d" % (self._in_flight, CAPACITY)
 
     # Heartbeats
 
@@ -165,7 +172,7 @@
             msgspec.json.encode(heartbeat),
         )
         try:
-            answer = await fetch(self._pool, control, request, 1, HEARTBEAT_TIMEOUT_S)
+            response = await fetch(self._pool, control, request, 1, HEARTBEAT_TIMEOUT_S)
         except ExchangeError:
             return False
-        return 200 <= answer.head.status < 300
+        return 200 <= response.head.status < 300
--- a/pewterring/local/layout.py
+++ b/pewterring/local/layout.py
@@ -1,23 +1,23 @@
-"""Which process of a local tier has which address, and its settings file."""
+"""Addresses and settings files of the processes of a local tier."""
 
 import ipaddress
 from dataclasses import dataclass
 from pathlib import Path
 
-FRONT_PORT = 8144  # clients
+FRONT_PORT = 8144  # for clients
 READY_PORT = 8140
-CONTROL_PORT = 8146  # operator and workers
-INTERNAL_PORTS = (7660, 7675)  # between the processes
+CONTROL_PORT = 8146  # for the operator and workers
+INTERNAL_PORTS = (7660, 7675)  # first and last port for traffic between processes
 WORKER_PORT = 8080
 HEARTBEAT_MS = 500
-FIRST_HOSTS = {"gateway": 1, "control": 11, "store": 21}  # last number of the first address
+FIRST_HOSTS = {"gateway": 1, "control": 11, "store": 21}  # last number of the IP address of the first process
 FIRST_WORKER_HOST = 31
 ZONES = ("local-a", "local-b", "local-c")
 DEFAULT_NETWORK = "127.0.77"
 
 
 class LayoutError(Exception):
-    """The tier cannot be laid out; the text says why."""
+    """The network is not usable for a local tier; the text says why."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Layout:
-    """Processes on addresses of `network` (`127.0.77` for 127.0.77.1 and so on), files under `folder`."""
+    """Assigns addresses in `network` (`127.0.77` means 127.0.77.1 and so on) and files in `folder`."""
 
     network: str
     folder: Path
@@ -50,33 +50,38 @@
             raise LayoutError(f"{self.network}: not a network of loopback addresses")
 
     def processes(self) -> list[Process]:
-        """All processes, control first."""
+        """Returns all processes, control machines first."""
         counts = {"control": self.controls, "store": self.stores, "gateway": self.gateways}
         return [
-            Process(program, f"{program}-{n + 1}", self._ip(FIRST_HOSTS[program] + n), ZONES[n % len(ZONES)])
+            Process(
+                program,
+                f"{program}-{number + 1}",
+                self._ip(FIRST_HOSTS[program] + number),
+                ZONES[number % len(ZONES)],
+            )
             for program, count in counts.items()
-            for n in range(count)
+            for number in range(count)
         ]
 
     def of(self, program: str) -> list[Process]:
-        """The processes of one program."""
+        """Returns the processes of one program."""
         return [process for process in self.processes() if process.program == program]
 
     def control_addresses(self) -> list[str]:
-        """Where the operator and workers call."""
+        """Returns the addresses for calls of the operator and workers."""
         return [f"{process.ip}:{CONTROL_PORT}" for process in self.of("control")]
 
     def worker_addresses(self) -> list[str]:
-        """Where the stand-in workers listen."""
+        """Returns the addresses on which the stand-in workers listen."""
         return [f"{self._ip(FIRST_WORKER_HOST + number)}:{WORKER_PORT}" for number in range(self.workers)]
 
     def folder_of(self, process: Process) -> Path:
-        """The process's files: `node.conf`, `log`, `data/`."""
+        """Returns the folder with the files of a process: `node.conf`, `log`, `data/`."""
         return self.folder / process.name
 
     def settings(self, process: Process, bootstrap: bool) -> str:
-        """The text of a process's settings file."""
-        lines = {
+        """Returns the text of a process's settings file."""
+        settings = {
             "node_id": process.name,
             "ip": process.ip,
             "zone": process.zone,
@@ -86,11 +91,11 @@
             "bootstrap": str(bootstrap).lower(),
             "heartbeat_ms": HEARTBEAT_MS,
             "fault_tolerance.machines": 1,
-            **self._own(process),
+            **self._program_settings(process),
         }
-        return "".join(f"{key}={value}\n" for key, value in lines.items())
+        return "".join(f"{key}={value}\n" for key, value in settings.items())
 
-    def _own(self, process: Process) -> dict[str, str]:
+    def _program_settings(self, process: Process) -> dict[str, str]:
         data_dir = {"data_dir": str(self.folder_of(process) / "data")}
         if process.program == "control":
             return {"listen_addrs.control": f"{process.ip}:{CONTROL_PORT}", **data_dir}
--- a/pewterring/local/sample.py
+++ b/pewterring/local/sample.py
@@ -1,4 +1,4 @@
-"""A sample configuration, a stream and a batch job, with the curl lines that ask for them."""
+"""A sample configuration, stream and batch job, and the curl commands that request them."""
 
 from typing import Any
 
@@ -9,13 +9,13 @@
 PROMPT = "the rain has stopped"
 JOB = "job-1"
 ITEMS = {"item-1": "aGVsbG8gZnJvbSBhIGpvYg==", "item-2": "YSBzZWNvbmQgaXRlbQ=="}  # base64
-WAIT_MS = 5000  # that a read of results waits for the first one
+WAIT_MS = 5000  # maximum wait of a results request for the first result
 JOB_FILE = "job.json"
-TOKEN_USAGE = "4,16"  # prompt, most out
+TOKEN_USAGE = "4,16"  # tokens of the prompt, maximum output tokens
 
 
 def configuration() -> dict[str, Any]:
-    """One service with a route for streams and one for batch jobs."""
+    """Returns a configuration of one service with a route for streams and one for batch jobs."""
     common = {"hostname": HOST, "backend": SERVICE, "target_latency_ms": 500, "timeout_ms": 10_000}
     return {
         "version": 1,
@@ -35,7 +35,7 @@
 
 
 def job() -> dict[str, Any]:
-    """A batch job of two items."""
+    """Returns a batch job of two items."""
     headers = {"Model-Id": "m", "Token-Usage": TOKEN_USAGE}
     return {
         "requests": [
@@ -46,7 +46,7 @@
 
 
 def stream_command(front: str) -> str:
-    """Asks for a stream."""
+    """Returns the curl command that requests a stream."""
     return (
         f"curl -sN http://{front}{STREAM_PATH} -H 'Host: {HOST}' -H \"Request-Id: stream-$RANDOM$RANDOM\" "
         f"-H 'Model-Id: m' -H 'Token-Usage: {TOKEN_USAGE}' -d '{PROMPT}'"
@@ -54,7 +54,7 @@
 
 
 def job_command(front: str, job_file: str) -> str:
-    """Submits the batch job and reads its results."""
+    """Returns the curl command that submits the batch job and reads its results."""
     submit = f"curl -s http://{front}{JOB_PATH} -H 'Host: {HOST}' -H 'Request-Id: {JOB}' -d @{job_file}"
     read = f"-s 'http://{front}/v1/lots/{JOB}?after=0' -H 'Host: {HOST}' -H 'Wait-Ms: {WAIT_MS}'"
     return f"{submit} --next {read}"
--- a/tests/local/test_engine.py
+++ b/tests/local/test_engine.py
@@ -1,4 +1,4 @@
-"""The stand-in worker: streams, what it declines, and its heartbeats."""
+"""The stand-in worker: streams, rejected requests and heartbeats."""
 
 import asyncio
 
@@ -11,78 +11,78 @@
 from pewterring.transport.http_server import HttpServer
 from pewterring.transport.sse import EventSplitter
 
-PATIENCE_S = 10.0
+TEST_TIMEOUT_S = 10.0
 PLACE = WorkerPlace("s", "127.0.0.1:0", "z")
 
 
 class Control:
-    """Takes heartbeats; the first `refused` are not acknowledged."""
+    """Receives heartbeats; responds to the first `rejected` ones with status 503."""
 
-    def __init__(self, refused: int) -> None:
-        self.refused = refused
+    def __init__(self, rejected: int) -> None:
+        self.rejected = rejected
         self.bodies: list[bytes] = []
         self.server = HttpServer(self._handle, lambda: LIMITS)
 
     async def _handle(self, request: ServerRequest, responder: Responder) -> None:
         self.bodies.append(request.body)
-        await responder.respond(503 if len(self.bodies) <= self.refused else 200, [])
+        await responder.respond(503 if len(self.bodies) <= self.rejected else 200, [])
 
 
-async def asked(worker: StandInWorker, body: bytes = b"one two", **headers: str) -> WholeAnswer:
-    sent = [(name.replace("_", "-").encode(), value.encode()) for name, value in headers.items()]
+async def send_request(worker: StandInWorker, body: bytes = b"one two", **headers: str) -> WholeAnswer:
+    extra_headers = [(name.replace("_", "-").encode(), value.encode()) for name, value in headers.items()]
     pool = WorkerPool()
     try:
-        request = SendRequest("POST", "/chat/1", [(b"Host", b"h"), *sent], body)
-        return await fetch(pool, worker.address, request, 1, PATIENCE_S)
+        request = SendRequest("POST", "/chat/1", [(b"Host", b"h"), *extra_headers], body)
+        return await fetch(pool, worker.address, request, 1, TEST_TIMEOUT_S)
     finally:
         pool.close()
 
 
-def data(answer: WholeAnswer) -> list[tuple[int | None, str]]:
-    return [(event.id, event.data) for event in EventSplitter().feed(answer.body)]
+def events_of(response: WholeAnswer) -> list[tuple[int | None, str]]:
+    return [(event.id, event.data) for event in EventSplitter().feed(response.body)]
 
 
-def test_a_stream_is_taken_up_where_it_is_asked_to_and_others_are_declined() -> None:
+def test_a_stream_resumes_after_the_last_event_id_and_invalid_requests_are_rejected() -> None:
     async def run() -> None:
-        worker = StandInWorker(PLACE, ["127.0.0.1:9"], heartbeat_s=60.0, event_s=0.0)
+        worker = StandInWorker(PLACE, ["127.0.0.1:9"], heartbeat_s=60.0, event_interval_s=0.0)
         await worker.start()
         try:
-            whole = await asked(worker, Request_Id="r-1", Target_Instance=worker.id)
+            response = await send_request(worker, Request_Id="r-1", Target_Instance=worker.id)
             words = echoed_words(b"one two")
-            assert data(whole) == list(enumerate(words, 1))
-            assert whole.head.get(b"request-id") == b"r-1"
-            assert whole.head.get(b"response-signature") is not None
-            rest = await asked(worker, Request_Id="r-2", Last_Event_Id="2")
-            assert data(rest) == list(enumerate(words, 1))[2:]
-            other = await asked(worker, Request_Id="r-3", Target_Instance="i-other")
-            assert other.head.status == 421
-            assert other.head.get(b"not-executed") is not None
-            nameless = await asked(worker)
-            assert nameless.head.status == 400
-            assert nameless.head.get(b"not-executed") is not None
+            assert events_of(response) == list(enumerate(words, 1))
+            assert response.head.get(b"request-id") == b"r-1"
+            assert response.head.get(b"response-signature") is not None
+            resumed = await send_request(worker, Request_Id="r-2", Last_Event_Id="2")
+            assert events_of(resumed) == list(enumerate(words, 1))[2:]
+            misdirected = await send_request(worker, Request_Id="r-3", Target_Instance="i-other")
+            assert misdirected.head.status == 421
+            assert misdirected.head.get(b"not-executed") is not None
+            without_id = await send_request(worker)
+            assert without_id.head.status == 400
+            assert without_id.head.get(b"not-executed") is not None
         finally:
             await worker.stop()
 
     asyncio.run(run())
 
 
-def test_it_registers_at_the_next_control_where_one_refuses() -> None:
+def test_the_worker_registers_at_the_next_control_machine_if_one_rejects_it() -> None:
     async def run() -> None:
-        refusing, taking = Control(refused=100), Control(refused=0)
-        for control in (refusing, taking):
+        rejecting, accepting = Control(rejected=100), Control(rejected=0)
+        for control in (rejecting, accepting):
             await control.server.start("127.0.0.1", 0)
-        addresses = [f"127.0.0.1:{control.server.port}" for control in (refusing, taking)]
+        addresses = [f"127.0.0.1:{control.server.port}" for control in (rejecting, accepting)]
         worker = StandInWorker(PLACE, addresses, heartbeat_s=0.01)
         await worker.start()
         try:
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(TEST_TIMEOUT_S):
                 await worker.registered.wait()
-            assert refusing.bodies
-            assert b'"backend":"s"' in taking.bodies[0]
-            assert worker.address.encode() in taking.bodies[0]
+            assert rejecting.bodies
+            assert b'"backend":"s"' in accepting.bodies[0]
+            assert worker.address.encode() in accepting.bodies[0]
         finally:
             await worker.stop()
-            for control in (refusing, taking):
+            for control in (rejecting, accepting):
                 await control.server.stop()
 
     asyncio.run(run())
