--- a/pewterring/cli/lab.py
+++ b/pewterring/cli/lab.py
@@ -322,7 +322,7 @@
     _add_policy(parser)
     _add_seed(parser)
     parser.add_argument("--intent", type=int, help="number of the client request")
-    parser.add_argument("--request", type=int, help="or the id of one of its retries")
+    parser.add_argument("--request", type=int, help="or the id of its first request or of one of its retries")
     parser.add_argument("--pick", choices=MARKS, default="slowest", help="or the first request of this kind")
 
 
--- a/tests/cli/test_bad_data.py
+++ b/tests/cli/test_bad_data.py
@@ -1,4 +1,4 @@
-"""Control and store on files that they cannot read: one line names the file, and the end is not zero."""
+"""Control and store exit with status 1 and one error line that names the file they cannot read."""
 
 import subprocess
 import sys
@@ -12,33 +12,33 @@
 from pewterring.storage.disk import FolderDisk
 from pewterring.storage.group import DiskGroupStorage
 from pewterring.storage.records import HEADER_BYTES, encode_record, read_record
-from tests.cli.test_programs import PATIENCE_S, ROOT, written
+from tests.cli.test_programs import ROOT, TEST_TIMEOUT_S, write_settings
 from tests.loopback import free_port
 from tests.node.settings_texts import settings_text
 
 GROUPS = {"control": "control", "store": "batch-1"}
 
 
-def _fill(folder: Path, group: str, state: bytes) -> None:
+def _write_group(folder: Path, group: str, state: bytes) -> None:
     storage = DiskGroupStorage(FolderDisk(folder), group)
     storage.load()
     storage.save_snapshot(1, 1, Membership(("127.0.0.1#seed",)), state)
     storage.close()
 
 
-def _of_a_later_version(folder: Path, group: str) -> str:
-    """Gives the log a format of its own; the snapshot is of a state that nobody gets to read."""
-    _fill(folder, group, b"{}")
+def _write_later_version(folder: Path, group: str) -> str:
+    """Writes a log of an unknown format version; the snapshot content is never read."""
+    _write_group(folder, group, b"{}")
     name = max(path.name for path in folder.glob(f"{group}.*.log"))
     record = read_record((folder / name).read_bytes(), 0)
     assert record is not None
-    head = {**msgspec.json.decode(record.payload), "format": 99}
-    (folder / name).write_bytes(encode_record(msgspec.json.encode(head) + b"\n", record.batch))
+    header = {**msgspec.json.decode(record.payload), "format": 99}
+    (folder / name).write_bytes(encode_record(msgspec.json.encode(header) + b"\n", record.batch))
     return name
 
 
-def _damaged(folder: Path, group: str) -> str:
-    _fill(folder, group, b"{}")
+def _write_damaged(folder: Path, group: str) -> str:
+    _write_group(folder, group, b"{}")
     name = f"{group}.{1:020d}.snapshot"
     content = bytearray((folder / name).read_bytes())
     content[HEADER_BYTES] ^= 1
@@ -46,17 +46,19 @@
     return name
 
 
-def _undecodable(folder: Path, group: str) -> str:
-    _fill(folder, group, b'{"state": "of another program"}')
+def _write_undecodable(folder: Path, group: str) -> str:
+    _write_group(folder, group, b'{"state": "of another program"}')
     return f"{group}.{1:020d}.snapshot"
 
 
 @pytest.mark.parametrize("program", ["control", "store"])
-@pytest.mark.parametrize("spoil", [_of_a_later_version, _damaged, _undecodable])
-def test_a_file_that_cannot_be_read_ends_the_program(program: str, spoil: object, tmp_path: Path) -> None:
-    assert callable(spoil)
+@pytest.mark.parametrize("make_unreadable", [_write_later_version, _write_damaged, _write_undecodable])
+def test_a_program_exits_if_a_file_cannot_be_read(
+    program: str, make_unreadable: object, tmp_path: Path
+) -> None:
+    assert callable(make_unreadable)
     folder = tmp_path / "data"
-    name = spoil(folder, GROUPS[program])
+    name = make_unreadable(folder, GROUPS[program])
     before = {path.name: path.read_bytes() for path in folder.iterdir()}
     text = settings_text(
         ip="127.0.0.1",
@@ -66,18 +68,18 @@
         ephemeral_ports=f"{free_port()},65535",
         seed_nodes="127.0.0.1:9",
     )
-    done = subprocess.run(
-        [sys.executable, "-m", "pewterring", program, "--settings", written(tmp_path, text)],
+    completed = subprocess.run(
+        [sys.executable, "-m", "pewterring", program, "--settings", write_settings(tmp_path, text)],
         cwd=ROOT,
         capture_output=True,
         text=True,
-        timeout=PATIENCE_S,
+        timeout=TEST_TIMEOUT_S,
     )
-    assert done.returncode == 1
-    assert done.stdout == ""
-    lines = [orjson.loads(line) for line in done.stderr.splitlines()]
+    assert completed.returncode == 1
+    assert completed.stdout == ""
+    lines = [orjson.loads(line) for line in completed.stderr.splitlines()]
     errors = [line for line in lines if line["level"].lower() not in ("info", "debug")]
-    assert len(errors) == 1, done.stderr
+    assert len(errors) == 1, completed.stderr
     assert name in errors[0]["message"]
     after = {path.name: path.read_bytes() for path in folder.iterdir() if path.name in before}
     assert after == before
--- a/tests/cli/test_cluster.py
+++ b/tests/cli/test_cluster.py
@@ -1,4 +1,4 @@
-"""`pewterring cluster`: the committed tables as control tells them, and orders that are sent."""
+"""`pewterring cluster`: the status that control reports, and configurations and patches sent to it."""
 
 import json
 import threading
@@ -24,24 +24,24 @@
 
 
 def state() -> ControlState:
-    made = ControlState()
+    control_state = ControlState()
     for index, command in enumerate(COMMANDS, 1):
-        made.apply(index, encode_command(command))
-    return made
+        control_state.apply(index, encode_command(command))
+    return control_state
 
 
 class Control(HTTPServer):
-    """Answers by path; 404 else."""
+    """Responds by path, with 404 for unknown paths, and records POST requests."""
 
-    answers: dict[str, tuple[int, bytes]]
-    orders: list[tuple[str, str | None, bytes]]
+    responses: dict[str, tuple[int, bytes]]
+    requests: list[tuple[str, str | None, bytes]]
 
 
 class Handler(BaseHTTPRequestHandler):
     server: Control
 
     def do_GET(self) -> None:
-        status, body = self.server.answers.get(self.path, (404, b"{}"))
+        status, body = self.server.responses.get(self.path, (404, b"{}"))
         self.send_response(status)
         self.send_header("Content-Length", str(len(body)))
         self.end_headers()
@@ -49,7 +49,7 @@
 
     def do_POST(self) -> None:
         body = self.rfile.read(int(self.headers["Content-Length"]))
-        self.server.orders.append((self.path, self.headers["Base-Version"], body))
+        self.server.requests.append((self.path, self.headers["Base-Version"], body))
         self.do_GET()
 
     def log_message(self, *_: object, **__: object) -> None:
@@ -59,8 +59,8 @@
 @pytest.fixture
 def control() -> Iterator[Control]:
     server = Control(("127.0.0.1", 0), Handler)
-    server.answers = {}
-    server.orders = []
+    server.responses = {}
+    server.requests = []
     thread = threading.Thread(target=server.serve_forever, kwargs={"poll_interval": 0.01})
     thread.start()
     yield server
@@ -69,63 +69,65 @@
     server.server_close()
 
 
-def asked(control: Control, *more: str) -> int:
-    return main(["cluster", "status", "--control", f"127.0.0.1:{control.server_port}", *more])
+def run_status(control: Control, *options: str) -> int:
+    return main(["cluster", "status", "--control", f"127.0.0.1:{control.server_port}", *options])
 
 
-def test_the_tables_are_shown(control: Control, capsys: pytest.CaptureFixture[str]) -> None:
-    control.answers["/v1/Tier.Status"] = (200, encode_status(state()))
-    assert asked(control) == 0
-    said = capsys.readouterr().out
-    for words in ("version 7", "1 store", "store-1", "10.0.1.1:8080", "ready"):
-        assert words in said
-    assert asked(control, "--json") == 0
+def test_the_status_is_shown_as_table_and_json(control: Control, capsys: pytest.CaptureFixture[str]) -> None:
+    control.responses["/v1/Tier.Status"] = (200, encode_status(state()))
+    assert run_status(control) == 0
+    stdout = capsys.readouterr().out
+    for text in ("version 7", "1 store", "store-1", "10.0.1.1:8080", "ready"):
+        assert text in stdout
+    assert run_status(control, "--json") == 0
     assert json.loads(capsys.readouterr().out)["workers"][0]["id"] == "i-1"
 
 
-def test_a_control_of_an_earlier_version_tells_its_configuration(
+def test_an_earlier_version_of_control_reports_its_configuration_version(
     control: Control, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    control.answers["/v1/Config.Get"] = (200, b'{"version":7}')
-    assert asked(control) == 0
+    control.responses["/v1/Config.Get"] = (200, b'{"version":7}')
+    assert run_status(control) == 0
     assert "version 7" in capsys.readouterr().out
 
 
-@pytest.mark.parametrize("answer", [(503, b"no leader"), (200, b"[]")])
-def test_other_answers_are_exit_1(
-    answer: tuple[int, bytes], control: Control, capsys: pytest.CaptureFixture[str]
+@pytest.mark.parametrize("response", [(503, b"no leader"), (200, b"[]")])
+def test_invalid_responses_exit_with_1(
+    response: tuple[int, bytes], control: Control, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    control.answers["/v1/Tier.Status"] = answer
-    assert asked(control) == 1
+    control.responses["/v1/Tier.Status"] = response
+    assert run_status(control) == 1
     assert capsys.readouterr().err.count("\n") == 1
 
 
-def ordered(control: Control, path: Path, base: int = 7) -> int:
-    where = f"127.0.0.1:{control.server_port}"
-    return main(["cluster", "configure", str(path), "--base-version", str(base), "--control", where])
+def run_configure(control: Control, path: Path, base: int = 7) -> int:
+    address = f"127.0.0.1:{control.server_port}"
+    return main(["cluster", "configure", str(path), "--base-version", str(base), "--control", address])
 
 
 PATCH = b'{"version":9,"delete":{"routes":["r-1"]}}'
 
 
 @pytest.mark.parametrize(("body", "path"), [(encoded(), "/v1/Config.Replace"), (PATCH, "/v1/Config.Update")])
-def test_orders_of_both_forms_are_sent(control: Control, tmp_path: Path, body: bytes, path: str) -> None:
-    file = tmp_path / "order.json"
+def test_a_configuration_and_a_patch_are_sent(
+    control: Control, tmp_path: Path, body: bytes, path: str
+) -> None:
+    file = tmp_path / "request.json"
     file.write_bytes(body)
-    control.answers[path] = (200, b"{}")
-    assert ordered(control, file) == 0
-    assert control.orders == [(path, "7", body)]
-    control.answers[path] = (412, b'{"error":"version 8 is current"}')
-    assert ordered(control, file) == 1
+    control.responses[path] = (200, b"{}")
+    assert run_configure(control, file) == 0
+    assert control.requests == [(path, "7", body)]
+    control.responses[path] = (412, b'{"error":"version 8 is current"}')
+    assert run_configure(control, file) == 1
 
 
 @pytest.mark.parametrize("body", [b"{", b"[]", encoded()[:-1], b'{"version":9,"delete":["r-1"]}'])
-def test_an_order_that_control_would_refuse_is_not_sent(
+def test_an_invalid_file_is_not_sent(
     control: Control, tmp_path: Path, capsys: pytest.CaptureFixture[str], body: bytes
 ) -> None:
-    file = tmp_path / "order.json"
+    file = tmp_path / "request.json"
     file.write_bytes(body)
-    assert ordered(control, file) == 2
-    assert ordered(control, tmp_path / "none.json") == 2
-    assert not control.orders
+    assert run_configure(control, file) == 2
+    assert run_configure(control, tmp_path / "none.json") == 2
+    assert not control.requests
     assert len(capsys.readouterr().err.splitlines()) == 2
--- a/tests/cli/test_config_command.py
+++ b/tests/cli/test_config_command.py
@@ -1,4 +1,4 @@
-"""pewterring config: what is unknown is refused by name, what holds is shown with its origin."""
+"""`pewterring config` on a gatekeeper's file: unknown keys are reported, effective values are shown."""
 
 from pathlib import Path
 from typing import Any
@@ -12,20 +12,20 @@
 EXAMPLE = Path(__file__).resolve().parents[2] / "examples" / "config.json"
 
 
-def written(tmp_path: Path, **changes: Any) -> str:
+def write_config(tmp_path: Path, **changes: Any) -> str:
     tree = orjson.loads(EXAMPLE.read_bytes()) | changes
     path = tmp_path / "c.json"
     path.write_bytes(orjson.dumps(tree))
     return str(path)
 
 
-def test_the_example_can_be_used(capsys: pytest.CaptureFixture[str]) -> None:
+def test_the_example_is_valid(capsys: pytest.CaptureFixture[str]) -> None:
     assert main(["config", "check", str(EXAMPLE)]) == 0
     assert "can be used" in capsys.readouterr().out
 
 
 @pytest.mark.parametrize(
-    ("changes", "said"),
+    ("changes", "message"),
     [
         ({"lisen": "127.0.0.1:1"}, "lisen: not known; did you mean listen?"),
         ({"limits": {"socket": 5}}, "limits.socket: not known; did you mean limits.sockets?"),
@@ -35,24 +35,26 @@
         ({"listen": "nowhere"}, "nowhere"),
     ],
 )  # fmt: skip
-def test_slips_are_named_with_what_was_meant(
-    changes: dict[str, Any], said: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
+def test_misspelled_keys_are_reported_with_a_suggestion(
+    changes: dict[str, Any], message: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    assert main(["config", "check", written(tmp_path, **changes)]) == 2
-    assert said in capsys.readouterr().err
+    assert main(["config", "check", write_config(tmp_path, **changes)]) == 2
+    assert message in capsys.readouterr().err
 
 
-def test_settings_of_other_programs_are_no_slips(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_settings_of_other_programs_are_not_reported_as_misspelled(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     settings = orjson.loads(EXAMPLE.read_bytes())["settings"] | {"goal": {"whole": 0.6}, "tier": 0}
-    assert main(["config", "check", written(tmp_path, settings=settings)]) == 0
+    assert main(["config", "check", write_config(tmp_path, settings=settings)]) == 0
     assert "no use for" in capsys.readouterr().out
 
 
-def test_what_holds_is_shown_with_its_origin(
+def test_effective_values_are_shown_with_their_origin(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     monkeypatch.setenv("ROUTER_LISTEN", "127.0.0.1:7")
-    path = written(tmp_path, listen="", limits={})
+    path = write_config(tmp_path, listen="", limits={})
     assert main(["config", "show", path, "--json"]) == 0
     shown = orjson.loads(capsys.readouterr().out)
     assert shown["listen"] == {"value": "127.0.0.1:7", "from": "ROUTER_LISTEN"}
@@ -63,12 +65,12 @@
     assert "settings.fleet_size" in capsys.readouterr().out
 
 
-def test_the_schema_says_what_the_reader_reads(capsys: pytest.CaptureFixture[str]) -> None:
+def test_the_schema_covers_what_the_reader_reads(capsys: pytest.CaptureFixture[str]) -> None:
     assert main(["config", "schema"]) == 0
     tree = orjson.loads(capsys.readouterr().out)
     assert tree == json_schema()
     settings = tree["properties"]["settings"]
     assert settings["required"] == ["me", "fleet_size"]
-    one = settings["properties"]["profiles"]["items"]
-    assert one["properties"]["effect"]["enum"] == ["pure", "token", "side_effect"]
-    assert {"name", "objective", "deadline", "effect"} <= set(one["required"])
+    profile = settings["properties"]["profiles"]["items"]
+    assert profile["properties"]["effect"]["enum"] == ["pure", "token", "side_effect"]
+    assert {"name", "objective", "deadline", "effect"} <= set(profile["required"])
--- a/tests/cli/test_programs.py
+++ b/tests/cli/test_programs.py
@@ -1,4 +1,4 @@
-"""`pewterring gateway|control|store`: settings that cannot be used end it before any port opens."""
+"""`pewterring gateway|control|store`: start, reload and end, and exit on invalid settings."""
 
 import asyncio
 import signal
@@ -13,7 +13,7 @@
 from tests.node.settings_texts import settings_text
 
 ROOT = Path(__file__).resolve().parents[2]
-PATIENCE_S = 30.0
+TEST_TIMEOUT_S = 30.0
 WATCH_SOCKETS = """
 import sys
 sys.addaudithook(lambda event, given: event == "socket.bind" and print("bind", file=sys.stdout, flush=True))
@@ -22,21 +22,23 @@
 """
 
 
-def written(tmp_path: Path, text: str) -> str:
+def write_settings(tmp_path: Path, text: str) -> str:
     path = tmp_path / "node.conf"
     path.write_text(text)
     return str(path)
 
 
 @pytest.mark.parametrize("program", ["gateway", "control", "store"])
-def test_wrong_settings_are_one_line_and_exit_2_before_any_port_opens(program: str, tmp_path: Path) -> None:
-    path = written(tmp_path, settings_text(node_id=None, heartbeat_ms="soon"))
+def test_invalid_settings_print_one_line_and_exit_with_2_before_any_port_opens(
+    program: str, tmp_path: Path
+) -> None:
+    path = write_settings(tmp_path, settings_text(node_id=None, heartbeat_ms="soon"))
     done = subprocess.run(
         [sys.executable, "-c", WATCH_SOCKETS, program, "--settings", path],
         cwd=ROOT,
         capture_output=True,
         text=True,
-        timeout=PATIENCE_S,
+        timeout=TEST_TIMEOUT_S,
     )
     assert done.returncode == 2
     assert done.stdout == ""
@@ -45,7 +47,7 @@
     assert "soon" in done.stderr
 
 
-def test_the_variable_names_the_file(
+def test_the_environment_variable_names_the_settings_file(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     monkeypatch.setenv("PEWTERRING_CONFIG", str(tmp_path / "missing.conf"))
@@ -57,7 +59,7 @@
     assert "missing.conf" in capsys.readouterr().err
 
 
-def test_a_gateway_serves_takes_changes_and_ends(tmp_path: Path) -> None:
+def test_a_gateway_serves_reloads_settings_and_ends(tmp_path: Path) -> None:
     async def run() -> None:
         ports = [free_port() for _ in range(3)]
         text = settings_text(
@@ -68,23 +70,23 @@
             seed_nodes="127.0.0.1:9",
             unheard_of="x",
         )
-        path = Path(written(tmp_path, text))
+        path = Path(write_settings(tmp_path, text))
         child = await asyncio.create_subprocess_exec(
             sys.executable, "-m", "pewterring", "gateway", "--settings", str(path),
             cwd=ROOT, stderr=subprocess.PIPE,
         )  # fmt: skip
         try:
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(TEST_TIMEOUT_S):
                 assert child.stderr is not None
-                seen = await until(child.stderr, b"listens on")
-                assert b'"event":"settings_unknown_keys"' in seen
-                assert b'"count":1' in seen
-                written(tmp_path, text.replace("seed_nodes=", "seed_nodes=127.0.0.1:8,"))
+                output = await read_until(child.stderr, b"listens on")
+                assert b'"event":"settings_unknown_keys"' in output
+                assert b'"count":1' in output
+                write_settings(tmp_path, text.replace("seed_nodes=", "seed_nodes=127.0.0.1:8,"))
                 child.send_signal(signal.SIGHUP)
-                await until(child.stderr, b"settings_reloaded")
-                written(tmp_path, "node_id=\n")
+                await read_until(child.stderr, b"settings_reloaded")
+                write_settings(tmp_path, "node_id=\n")
                 child.send_signal(signal.SIGHUP)
-                assert b"settings kept" in await until(child.stderr, b"settings_refused")
+                assert b"settings kept" in await read_until(child.stderr, b"settings_refused")
                 child.terminate()
                 assert await child.wait() == 0
         finally:
@@ -95,11 +97,11 @@
     asyncio.run(run())
 
 
-async def until(stream: asyncio.StreamReader, word: bytes) -> bytes:
-    """Reads lines up to one with `word`; all of them."""
-    seen = b""
-    while word not in seen:
+async def read_until(stream: asyncio.StreamReader, text: bytes) -> bytes:
+    """Reads lines up to one that contains `text`; returns all lines read."""
+    output = b""
+    while text not in output:
         line = await stream.readline()
-        assert line, seen
-        seen += line
-    return seen
+        assert line, output
+        output += line
+    return output
--- a/tests/cli/test_recover.py
+++ b/tests/cli/test_recover.py
@@ -1,4 +1,4 @@
-"""`pewterring cluster recover`: what it finds, what it refuses, and what it writes."""
+"""`pewterring cluster recover`: its findings, its refusals and the files it writes."""
 
 import datetime
 import json
@@ -29,7 +29,7 @@
 
 
 class Handler(BaseHTTPRequestHandler):
-    """Answers everything with the status that the class is made for."""
+    """Responds to every request with `status`."""
 
     status = 200
 
@@ -43,8 +43,8 @@
 
 
 @contextmanager
-def answering(ip: str, port: int, status: int) -> Iterator[None]:
-    """A control machine that answers so."""
+def responding(ip: str, port: int, status: int) -> Iterator[None]:
+    """Runs a control machine that responds with `status`."""
     handler = type("Answers", (Handler,), {"status": status})
     server = HTTPServer((ip, port), handler)
     thread = threading.Thread(target=server.serve_forever, kwargs={"poll_interval": 0.01})
@@ -58,7 +58,7 @@
 
 
 class Machine:
-    """A control machine whose process has ended: its settings file and its data folder."""
+    """A control machine whose process has ended, with its settings file and data folder."""
 
     def __init__(self, folder: Path, membership: Membership = VOTERS) -> None:
         self.port = free_port(OWN_IP)
@@ -79,11 +79,11 @@
         storage.save(HardState(4, MEMBER), None, entries)
         storage.close()
 
-    def content(self) -> dict[str, bytes]:
+    def read_files(self) -> dict[str, bytes]:
         return {path.name: path.read_bytes() for path in self.data_dir.iterdir()}
 
-    def recover(self, *more: str) -> int:
-        return main(["cluster", "recover", str(self.settings), "--timeout-s", "1", *more])
+    def recover(self, *options: str) -> int:
+        return main(["cluster", "recover", str(self.settings), "--timeout-s", "1", *options])
 
 
 @pytest.fixture
@@ -91,31 +91,31 @@
     return Machine(tmp_path)
 
 
-def refused(machine: Machine, capsys: pytest.CaptureFixture[str], *more: str) -> str:
-    """What the command says where it ends with 2 and changes nothing."""
-    before = machine.content()
-    assert machine.recover(*more) == 2
-    assert machine.content() == before
+def refusal_of(machine: Machine, capsys: pytest.CaptureFixture[str], *options: str) -> str:
+    """Checks that the command exits with 2 and changes nothing; returns its error output."""
+    before = machine.read_files()
+    assert machine.recover(*options) == 2
+    assert machine.read_files() == before
     return capsys.readouterr().err
 
 
-def test_without_confirmation_it_says_what_it_found(
+def test_without_confirmation_the_command_prints_its_findings(
     machine: Machine, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    said = refused(machine, capsys)
-    for words in ("entry 3 of term 4", *VOTERS.voters, f"--confirm {CONFIRMATION}", "empty folders only"):
-        assert words in said
+    stderr = refusal_of(machine, capsys)
+    for message in ("entry 3 of term 4", *VOTERS.voters, f"--confirm {CONFIRMATION}", "empty folders only"):
+        assert message in stderr
 
 
 def test_a_confirmation_of_another_state_is_refused(
     machine: Machine, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    said = refused(machine, capsys, "--confirm", f"{MEMBER}@4.2")
-    assert CONFIRMATION in said
+    stderr = refusal_of(machine, capsys, "--confirm", f"{MEMBER}@4.2")
+    assert CONFIRMATION in stderr
 
 
 @pytest.mark.parametrize(
-    ("ip", "status", "words"),
+    ("ip", "status", "message"),
     [
         (OWN_IP, 503, "stop control here first"),
         (SECOND_IP, 200, "has a leader with a majority"),
@@ -124,14 +124,14 @@
     ],
     ids=["own process", "leader", "second voter", "third voter"],
 )
-def test_a_group_that_has_a_majority_is_left_alone(
-    machine: Machine, capsys: pytest.CaptureFixture[str], ip: str, status: int, words: str
+def test_a_group_that_has_a_majority_is_not_changed(
+    machine: Machine, capsys: pytest.CaptureFixture[str], ip: str, status: int, message: str
 ) -> None:
-    with answering(ip, machine.port, status):
-        assert words in refused(machine, capsys, "--confirm", CONFIRMATION)
+    with responding(ip, machine.port, status):
+        assert message in refusal_of(machine, capsys, "--confirm", CONFIRMATION)
 
 
-def test_the_member_becomes_the_only_voter_and_it_is_recorded(
+def test_the_member_becomes_the_only_voter_and_the_recovery_is_recorded(
     machine: Machine, capsys: pytest.CaptureFixture[str]
 ) -> None:
     assert machine.recover("--confirm", CONFIRMATION) == 0
@@ -144,12 +144,12 @@
     record = json.loads((machine.data_dir / RECOVERIES_FILE).read_text())
     assert record["former"]["voters"] == list(VOTERS.voters)
     assert (record["last_index"], record["last_term"], record["format"]) == (3, 4, 1)
-    assert "majority by itself" in refused(machine, capsys, "--confirm", CONFIRMATION)
+    assert "majority by itself" in refusal_of(machine, capsys, "--confirm", CONFIRMATION)
 
 
-def test_the_record_is_stored_as_it_is_read_by_later_versions(machine: Machine) -> None:
-    moment = datetime.datetime(2026, 12, 2, 17, 0, tzinfo=datetime.UTC)
-    recover(FolderDisk(machine.data_dir), MEMBER, CONFIRMATION, moment)
+def test_the_record_is_stored_in_the_fixed_format(machine: Machine) -> None:
+    recovered_at = datetime.datetime(2026, 12, 2, 17, 0, tzinfo=datetime.UTC)
+    recover(FolderDisk(machine.data_dir), MEMBER, CONFIRMATION, recovered_at)
     voters = ",".join(f'"{voter}"' for voter in VOTERS.voters)
     assert (machine.data_dir / RECOVERIES_FILE).read_text() == (
         f'{{"at":"2026-12-02T17:00:00+00:00","member":"{MEMBER}",'
@@ -158,9 +158,9 @@
     )
 
 
-def test_a_member_that_is_no_voter_is_refused(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_a_member_that_is_not_a_voter_is_refused(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     learner = Machine(tmp_path, Membership(VOTERS.voters[1:], (MEMBER,)))
-    assert "is no voter" in refused(learner, capsys, "--confirm", CONFIRMATION)
+    assert "is no voter" in refusal_of(learner, capsys, "--confirm", CONFIRMATION)
 
 
 def test_a_folder_without_a_member_is_refused(
@@ -169,6 +169,6 @@
     settings = tmp_path / "other.conf"
     settings.write_text(machine.settings.read_text().replace(str(machine.data_dir), str(tmp_path)))
     machine.settings = settings
-    assert "no member of a control group" in refused(machine, capsys)
+    assert "no member of a control group" in refusal_of(machine, capsys)
     settings.write_text("node_id=x\n")
-    assert "is missing" in refused(machine, capsys)
+    assert "is missing" in refusal_of(machine, capsys)
--- a/tests/cli/test_start.py
+++ b/tests/cli/test_start.py
@@ -1,4 +1,4 @@
-"""A program whose start waits, for room on a full disk, say, and the signal that ends it."""
+"""Programs whose start waits, for example for disk space, and a signal that ends them meanwhile."""
 
 import asyncio
 
@@ -12,7 +12,7 @@
 
 
 class SlowProgram:
-    """Its start takes `start_s`, and fails with `error` if there is one."""
+    """A program whose start takes `start_s` seconds, and fails with `error` if it is set."""
 
     def __init__(self, start_s: float, error: Exception | None = None) -> None:
         self.start_s = start_s
@@ -29,8 +29,8 @@
         pass
 
 
-def started(program: SlowProgram) -> bool:
-    """Starts it, with a signal after a while."""
+def start_with_signal(program: SlowProgram) -> bool:
+    """Starts the program, with a signal after `SIGNAL_S`; returns whether it started."""
 
     async def scenario() -> bool:
         stopped = asyncio.Event()
@@ -41,31 +41,31 @@
 
 
 @pytest.mark.parametrize("start_s", [0.0, SIGNAL_S - 0.1, SIGNAL_S + STOP_TIMEOUT_S - 0.1])
-def test_a_start_that_ends_in_time_counts(start_s: float) -> None:
+def test_a_start_that_ends_within_the_stop_timeout_succeeds(start_s: float) -> None:
     program = SlowProgram(start_s)
-    assert started(program)
+    assert start_with_signal(program)
     assert program.has_started
 
 
-def test_a_start_that_waits_on_is_given_up_after_the_signal() -> None:
+def test_a_start_that_still_waits_after_the_signal_is_cancelled() -> None:
     program = SlowProgram(60.0)
-    assert not started(program)
+    assert not start_with_signal(program)
     assert not program.has_started
 
 
-def test_a_start_that_fails_says_why() -> None:
+def test_a_failed_start_raises_its_error() -> None:
     with pytest.raises(OSError, match="in use"):
-        started(SlowProgram(1.0, OSError("the address is in use")))
+        start_with_signal(SlowProgram(1.0, OSError("the address is in use")))
 
 
-def test_a_program_without_room_for_its_identity_is_made_once_there_is_some(
+def test_a_program_is_made_once_the_disk_has_space_for_its_identity(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    program, tries = SlowProgram(0.0), []
+    program, attempts_at = SlowProgram(0.0), []
 
     def make(*_arguments: object) -> SlowProgram:
-        tries.append(asyncio.get_running_loop().time())
-        if len(tries) < 4:
+        attempts_at.append(asyncio.get_running_loop().time())
+        if len(attempts_at) < 4:
             raise StorageFullError("no room")
         return program
 
@@ -74,5 +74,5 @@
 
     monkeypatch.setattr("pewterring.cli.tier._make_program", make)
     assert run(scenario()) is program
-    assert len(tries) == 4
-    assert tries[-1] > tries[0]
+    assert len(attempts_at) == 4
+    assert attempts_at[-1] > attempts_at[0]
--- a/tests/golden/command_line_cases.py
+++ b/tests/golden/command_line_cases.py
@@ -31,9 +31,9 @@
 INPUTS = DIRECTORY / "inputs"
 OPTIONS_FILE = "command-line-options.txt"
 STATUSES_FILE = "exit-statuses.txt"
-PLACE = "INPUTS/"  # stands in printed text for the folder of the inputs
-FOLDER = "DATA_DIR"  # stands in arguments for the data folder of a member
-# What each golden file holds: the output of one command.
+INPUTS_PLACEHOLDER = "INPUTS/"  # placeholder in printed text for the folder of the inputs
+FOLDER_PLACEHOLDER = "DATA_DIR"  # placeholder in arguments for the data folder of a member
+# The command whose output each golden file contains.
 OUTPUTS: dict[str, tuple[str, ...]] = {
     "config-check-settings.txt": ("config", "check", "node.conf"),
     "config-check-configuration.txt": ("config", "check", "configuration.json"),
@@ -45,16 +45,16 @@
     "config-show-gatekeeper.json": ("config", "show", "--json", "gatekeeper.json"),
     "tally.json": ("tally", "--json", "tally.log"),
     "inspect-requests.txt": ("inspect", "requests", "requests.log"),
-    "inspect-log.json": ("inspect", "log", "--json", FOLDER),
-    "inspect-snapshot.json": ("inspect", "snapshot", "--json", FOLDER),
-    "inspect-members.json": ("inspect", "members", "--json", FOLDER),
+    "inspect-log.json": ("inspect", "log", "--json", FOLDER_PLACEHOLDER),
+    "inspect-snapshot.json": ("inspect", "snapshot", "--json", FOLDER_PLACEHOLDER),
+    "inspect-members.json": ("inspect", "members", "--json", FOLDER_PLACEHOLDER),
 }
 SCHEMAS: dict[str, tuple[str, ...]] = {
     "config-schema-settings.json": ("config", "schema", "--kind", "settings"),
     "config-schema-configuration.json": ("config", "schema", "--kind", "configuration"),
     "config-schema-gatekeeper.json": ("config", "schema", "--kind", "gatekeeper"),
 }
-PROSE = ("title", "description", "$comment")  # of a schema: text for its readers
+PROSE = ("title", "description", "$comment")  # keys of a schema whose text is not compared
 STATUS_JSON_FILE = "cluster-status.json"
 STATUS_TABLE_FILE = "cluster-status.txt"
 TIER_STATUS = TierStatus(
@@ -70,37 +70,42 @@
 
 
 def make_data_folder(folder: Path) -> None:
-    """A member's folder with a snapshot of two entries and three entries behind it."""
+    """Makes a member's data folder with a snapshot of two entries and three entries after it."""
     disk = FolderDisk(folder)
     member_name(folder, "10.0.0.1", disk, tag="a")
     first = Membership(("10.0.0.1#a", "10.0.0.2#b"))
     second = Membership(("10.0.0.1#a", "10.0.0.2#b"), ("10.0.0.3#c",))
     commands = [
-        Entry(n, 3, "command", msgspec.Raw(b'{"type":"AcceptJob","job":"j%d"}' % n)) for n in range(1, 5)
+        Entry(number, 3, "command", msgspec.Raw(b'{"type":"AcceptJob","job":"j%d"}' % number))
+        for number in range(1, 5)
     ]
     storage = DiskGroupStorage(disk, "batch-0")
     storage.load()
     storage.initialize(first)
-    changed = Entry(5, 3, ENTRY_MEMBERS, encode_membership(second))
-    storage.save(HardState(3, "10.0.0.1#a"), None, [*commands, changed])
+    membership_entry = Entry(5, 3, ENTRY_MEMBERS, encode_membership(second))
+    storage.save(HardState(3, "10.0.0.1#a"), None, [*commands, membership_entry])
     storage.save_snapshot(2, 3, first, b'{"jobs":[1,2]}')
     storage.close()
 
 
 def printed(arguments: tuple[str, ...], folder: Path) -> str:
-    """What a command that ends well prints; names of inputs among its arguments stand for their paths."""
-    given = [
-        str(folder) if each == FOLDER else str(INPUTS / each) if (INPUTS / each).is_file() else each
-        for each in arguments
+    """Returns the output of a successful command; names of input files in `arguments` become paths."""
+    argv = [
+        str(folder)
+        if argument == FOLDER_PLACEHOLDER
+        else str(INPUTS / argument)
+        if (INPUTS / argument).is_file()
+        else argument
+        for argument in arguments
     ]
-    with contextlib.redirect_stdout(io.StringIO()) as out:
-        status = main(given)
+    with contextlib.redirect_stdout(io.StringIO()) as stdout:
+        status = main(argv)
     assert status == 0, f"{arguments} ended with {status}"
-    return out.getvalue().replace(f"{INPUTS}/", PLACE)
+    return stdout.getvalue().replace(f"{INPUTS}/", INPUTS_PLACEHOLDER)
 
 
 def schema(name: str) -> str:
-    """A JSON Schema as `config schema` prints it, without the sentences in it."""
+    """Returns a JSON Schema as `config schema` prints it, without its prose."""
     tree = json.loads(printed(SCHEMAS[name], Path()))
     return json.dumps(_without_prose(tree), indent=2) + "\n"
 
@@ -118,15 +123,15 @@
 
 
 def cluster_status(*options: str) -> str:
-    """What `cluster status` prints of the answer that control gives with `TIER_STATUS`."""
-    answer = (200, msgspec.json.encode(TIER_STATUS))
-    with mock.patch.object(cluster, "_get", return_value=answer):
+    """Returns the output of `cluster status` when control responds with `TIER_STATUS`."""
+    response = (200, msgspec.json.encode(TIER_STATUS))
+    with mock.patch.object(cluster, "_get", return_value=response):
         return printed(("cluster", "status", "--control", "127.0.0.1:1", *options), Path())
 
 
 def _arguments(parser: argparse.ArgumentParser, path: str) -> Iterator[str]:
-    """Each option and argument of a command with what it takes, then those of its sub-commands."""
-    for action in parser._actions:  # noqa: SLF001 - argparse has no public list of them
+    """Yields the options and arguments of a command with their values, then those of its sub-commands."""
+    for action in parser._actions:  # noqa: SLF001 - argparse has no public list of actions
         if isinstance(action.choices, dict):
             for name, inner in action.choices.items():
                 yield f"{path} {name}"
@@ -134,24 +139,24 @@
             continue
         names = "/".join(sorted(action.option_strings)) or action.metavar or action.dest
         choices = f" one of {json.dumps(sorted(action.choices))}" if action.choices else ""
-        takes = "flag" if action.nargs == 0 else f"nargs={action.nargs or 1}"
+        values = "flag" if action.nargs == 0 else f"nargs={action.nargs or 1}"
         required = " required" if action.required else ""
-        yield f"{path} {names} {takes}{choices}{required}"
+        yield f"{path} {names} {values}{choices}{required}"
 
 
 def options() -> str:
-    """All commands with their options."""
+    """Returns all commands with their options."""
     parser = make_parser([command.name for command in COMMANDS])
     return sorted_lines(_arguments(parser, "pewterring"))
 
 
 def statuses() -> str:
-    """The exit statuses by what they mean."""
-    known = {
+    """Returns the exit statuses with their meanings."""
+    statuses_by_meaning = {
         "done": errors.DONE,
         "failed": errors.FAILED,
         "usage error": errors.USAGE_ERROR,
         "rule broken": errors.RULE_BROKEN,
         "interrupted": errors.INTERRUPTED,
     }
-    return sorted_lines(f"{status} {meaning}" for meaning, status in known.items())
+    return sorted_lines(f"{status} {meaning}" for meaning, status in statuses_by_meaning.items())
