--- a/pewterring/admission/batch.py
+++ b/pewterring/admission/batch.py
@@ -9,7 +9,7 @@
 from pewterring.admission.digests import Totals
 from pewterring.admission.service import ServiceAdmission
 from pewterring.admission.shares import HEARTBEAT_PERIOD_S, LEASE_S
-from pewterring.standalone.peer_messages import read_beat
+from pewterring.standalone.peer_messages import decode_heartbeat
 from pewterring.standalone.policy.interface import RequestClass
 
 
@@ -45,7 +45,7 @@
 
     def receive_batch(self, now: float, peer: int, data: bytes) -> None:
         """Takes a heartbeat from another store that runs batch items."""
-        beat = read_beat(data)
+        beat = decode_heartbeat(data)
         if beat is not None:
             self._stores[peer] = (now, beat.out)
 
--- a/pewterring/admission/ceiling.py
+++ b/pewterring/admission/ceiling.py
@@ -40,7 +40,8 @@
         recent = self.recent_means.setdefault(name, deque(maxlen=self.WINDOW_SAMPLES // self.update_samples))
         if count * self.WEIGHT >= 2:  # the first responses to arrive are the fastest: no baseline
             recent.append(mean)
-        tolerated = min(self.TOLERANCE * min(recent, default=math.inf), self.MAX_TARGET_SHARE * cls.aim)
+        tolerated = min(self.TOLERANCE * min(recent, default=math.inf),
+                        self.MAX_TARGET_SHARE * cls.latency_target)  # fmt: skip
         gradient = min(1.0, max(0.5, tolerated / max(mean, 1e-9)))
         new = self.limit * gradient + math.sqrt(self.limit)
         if new <= self.limit or fleet_in_flight >= self.BUSY_SHARE * self.limit:  # idle: no evidence to grow
--- a/pewterring/admission/relay_exchange.py
+++ b/pewterring/admission/relay_exchange.py
@@ -22,7 +22,7 @@
     write_group_digest,
 )
 from pewterring.admission.relay_plan import RelayPlan
-from pewterring.standalone.peer_messages import Beat, read_beat
+from pewterring.standalone.peer_messages import Heartbeat, decode_heartbeat
 
 EXPIRY_ROUNDS = 8  # rounds after which a heartbeat or digest no longer counts
 Datagram = tuple[str, bytes]  # receiver's IP and content
@@ -34,7 +34,7 @@
 class _Heartbeat:
     received_at: float
     kind: int
-    by_service: Mapping[int, Beat]
+    by_service: Mapping[int, Heartbeat]
 
 
 @dataclass(frozen=True, slots=True)
@@ -106,7 +106,9 @@
         if decoded is None:
             return
         kind, entries = decoded
-        by_service = {service: beat for service, raw in entries if (beat := read_beat(raw)) is not None}
+        by_service = {
+            service: beat for service, raw in entries if (beat := decode_heartbeat(raw)) is not None
+        }
         self._heartbeats[ip] = _Heartbeat(now, kind, by_service)
 
     def _take_group(
@@ -152,8 +154,8 @@
         }
 
     def _own_digests(self) -> dict[int, Digest]:
-        gateways: defaultdict[int, list[Beat]] = defaultdict(list)
-        batch: defaultdict[int, list[Beat]] = defaultdict(list)
+        gateways: defaultdict[int, list[Heartbeat]] = defaultdict(list)
+        batch: defaultdict[int, list[Heartbeat]] = defaultdict(list)
         for heartbeat in self._heartbeats.values():
             same_kind = gateways if heartbeat.kind == GATEWAY else batch
             for service, beat in heartbeat.by_service.items():
--- a/tests/routing/test_heartbeats.py
+++ b/tests/routing/test_heartbeats.py
@@ -19,7 +19,7 @@
     peer_number,
     periods_per_round,
 )
-from pewterring.standalone.peer_messages import Beat, write_beat
+from pewterring.standalone.peer_messages import Heartbeat, encode_heartbeat
 from pewterring.transport.datagrams import IP_UDP_BYTES
 
 SERVICE = 5
@@ -74,7 +74,7 @@
             self.exchanges.append(peer)
 
     def send(self) -> None:
-        heartbeat = write_beat(Beat(1, 1, 8.0, 1, 1.0, 1.0))
+        heartbeat = encode_heartbeat(Heartbeat(1, 1, 8.0, 1, 1.0, 1.0))
         for peer in self.exchanges:
             peer.send({SERVICE: heartbeat}, self.nodes)
 
@@ -141,7 +141,7 @@
             other_fleet.ips[3], fleet.exchanges[0].port, GATEWAY, HeartbeatHandlers(lambda *_: None)
         )
         await outsider.start()
-        outsider.send({SERVICE: write_beat(Beat(1, 1, 8.0, 1, 1.0, 1.0))}, other_fleet.nodes)
+        outsider.send({SERVICE: encode_heartbeat(Heartbeat(1, 1, 8.0, 1, 1.0, 1.0))}, other_fleet.nodes)
         numbers = {peer_number(ip) for ip in fleet.ips}
         others = {ip: numbers - {peer_number(ip)} for ip in fleet.ips}
         await fleet.send_until(lambda: all(others[ip] <= heard for ip, heard in fleet.heard_peers.items()))
--- a/tests/standalone/test_ceiling.py
+++ b/tests/standalone/test_ceiling.py
@@ -4,7 +4,7 @@
 
 from pewterring.admission.ceiling import Ceiling
 from pewterring.standalone.policy import interface
-from tests.standalone.helpers import CLASSES, SERVERS, Drive
+from tests.standalone.helpers import CLASSES, SERVERS, PolicyDriver
 
 PURE = CLASSES["pure"]
 
@@ -41,7 +41,7 @@
     ceiling = ceiling_after(0.05)
     for _ in range(Ceiling.WINDOW_SAMPLES + 400):
         ceiling.observe(PURE, 0.9, 1e9)
-    assert min(ceiling.recent_means["pure"]) > Ceiling.MAX_TARGET_SHARE * PURE.aim
+    assert min(ceiling.recent_means["pure"]) > Ceiling.MAX_TARGET_SHARE * PURE.latency_target
     drifted = ceiling.limit
     for _ in range(500):
         ceiling.observe(PURE, 0.9, 1e9)
@@ -68,21 +68,21 @@
 @pytest.mark.parametrize("code", [code for code in interface.Code if code != interface.Code.OK])
 def test_only_successful_responses_count_as_latencies(code: interface.Code) -> None:
     """Errors may be fast, cancelled attempts end early, and a timeout concerns one server only."""
-    driver = Drive()
+    driver = PolicyDriver()
     driver.end(driver.sent("once"), code, took=0.001)
-    assert driver.gatekeeper.ceiling.count == {}
+    assert driver.policy.ceiling.count == {}
 
 
 def test_requests_beyond_the_limit_are_rejected_at_once() -> None:
-    driver = Drive()
-    driver.gatekeeper.ceiling.limit = 3.0
+    driver = PolicyDriver()
+    driver.policy.ceiling.limit = 3.0
     actions = [driver.ask()[0] for _ in range(5)]
     assert [type(action) for action in actions] == [interface.Send] * 3 + [interface.Refuse] * 2
 
 
 def test_live_ratings_do_not_scale_the_ceiling() -> None:
-    driver = Drive()
-    assert driver.gatekeeper.fleet.rating == len(SERVERS)
+    driver = PolicyDriver()
+    assert driver.policy.pool.rating == len(SERVERS)
 
 
 def test_large_fleets_adapt_as_fast_as_small_ones() -> None:
@@ -101,11 +101,11 @@
     The usual latency then fell to a third, more attempts seemed unresponsive and were duplicated, and a
     fleet of forty stayed in that state, with a probe for every second request.
     """
-    driver = Drive()
+    driver = PolicyDriver()
     driver.serve(40)
     for _ in range(60):
         first = driver.sent()
         driver.now += 1.5
         driver.do(interface.TimerDue(2))
         driver.end(first, interface.Code.CANCELLED, took=1.5)
-    assert driver.gatekeeper.usual() > 0.8
+    assert driver.policy.latency() > 0.8
