--- a/benchmarks/mixed_builds.py
+++ b/benchmarks/mixed_builds.py
@@ -35,7 +35,7 @@
 import msgspec
 
 from pewterring.local import sample
-from pewterring.local.engine import StandInWorker, WorkerPlace, echoed_words
+from pewterring.local.engine import StandInWorker, WorkerEndpoint, echoed_words
 from pewterring.local.layout import FRONT_PORT, HEARTBEAT_MS, READY_PORT, ZONES, Layout, Process
 from pewterring.transport.http_client import WorkerPool
 from pewterring.transport.http_exchange import ExchangeError, SendRequest
@@ -520,7 +520,7 @@
     load = Load(fleet, client, given.requests_per_s, given.job_items)
     workers = [
         StandInWorker(
-            WorkerPlace(sample.SERVICE, address, ZONES[number % len(ZONES)]),
+            WorkerEndpoint(sample.SERVICE, address, ZONES[number % len(ZONES)]),
             layout.control_addresses(),
             HEARTBEAT_MS / 1000,
             EVENT_S,
--- a/pewterring/local/engine.py
+++ b/pewterring/local/engine.py
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WorkerPlace:
+class WorkerEndpoint:
     """The service of a worker, and its address and zone."""
 
     service: str
@@ -48,7 +48,7 @@
     """A worker that sends heartbeats to control. `registered` is set when the first one is acknowledged.
 
     Args:
-        place: Its service, address and zone.
+        endpoint: Its service, address and zone.
         controls: Addresses of control machines, `IP:port`; if one does not respond, the next is used.
         heartbeat_s: Period of heartbeats in seconds.
         event_interval_s: Seconds between two events of a stream.
@@ -56,15 +56,15 @@
 
     def __init__(
         self,
-        place: WorkerPlace,
+        endpoint: WorkerEndpoint,
         controls: list[str],
         heartbeat_s: float,
         event_interval_s: float = EVENT_INTERVAL_S,
     ) -> None:
         self.id = f"i-{secrets.token_hex(4)}"
         self.registered = asyncio.Event()
-        self._place = place
-        self._address = place.address
+        self._endpoint = endpoint
+        self._address = endpoint.address
         self._controls = controls
         self._heartbeat_s = heartbeat_s
         self._event_interval_s = event_interval_s
@@ -157,9 +157,9 @@
     async def _send_heartbeat(self, control: str) -> bool:
         self._sequence += 1
         heartbeat = Heartbeat(
-            service=self._place.service,
+            service=self._endpoint.service,
             address=self._address,
-            zone=self._place.zone,
+            zone=self._endpoint.zone,
             capacity=CAPACITY,
             state=RegistrationState.READY,
             models=(LoadedModel(MODEL, 1),),
--- a/pewterring/local/tier.py
+++ b/pewterring/local/tier.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from pewterring.local import sample
-from pewterring.local.engine import StandInWorker, WorkerPlace
+from pewterring.local.engine import StandInWorker, WorkerEndpoint
 from pewterring.local.layout import FRONT_PORT, HEARTBEAT_MS, READY_PORT, ZONES, Layout
 from pewterring.local.processes import Children
 from pewterring.transport.http_client import WorkerPool
@@ -131,7 +131,7 @@
         controls = self._layout.control_addresses()
         for index, address in enumerate(self._layout.worker_addresses()):
             zone = ZONES[index % len(ZONES)]
-            worker = StandInWorker(WorkerPlace(sample.SERVICE, address, zone), controls, heartbeat_s)
+            worker = StandInWorker(WorkerEndpoint(sample.SERVICE, address, zone), controls, heartbeat_s)
             self._workers.append(worker)
             await worker.start()
         self._waiting_for = "control to accept the configuration"
--- a/tests/local/test_engine.py
+++ b/tests/local/test_engine.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from pewterring.local.engine import LIMITS, StandInWorker, WorkerPlace, echoed_words
+from pewterring.local.engine import LIMITS, StandInWorker, WorkerEndpoint, echoed_words
 from pewterring.transport.http_client import WorkerPool
 from pewterring.transport.http_exchange import SendRequest
 from pewterring.transport.http_fetch import WholeAnswer, fetch
@@ -12,7 +12,7 @@
 from pewterring.transport.sse import EventSplitter
 
 TEST_TIMEOUT_S = 10.0
-PLACE = WorkerPlace("s", "127.0.0.1:0", "z")
+ENDPOINT = WorkerEndpoint("s", "127.0.0.1:0", "z")
 
 
 class Control:
@@ -44,7 +44,7 @@
 
 def test_a_stream_resumes_after_the_last_event_id_and_invalid_requests_are_rejected() -> None:
     async def run() -> None:
-        worker = StandInWorker(PLACE, ["127.0.0.1:9"], heartbeat_s=60.0, event_interval_s=0.0)
+        worker = StandInWorker(ENDPOINT, ["127.0.0.1:9"], heartbeat_s=60.0, event_interval_s=0.0)
         await worker.start()
         try:
             response = await send_request(worker, Request_Id="r-1", Target_Instance=worker.id)
@@ -72,7 +72,7 @@
         for control in (rejecting, accepting):
             await control.server.start("127.0.0.1", 0)
         addresses = [f"127.0.0.1:{control.server.port}" for control in (rejecting, accepting)]
-        worker = StandInWorker(PLACE, addresses, heartbeat_s=0.01)
+        worker = StandInWorker(ENDPOINT, addresses, heartbeat_s=0.01)
         await worker.start()
         try:
             async with asyncio.timeout(TEST_TIMEOUT_S):
