--- a/pewterring/__main__.py
+++ b/pewterring/__main__.py
@@ -9,29 +9,25 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    arguments_given = sys.argv[1:] if argv is None else argv
+    arguments = sys.argv[1:] if argv is None else argv
     # A gatekeeper starts without importing argparse, to save start-up time and memory (docs/lab.md).
-    if (
-        arguments_given[:1] == ["serve"]
-        and len(arguments_given) <= 2
-        and not arguments_given[-1].startswith("-")
-    ):
+    if arguments[:1] == ["serve"] and len(arguments) <= 2 and not arguments[-1].startswith("-"):
         try:
-            return serve(arguments_given[1] if len(arguments_given) > 1 else None)
+            return serve(arguments[1] if len(arguments) > 1 else None)
         except ConfigError as error:
             print(f"pewterring: {error}", file=sys.stderr)
             return 2
     if (
-        arguments_given[:1]
-        and arguments_given[0] in TIER_PROGRAMS
-        and (settings := parse_settings_argument(arguments_given[1:])) is not None
+        arguments[:1]
+        and arguments[0] in TIER_PROGRAMS
+        and (settings := parse_settings_argument(arguments[1:])) is not None
     ):
         from pewterring.cli.tier import run_program
 
-        return run_program(arguments_given[0], settings or None)
+        return run_program(arguments[0], settings or None)
     from pewterring.cli.main import main as command_line
 
-    return command_line(arguments_given)
+    return command_line(arguments)
 
 
 def parse_settings_argument(arguments: list[str]) -> str | None:
--- a/pewterring/cli/cluster.py
+++ b/pewterring/cli/cluster.py
@@ -96,10 +96,10 @@
         status = msgspec.json.decode(body, type=TierStatus)
     except msgspec.DecodeError as error:
         raise CommandError(f"{address} sent an invalid status: {error}") from error
-    print(json.dumps(msgspec.to_builtins(status)) if arguments.json else "\n".join(table(status)))
+    print(json.dumps(msgspec.to_builtins(status)) if arguments.json else "\n".join(status_lines(status)))
 
 
-def table(status: TierStatus) -> list[str]:
+def status_lines(status: TierStatus) -> list[str]:
     """Returns the status as lines of text."""
     lines = [f"configuration  version {status.version}" if status.version else "configuration  none yet"]
     programs = Counter(node.program for node in status.nodes)
--- a/pewterring/cli/gatekeeper_settings.py
+++ b/pewterring/cli/gatekeeper_settings.py
@@ -48,7 +48,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Read:
+class RecordedRead:
     """One value that the reader of settings has read."""
 
     kind: str
@@ -63,13 +63,13 @@
 
     def __init__(self, values: Mapping[str, str]) -> None:
         super().__init__("settings", values)
-        self.reads: dict[str, Read] = {}
+        self.reads: dict[str, RecordedRead] = {}
 
     def record(
         self, name: str, kind: str, value: Value, default: object, choices: tuple[str, ...] = ()
     ) -> Value:
         """Records a read and returns its value."""
-        self.reads[name] = Read(kind, value, name in self.values, default is None, choices)
+        self.reads[name] = RecordedRead(kind, value, name in self.values, default is None, choices)
         return value
 
     def text(self, name: str, default: str | None = None) -> str:
@@ -126,7 +126,7 @@
     return path, tree
 
 
-def given_keys(tree: dict[str, Any]) -> Iterator[str]:
+def present_keys(tree: dict[str, Any]) -> Iterator[str]:
     """Yields the top-level keys of a configuration, and the keys of `limits` as `limits.NAME`."""
     for key, value in tree.items():
         if key == "limits" and isinstance(value, dict):
@@ -138,7 +138,7 @@
 def find_unknown_keys(tree: dict[str, Any]) -> tuple[list[str], list[str]]:
     """Returns messages for rejected keys, and unknown settings that may belong to another program."""
     rejected, unused = [], []
-    for key in given_keys(tree):
+    for key in present_keys(tree):
         if key not in TOP_LEVEL_KEYS:
             suggestions = difflib.get_close_matches(key, TOP_LEVEL_KEYS, 1, 0.5)
             rejected.append(
@@ -162,8 +162,8 @@
         if key in ("settings", "known"):
             continue
         file_value: Any = tree
-        for step in key.split("."):
-            file_value = (file_value or {}).get(step)
+        for key_part in key.split("."):
+            file_value = (file_value or {}).get(key_part)
         if file_value not in (None, "", []):
             rows.append((key, file_value, "file"))
         elif variable and env.get(variable):
@@ -229,7 +229,7 @@
     }
     for key, (kind, variable, _, summary) in TOP_LEVEL_KEYS.items():
         description = f"{summary}; {variable} is used if it is missing" if variable else summary
-        insert_leaf(root, key.split("."), {**SCHEMA_BY_KIND[kind], "description": description}, False)
+        insert_leaf_schema(root, key.split("."), {**SCHEMA_BY_KIND[kind], "description": description}, False)
     root["properties"]["seed"] = {"type": ["string", "integer"], "description": TOP_LEVEL_KEYS["seed"][3]}
     settings = root["properties"]["settings"]
     for name, read in record_reads(SAMPLE_SETTINGS).reads.items():
@@ -240,21 +240,25 @@
             leaf["enum"] = list(read.choices)
         if not read.required and read.kind != "nanoseconds":
             leaf["default"] = read.value
-        insert_leaf(settings, name.split("."), leaf, read.required)
+        insert_leaf_schema(settings, name.split("."), leaf, read.required)
     return root
 
 
-def insert_leaf(node: dict[str, Any], steps: list[str], leaf: dict[str, Any], required: bool) -> None:
+def insert_leaf_schema(
+    parent: dict[str, Any], key_path: list[str], leaf: dict[str, Any], required: bool
+) -> None:
     """Inserts a leaf into a schema, creating the objects and arrays on its path."""
-    step, *rest = steps
-    properties = node.setdefault("properties", {})
-    if not rest:
-        properties[step] = leaf
+    key_part, *remaining_path = key_path
+    properties = parent.setdefault("properties", {})
+    if not remaining_path:
+        properties[key_part] = leaf
         if required:
-            node.setdefault("required", []).append(step)
+            parent.setdefault("required", []).append(key_part)
         return
-    if rest[0].isdigit():
-        inner = properties.setdefault(step, {"type": "array", "items": {"type": "object"}})["items"]
-        insert_leaf(inner, rest[1:], leaf, required)
+    if remaining_path[0].isdigit():
+        inner = properties.setdefault(key_part, {"type": "array", "items": {"type": "object"}})["items"]
+        insert_leaf_schema(inner, remaining_path[1:], leaf, required)
     else:
-        insert_leaf(properties.setdefault(step, {"type": "object"}), rest, leaf, required)
+        insert_leaf_schema(
+            properties.setdefault(key_part, {"type": "object"}), remaining_path, leaf, required
+        )
--- a/pewterring/cli/inspect.py
+++ b/pewterring/cli/inspect.py
@@ -24,7 +24,7 @@
 MAX_SHOWN_CHARACTERS = 100  # data of one log entry in the table; --json shows all of it
 COMMAND_TAG = "type"  # JSON field with the type of a command
 
-Show = Callable[["StoredGroup", argparse.Namespace], None]
+ShowFunction = Callable[["StoredGroup", argparse.Namespace], None]
 
 
 @dataclass(frozen=True, slots=True)
@@ -67,7 +67,7 @@
     inspect_requests.configure(commands.add_parser("requests", help=summary, description=summary))
 
 
-def _with_command_errors(show: Show) -> Callable[[argparse.Namespace], None]:
+def _with_command_errors(show: ShowFunction) -> Callable[[argparse.Namespace], None]:
     def run(arguments: argparse.Namespace) -> None:
         try:
             for group in read_groups(arguments.data_dir, arguments.group):
@@ -78,17 +78,17 @@
     return run
 
 
-def read_groups(folder: Path, only: str = "") -> Iterator[StoredGroup]:
-    """Loads the groups stored in a folder, sorted by name; only the group `only` if it is not empty."""
+def read_groups(folder: Path, only_group: str = "") -> Iterator[StoredGroup]:
+    """Loads the groups stored in a folder, sorted by name; only the group `only_group` if it is not empty."""
     if not folder.is_dir():
         raise UsageError(f"{folder}: no such folder")
     suffixes = (SEGMENT_SUFFIX, SNAPSHOT_SUFFIX)
     files = [name for name in OverlayDisk(folder).names() if name.endswith(suffixes)]
     names = sorted({name.partition(".")[0] for name in files})
-    if only:
-        names = [name for name in names if name == only]
+    if only_group:
+        names = [name for name in names if name == only_group]
     if not names:
-        raise UsageError(f"{folder}: no log of {'group ' + only if only else 'a group'} in it")
+        raise UsageError(f"{folder}: no log of {'group ' + only_group if only_group else 'a group'} in it")
     for name in names:
         yield StoredGroup(name, DiskGroupStorage(OverlayDisk(folder), name).load())
 
--- a/pewterring/cli/inspect_requests.py
+++ b/pewterring/cli/inspect_requests.py
@@ -82,7 +82,7 @@
     return log
 
 
-def table(log: RequestLog) -> Iterator[str]:
+def summary_lines(log: RequestLog) -> Iterator[str]:
     """Yields the summary as lines of text."""
     yield f"{len(log.requests)} requests that ended badly"
     if log.unreadable:
@@ -99,7 +99,7 @@
         "second and reason",
         log.requests,
         lambda each: f"{int(each.arrived_at - first):>4} {each.line.reason}",
-        by_count=False,
+        sort_by_count=False,
     )
 
 
@@ -114,18 +114,18 @@
 def _counts(
     title: str,
     requests: Iterable[LoggedRequest],
-    key: Callable[[LoggedRequest], str],
-    by_count: bool = True,
+    group_key: Callable[[LoggedRequest], str],
+    sort_by_count: bool = True,
 ) -> Iterator[str]:
-    counts = Counter(key(each) for each in requests)
+    counts = Counter(group_key(each) for each in requests)
     yield f"by {title}"
-    for name, count in counts.most_common() if by_count else sorted(counts.items()):
+    for name, count in counts.most_common() if sort_by_count else sorted(counts.items()):
         yield f"  {count:>7}  {name}"
 
 
 def _run(arguments: argparse.Namespace) -> None:
     log = read_logs(arguments.files)
-    for line in table(log):
+    for line in summary_lines(log):
         print(line)
     if arguments.plot is not None:
         from pewterring.lab.plots import plot_counts
--- a/pewterring/cli/lab.py
+++ b/pewterring/cli/lab.py
@@ -115,10 +115,10 @@
     return seeds
 
 
-def progress(total: int, label: str) -> tuple[Any, Callable[[Any], None]]:
+def make_progress_bar(total: int, label: str) -> tuple[Any, Callable[[Any], None]]:
     """Returns a progress bar and a callback that advances it by one run."""
-    bar = tqdm(total=total, desc=label, unit="run", disable=not sys.stderr.isatty())
-    return bar, lambda _entry: bar.update(1)
+    progress_bar = tqdm(total=total, desc=label, unit="run", disable=not sys.stderr.isatty())
+    return progress_bar, lambda _entry: progress_bar.update(1)
 
 
 def _configure_run(parser: argparse.ArgumentParser) -> None:
@@ -168,21 +168,21 @@
     if as_json:
         print(json.dumps({"broken": result.broken, **experiment.metrics(result)}))
     else:
-        print("\n".join(report(result)))
+        print("\n".join(report_lines(result)))
 
 
-def origin(result: Result) -> str:
+def figures_origin(result: Result) -> str:
     """Returns whether the figures were emulated or measured."""
     return "measured on loopback" if result.policy == "loopback" else "emulated"
 
 
-def report(result: Result) -> list[str]:
+def report_lines(result: Result) -> list[str]:
     """Returns the report of a run as lines of text."""
     counts = result.counts
     count_names = ("tries", "served", "late", "refused", "failed", "attempts")
     return [
         f"{result.scenario}, {result.policy}, seed {result.seed}: {result.gatekeepers} gatekeepers, "
-        f"{result.workers} workers, {result.duration_s:g} s ({origin(result)})",
+        f"{result.workers} workers, {result.duration_s:g} s ({figures_origin(result)})",
         f"G {result.g:.3f}   served {result.served:.3f}",
         f"asked {counts['intents']:.0f}, " + ", ".join(f"{name} {counts[name]:.0f}" for name in count_names),
         "latency " + ", ".join(f"{name} {value:.3f} s" for name, value in result.latency.items()),
@@ -229,12 +229,12 @@
 def sweep(arguments: argparse.Namespace) -> int:
     """Plays a grid of scenarios on several seeds. Resumes if called again with the same folder."""
     points = experiment.grid(arguments.grid, parse_seeds(arguments.seeds))
-    bar, done = progress(len(points), "sweep")
+    progress_bar, advance = make_progress_bar(len(points), "sweep")
     folder = Path(arguments.out)
     try:
-        with bar:
+        with progress_bar:
             entries = experiment.sweep(
-                arguments.scenario, points, folder, arguments.sets, arguments.policy, arguments.jobs, done
+                arguments.scenario, points, folder, arguments.sets, arguments.policy, arguments.jobs, advance
             )
     except KeyboardInterrupt:
         message = f"interrupted; finished runs are kept in {folder}; repeat the command to resume"
@@ -261,11 +261,13 @@
 def compare(arguments: argparse.Namespace) -> int:
     """Compares two variants on the same seeds: mean difference with its 95% bootstrap interval."""
     numbers = parse_seeds(arguments.seeds)
-    bar, done = progress(2 * len(numbers), "compare")
+    progress_bar, advance = make_progress_bar(2 * len(numbers), "compare")
     side_a = ((*arguments.sets, *arguments.a), arguments.a_policy)
     side_b = ((*arguments.sets, *arguments.b), arguments.b_policy)
-    with bar:
-        table, broken = experiment.compare(arguments.scenario, side_a, side_b, numbers, arguments.jobs, done)
+    with progress_bar:
+        table, broken = experiment.compare(
+            arguments.scenario, side_a, side_b, numbers, arguments.jobs, advance
+        )
     if arguments.json:
         print(msgspec.json.encode({"differences": table, "broken": broken}).decode())
     else:
@@ -361,10 +363,10 @@
     from pewterring.lab import hunt as hunt_module
 
     base = scenario_file.load(arguments.scenario)
-    bar, done = progress(arguments.count, "hunt")
-    with bar:
+    progress_bar, advance = make_progress_bar(arguments.count, "hunt")
+    with progress_bar:
         jobs = arguments.jobs or os.cpu_count() or 1
-        found = hunt_module.hunt(base, arguments.first, arguments.count, arguments.policy, jobs, done)
+        found = hunt_module.hunt(base, arguments.first, arguments.count, arguments.policy, jobs, advance)
     if found is None:
         print(f"{arguments.count} random scenarios from seed {arguments.first} on: no rule broken")
         return 0
--- a/pewterring/cli/operator_configuration.py
+++ b/pewterring/cli/operator_configuration.py
@@ -25,7 +25,7 @@
     """
     document = path.read_bytes()
     problems = [str(error) for error in document_errors(document)]
-    unknown = dict(_unknown_fields(_decode(document)))
+    unknown = dict(_find_unknown_fields(_decode(document)))
     problems += [
         unknown_key_problem(field_path, suggestion)
         for field_path, suggestion in unknown.items()
@@ -35,18 +35,18 @@
     return Findings(str(path), problems, f"{unused} fields that nothing here knows" if unused else "")
 
 
-def _unknown_fields(tree: Any) -> Iterator[tuple[str, str]]:
+def _find_unknown_fields(tree: Any) -> Iterator[tuple[str, str]]:
     """Yields the unknown fields of a configuration, or of the items that a patch adds."""
     if not is_patch(tree):
-        yield from _unknown(tree, _known_fields())
+        yield from _find_unknown(tree, _known_fields())
         return
-    yield from _unknown({key: value for key, value in tree.items() if key not in PATCH_FIELDS}, {})
-    yield from _unknown(tree.get("upsert"), _known_fields(), "upsert")
+    yield from _find_unknown({key: value for key, value in tree.items() if key not in PATCH_FIELDS}, {})
+    yield from _find_unknown(tree.get("upsert"), _known_fields(), "upsert")
 
 
 def show(path: Path) -> list[tuple[str, object, str]]:
     """Returns each effective value with its origin."""
-    return list(_values(_decode(path.read_bytes()), _known_fields()))
+    return list(_effective_values(_decode(path.read_bytes()), _known_fields()))
 
 
 def json_schema() -> dict[str, Any]:
@@ -69,17 +69,17 @@
         return None
 
 
-def _inner(field: fields.Field[Any]) -> fields.Field[Any]:
+def _item_field(field: fields.Field[Any]) -> fields.Field[Any]:
     return field.inner if isinstance(field, fields.List) else field
 
 
-def _nested(field: fields.Field[Any]) -> Fields | None:
+def _nested_fields(field: fields.Field[Any]) -> Fields | None:
     """Returns the fields of the objects in a field, or None if it contains no objects."""
-    inner = _inner(field)
+    inner = _item_field(field)
     return inner.schema.fields if isinstance(inner, fields.Nested) else None
 
 
-def _objects(field: fields.Field[Any], value: Any, path: str) -> Iterator[tuple[str, Any]]:
+def _contained_objects(field: fields.Field[Any], value: Any, path: str) -> Iterator[tuple[str, Any]]:
     """Yields the objects in a field, each with its path."""
     if isinstance(field, fields.List):
         items = value if isinstance(value, list) else []
@@ -88,7 +88,7 @@
         yield path, value
 
 
-def _unknown(tree: Any, known: Fields, path: str = "") -> Iterator[tuple[str, str]]:
+def _find_unknown(tree: Any, known: Fields, path: str = "") -> Iterator[tuple[str, str]]:
     """Yields the path of each unknown field with the nearest known name or an empty string."""
     if not isinstance(tree, dict):
         return
@@ -98,21 +98,21 @@
             if name not in UNUSED_FIELDS:
                 yield field_path, nearest_key(name, set(known) - set(tree))
             continue
-        nested = _nested(known[name])
+        nested = _nested_fields(known[name])
         if nested is not None:
-            for inner_path, item in _objects(known[name], value, field_path):
-                yield from _unknown(item, nested, inner_path)
+            for inner_path, item in _contained_objects(known[name], value, field_path):
+                yield from _find_unknown(item, nested, inner_path)
 
 
-def _values(tree: Any, known: Fields, path: str = "") -> Iterator[tuple[str, object, str]]:
+def _effective_values(tree: Any, known: Fields, path: str = "") -> Iterator[tuple[str, object, str]]:
     given = tree if isinstance(tree, dict) else {}
     for name, field in known.items():
         field_path = f"{path}.{name}" if path else name
         value = given.get(name)
-        nested = _nested(field)
+        nested = _nested_fields(field)
         if nested is not None and value is not None:
-            for inner_path, item in _objects(field, value, field_path):
-                yield from _values(item, nested, inner_path)
+            for inner_path, item in _contained_objects(field, value, field_path):
+                yield from _effective_values(item, nested, inner_path)
         elif value is not None:
             yield field_path, value, "file"
         elif nested is None and field.load_default is not missing and not callable(field.load_default):
@@ -130,7 +130,7 @@
 def _property_schema(name: str, field: fields.Field[Any]) -> dict[str, Any]:
     if isinstance(field, fields.List):
         return {"type": "array", "items": _property_schema(name, field.inner)}
-    nested = _nested(field)
+    nested = _nested_fields(field)
     if nested is not None:
         return _object_schema(nested)
     schema = _scalar_schema(field)
--- a/pewterring/cli/recover.py
+++ b/pewterring/cli/recover.py
@@ -25,8 +25,8 @@
 REQUEST_TIMEOUT_S = 3.0
 OK = 200
 WARNING = (
-    "What only the lost machines had is gone. Start them with empty folders only: with their old disks\n"
-    "they would go on as a second group. Nothing is changed yet; it is done with"
+    "Data that only the lost machines had is lost. Start them with empty folders only: with their old disks\n"
+    "they would form a second group. Nothing has been changed yet; to proceed, repeat the command with"
 )
 
 
@@ -122,7 +122,7 @@
 def _findings_message(survivor: Survivor) -> str:
     return (
         f"{survivor.member} has the log up to entry {survivor.last_index} of term {survivor.last_term}.\n"
-        f"Voters: {', '.join(survivor.membership.voters)}; of the others too few answer for a majority.\n"
+        f"Voters: {', '.join(survivor.membership.voters)}; too few others respond to form a majority.\n"
         f"{WARNING}\n  --confirm {confirmation_of(survivor)}"
     )
 
--- a/pewterring/cli/tally.py
+++ b/pewterring/cli/tally.py
@@ -39,8 +39,10 @@
             yield line
 
 
-def windows(logs: Iterable[tuple[str, Iterable[TallyRecord]]], length: float) -> list[TallyRecord]:
-    """Returns one row per window of `length` seconds; the first begins at the earliest record.
+def aggregate_windows(
+    logs: Iterable[tuple[str, Iterable[TallyRecord]]], window_s: float
+) -> list[TallyRecord]:
+    """Returns one row per window of `window_s` seconds; the first begins at the earliest record.
 
     Counts are summed over gatekeepers and records. Current values are taken from the last record of each
     gatekeeper, then averaged (AVERAGED_FIELDS) or summed (SUMMED_FIELDS) over gatekeepers.
@@ -49,11 +51,11 @@
     if not lines:
         return []
     first = min(time for time, _, _ in lines)
-    counts: dict[int, dict[str, float]] = {}
+    counts_by_window: dict[int, dict[str, float]] = {}
     last_by_window: dict[int, dict[str, TallyRecord]] = {}
     for time, name, line in sorted(lines, key=lambda entry: entry[:2]):
-        window = int((time - first) / length)
-        row = counts.setdefault(window, {})
+        window = int((time - first) / window_s)
+        row = counts_by_window.setdefault(window, {})
         last_by_window.setdefault(window, {})[name] = line
         for key, value in line.items():
             if key not in ("time", "event", *AVERAGED_FIELDS, *SUMMED_FIELDS) and isinstance(
@@ -61,7 +63,7 @@
             ):
                 row[key] = row.get(key, 0) + value
     rows = []
-    for window, row in sorted(counts.items()):
+    for window, row in sorted(counts_by_window.items()):
         last_records = last_by_window[window].values()
         values_by_field = {
             key: [float(line[key]) for line in last_records if key in line]
@@ -72,7 +74,7 @@
             for key, values in values_by_field.items()
             if values
         }
-        rows.append({"from_s": window * length, "gatekeepers": len(last_records), **row, **state})
+        rows.append({"from_s": window * window_s, "gatekeepers": len(last_records), **row, **state})
     return rows
 
 
@@ -95,7 +97,7 @@
 def _tally(arguments: argparse.Namespace) -> None:
     if arguments.window <= 0:
         raise UsageError("--window: the window must be longer than 0 seconds")
-    rows = windows([(str(file), read(file)) for file in _files(arguments.logs)], arguments.window)
+    rows = aggregate_windows([(str(file), read(file)) for file in _files(arguments.logs)], arguments.window)
     if not rows:
         raise CommandError("no tally lines in these logs: was ROUTER_TALLY_S set for the gatekeepers?")
     if arguments.json:
--- a/tests/cli/test_tally.py
+++ b/tests/cli/test_tally.py
@@ -7,7 +7,7 @@
 import pytest
 
 from pewterring.__main__ import main
-from pewterring.cli.tally import read, windows
+from pewterring.cli.tally import aggregate_windows, read
 from pewterring.standalone.log import Log
 from pewterring.standalone.policy import interface as i
 from pewterring.standalone.policy.decisions import GatewayPolicy
@@ -45,7 +45,7 @@
     )
     (tmp_path / "a.log").write_bytes(first_log)
     (tmp_path / "b.log").write_bytes(second_log)
-    rows = windows([(name, read(tmp_path / name)) for name in ("a.log", "b.log")], 5.0)
+    rows = aggregate_windows([(name, read(tmp_path / name)) for name in ("a.log", "b.log")], 5.0)
     assert rows == [
         {"from_s": 0.0, "gatekeepers": 2, "sent": 10, "limit": 15.0, "out": 6.0},
     ]
