--- a/pewterring/storage/disk.py
+++ b/pewterring/storage/disk.py
@@ -1,10 +1,10 @@
-"""The files of one folder, as far as storage needs them, and the operating system's errors as this package's.
+"""File operations in one folder, and the translation of operating system errors into those of this package.
 
-A full disk is `StorageFullError`: the same call may succeed later. Any other error is `StorageFailedError`,
-after which the content of the file is not known. Both name the file with its folder.
+A full disk raises `StorageFullError`: the same call may succeed later. Any other error raises
+`StorageFailedError`, after which the content of the file is unknown. Both messages contain the full path.
 
-Every operation that changes something is announced to a hook before it runs. The operations' numbers, counted
-from 1, are the fault points of tests.
+A hook is called before each operation that changes a file or the folder. It receives the number of the
+operation, counted from 1, so that a test can inject a fault at any operation.
 """
 
 import errno
@@ -17,11 +17,11 @@
 
 from pewterring.storage.errors import StorageError, StorageFailedError, StorageFullError
 
-FULL_ERRORS = frozenset({errno.ENOSPC, errno.EDQUOT, errno.EFBIG})  # each ends once somebody frees disk space
+FULL_ERRORS = frozenset({errno.ENOSPC, errno.EDQUOT, errno.EFBIG})  # cleared by freeing disk space
 
 
 class Operation(StrEnum):
-    """What can be interrupted."""
+    """The operations at which a `FaultHook` is called."""
 
     CREATE = "create"
     WRITE = "write"
@@ -36,61 +36,63 @@
 
 
 class DiskFile(Protocol):
-    """One open file. Each method but `close` may raise `StorageFullError` or `StorageFailedError`."""
+    """One open file. Each method except `close` may raise `StorageFullError` or `StorageFailedError`."""
 
     def write(self, data: bytes) -> None:
-        """Appends. After an error any beginning of `data` may be in the file."""
+        """Appends `data`. After an error the file may contain any prefix of `data`."""
 
     def truncate(self, size: int) -> None:
-        """Truncates the file to `size` bytes; the next write goes there."""
+        """Truncates the file to `size` bytes; the next write starts at that offset."""
 
     def sync(self) -> None:
-        """Returns when the content outlasts a loss of power; the name needs `Disk.sync_folder`."""
+        """Makes the content survive a power loss; the file name additionally needs `Disk.sync_folder`."""
 
     def close(self) -> None:
-        """Closes the file without a sync."""
+        """Closes the file without syncing it."""
 
 
 class Disk(Protocol):
     """One folder of files. Each method may raise `StorageFullError` or `StorageFailedError`."""
 
     def names(self) -> list[str]:
-        """The names of all files, in no order."""
+        """Returns the names of all files, in no particular order."""
 
     def read(self, name: str) -> bytes:
-        """The complete content."""
+        """Returns the complete content of a file."""
 
     def size(self, name: str) -> int:
-        """The length in bytes."""
+        """Returns the size of a file in bytes."""
 
     def create(self, name: str) -> DiskFile:
-        """Makes an empty file, in place of an earlier one of that name."""
+        """Creates an empty file; replaces an existing file of the same name."""
 
     def open(self, name: str) -> DiskFile:
-        """Opens a file that exists; writes go to its end."""
+        """Opens an existing file for appending."""
 
     def rename(self, old: str, new: str) -> None:
-        """Renames, in place of a file of the new name."""
+        """Renames a file; replaces an existing file of the new name."""
 
     def remove(self, name: str) -> None:
         """Removes a file."""
 
     def sync_folder(self) -> None:
-        """Returns when all names made, changed or removed outlast a loss of power."""
+        """Makes all file creations, renames and removals so far survive a power loss."""
 
 
 @contextmanager
 def _storage_errors(action: str, path: Path) -> Iterator[None]:
-    """Turns errors of the operating system into those of this package."""
+    """Translates operating system errors into errors of this package."""
     try:
         yield
     except OSError as error:
-        kind: type[StorageError] = StorageFullError if error.errno in FULL_ERRORS else StorageFailedError
-        raise kind(f"cannot {action} {path}: {error.strerror or error}") from error
+        error_type: type[StorageError] = (
+            StorageFullError if error.errno in FULL_ERRORS else StorageFailedError
+        )
+        raise error_type(f"cannot {action} {path}: {error.strerror or error}") from error
 
 
 class _FaultPoints:
-    """Counts operations and announces them to the hook, if there is one."""
+    """Counts operations and calls the hook, if any, before each of them."""
 
     def __init__(self, hook: FaultHook | None) -> None:
         self._hook = hook
@@ -103,7 +105,7 @@
 
 
 class _FolderFile:
-    """A file open for appending; owns its descriptor until `close`."""
+    """A file open for appending; owns its file descriptor until `close`."""
 
     def __init__(self, path: Path, descriptor: int, faults: _FaultPoints) -> None:
         self._path = path
@@ -134,10 +136,10 @@
 
 
 class FolderDisk:
-    """A `Disk` on a folder of the file system; the folder is made where it is missing.
+    """A `Disk` on a folder of the file system; creates the folder if it does not exist.
 
     Raises:
-        StorageError: the folder cannot be made.
+        StorageError: the folder cannot be created.
     """
 
     def __init__(self, folder: Path, on_operation: FaultHook | None = None) -> None:
@@ -147,47 +149,47 @@
             folder.mkdir(parents=True, exist_ok=True)
 
     def names(self) -> list[str]:
-        """Part of `Disk`."""
+        """Implements `Disk`."""
         with _storage_errors("list", self._folder):
             return [path.name for path in self._folder.iterdir()]
 
     def read(self, name: str) -> bytes:
-        """Part of `Disk`."""
+        """Implements `Disk`."""
         path = self._folder / name
         with _storage_errors("read", path):
             return path.read_bytes()
 
     def size(self, name: str) -> int:
-        """Part of `Disk`."""
+        """Implements `Disk`."""
         path = self._folder / name
         with _storage_errors("read the size of", path):
             return path.stat().st_size
 
     def create(self, name: str) -> DiskFile:
-        """Part of `Disk`."""
+        """Implements `Disk`."""
         self._faults.reach(Operation.CREATE, name)
         return self._open(name, os.O_CREAT | os.O_TRUNC)
 
     def open(self, name: str) -> DiskFile:
-        """Part of `Disk`."""
+        """Implements `Disk`."""
         return self._open(name, 0)
 
     def rename(self, old: str, new: str) -> None:
-        """Part of `Disk`."""
+        """Implements `Disk`."""
         self._faults.reach(Operation.RENAME, old)
         path = self._folder / old
         with _storage_errors("rename", path):
             path.replace(self._folder / new)
 
     def remove(self, name: str) -> None:
-        """Part of `Disk`."""
+        """Implements `Disk`."""
         self._faults.reach(Operation.REMOVE, name)
         path = self._folder / name
         with _storage_errors("remove", path):
             path.unlink()
 
     def sync_folder(self) -> None:
-        """Part of `Disk`."""
+        """Implements `Disk`."""
         self._faults.reach(Operation.SYNC_FOLDER, "")
         with _storage_errors("sync", self._folder):
             descriptor = os.open(self._folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
--- a/pewterring/storage/entry_terms.py
+++ b/pewterring/storage/entry_terms.py
@@ -1,6 +1,7 @@
-"""Which term each entry of a log has, in memory: tells whether a snapshot's last entry is in the log.
+"""In-memory index of the terms of the log entries, used to check whether the log contains a given entry.
 
-The rule is that of the Raft paper, section 7: entries after a snapshot stay where the log has its last entry.
+When a snapshot is saved, the log entries after it are kept only if the log contains the last entry that the
+snapshot covers (Raft paper, section 7).
 """
 
 from typing import NamedTuple
@@ -9,20 +10,20 @@
 
 
 class _TermRun(NamedTuple):
-    """Entries of one term that follow each other, from `first_index` on."""
+    """A run of consecutive entries of the same term, starting at `first_index`."""
 
     first_index: int
     term: int
 
 
 class EntryTerms:
-    """The terms from a snapshot's last entry on, as runs."""
+    """The terms of the entries from the last one covered by the snapshot onwards, run-length encoded."""
 
     def __init__(self, last_index: int, last_term: int) -> None:
         self.reset(last_index, last_term)
 
     def reset(self, last_index: int, last_term: int) -> None:
-        """Starts again behind a snapshot."""
+        """Forgets all entries except the last one covered by a snapshot."""
         self.last_index = last_index
         self._runs = [_TermRun(last_index, last_term)]
 
@@ -33,18 +34,18 @@
             self._runs.append(_TermRun(entry.index, entry.term))
 
     def truncate(self, from_index: int) -> None:
-        """Forgets the entries from `from_index` on."""
+        """Forgets the entries from `from_index` onwards."""
         self.last_index = min(self.last_index, from_index - 1)
         while len(self._runs) > 1 and self._runs[-1].first_index > self.last_index:
             self._runs.pop()
 
     def contains(self, index: int, term: int) -> bool:
-        """Whether the log has the entry (`index`, `term`)."""
+        """Returns whether the log contains the entry at `index` with this `term`."""
         if index > self.last_index:
             return False
         return next((run.term for run in reversed(self._runs) if run.first_index <= index), None) == term
 
     def drop_to(self, index: int) -> None:
-        """Forgets what is before `index`."""
+        """Forgets the entries before `index`."""
         while len(self._runs) > 1 and self._runs[1].first_index <= index:
             self._runs.pop(0)
--- a/pewterring/storage/errors.py
+++ b/pewterring/storage/errors.py
@@ -1,8 +1,8 @@
-"""Errors of the storage package. All are the consensus package's `StorageError`, and each names the file.
+"""Errors of the storage package. All are subclasses of the consensus package's `StorageError`.
 
-`StorageFullError` alone may be answered by repeating the call; after any other error the storage is to be
-loaded again, and the errors of damage (`Corrupt...`), of a later format and of another machine's folder come
-back then.
+Only after `StorageFullError` may the call be repeated; after any other error the storage must be loaded
+again. Corrupt files (`Corrupt...`), a later file format and a folder of another machine raise the same error again
+when they are loaded.
 """
 
 from pewterring.consensus.errors import StorageError, StorageFullError
@@ -24,19 +24,19 @@
 
 
 class StorageFailedError(StorageError):
-    """The disk reported an error other than being full; what was being written is in an unknown state."""
+    """The disk reported an error other than being full; the state of the file being written is unknown."""
 
 
 class StorageUnusableError(StorageError):
-    """The files were not loaded, or a call failed before; they must be loaded again. Nothing was written."""
+    """The files were not loaded, or an earlier call failed; load them (again). Nothing was written."""
 
     def __init__(self, files: str) -> None:
-        super().__init__(f"{files} cannot be used: not loaded, or failed before; load again")
+        super().__init__(f"{files} cannot be used: not loaded, or an earlier call failed; load again")
         self.files = files
 
 
 class CorruptFileError(StorageError):
-    """What had been synced is damaged or missing: nothing is read of it. Replace the content of the disk."""
+    """Synced data is damaged or missing, and none of it is used. Replace the content of the disk."""
 
     def __init__(self, file: str, where: str = "") -> None:
         super().__init__(f"{file} is damaged{where}")
@@ -44,7 +44,7 @@
 
 
 class CorruptLogError(CorruptFileError):
-    """Records of the log are damaged or missing from `offset` (bytes) on; the log cannot be trusted."""
+    """The log is damaged or incomplete from byte `offset` of `file` onwards and cannot be trusted."""
 
     def __init__(self, file: str, offset: int) -> None:
         super().__init__(file, f" at byte {offset}")
@@ -56,19 +56,19 @@
 
 
 class CorruptIdentityError(CorruptFileError):
-    """The file of the member's tag is damaged: under which name its votes were given is not known."""
+    """The identity file is damaged, so it is unknown under which member name the votes were cast."""
 
 
 class ForeignIdentityError(StorageError):
-    """The data folder is that of another machine; start with its own folder or with an empty one."""
+    """The data folder belongs to another machine; start with this machine's own folder or an empty one."""
 
     def __init__(self, file: str, found_ip: str, own_ip: str) -> None:
-        super().__init__(f"{file} is of {found_ip}; the settings say {own_ip}")
+        super().__init__(f"{file} belongs to {found_ip}; the settings say {own_ip}")
         self.file = file
 
 
 class UnknownFormatError(StorageError):
-    """A file was written by a later version of the program; nothing of it is read. Start that version."""
+    """A file was written by a later version of the program and is not read. Start that version instead."""
 
     def __init__(self, file: str, found: int, known: int) -> None:
         super().__init__(f"{file} has format {found}; this version of pewterring reads up to {known}")
@@ -76,13 +76,13 @@
 
 
 class LogGapError(StorageError):
-    """An entry does not follow on the last one of the log; nothing of the call was written."""
+    """The index of an entry is not the next index of the log. Nothing of the call was written."""
 
     def __init__(self, log: str, index: int, expected: int) -> None:
-        super().__init__(f"{log}: entry {index} was to be saved where {expected} is next")
+        super().__init__(f"{log}: cannot save entry {index}: the next index is {expected}")
         self.index = index
         self.expected = expected
 
 
 class InvalidNameError(StorageError, ValueError):
-    """A name cannot be part of the name of a file or a member; nothing was written. Choose another."""
+    """A group name or tag has characters that file or member names may not have. Nothing was written."""
--- a/pewterring/storage/fail_stop.py
+++ b/pewterring/storage/fail_stop.py
@@ -1,7 +1,7 @@
-"""Fail-stop: after an error that leaves files in an unknown state nothing is written until they are reloaded.
+"""Stops all writing after an error that leaves files in an unknown state, until the files are reloaded.
 
-A sync that failed may report success when it is repeated, without the bytes being on disk. A member that went
-on would acknowledge what it does not hold.
+A failed sync may report success when it is repeated, although the bytes are not on disk. A member that
+continued to write would acknowledge data that it has not stored.
 """
 
 from types import TracebackType
@@ -10,11 +10,11 @@
 
 
 class FailStop:
-    """Whether files may be written. `files` names them in errors. Stopped until the first `reset`.
+    """Tracks whether files may be written; writing is forbidden until the first `reset`.
 
-    Blocks that change files run inside one of two context managers, which may be entered any number of times:
-    `stopping_on_error` stops at any `StorageError`; `stopping_unless_full` at any but `StorageFullError`,
-    after which the state of the files is known.
+    `files` describes the files in error messages. Code that changes files runs inside one of two reusable
+    context managers: `stopping_on_error` forbids writing after any `StorageError`; `stopping_unless_full`
+    after any except `StorageFullError`, which leaves the files in a known state.
     """
 
     def __init__(self, files: str) -> None:
@@ -24,7 +24,7 @@
         self.stopping_unless_full = _StopOnError(self, unless_full=True)
 
     def reset(self) -> None:
-        """Allows writing: the files have been read."""
+        """Allows writing; called once the files have been read."""
         self._stopped = False
 
     def stop(self) -> None:
@@ -32,17 +32,21 @@
         self._stopped = True
 
     def check(self) -> None:
-        """Passes where writing is allowed.
+        """Returns if writing is allowed.
 
         Raises:
-            StorageUnusableError: the files were not read, or a call failed since.
+            StorageUnusableError: the files have not been read, or a call has failed since.
         """
         if self._stopped:
             raise StorageUnusableError(self._files)
 
 
 class _StopOnError:
-    """A class and no generator: each write enters it, and entries are written thousands of times a second."""
+    """Context manager that stops writing after an error.
+
+    A class is cheaper to enter than a generator-based context manager, and each write of the thousands a second
+    enters it.
+    """
 
     __slots__ = ("_fail_stop", "_unless_full")
 
@@ -54,8 +58,11 @@
         pass
 
     def __exit__(
-        self, _kind: type[BaseException] | None, error: BaseException | None, _trace: TracebackType | None
+        self,
+        _error_type: type[BaseException] | None,
+        error: BaseException | None,
+        _traceback: TracebackType | None,
     ) -> None:
-        is_known = self._unless_full and isinstance(error, StorageFullError)
-        if isinstance(error, StorageError) and not is_known:
+        is_state_known = self._unless_full and isinstance(error, StorageFullError)
+        if isinstance(error, StorageError) and not is_state_known:
             self._fail_stop.stop()
--- a/pewterring/storage/formats.py
+++ b/pewterring/storage/formats.py
@@ -1,12 +1,12 @@
-"""The version of the files' content, which rises when an earlier program could not read it rightly."""
+"""The version of the file format. It is incremented when earlier programs would misread new files."""
 
 from pewterring.storage.errors import UnknownFormatError
 
-FORMAT = 1  # of logs and snapshots; files without the field are of format 1
+FORMAT = 1  # of log segments and snapshots; files without the field have format 1
 
 
 def check_format(file: str, found: int) -> None:
-    """Refuses files of later versions: read without its additional fields, a record would be taken by half.
+    """Rejects files of later versions, whose additional fields this version would silently ignore.
 
     Raises:
         UnknownFormatError: `found` is later than `FORMAT`.
--- a/tests/storage/test_group.py
+++ b/tests/storage/test_group.py
@@ -261,7 +261,7 @@
 
 def test_a_gap_is_refused() -> None:
     storage = opened(SimulatedDisk())
-    with pytest.raises(LogGapError, match="log of group group: entry 2 was to be saved where 1 is next"):
+    with pytest.raises(LogGapError, match="log of group group: cannot save entry 2: the next index is 1"):
         storage.save(None, None, [entry(2, 1)])
 
 
--- a/tests/storage/test_identity.py
+++ b/tests/storage/test_identity.py
@@ -69,7 +69,7 @@
     name = member_name(FOLDER, IP, disk)
     before = disk.read("identity")
     with pytest.raises(
-        StorageError, match=r"unused/identity is of 10\.0\.0\.1; the settings say 10\.0\.0\.2"
+        StorageError, match=r"unused/identity belongs to 10\.0\.0\.1; the settings say 10\.0\.0\.2"
     ):
         member_name(FOLDER, "10.0.0.2", disk, tag="seed")
     assert disk.names() == ["identity"]
