--- a/pewterring/storage/errors.py
+++ b/pewterring/storage/errors.py
@@ -1,8 +1,8 @@
 """Errors of the storage package. All are subclasses of the consensus package's `StorageError`.
 
 Only after `StorageFullError` may the call be repeated; after any other error the storage must be loaded
-again. Corrupt files (`Corrupt...`), a later file format and a folder of another machine raise the same error again
-when they are loaded.
+again. Corrupt files (`Corrupt...`), a later file format and a folder of another machine raise the same error
+at each load.
 """
 
 from pewterring.consensus.errors import StorageError, StorageFullError
--- a/pewterring/storage/fail_stop.py
+++ b/pewterring/storage/fail_stop.py
@@ -44,8 +44,8 @@
 class _StopOnError:
     """Context manager that stops writing after an error.
 
-    A class is cheaper to enter than a generator-based context manager, and each write of the thousands a second
-    enters it.
+    A class is cheaper to enter than a generator-based context manager, and each write enters it, thousands of
+    times a second.
     """
 
     __slots__ = ("_fail_stop", "_unless_full")
--- a/pewterring/storage/group.py
+++ b/pewterring/storage/group.py
@@ -1,8 +1,8 @@
-"""Storage of one member of one replicated group: a log beside a snapshot, in one folder.
+"""Durable storage of one member of one Raft group: a log and a snapshot in one folder.
 
-What was acknowledged is found again after any crash: the newest snapshot, the entries after it, the term and
-the vote. A load may raise `CorruptLogError`, `CorruptSnapshotError` or `UnknownFormatError`, which name the
-file and change nothing on the disk.
+After any crash a load returns everything that was acknowledged: the newest snapshot, the entries after it,
+the term and the vote. If a load raises `CorruptLogError`, `CorruptSnapshotError` or `UnknownFormatError`, the
+error names the file, and nothing on the disk has been changed.
 """
 
 import re
@@ -28,24 +28,24 @@
 from pewterring.storage.segment_index import SegmentIndex
 from pewterring.storage.snapshots import SnapshotHeader, SnapshotStore
 
-SEGMENT_BYTES = 4_000_000  # what a snapshot leaves of the log, if only the last of its entries came after it
+SEGMENT_BYTES = 4_000_000  # about what is left of the log after a snapshot of all entries but the last
 _GROUP_NAME_PATTERN = re.compile(r"[A-Za-z0-9_-]+")
 _NO_SNAPSHOT = SnapshotHeader(0, 0, Membership(()), 0)
 
 
 class DiskGroupStorage:
-    """Implements `GroupStorage` on a disk. Files' names start with the name of the group.
+    """Implements `GroupStorage` on a disk. The name of each file starts with the name of the group.
 
-    All calls block and must come from one thread at a time; `load` comes first. A call that raises
+    All calls block, and only one thread may call at a time; `load` must be called first. A call that raises
     `StorageFullError` may be repeated; after any other error the storage must be loaded again.
 
     Raises:
-        InvalidNameError: the group's name cannot be part of names of files.
+        InvalidNameError: the group's name has characters that are not allowed in file names.
     """
 
     def __init__(self, disk: Disk, group: str, segment_bytes: int = SEGMENT_BYTES) -> None:
         if _GROUP_NAME_PATTERN.fullmatch(group) is None:
-            raise InvalidNameError(f"a group's name is part of names of files; {group!r} cannot be")
+            raise InvalidNameError(f"a group name consists of letters, digits, - and _; {group!r} does not")
         self._group = group
         self._log = SegmentedLog(disk, group)
         self._snapshots = SnapshotStore(disk, group)
@@ -59,16 +59,16 @@
 
     @property
     def size_bytes(self) -> int:
-        """Bytes of the log and the newest snapshot."""
+        """Total size of the log and the newest snapshot in bytes."""
         return self._log.size_bytes + self._snapshots.size_bytes
 
     # Reading
 
     def load(self) -> LoadedGroup:
-        """Part of `GroupStorage`.
+        """Implements `GroupStorage`.
 
         Raises:
-            CorruptLogError: the log is damaged other than by an interrupted last write.
+            CorruptLogError: the log is damaged, and not only by an interrupted last write.
             CorruptSnapshotError: the newest snapshot is damaged.
             UnknownFormatError: a file was written by a later version of the program.
             StorageError: the disk is full or failed.
@@ -76,12 +76,14 @@
         self._fail_stop.stop()
         snapshot = self._snapshots.load()
         header = snapshot.header if snapshot else _NO_SNAPSHOT
-        self._begin_load(header, has_snapshot=snapshot is not None)
+        self._reset_before_replay(header, has_snapshot=snapshot is not None)
         entries = self._replay(header.first_segment if snapshot else None)
         self._snapshots.remove_leftovers()
         for entry in entries:
             self._terms.append(entry)
-        if not self._log.last_segment_bytes:  # new, or a crash came before its first records were synced
+        if (
+            not self._log.last_segment_bytes
+        ):  # the segment is new, or a crash came before its first records were synced
             self._log.append(self._segment_head())
         self._fail_stop.reset()
         state = self._persistent_state(header, entries)
@@ -89,7 +91,7 @@
             return LoadedGroup(state)
         return LoadedGroup(state, snapshot.data, snapshot.file)
 
-    def _begin_load(self, header: SnapshotHeader, has_snapshot: bool) -> None:
+    def _reset_before_replay(self, header: SnapshotHeader, has_snapshot: bool) -> None:
         self._has_snapshot = has_snapshot
         self._snapshot_index = header.index
         self._terms.reset(header.index, header.term)
@@ -107,7 +109,7 @@
         )
 
     def _replay(self, first_segment: int | None) -> list[Entry]:
-        """Reads the log; returns the entries after the snapshot."""
+        """Reads the log and returns the entries after the snapshot."""
         entries: list[Entry] = []
         for position, payload in self._log.open(first_segment):
             self._replay_record(position, payload, entries)
@@ -135,9 +137,9 @@
     # Writing
 
     def initialize(self, membership: Membership) -> None:
-        """Saves the first voters of a new group, as a snapshot at index 0 without data.
+        """Saves the initial voters of a new group as an empty snapshot at index 0.
 
-        A group that has a snapshot stays as it is.
+        Does nothing if the group already has a snapshot.
 
         Raises:
             StorageFullError: nothing was saved; the call may be repeated.
@@ -148,43 +150,43 @@
             self._write_snapshot(SnapshotHeader(0, 0, membership, self._log.last_segment), b"")
 
     def save(self, hard_state: HardState | None, truncate_from: int | None, entries: Sequence[Entry]) -> None:
-        """Part of `GroupStorage`.
+        """Implements `GroupStorage`.
 
         Raises:
-            LogGapError: `entries` do not follow on the log; nothing was saved.
-            StorageFullError: nothing of it counts as saved; the call may be repeated.
+            LogGapError: the indices of `entries` do not continue the log; nothing was saved.
+            StorageFullError: nothing was saved; the call may be repeated.
             StorageError: the storage must be loaded again.
         """
         self._fail_stop.check()
         entries = [entry for entry in entries if entry.index > self._snapshot_index]
         truncate_from = self._effective_truncation(truncate_from, entries)
-        self._check_no_gap(truncate_from, entries)
+        self._check_contiguous(truncate_from, entries)
         payloads = encode_changes(hard_state, truncate_from, entries)
         if not payloads:
             return
         self._append(payloads)
-        self._take_saved(hard_state, truncate_from, entries)
+        self._update_after_save(hard_state, truncate_from, entries)
 
     def save_snapshot(self, index: int, term: int, membership: Membership, data: bytes) -> None:
-        """Part of `GroupStorage`. A snapshot no newer than the last one is ignored.
+        """Implements `GroupStorage`. A snapshot that is not newer than the saved one is ignored.
 
         Raises:
-            StorageFullError: the former snapshot and the log still count; the call may be repeated.
+            StorageFullError: the previous snapshot and the log are still valid; the call may be repeated.
             StorageError: the storage must be loaded again.
         """
         self._fail_stop.check()
         if self._has_snapshot and index <= self._snapshot_index:
             return
-        keeps_entries = self._terms.contains(index, term)
-        self._begin_fresh_segment()
-        first_segment = self._first_needed_segment(index) if keeps_entries else self._log.last_segment
+        contains_last_covered = self._terms.contains(index, term)
+        self._ensure_fresh_segment()
+        first_segment = self._first_needed_segment(index) if contains_last_covered else self._log.last_segment
         self._write_snapshot(SnapshotHeader(index, term, membership, first_segment), data)
         self._snapshot_index = index
-        if keeps_entries:
+        if contains_last_covered:
             self._terms.drop_to(index)
         else:
             self._terms.reset(index, term)
-        self._remove_needless(first_segment)
+        self._remove_superseded(first_segment)
 
     def close(self) -> None:
         """Closes the files."""
@@ -197,10 +199,10 @@
                 self._log.roll(self._segment_head())
             self._log.append(payloads)
 
-    def _begin_fresh_segment(self) -> None:
-        """Ends the last segment, unless nothing was written to it.
+    def _ensure_fresh_segment(self) -> None:
+        """Starts a new segment, unless nothing has been written to the last one since it was started.
 
-        Symptom answered: a snapshot that found no disk space left a new segment behind at each attempt.
+        Otherwise each failed attempt to save a snapshot on a full disk would add one more segment.
         """
         if self._log.is_last_segment_fresh:
             return
@@ -212,38 +214,38 @@
             self._snapshots.write(header, data)
         self._has_snapshot = True
 
-    def _remove_needless(self, first_segment: int) -> None:
+    def _remove_superseded(self, first_segment: int) -> None:
         with self._fail_stop.stopping_unless_full:
             self._snapshots.remove_older()
             self._log.remove_before(first_segment)
         self._segments.drop_before(first_segment)
 
     def _segment_head(self) -> list[bytes]:
-        """A segment starts with the hard state, so that earlier ones can be removed."""
+        """Returns the first records of a segment: the hard state, so that earlier segments can be removed."""
         return [encode_hard_state(self._hard_state)]
 
     def _first_needed_segment(self, index: int) -> int:
-        """The first segment that has entries after `index`."""
+        """Returns the first segment that has entries after `index`."""
         return self._segments.first_segment_after(index) or self._log.last_segment
 
     def _effective_truncation(self, truncate_from: int | None, entries: Sequence[Entry]) -> int | None:
-        """Where to truncate, entries that would overwrite others included; None where there is nothing."""
+        """Returns the first index that the call truncates or overwrites; None if it does neither."""
         starts = [] if truncate_from is None else [truncate_from]
         starts.extend(entry.index for entry in entries[:1])
         start = max(min(starts, default=self._terms.last_index + 1), self._snapshot_index + 1)
         return start if start <= self._terms.last_index else None
 
-    def _check_no_gap(self, truncate_from: int | None, entries: Sequence[Entry]) -> None:
+    def _check_contiguous(self, truncate_from: int | None, entries: Sequence[Entry]) -> None:
         expected = truncate_from if truncate_from is not None else self._terms.last_index + 1
         for entry in entries:
             if entry.index != expected:
                 raise LogGapError(f"log of group {self._group}", entry.index, expected)
             expected += 1
 
-    def _take_saved(
+    def _update_after_save(
         self, hard_state: HardState | None, truncate_from: int | None, entries: Sequence[Entry]
     ) -> None:
-        """Brings what is known of the log in memory up to what is on disk."""
+        """Updates the in-memory state after a save has been written to disk."""
         if hard_state is not None:
             self._hard_state = hard_state
         if truncate_from is not None:
--- a/pewterring/storage/group_records.py
+++ b/pewterring/storage/group_records.py
@@ -1,4 +1,4 @@
-"""The records of a group's log: term and vote, truncations, entries; each one line of JSON."""
+"""The records of a group's log: hard states, truncations and entries, each encoded as one line of JSON."""
 
 from collections.abc import Iterable
 
@@ -10,7 +10,7 @@
 
 
 class HardStateRecord(msgspec.Struct, frozen=True, tag="state"):
-    """The term and the vote. Each segment starts with one, so that its format is known first."""
+    """The term and the vote. Each segment starts with one, so that a load checks the format first."""
 
     term: int
     vote: str | None
@@ -18,32 +18,33 @@
 
 
 class TruncateRecord(msgspec.Struct, frozen=True, tag="truncate"):
-    """The entries from `from_index` on are forgotten."""
+    """The entries from `from_index` onwards are deleted."""
 
     from_index: int
 
 
 class EntryRecord(msgspec.Struct, frozen=True, tag="entry"):
-    """One entry, in place of earlier ones of its index and after."""
+    """One entry. Before an entry is overwritten, a `TruncateRecord` is written."""
 
     entry: Entry
 
 
 GroupRecord = HardStateRecord | TruncateRecord | EntryRecord
 _encode = msgspec.json.Encoder().encode
-# The record of a payload, or `msgspec.MsgspecError` where it is none; bound here: a load calls it per entry.
+# Decodes a payload; raises `msgspec.MsgspecError` if it is invalid. A bound method, as a load calls it for
+# each entry.
 decode_group_record = msgspec.json.Decoder(GroupRecord).decode
 
 
 def encode_hard_state(state: HardState) -> bytes:
-    """The payload of a term and vote."""
+    """Returns the payload of a `HardStateRecord`."""
     return _encode(HardStateRecord(state.term, state.vote)) + b"\n"
 
 
 def encode_changes(
     hard_state: HardState | None, truncate_from: int | None, entries: Iterable[Entry]
 ) -> list[bytes]:
-    """The payloads of one call of `GroupStorage.save`, in the order in which a load replays them."""
+    """Returns the payloads for one call of `GroupStorage.save`, in the order in which a load replays them."""
     payloads: list[bytes] = []
     if hard_state is not None:
         payloads.append(encode_hard_state(hard_state))
--- a/pewterring/storage/identity.py
+++ b/pewterring/storage/identity.py
@@ -1,7 +1,7 @@
-"""The name that a member of replicated groups has for as long as its data folder lasts.
+"""The persistent name of a member of Raft groups, stored in its data folder.
 
-A member is `IP#tag`. The tag is drawn when a data folder is used first, so a member whose disk was replaced
-has another name and the votes and entries of its former disk do not count for it.
+The name is `IP#tag`. The tag is generated when a data folder is first used, so a member whose disk was
+replaced gets a new name, and the votes and acknowledgements given with the former disk do not count for it.
 """
 
 import re
@@ -17,32 +17,32 @@
 
 IDENTITY_FILE = "identity"
 TEMPORARY_FILE = "identity.new"
-TAG_BYTES = 8  # of randomness in a drawn tag: no two folders of a cluster ever draw the same
+TAG_BYTES = 8  # random bytes of a generated tag: enough that no two folders of a cluster get the same
 _TAG_PATTERN = re.compile(r"[A-Za-z0-9_-]+")
 
 
 class _Identity(msgspec.Struct, frozen=True):
-    """The content of the file."""
+    """The content of the identity file."""
 
     tag: str
-    ip: str = ""  # of the machine that the folder was first used by; files of earlier versions have none
+    ip: str = ""  # address of the machine that created the file; empty in files of earlier versions
 
 
 def member_name(data_dir: Path, ip: str, disk: Disk | None = None, tag: str | None = None) -> str:
-    """The member's name, `IP#tag`. The tag is drawn and synced when the folder is used first.
+    """Returns the member's name, `IP#tag`. The tag is generated and synced when the folder is first used.
 
     Args:
-        data_dir: the member's folder; made where it is missing.
-        ip: of this machine; empty to ask for the tag alone.
-        disk: stands for `data_dir` where it is given.
-        tag: taken instead of drawing, for first members whose names others must know. It does not change the
-            tag of a folder that has one.
+        data_dir: the member's folder; created if it does not exist.
+        ip: the address of this machine; if it is empty, the address is not checked and the name is `#tag`.
+        disk: used instead of the folder `data_dir` if given.
+        tag: used instead of a generated tag, for initial members whose names other members must know in
+            advance. Ignored if the folder already has a tag.
 
     Raises:
-        ForeignIdentityError: the folder is of another machine. Its votes and entries were given under that
-            machine's name; under a new one they would count a second time.
-        CorruptIdentityError: the file is damaged.
-        InvalidNameError: `tag` cannot be part of a name.
+        ForeignIdentityError: the folder belongs to another machine. Its votes and acknowledgements were given
+            under that machine's name and would count a second time under a new name.
+        CorruptIdentityError: the identity file is damaged.
+        InvalidNameError: `tag` has characters that are not allowed in a name.
         StorageFullError: there is no free disk space; the call may be repeated.
         StorageFailedError: the disk failed.
     """
@@ -64,7 +64,7 @@
 
 
 def _read(disk: Disk, path: Path) -> _Identity:
-    disk.sync_folder()  # the process before may have ended between the rename and that
+    disk.sync_folder()  # the previous process may have ended between the rename and the folder sync
     record = read_record(disk.read(IDENTITY_FILE), 0)
     if record is None:
         raise CorruptIdentityError(str(path))
--- a/pewterring/storage/log.py
+++ b/pewterring/storage/log.py
@@ -1,8 +1,8 @@
 """A segmented, append-only log of checksummed records.
 
-Segments are files numbered without gaps. Only the last one is written to, and each batch of records is synced
-before the next one is written. So damage that a crash can leave is confined to the last batch of the last
-segment: that batch is truncated when the log is opened, and any other damage raises `CorruptLogError`.
+Segments are files with consecutive numbers. Only the last one is written to, and each batch of records is
+synced before the next one is written. A crash can therefore damage only the last batch of the last segment.
+That batch is removed when the log is opened; any other damage raises `CorruptLogError`.
 """
 
 from collections.abc import Iterator, Sequence
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Position:
-    """Where a record starts; `offset` in bytes."""
+    """The location of a record in the log; `offset` is in bytes from the start of the file."""
 
     segment: int
     file: str
@@ -28,7 +28,7 @@
 
 
 def _read_batch(data: bytes, offset: int, batch: int) -> list[tuple[int, Record]] | None:
-    """The records of one batch and their offsets, or None where the batch is not complete."""
+    """Returns the records of one batch with their offsets, or None if the batch is incomplete."""
     records: list[tuple[int, Record]] = []
     while True:
         record = read_record(data, offset)
@@ -41,67 +41,69 @@
 
 
 class SegmentedLog:
-    """The log of payloads whose files' names start with `prefix`; owns the open file of the last segment.
+    """A log of payloads in files named `prefix.NUMBER.log`; owns the open file of the last segment.
 
-    It must be read once by `open` before it is written. When a call raises `StorageFullError`, nothing of it
-    counts and the log is still usable; after another error all further writes raise `StorageUnusableError`.
+    All records must be read once by `open` before the log is written. A call that raises `StorageFullError`
+    has no effect, and the log remains usable; after any other error all further writes raise
+    `StorageUnusableError`.
     """
 
     def __init__(self, disk: Disk, prefix: str) -> None:
         self._disk = disk
         self._prefix = prefix + "."
-        self._sizes: dict[int, int] = {}  # valid bytes by segment
+        self._sizes: dict[int, int] = {}  # number of valid bytes of each segment
         self._last_file: DiskFile | None = None
-        self._last_batch = 0  # the last complete one of the last segment
+        self._last_batch = 0  # number of the last complete batch in the last segment
         self._fail_stop = FailStop(f"log {self._prefix}*{SEGMENT_SUFFIX}")
 
     @property
     def last_segment(self) -> int:
-        """The number of the segment that is written to."""
+        """The number of the segment that is being written."""
         return max(self._sizes)
 
     @property
     def last_segment_bytes(self) -> int:
-        """The size of the segment that is written to."""
+        """The size in bytes of the segment that is being written."""
         return self._sizes[self.last_segment]
 
     @property
     def is_last_segment_fresh(self) -> bool:
-        """Whether the segment that is written to has only the records that it was started with."""
+        """Whether the last segment contains no records except those it was started with."""
         return self._last_batch <= 1
 
     @property
     def size_bytes(self) -> int:
-        """The size of all segments."""
+        """The total size of all segments in bytes."""
         return sum(self._sizes.values())
 
     # Opening
 
     def open(self, first_segment: int | None) -> Iterator[tuple[Position, bytes]]:
-        """Yields all records from `first_segment` on; the log can be written once they have been read.
+        """Yields all records from `first_segment` onwards; the log can be written once all have been read.
 
-        Earlier segments are removed then. None says that the log may be new and then starts with segment 1.
+        Earlier segments are then removed. With None the log starts at segment 1, which is created if there
+        are no segments.
 
         Raises:
-            CorruptLogError: a segment is missing, or damaged other than by an interrupted last write.
+            CorruptLogError: a segment is missing, or is damaged and not only by an interrupted last write.
             StorageError: the disk is full or failed.
         """
         self.close()
         self._sizes = {}
-        numbers = self._present_segments(first_segment)
+        numbers = self._check_segment_numbers(first_segment)
         for number in numbers:
             yield from self._read_segment(number, is_last=number == numbers[-1])
         if numbers:
-            self._remove_present_before(numbers[0])
+            self._remove_stale_segments(numbers[0])
             self._open_last_segment()
         else:
             self._start_segment(FIRST_SEGMENT, ())
         self._fail_stop.reset()
 
-    def _present_segments(self, first_segment: int | None) -> list[int]:
-        """The numbers from the first segment on, without a gap; none where the log is new."""
+    def _check_segment_numbers(self, first_segment: int | None) -> list[int]:
+        """Returns the segment numbers in order, after checking for gaps; an empty list if the log is new."""
         first = first_segment or FIRST_SEGMENT
-        present = sorted(number for number in self._numbers() if number >= first)
+        present = sorted(number for number in self._segment_numbers() if number >= first)
         if first_segment is None and not present:
             return []
         for number in range(first, max(present, default=first) + 1):
@@ -110,20 +112,20 @@
         return present
 
     def _open_last_segment(self) -> None:
-        """Opens it for writing, without what an interrupted write left behind its last complete batch."""
+        """Opens the last segment for writing and truncates it after its last complete batch."""
         file = self._segment_file(self.last_segment)
         self._last_file = self._disk.open(file)
         if self._disk.size(file) > self.last_segment_bytes:
             self._last_file.truncate(self.last_segment_bytes)
-        self._last_file.sync()  # the process before may have ended between a write and its sync
+        self._last_file.sync()  # the previous process may have ended between a write and its sync
 
-    def _remove_present_before(self, first: int) -> None:
-        """Removes files of segments that a loss of power brought back, or that were still to be removed."""
-        for number in sorted(self._numbers()):
+    def _remove_stale_segments(self, first: int) -> None:
+        """Removes segments that reappeared after a power loss or whose removal was interrupted by a crash."""
+        for number in sorted(self._segment_numbers()):
             if number < first:
                 self._disk.remove(self._segment_file(number))
 
-    def _numbers(self) -> Iterator[int]:
+    def _segment_numbers(self) -> Iterator[int]:
         for name in self._disk.names():
             if name.startswith(self._prefix) and name.endswith(SEGMENT_SUFFIX):
                 digits = name[len(self._prefix) : -len(SEGMENT_SUFFIX)]
@@ -133,7 +135,7 @@
     def _read_segment(self, number: int, is_last: bool) -> Iterator[tuple[Position, bytes]]:
         file = self._segment_file(number)
         data = self._disk.read(file)
-        end = batch = 0  # of the last complete batch
+        end = batch = 0  # end offset and number of the last complete batch
         while (records := _read_batch(data, end, batch + 1)) is not None:
             for offset, record in records:
                 yield Position(number, file, offset), record.payload
@@ -147,10 +149,10 @@
     # Writing
 
     def append(self, payloads: Sequence[bytes]) -> None:
-        """Writes and syncs records to the last segment.
+        """Appends records to the last segment as one batch and syncs it.
 
         Raises:
-            StorageFullError: nothing of it counts; the call may be repeated.
+            StorageFullError: nothing was appended; the call may be repeated.
             StorageError: the log must be opened again.
         """
         self._fail_stop.check()
@@ -166,15 +168,15 @@
         self._sizes[self.last_segment] += len(data)
 
     def roll(self, payloads: Sequence[bytes]) -> None:
-        """Starts a new segment with these records, written and synced; raises as `append` does."""
+        """Starts a new segment with these records and syncs it. Raises the same errors as `append`."""
         self._fail_stop.check()
         self._start_segment(self.last_segment + 1, payloads)
 
     def remove_before(self, segment: int) -> None:
-        """Removes all segments before `segment`. Whoever calls has made sure that they are not needed.
+        """Removes all segments before `segment`; the caller must make sure that they are not needed.
 
         Raises:
-            StorageError: the log must be opened again; which segments are left is not known.
+            StorageError: the log must be opened again; it is unknown which segments remain.
         """
         self._fail_stop.check()
         for number in sorted(self._sizes):
@@ -184,13 +186,13 @@
                 del self._sizes[number]
 
     def close(self) -> None:
-        """Closes the file; the log must be opened before it is used again."""
+        """Closes the last segment; the log must be opened again before it is used."""
         self._fail_stop.stop()
         self._close_last_file()
 
     @property
     def _writable_file(self) -> DiskFile:
-        assert self._last_file is not None, "there is one whenever `FailStop.check` passes"
+        assert self._last_file is not None, "a file is open whenever `FailStop.check` passes"
         return self._last_file
 
     def _start_segment(self, number: int, payloads: Sequence[bytes]) -> None:
@@ -198,7 +200,7 @@
         try:
             file = self._create_synced(self._segment_file(number), data)
         except StorageFullError:
-            self._remove_unstarted(self._segment_file(number))
+            self._remove_failed_segment(self._segment_file(number))
             raise
         self._close_last_file()
         self._last_file = file
@@ -206,7 +208,7 @@
         self._last_batch = 1 if payloads else 0
 
     def _create_synced(self, name: str, data: bytes) -> DiskFile:
-        """The open file of a new segment; its content and its name outlast a loss of power."""
+        """Creates a segment file whose content and name are durable, and returns it open for writing."""
         with ExitStack() as on_error, self._fail_stop.stopping_unless_full:
             file = self._disk.create(name)
             on_error.callback(file.close)
@@ -216,15 +218,15 @@
             on_error.pop_all()
         return file
 
-    def _remove_unstarted(self, name: str) -> None:
-        """Removes the file of a segment that could not be started, durably: it must not come back later."""
+    def _remove_failed_segment(self, name: str) -> None:
+        """Removes a segment that could not be started, and syncs the folder so that it cannot reappear."""
         with self._fail_stop.stopping_on_error:
             if name in self._disk.names():
                 self._disk.remove(name)
             self._disk.sync_folder()
 
     def _truncate_failed_write(self) -> None:
-        """Removes what is left of a failed write, synced: it takes no space while others wait for some."""
+        """Removes the remains of a failed write and syncs, so that they take no space on a full disk."""
         with self._fail_stop.stopping_on_error:
             self._writable_file.truncate(self.last_segment_bytes)
             self._writable_file.sync()
--- a/pewterring/storage/overlay.py
+++ b/pewterring/storage/overlay.py
@@ -1,4 +1,4 @@
-"""A folder read without changing it: what storage repairs as it loads is changed in memory only."""
+"""A read-only view of a folder: repairs that storage makes during a load change only a copy in memory."""
 
 from pathlib import Path
 
@@ -7,7 +7,7 @@
 
 
 class _OverlayFile:
-    """One file; its content is the folder's until it is written. Each method is that of `DiskFile`."""
+    """Implements `DiskFile`; the content is read from the folder until the file is changed."""
 
     def __init__(self, disk: "OverlayDisk", name: str) -> None:
         self._disk = disk
@@ -20,22 +20,26 @@
         self._disk.changed[self._name] = self._disk.read(self._name)[:size]
 
     def sync(self) -> None:
-        """Has nothing to do: nothing is written to the disk."""
+        """Does nothing, as nothing is written to the disk."""
 
     def close(self) -> None:
-        """Has nothing to do: no file is open."""
+        """Does nothing, as no file is open."""
 
 
 class OverlayDisk(Disk):
-    """The files of a folder that another process may have open. Reading errors are `StorageFailedError`."""
+    """Reads a folder that another process may be using, and never writes to it.
+
+    Raises:
+        StorageFailedError: from any method, if the folder or a file cannot be read.
+    """
 
     def __init__(self, folder: Path) -> None:
         self._folder = folder
-        self.changed: dict[str, bytes] = {}  # content by name, in place of the folder's
+        self.changed: dict[str, bytes] = {}  # content of changed files by name; overrides the folder's
         self._removed: set[str] = set()
 
     def names(self) -> list[str]:
-        """Part of `Disk`."""
+        """Implements `Disk`."""
         try:
             found = {path.name for path in self._folder.iterdir() if path.is_file()}
         except OSError as error:
@@ -43,7 +47,7 @@
         return list((found - self._removed) | set(self.changed))
 
     def read(self, name: str) -> bytes:
-        """Part of `Disk`."""
+        """Implements `Disk`."""
         if name in self.changed:
             return self.changed[name]
         path = self._folder / name
@@ -53,27 +57,27 @@
             raise StorageFailedError(f"cannot read {path}: {error.strerror}") from error
 
     def size(self, name: str) -> int:
-        """Part of `Disk`."""
+        """Implements `Disk`."""
         return len(self.read(name))
 
     def create(self, name: str) -> DiskFile:
-        """Part of `Disk`."""
+        """Implements `Disk`."""
         self.changed[name] = b""
         return _OverlayFile(self, name)
 
     def open(self, name: str) -> DiskFile:
-        """Part of `Disk`."""
+        """Implements `Disk`."""
         return _OverlayFile(self, name)
 
     def rename(self, old: str, new: str) -> None:
-        """Part of `Disk`."""
+        """Implements `Disk`."""
         self.changed[new] = self.read(old)
         self.remove(old)
 
     def remove(self, name: str) -> None:
-        """Part of `Disk`."""
+        """Implements `Disk`."""
         self.changed.pop(name, None)
         self._removed.add(name)
 
     def sync_folder(self) -> None:
-        """Part of `Disk`; nothing is written to the disk."""
+        """Implements `Disk`; does nothing, as nothing is written to the disk."""
--- a/pewterring/storage/snapshots.py
+++ b/pewterring/storage/snapshots.py
@@ -1,8 +1,8 @@
-"""Snapshots: each one file, of which the newest counts.
+"""Snapshots of a group's state, one per file; only the newest is used.
 
-A snapshot is written under a temporary name, synced, renamed, and its folder synced; only then are older
-snapshots and the segments that it makes needless removed. A newest snapshot that is damaged ends the load: an
-older one would not be followed by the log.
+A snapshot is written under a temporary name, synced and renamed, and the folder is synced. Only then are
+older snapshots and obsolete log segments removed. If the newest snapshot is damaged, the load fails: the log
+no longer has all entries that follow an older snapshot.
 """
 
 import zlib
@@ -22,20 +22,20 @@
 
 
 class SnapshotHeader(msgspec.Struct, frozen=True):
-    """What a snapshot stands for. The log continues in segment `first_segment`; earlier ones do not count."""
+    """The last entry that a snapshot covers, the membership, and the first log segment still valid."""
 
     index: int
     term: int
     membership: Membership
     first_segment: int
-    size_bytes: int = msgspec.field(default=0, name="size")  # the file's name
-    checksum: int = 0  # CRC-32 of the content
+    size_bytes: int = msgspec.field(default=0, name="size")  # called `size` in the file
+    checksum: int = 0  # CRC-32 of the snapshot data
     format: int = FORMAT
 
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """A snapshot with its content."""
+    """A snapshot read from the file named `file`."""
 
     header: SnapshotHeader
     data: bytes
@@ -49,12 +49,12 @@
         self._disk = disk
         self._prefix = prefix + "."
         self._temporary_file = prefix + TEMPORARY_SUFFIX
-        self.size_bytes = 0  # of the newest
+        self.size_bytes = 0  # size of the newest snapshot
 
     def load(self) -> Snapshot | None:
-        """The newest snapshot, or None before the first.
+        """Returns the newest snapshot, or None if there is none.
 
-        The folder is synced first: the process before may have ended between a rename and that.
+        Syncs the folder first, as the previous process may have ended between a rename and the folder sync.
 
         Raises:
             CorruptSnapshotError: the newest snapshot is damaged.
@@ -65,18 +65,18 @@
         return self._read(files[-1]) if files else None
 
     def files(self) -> list[str]:
-        """The names of all snapshots, the newest last."""
+        """Returns the file names of all snapshots, the newest last."""
         names = self._disk.names()
         return sorted(
             name for name in names if name.startswith(self._prefix) and name.endswith(SNAPSHOT_SUFFIX)
         )
 
     def write(self, header: SnapshotHeader, data: bytes) -> None:
-        """Writes a snapshot; when it returns, it is the newest, and outlasts a loss of power.
+        """Writes a snapshot, which becomes the newest one and is durable when the call returns.
 
         Raises:
-            StorageFullError: nothing of it is left; the call may be repeated.
-            StorageFailedError: the new snapshot is there completely or not at all.
+            StorageFullError: no part of the snapshot remains; the call may be repeated.
+            StorageFailedError: the new snapshot exists either completely or not at all.
         """
         header = msgspec.structs.replace(header, size_bytes=len(data), checksum=zlib.crc32(data))
         record = encode_record(msgspec.json.encode(header) + b"\n")
@@ -89,12 +89,12 @@
         self.size_bytes = len(record) + len(data)
 
     def remove_older(self) -> None:
-        """Removes all snapshots but the newest."""
+        """Removes all snapshots except the newest."""
         for file in self.files()[:-1]:
             self._disk.remove(file)
 
     def remove_leftovers(self) -> None:
-        """Removes other snapshots and a temporary file, once everything that counts could be read."""
+        """Removes older snapshots and a temporary file; called once all valid files have been read."""
         self.remove_older()
         self._remove_temporary()
 
