--- a/tests/storage/model.py
+++ b/tests/storage/model.py
@@ -1,4 +1,4 @@
-"""What a member's storage should hold: a plain model, and calls that act on both."""
+"""An in-memory model of a member's storage, and random calls that apply to both model and storage."""
 
 import copy
 import json
@@ -16,13 +16,13 @@
 
 
 def entry(index: int, term: int, size: int = 0) -> Entry:
-    """An entry whose data says where it belongs."""
+    """Returns an entry whose data contains its index and term and `size` bytes of padding."""
     data = json.dumps({"at": [index, term], "fill": "x" * size}).encode()
     return Entry(index, term, "command", msgspec.Raw(data))
 
 
 def plain(entries: Sequence[Entry]) -> list[tuple[int, int, str, bytes]]:
-    """Entries in a form that compares by content."""
+    """Returns the entries as tuples that compare by content."""
     return [(found.index, found.term, found.kind, bytes(found.data)) for found in entries]
 
 
@@ -78,7 +78,7 @@
 
 
 def random_call(model: Model, rng: random.Random) -> Call:
-    """A call that is allowed in the model's state."""
+    """Returns a random call that is valid in the model's current state."""
     kind = rng.choice(("append", "append", "append", "vote", "overwrite", "compact", "install"))
     term = max(model.hard_state.term, model.last_term, 1)
     if kind == "vote":
@@ -103,7 +103,7 @@
 
 
 def after(model: Model, call: Call) -> Model:
-    """The model as the call leaves it."""
+    """Returns a copy of the model with the call applied."""
     result = copy.copy(model)
     result.entries = list(model.entries)
     call(result)
--- a/tests/storage/simulated_disk.py
+++ b/tests/storage/simulated_disk.py
@@ -1,4 +1,4 @@
-"""A disk in memory that loses power, fills up, and forgets what was not synced."""
+"""An in-memory disk that simulates power losses, which discard unsynced changes, and full disks."""
 
 import random
 from collections.abc import Callable
@@ -10,15 +10,15 @@
 from pewterring.storage.errors import StorageFailedError, StorageFullError
 
 UNLIMITED_BYTES = 1 << 60  # more than any test writes
-CLOSED = -1  # no incarnation of a disk
+CLOSED = -1  # matches no incarnation of a disk
 
 
 class PowerLossError(Exception):
-    """The machine lost power in the middle of an operation. Not a `StorageError`: nobody handles it."""
+    """Simulates a power loss during an operation. Not a `StorageError`, so that nothing handles it."""
 
 
 class _Fate(Enum):
-    """What a loss of power does to a change that was not synced. The order decides what a seed draws."""
+    """The effect of a power loss on an unsynced change. The order decides what a given seed draws."""
 
     LOST = auto()
     TORN = auto()
@@ -26,7 +26,7 @@
 
 
 class _Change(NamedTuple):
-    """A write of `data` at an offset, or where it is None a truncation to that size."""
+    """A write of `data` at `offset`, or a truncation to size `offset` if `data` is None."""
 
     offset: int
     data: bytes | None
@@ -34,7 +34,7 @@
 
 @dataclass
 class _Content:
-    """One file: what is durable, and the changes since."""
+    """One file: its durable content, its current content and the changes in between."""
 
     durable: bytes = b""
     current: bytearray = field(default_factory=bytearray)
@@ -49,7 +49,7 @@
         self.changes.clear()
 
     def lose_power(self, rng: random.Random, lose_all: bool) -> None:
-        """Makes a state durable that a loss of power may leave: each change is there, torn or lost."""
+        """Applies a random outcome of a power loss: each unsynced change survives, is torn or is lost."""
         content = bytearray(self.durable)
         for offset, data in self.changes:
             fate = _Fate.LOST if lose_all else rng.choice(list(_Fate))
@@ -77,7 +77,7 @@
         self._disk = disk
         self._name = name
         self._content = content
-        self._opened_in = disk.incarnation
+        self._incarnation = disk.incarnation
 
     def write(self, data: bytes) -> None:
         free_bytes = self._disk.free_bytes()
@@ -99,19 +99,19 @@
             self._disk.durable_names[self._name] = self._content
 
     def close(self) -> None:
-        self._opened_in = CLOSED
+        self._incarnation = CLOSED
 
     def _reach(self, operation: Operation) -> None:
-        assert self._opened_in == self._disk.incarnation, (
+        assert self._incarnation == self._disk.incarnation, (
             "the file was closed, or opened before the loss of power"
         )
         self._disk.reach(operation, self._name)
 
 
 class SimulatedDisk:
-    """Implements `Disk`. `on_operation` is called in the middle of each operation and may raise.
+    """Implements `Disk`. `on_operation` is called in the middle of each operation and may raise an error.
 
-    At that point the operation has been done as far as it goes without a sync.
+    At that point the change has been made but not synced.
     """
 
     def __init__(self, capacity_bytes: int | None = None) -> None:
@@ -120,9 +120,11 @@
         self.on_operation: Callable[[int, Operation, str], None] | None = None
         self.operations = 0
         self.bytes_written = 0
-        self.peak_bytes = 0  # of all files together, at the end of any operation
+        self.peak_bytes = 0  # highest total size of all files after any operation
         self.capacity = capacity_bytes  # in bytes; None: unlimited
-        self.incarnation = 0  # of the process that uses it: files opened in an earlier one are closed
+        self.incarnation = (
+            0  # number of the process using the disk; files opened by earlier processes are closed
+        )
         self._name_changes: list[Callable[[dict[str, _Content]], object]] = []
 
     def names(self) -> list[str]:
@@ -163,7 +165,7 @@
         self.durable_names = dict(self.files)
         self._name_changes.clear()
 
-    # For tests
+    # Fault injection and inspection by tests
 
     def reach(self, operation: Operation, name: str) -> None:
         self.operations += 1
@@ -177,22 +179,22 @@
         return max(0, self.capacity - sum(len(content.current) for content in self.files.values()))
 
     def lose_power_at(self, number: int) -> None:
-        """Raises `PowerLossError` in the operation of that number, counted from now."""
-        last = self.operations + number
+        """Raises `PowerLossError` in the operation with this number, counted from 1 from now on."""
+        failing_operation = self.operations + number
 
         def hook(count: int, operation: Operation, name: str) -> None:
-            if count == last:
+            if count == failing_operation:
                 raise PowerLossError(f"{operation} {name}")
 
         self.on_operation = hook
 
     def kill(self) -> None:
-        """Ends the process: its open files are gone, all that it wrote stays."""
+        """Simulates a killed process: its files are closed, and everything that it wrote remains."""
         self.on_operation = None
         self.incarnation += 1
 
     def lose_power(self, rng: random.Random) -> None:
-        """What was synced stays; the rest is there, torn or lost, by the generator."""
+        """Simulates a power loss: synced changes remain, and each other one survives, is torn or is lost."""
         self.kill()
         lose_all = rng.random() < 0.25
         names = dict(self.durable_names)
@@ -217,5 +219,5 @@
 
     def _content(self, name: str) -> _Content:
         if name not in self.files:
-            raise StorageFailedError(f"there is no {name}")
+            raise StorageFailedError(f"file {name} does not exist")
         return self.files[name]
--- a/tests/storage/stored_group.py
+++ b/tests/storage/stored_group.py
@@ -1,21 +1,21 @@
-"""The storage under test on a disk, with segments so small that a few calls fill them."""
+"""Helpers that load group storage whose segments are small enough to be filled by a few calls."""
 
 from pewterring.storage.disk import Disk
 from pewterring.storage.group import DiskGroupStorage
 from tests.storage.model import Model
 
-SEGMENT_BYTES = 300  # a few entries: calls of a schedule often start a segment
+SEGMENT_BYTES = 300  # a few entries, so that the calls of a schedule often start a new segment
 
 
 def opened(disk: Disk) -> DiskGroupStorage:
-    """The storage of the disk, loaded."""
+    """Returns the loaded storage of the group on the disk."""
     storage = DiskGroupStorage(disk, "group", SEGMENT_BYTES)
     storage.load()
     return storage
 
 
 def loads_as(disk: Disk, model: Model) -> bool:
-    """Whether a load returns what the model says."""
+    """Returns whether a load returns the state of the model."""
     storage = DiskGroupStorage(disk, "group", SEGMENT_BYTES)
     try:
         return model.matches(storage.load())
--- a/tests/storage/test_breakages.py
+++ b/tests/storage/test_breakages.py
@@ -1,4 +1,4 @@
-"""Each rule of the storage is needed: broken alone, the checks against the model find it."""
+"""Mutation tests: the power loss checks of `test_group` must detect each single broken storage rule."""
 
 from collections.abc import Callable
 
@@ -17,7 +17,7 @@
 
 
 def replay_without_snapshot_check(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The log is replayed as if its first entry followed the snapshot."""
+    """Replays the log without checking that its first entry follows the snapshot."""
 
     def replay(self: DiskGroupStorage, position: Position, payload: bytes, entries: list[object]) -> None:
         record = decode_group_record(payload)
@@ -33,20 +33,20 @@
 
 
 def segments_removed_too_far(monkeypatch: pytest.MonkeyPatch) -> None:
-    """All segments but the newest go with a snapshot, entries after it and all."""
+    """A snapshot removes all segments except the newest, including those with entries after the snapshot."""
     monkeypatch.setattr(
         DiskGroupStorage, "_first_needed_segment", lambda self, _index: self._log.last_segment
     )
 
 
 def older_snapshot_over_newer(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The oldest of the snapshots in the folder counts."""
+    """Loads the oldest instead of the newest snapshot in the folder."""
     files = SnapshotStore.files
     monkeypatch.setattr(SnapshotStore, "files", lambda self: files(self)[::-1])
 
 
 def log_removed_before_snapshot(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The log is compacted before the snapshot that stands for it is on disk."""
+    """Removes log segments before the snapshot that replaces them has been written."""
     save = DiskGroupStorage.save_snapshot
 
     def save_snapshot(
@@ -61,7 +61,7 @@
 
 
 def vote_left_in_removed_segment(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A new segment does not begin with the term and the vote."""
+    """Starts new segments without a record of the term and the vote."""
 
     def roll(self: SegmentedLog, _payloads: list[bytes]) -> None:
         self._fail_stop.check()
--- a/tests/storage/test_fail_stop.py
+++ b/tests/storage/test_fail_stop.py
@@ -1,4 +1,4 @@
-"""After an error of the disk nothing is written until the files are read again; a full disk is none."""
+"""`FailStop`: a disk error stops all writing until the files are read again; a full disk does not."""
 
 import pytest
 
@@ -8,7 +8,7 @@
 
 @pytest.fixture
 def fail_stop() -> FailStop:
-    """One whose files have been read."""
+    """A `FailStop` that allows writing, as its files have been read."""
     result = FailStop("the files")
     result.reset()
     return result
--- a/tests/storage/test_group.py
+++ b/tests/storage/test_group.py
@@ -1,4 +1,4 @@
-"""A member's storage: what it returns after crashes equals a plain model."""
+"""Group storage: after crashes and on full disks a load returns the state of a plain model."""
 
 import contextlib
 import itertools
@@ -24,11 +24,11 @@
 from tests.storage.simulated_disk import PowerLossError, SimulatedDisk
 from tests.storage.stored_group import SEGMENT_BYTES, loads_as, opened
 
-CALLS = 12  # of one schedule
+CALLS = 12  # calls in one schedule
 
 
 def schedule(seed: int) -> Iterator[tuple[Model, Call, Model]]:
-    """Calls with the models before and after them."""
+    """Yields random calls, each with the model before and after the call."""
     rng = random.Random(seed)
     model = Model()
     for _ in range(CALLS):
@@ -38,7 +38,7 @@
         model = changed
 
 
-def test_it_implements_the_protocol() -> None:
+def test_disk_storage_implements_the_protocol() -> None:
     storage: GroupStorage = DiskGroupStorage(SimulatedDisk(), "group")
     assert storage.load().snapshot is None
 
@@ -48,7 +48,7 @@
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_a_schedule_of_calls_on_files(seed: int, tmp_path: Path) -> None:
+def test_each_call_of_a_schedule_on_files_is_durable(seed: int, tmp_path: Path) -> None:
     storage = opened(FolderDisk(tmp_path))
     for _, call, changed in schedule(seed):
         call(storage)
@@ -59,13 +59,13 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_power_lost_in_each_operation_keeps_what_was_acknowledged(seed: int) -> None:
-    """The state found is that before or after the interrupted call, and it is still there afterwards."""
+def test_a_power_loss_in_any_operation_keeps_acknowledged_calls(seed: int) -> None:
+    """A load returns the state before or after the interrupted call, and later loads return the same."""
     check_power_losses([seed])
 
 
 def check_power_losses(seeds: Iterable[int]) -> None:
-    """Loses power once in each operation of the schedules of these seeds."""
+    """Plays the schedule of each seed for each of its disk operations, losing power in that operation."""
     for seed in seeds:
         _check_power_losses(seed)
 
@@ -80,7 +80,7 @@
 
 
 def _lose_power_once(seed: int, number: int, fate: int) -> bool:
-    """Plays a schedule up to the operation of that number; False where there are not so many."""
+    """Plays a schedule and loses power in operation `number`; returns False if it has fewer operations."""
     disk = SimulatedDisk()
     storage = opened(disk)
     disk.lose_power_at(number)
@@ -95,7 +95,9 @@
 
 
 def _check_after_crash(disk: SimulatedDisk, before: Model, changed: Model, rng: random.Random) -> None:
-    if rng.random() < 0.3:  # a crash of the process first; what is found then must outlast a loss of power
+    if (
+        rng.random() < 0.3
+    ):  # a crash of the process only; the state that is then loaded must survive a later power loss
         disk.kill()
     else:
         disk.lose_power(rng)
@@ -118,9 +120,11 @@
     disk.lose_power(rng)
 
 
-@pytest.mark.parametrize("forgotten", ["sync", "sync_folder"])
-def test_the_check_finds_a_sync_that_does_nothing(forgotten: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    if forgotten == "sync":
+@pytest.mark.parametrize("skipped_sync", ["sync", "sync_folder"])
+def test_power_loss_checks_detect_a_sync_that_does_nothing(
+    skipped_sync: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    if skipped_sync == "sync":
         monkeypatch.setattr("tests.storage.simulated_disk.SimulatedFile.sync", lambda _file: None)
     else:
         monkeypatch.setattr(SimulatedDisk, "sync_folder", lambda _disk: None)
@@ -148,11 +152,11 @@
     assert loads_as(disk, changed)
 
 
-def test_a_member_that_waits_for_space_has_only_what_counts_on_its_disk() -> None:
-    """The disk gets full at each byte of each call in turn; what a refused call wrote is gone at once."""
+def test_a_rejected_call_on_a_full_disk_leaves_no_entries_behind() -> None:
+    """Tries each call with 0, 1, 2... bytes of free space; a rejected call leaves no entries on the disk."""
     disk = SimulatedDisk()
     storage = opened(disk)
-    refusals = 0
+    rejections = 0
     for _, call, changed in schedule(3):
         content = {name: disk.read(name) for name in disk.names()}
         used_bytes = sum(map(len, content.values()))
@@ -162,16 +166,16 @@
                 call(storage)
                 break
             except StorageFullError:
-                refusals += 1
-                left = {name: disk.read(name) for name in disk.names()}
-                assert {name: left.pop(name) for name in content} == content
-                assert len(left) <= 1, "a snapshot that was refused has begun a segment, once"
-                assert all(b'"type":"entry"' not in data for data in left.values())
+                rejections += 1
+                remaining = {name: disk.read(name) for name in disk.names()}
+                assert {name: remaining.pop(name) for name in content} == content
+                assert len(remaining) <= 1, "rejected snapshots leave at most one new segment"
+                assert all(b'"type":"entry"' not in data for data in remaining.values())
         disk.capacity = None
-        disk.lose_power(random.Random(refusals))
+        disk.lose_power(random.Random(rejections))
         assert loads_as(disk, changed)
         storage = opened(disk)
-    assert refusals > 1000
+    assert rejections > 1000
 
 
 def test_a_new_group_on_a_full_disk_is_loaded_and_initialized_once_there_is_free_space() -> None:
@@ -190,7 +194,7 @@
         disk.capacity = None
         disk.lose_power(random.Random(free_bytes))
         assert DiskGroupStorage(disk, "group", SEGMENT_BYTES).load().state.snapshot_membership == voters
-    assert free_bytes > disk.peak_bytes, "the last ones found enough free space"
+    assert free_bytes > disk.peak_bytes, "the last iterations had enough free space"
 
 
 def test_segments_that_a_snapshot_covers_are_removed() -> None:
@@ -206,7 +210,7 @@
     assert storage.size_bytes < 1000
 
 
-def test_entries_that_came_while_a_snapshot_was_made_keep_little_of_the_log() -> None:
+def test_an_entry_after_the_snapshot_keeps_at_most_one_segment_of_the_log() -> None:
     disk = SimulatedDisk()
     storage = DiskGroupStorage(disk, "group")
     storage.load()
@@ -218,7 +222,7 @@
     assert [found.index for found in storage.load().state.entries] == [150]
 
 
-def test_the_vote_outlasts_the_segment_that_it_was_written_in() -> None:
+def test_the_vote_is_kept_when_its_segment_is_removed() -> None:
     disk = SimulatedDisk()
     storage = opened(disk)
     storage.save(HardState(7, "10.0.0.1#a"), None, [entry(1, 7)])
@@ -259,7 +263,7 @@
     assert opened(disk).load().snapshot == b"new"
 
 
-def test_a_gap_is_refused() -> None:
+def test_a_gap_between_entries_is_rejected() -> None:
     storage = opened(SimulatedDisk())
     with pytest.raises(LogGapError, match="log of group group: cannot save entry 2: the next index is 1"):
         storage.save(None, None, [entry(2, 1)])
@@ -278,7 +282,7 @@
             opened(disk)
 
 
-def test_a_record_of_another_kind_is_reported() -> None:
+def test_a_record_of_an_unknown_type_is_reported() -> None:
     disk = SimulatedDisk()
     opened(disk)
     log = SegmentedLog(disk, "group")
@@ -314,6 +318,6 @@
 
 
 @pytest.mark.parametrize("group", ["", "a.b", "a/b", "a b"])
-def test_a_group_must_be_able_to_name_files(group: str) -> None:
+def test_a_group_name_with_other_characters_is_rejected(group: str) -> None:
     with pytest.raises(ValueError, match="group"):
         DiskGroupStorage(SimulatedDisk(), group)
--- a/tests/storage/test_group_machine.py
+++ b/tests/storage/test_group_machine.py
@@ -1,4 +1,4 @@
-"""Any sequence of calls, crashes and full disks, found by Hypothesis, against the plain model."""
+"""Hypothesis compares group storage with the plain model for random sequences of calls and faults."""
 
 import random
 
@@ -13,7 +13,7 @@
 
 
 class StorageMachine(RuleBasedStateMachine):
-    """Any sequence of calls, crashes, losses of power in the middle, and full disks."""
+    """Random sequences of calls, killed processes, power losses during calls, and full disks."""
 
     def __init__(self) -> None:
         super().__init__()
--- a/tests/storage/test_identity.py
+++ b/tests/storage/test_identity.py
@@ -1,4 +1,4 @@
-"""The name of a member lasts as long as its data folder."""
+"""A member keeps its name as long as its data folder exists."""
 
 import contextlib
 import random
@@ -15,21 +15,21 @@
 IP = "10.0.0.1"
 
 
-def test_a_tag_is_drawn_once_a_folder(tmp_path: Path) -> None:
+def test_each_folder_has_one_generated_tag(tmp_path: Path) -> None:
     name = member_name(tmp_path / "one", IP)
     assert name.startswith("10.0.0.1#")
     assert member_name(tmp_path / "one", IP) == name
     assert member_name(tmp_path / "other", IP) != name
 
 
-def test_a_given_tag_is_taken_by_a_new_folder_only() -> None:
+def test_a_given_tag_is_used_for_new_folders_only() -> None:
     disk = SimulatedDisk()
     assert member_name(FOLDER, IP, disk, tag="first") == "10.0.0.1#first"
     assert member_name(FOLDER, IP, disk, tag="second") == "10.0.0.1#first"
     assert member_name(FOLDER, IP, disk) == "10.0.0.1#first"
 
 
-def test_a_name_that_was_returned_outlasts_a_loss_of_power() -> None:
+def test_a_returned_name_survives_a_power_loss() -> None:
     for seed in range(100):
         rng = random.Random(seed)
         disk = SimulatedDisk()
@@ -45,7 +45,7 @@
         assert member_name(FOLDER, IP, disk) == returned
 
 
-def test_a_name_on_a_full_disk_is_drawn_once_there_is_free_space() -> None:
+def test_a_name_is_generated_after_a_full_disk_has_free_space_again() -> None:
     for free_bytes in range(60):
         disk = SimulatedDisk(capacity_bytes=free_bytes)
         with contextlib.suppress(StorageFullError):
@@ -64,7 +64,7 @@
         member_name(FOLDER, IP, disk)
 
 
-def test_a_folder_of_another_machine_is_refused_and_stays_as_it_is() -> None:
+def test_a_folder_of_another_machine_is_rejected_and_left_unchanged() -> None:
     disk = SimulatedDisk()
     name = member_name(FOLDER, IP, disk)
     before = disk.read("identity")
@@ -77,7 +77,7 @@
     assert member_name(FOLDER, IP, disk) == name
 
 
-def test_a_folder_of_an_earlier_version_is_taken() -> None:
+def test_an_identity_file_without_an_address_is_accepted() -> None:
     disk = SimulatedDisk()
     file = disk.create("identity")
     file.write(encode_record(b'{"tag":"first"}\n'))
@@ -86,6 +86,6 @@
     assert member_name(FOLDER, IP, disk) == "10.0.0.1#first"
 
 
-def test_a_tag_must_fit_into_a_name() -> None:
+def test_a_tag_with_other_characters_is_rejected() -> None:
     with pytest.raises(ValueError, match="tag"):
         member_name(FOLDER, IP, SimulatedDisk(), tag="a#b")
--- a/tests/storage/test_log.py
+++ b/tests/storage/test_log.py
@@ -17,7 +17,7 @@
 
 
 def two_segments() -> tuple[SimulatedDisk, list[list[bytes]]]:
-    """A disk with two segments, and the batches of the last one."""
+    """Returns a disk with two segments, and the batches of the second one."""
     disk = SimulatedDisk()
     log = SegmentedLog(disk, "log")
     assert read_all(log) == []
@@ -31,7 +31,7 @@
 
 
 def complete_batches(batches: list[list[bytes]], size: int) -> list[bytes]:
-    """The payloads of the batches that fit into `size` bytes."""
+    """Returns the payloads of the batches that are complete within the first `size` bytes."""
     payloads: list[bytes] = []
     for batch in batches:
         size -= len(encode_batch(batch, 1))
@@ -41,7 +41,7 @@
     return payloads
 
 
-def test_a_tear_at_any_byte_of_the_last_segment_keeps_the_complete_batches_before() -> None:
+def test_a_last_segment_truncated_at_any_byte_keeps_its_complete_batches() -> None:
     undamaged, batches = two_segments()
     content = undamaged.read(LAST_FILE)
     for size in range(len(content)):
@@ -55,7 +55,7 @@
         assert read_all(SegmentedLog(disk, "log")) == [*expected, b"next"]
 
 
-def test_a_flip_at_any_byte_of_the_last_batch_truncates_it_and_elsewhere_is_corruption() -> None:
+def test_a_flipped_bit_removes_the_last_batch_and_is_corruption_in_earlier_ones() -> None:
     undamaged, batches = two_segments()
     content = undamaged.read(LAST_FILE)
     last_start = len(content) - len(encode_batch(batches[-1], 1))
@@ -97,7 +97,7 @@
         read_all(SegmentedLog(disk, "log"))
 
 
-def test_removed_segments_may_come_back_in_any_combination() -> None:
+def test_removed_segments_that_reappear_after_a_power_loss_are_ignored() -> None:
     for seed in range(30):
         disk, _ = two_segments()
         log = SegmentedLog(disk, "log")
@@ -109,7 +109,7 @@
         assert read_all(SegmentedLog(disk, "log"), 5) == [b"5", b"6"]
 
 
-def test_what_a_killed_process_left_unsynced_is_synced_before_it_counts() -> None:
+def test_unsynced_records_of_a_killed_process_are_synced_when_the_log_is_opened() -> None:
     disk, _ = two_segments()
     log = SegmentedLog(disk, "log")
     read_all(log)
@@ -138,7 +138,7 @@
         assert read_all(SegmentedLog(disk, "log")) == [*before, b"fits"]
 
 
-def test_a_segment_that_cannot_be_started_does_not_come_back() -> None:
+def test_a_segment_that_could_not_be_started_does_not_reappear() -> None:
     for seed in range(20):
         disk, _ = two_segments()
         log = SegmentedLog(disk, "log")
--- a/tests/storage/test_records.py
+++ b/tests/storage/test_records.py
@@ -1,4 +1,4 @@
-"""Checksummed records."""
+"""Encoding and reading of checksummed records."""
 
 from pewterring.storage.records import HEADER_BYTES, encode_batch, encode_record, has_later_batch, read_record
 
@@ -19,11 +19,11 @@
         assert read_record(bytes(damaged), 0) is None
 
 
-def test_zeros_are_no_record() -> None:
+def test_zeros_are_not_a_valid_record() -> None:
     assert read_record(bytes(100), 0) is None
 
 
-def test_a_later_batch_is_found_behind_damage_but_not_the_same_batch() -> None:
+def test_a_later_batch_is_found_after_damage_but_not_the_same_batch() -> None:
     data = b"damaged" + encode_batch([b"a", b"b"], 3)
     assert has_later_batch(data, 0, 2)
     assert not has_later_batch(data, 0, 3)
--- a/tests/storage/test_segment_index.py
+++ b/tests/storage/test_segment_index.py
@@ -1,4 +1,4 @@
-"""Which segments a snapshot makes needless."""
+"""`SegmentIndex`: the first segment that is still needed after a snapshot."""
 
 import pytest
 
@@ -7,7 +7,7 @@
 
 @pytest.fixture
 def segments() -> SegmentIndex:
-    """Three segments; entry 5 was written to the second, truncated, and written again to the third."""
+    """Three segments; entry 5 was written to the second one, truncated, and rewritten to the third."""
     result = SegmentIndex()
     for segment, index in ((1, 2), (2, 4), (2, 5), (3, 5), (3, 7)):
         result.add(segment, index)
@@ -15,13 +15,13 @@
 
 
 @pytest.mark.parametrize(("index", "first"), [(0, 1), (1, 1), (2, 2), (4, 2), (5, 3), (6, 3), (7, None)])
-def test_the_first_segment_with_entries_after_an_index(
+def test_the_first_segment_with_entries_after_an_index_is_found(
     index: int, first: int | None, segments: SegmentIndex
 ) -> None:
     assert segments.first_segment_after(index) == first
 
 
-def test_dropped_segments_do_not_count(segments: SegmentIndex) -> None:
+def test_dropped_segments_are_forgotten(segments: SegmentIndex) -> None:
     segments.drop_before(3)
     assert segments.first_segment_after(0) == 3
     segments.clear()
