--- a/tests/golden/state_snapshots.py
+++ b/tests/golden/state_snapshots.py
@@ -1,4 +1,4 @@
-"""States of control and of a batch partition as they stand in snapshots, with all fields set."""
+"""Golden snapshot data of the control state and of a batch partition's state, with all fields set."""
 
 from typing import Any
 
@@ -20,7 +20,7 @@
 )
 from tests.golden.rows import Family, Row
 
-NOW_S = 1000.0  # what the clock of a batch partition shows
+NOW_S = 1000.0  # fixed clock of the batch partition, in seconds
 
 CONTROL = Snapshot(
     version=7,
@@ -65,7 +65,7 @@
     ),
 ]
 
-# The same jobs as the content of a snapshot.
+# `JOBS` as encoded in a snapshot.
 STORED_JOBS = [
     {
         "id": "job-1",
@@ -92,14 +92,14 @@
 
 
 def restored_control(snapshot: Snapshot) -> ControlState:
-    """The state that a member takes from the snapshot."""
+    """Returns the control state restored from the snapshot."""
     state = ControlState()
     state.restore(msgspec.json.encode(snapshot))
     return state
 
 
 def restored_batch(data: bytes) -> BatchState:
-    """The state that a member takes from the snapshot."""
+    """Returns the batch partition state restored from snapshot data."""
     state = BatchState(lambda: NOW_S)
     state.restore(data)
     return state
--- a/tests/golden/stored_data.py
+++ b/tests/golden/stored_data.py
@@ -1,8 +1,8 @@
-"""Data folders of control and of a store, and what must be found in them.
+"""Golden data folders of control members and batch stores, and the logs and states expected in them.
 
-Each folder in `data/folders` was written by the function of the same name here. The folders named `earlier`
-have the shapes of earlier versions that are still read: heads of segments and snapshots without a format, an
-identity without an address, and snapshots without the fields that were added since.
+Each folder in `data/folders` was written by the function that `WRITERS` lists for it. The folders named
+`*-earlier` have formats of earlier versions that must still be readable: segment and snapshot headers without
+a format number, an identity without an address, and snapshots without fields that were added later.
 """
 
 import zlib
@@ -32,7 +32,7 @@
 from tests.node_settings import addresses, node_settings
 
 FOLDERS = DATA / "folders"
-SEGMENT_BYTES = 1500  # small, so that a short log has several segments
+SEGMENT_BYTES = 1500  # small enough to split a short log into several segments
 STORE_IP, STORE_TAG = "10.0.1.1", "a1"
 
 FIRST_CONTROLS = Membership(voters=MEMBERS)
@@ -43,17 +43,17 @@
     "control", "10.0.0.1", seeds=addresses(("10.0.0.1", "10.0.0.2", "10.0.0.3"), 7000), bootstrap=True
 )
 
-# An entry of term 1 that is overwritten by one of term 2.
+# An entry of term 1 that is later overwritten by an entry of term 2.
 OVERWRITTEN = Entry(index=2, term=1, kind="empty")
 
 
 def control_entries() -> list[Entry]:
-    """The log of control: an empty entry, a change of members, then each command."""
+    """Returns the log of control: an empty entry, a membership change, then one entry for each command."""
     return _log(CONTROLS, [encode_command(command) for _, command in control_commands.COMMANDS])
 
 
 def batch_entries() -> list[Entry]:
-    """The log of the batch partition: an empty entry, a change of members, then each command."""
+    """Returns the log of the batch partition, with the same kinds of entries as `control_entries`."""
     commands = [encode_batch_command(command) for _, command in batch_commands.COMMANDS]
     return _log(MORE_STORES, commands)
 
@@ -70,7 +70,7 @@
 
 @contextmanager
 def opened(folder: Path, group: str) -> Iterator[DiskGroupStorage]:
-    """The group's storage, loaded."""
+    """Provides the loaded storage of a group and closes it at the end."""
     storage = DiskGroupStorage(FolderDisk(folder), group, SEGMENT_BYTES)
     storage.load()
     try:
@@ -80,7 +80,7 @@
 
 
 def _save_log(storage: DiskGroupStorage, member: str, entries: list[Entry]) -> None:
-    """Saves the log with an entry that is overwritten, a vote, and a later term without a vote."""
+    """Saves the log with an overwritten entry, a term with a vote, a term without one, and a final vote."""
     storage.save(HardState(1, member), None, [entries[0], OVERWRITTEN])
     storage.save(HardState(2, None), 2, entries[1:3])
     for entry in entries[3:]:
@@ -88,11 +88,11 @@
     storage.save(HardState(3, member), None, ())
 
 
-# Folders of control
+# Data folders of control members
 
 
 def write_control_log(folder: Path) -> None:
-    """A first member of control: its identity, the first voters, and a log of several segments."""
+    """Writes the folder of an initial control member: identity, initial voters and a multi-segment log."""
     member, storage = open_member_storage(CONTROL_SETTINGS, folder)
     storage.close()
     with opened(folder, GROUP) as storage:
@@ -100,22 +100,27 @@
 
 
 def write_control_snapshot(folder: Path) -> None:
-    """The same with a snapshot of all but the last two entries, which the log holds."""
+    """Writes the same folder with a snapshot of all entries except the last two, which remain in the log."""
     write_control_log(folder)
     entries = control_entries()
-    kept = entries[:-2]
+    covered_entries = entries[:-2]
     with opened(folder, GROUP) as storage:
-        storage.save_snapshot(kept[-1].index, kept[-1].term, CONTROLS, control_state(kept).snapshot())
+        storage.save_snapshot(
+            covered_entries[-1].index,
+            covered_entries[-1].term,
+            CONTROLS,
+            control_state(covered_entries).snapshot(),
+        )
 
 
 def write_control_earlier(folder: Path) -> None:
-    """The folder with a snapshot as earlier versions wrote it."""
+    """Writes the folder with a snapshot in the format of earlier versions."""
     write_control_snapshot(folder)
     _write_as_earlier(folder, state_field="forgotten")
 
 
 def control_state(entries: list[Entry]) -> ControlState:
-    """The state of control after the entries."""
+    """Returns the control state after applying the entries."""
     state = ControlState()
     for entry in entries:
         if entry.kind == "command":
@@ -123,11 +128,11 @@
     return state
 
 
-# Folders of a store
+# Data folders of batch stores
 
 
 def write_store_log(folder: Path) -> None:
-    """A first member of a batch partition: its identity, the first voters, and a log."""
+    """Writes the folder of an initial member of a batch partition: identity, initial voters and a log."""
     member = member_name(folder, STORE_IP, tag=STORE_TAG)
     with opened(folder, FIRST_GROUP) as storage:
         storage.initialize(FIRST_STORES)
@@ -135,21 +140,26 @@
 
 
 def write_store_snapshot(folder: Path) -> None:
-    """The same with a snapshot of all but the last entry, which the log holds."""
+    """Writes the same folder with a snapshot of all entries except the last, which remains in the log."""
     write_store_log(folder)
-    kept = batch_entries()[:-1]
+    covered_entries = batch_entries()[:-1]
     with opened(folder, FIRST_GROUP) as storage:
-        storage.save_snapshot(kept[-1].index, kept[-1].term, MORE_STORES, batch_state(kept).snapshot())
+        storage.save_snapshot(
+            covered_entries[-1].index,
+            covered_entries[-1].term,
+            MORE_STORES,
+            batch_state(covered_entries).snapshot(),
+        )
 
 
 def write_store_earlier(folder: Path) -> None:
-    """The folder with a snapshot as earlier versions wrote it."""
+    """Writes the folder with a snapshot in the format of earlier versions."""
     write_store_snapshot(folder)
     _write_as_earlier(folder, state_field="failed_attempts")
 
 
 def batch_state(entries: list[Entry]) -> BatchState:
-    """The state of the batch partition after the entries."""
+    """Returns the state of the batch partition after applying the entries."""
     state = BatchState(lambda: NOW_S)
     for entry in entries:
         if entry.kind == "command":
@@ -166,13 +176,13 @@
     "store-earlier": write_store_earlier,
 }
 
-# The folders that the program writes today. Others are only read: after a change of the format on purpose,
-# the folders of the format before stay where they are and leave this list.
+# Folders in the current format. The others are only read: after an intended change of the format, folders in
+# the previous format are kept and removed from this list.
 CURRENT = ("control-log", "control-snapshot", "store-log", "store-snapshot")
 
 
 def add_folder(name: str) -> bool:
-    """Writes a golden folder, unless there is one of that name; says whether it did."""
+    """Writes a golden folder unless it exists; returns whether it was written."""
     if (FOLDERS / name).exists():
         return False
     WRITERS[name](FOLDERS / name)
@@ -180,15 +190,15 @@
 
 
 def contents(folder: Path) -> dict[str, bytes]:
-    """The files of a folder by name."""
+    """Returns the content of each file in a folder by file name."""
     return {path.name: path.read_bytes() for path in sorted(folder.iterdir())}
 
 
-# Shapes of earlier versions
+# Formats of earlier versions
 
 
 def _write_as_earlier(folder: Path, state_field: str) -> None:
-    """Rewrites the files without the fields that earlier versions did not know."""
+    """Rewrites the files without the fields that earlier versions did not have."""
     for path in sorted(folder.iterdir()):
         if path.suffix == ".snapshot":
             path.write_bytes(_earlier_snapshot(path.read_bytes(), state_field))
@@ -199,7 +209,7 @@
 
 
 def _without_field(data: bytes, field: str) -> bytes:
-    """The records of a file, each without the field."""
+    """Returns the content of a file with `field` removed from each record."""
     written, offset = b"", 0
     while (record := read_record(data, offset)) is not None:
         content = msgspec.json.decode(record.payload)
@@ -211,7 +221,7 @@
 
 
 def _earlier_snapshot(data: bytes, state_field: str) -> bytes:
-    """A snapshot whose header has no format, and whose state has not the field, at any depth."""
+    """Returns a snapshot file without the header's format and without `state_field` in state and jobs."""
     record = read_record(data, 0)
     assert record is not None
     header = msgspec.json.decode(record.payload)
@@ -219,8 +229,8 @@
     state = data[record.end :]
     if state:
         content = msgspec.json.decode(state)
-        for part in (content, *content.get("jobs", ())):
-            part.pop(state_field, None)
+        for content_object in (content, *content.get("jobs", ())):
+            content_object.pop(state_field, None)
         state = msgspec.json.encode(content)
     header["size"], header["checksum"] = len(state), zlib.crc32(state)
     return encode_record(msgspec.json.encode(header) + b"\n") + state
--- a/tests/golden/test_stored_data.py
+++ b/tests/golden/test_stored_data.py
@@ -1,4 +1,4 @@
-"""Data folders that were written once are read as ever, and are written with the same bytes."""
+"""Golden data folders: earlier ones are still readable, and current ones are written byte for byte."""
 
 import shutil
 from collections.abc import Sequence
@@ -52,20 +52,20 @@
 )
 from tests.golden.tagged_types import STORAGE, tagged_types
 
-# The folders, and the index of the snapshot in each.
+# The index of the snapshot in each folder, 0 if there is none.
 CONTROL_FOLDERS = {"control-log": 0, "control-snapshot": 15, "control-earlier": 15}
 STORE_FOLDERS = {"store-log": 0, "store-snapshot": 8, "store-earlier": 8}
 
 
 def copy_of(name: str, tmp_path: Path) -> Path:
-    """The golden folder of that name, to be opened by the program."""
+    """Returns a copy of a golden folder that the test may change."""
     return Path(shutil.copytree(FOLDERS / name, tmp_path / name))
 
 
 def check_loaded(
     loaded: LoadedGroup, first: Membership, changed: Membership, entries: Sequence[Entry]
 ) -> None:
-    """The group has its term, vote, members and all entries behind its snapshot."""
+    """Checks that the group has its term, vote and members, and all entries after its snapshot."""
     index = loaded.state.snapshot_index
     assert (loaded.snapshot is None) == (index == 0)
     assert loaded.state == PersistentState(
@@ -79,7 +79,7 @@
 
 
 def apply_all(state: ControlState | BatchState, loaded: LoadedGroup) -> None:
-    """Recovers the state as a member does: the snapshot, then the commands behind it."""
+    """Recovers the state as a member does: restores the snapshot, then applies the commands after it."""
     if loaded.snapshot is not None:
         state.restore(loaded.snapshot)
     for entry in loaded.state.entries:
@@ -165,7 +165,7 @@
 
 
 def _record_tags(path: Path) -> list[str]:
-    """The types of the records of a segment, as the file has them."""
+    """Returns the type tags of the records of a segment in file order."""
     data, offset, tags = path.read_bytes(), 0, []
     while (record := read_record(data, offset)) is not None:
         tags.append(msgspec.json.decode(record.payload)["type"])
