--- a/pewterring/storage/group.py
+++ b/pewterring/storage/group.py
@@ -177,12 +177,14 @@
         self._fail_stop.check()
         if self._has_snapshot and index <= self._snapshot_index:
             return
-        contains_last_covered = self._terms.contains(index, term)
+        log_contains_last_covered_entry = self._terms.contains(index, term)
         self._ensure_fresh_segment()
-        first_segment = self._first_needed_segment(index) if contains_last_covered else self._log.last_segment
+        first_segment = (
+            self._first_needed_segment(index) if log_contains_last_covered_entry else self._log.last_segment
+        )
         self._write_snapshot(SnapshotHeader(index, term, membership, first_segment), data)
         self._snapshot_index = index
-        if contains_last_covered:
+        if log_contains_last_covered_entry:
             self._terms.drop_to(index)
         else:
             self._terms.reset(index, term)
--- a/tests/golden/stored_data.py
+++ b/tests/golden/stored_data.py
@@ -35,10 +35,10 @@
 SEGMENT_BYTES = 1500  # small enough to split a short log into several segments
 STORE_IP, STORE_TAG = "10.0.1.1", "a1"
 
-FIRST_CONTROLS = Membership(voters=MEMBERS)
-CONTROLS = Membership(voters=MEMBERS, learners=("10.0.0.4#d4",))
-FIRST_STORES = Membership(voters=STORES)
-MORE_STORES = Membership(voters=STORES, learners=("10.0.1.4#d4",))
+INITIAL_CONTROL_MEMBERSHIP = Membership(voters=MEMBERS)
+CHANGED_CONTROL_MEMBERSHIP = Membership(voters=MEMBERS, learners=("10.0.0.4#d4",))
+INITIAL_STORE_MEMBERSHIP = Membership(voters=STORES)
+CHANGED_STORE_MEMBERSHIP = Membership(voters=STORES, learners=("10.0.1.4#d4",))
 CONTROL_SETTINGS = node_settings(
     "control", "10.0.0.1", seeds=addresses(("10.0.0.1", "10.0.0.2", "10.0.0.3"), 7000), bootstrap=True
 )
@@ -49,13 +49,15 @@
 
 def control_entries() -> list[Entry]:
     """Returns the log of control: an empty entry, a membership change, then one entry for each command."""
-    return _log(CONTROLS, [encode_command(command) for _, command in control_commands.COMMANDS])
+    return _log(
+        CHANGED_CONTROL_MEMBERSHIP, [encode_command(command) for _, command in control_commands.COMMANDS]
+    )
 
 
 def batch_entries() -> list[Entry]:
     """Returns the log of the batch partition, with the same kinds of entries as `control_entries`."""
     commands = [encode_batch_command(command) for _, command in batch_commands.COMMANDS]
-    return _log(MORE_STORES, commands)
+    return _log(CHANGED_STORE_MEMBERSHIP, commands)
 
 
 def _log(membership: Membership, commands: list[bytes]) -> list[Entry]:
@@ -69,7 +71,7 @@
 
 
 @contextmanager
-def opened(folder: Path, group: str) -> Iterator[DiskGroupStorage]:
+def loaded_storage(folder: Path, group: str) -> Iterator[DiskGroupStorage]:
     """Provides the loaded storage of a group and closes it at the end."""
     storage = DiskGroupStorage(FolderDisk(folder), group, SEGMENT_BYTES)
     storage.load()
@@ -95,7 +97,7 @@
     """Writes the folder of an initial control member: identity, initial voters and a multi-segment log."""
     member, storage = open_member_storage(CONTROL_SETTINGS, folder)
     storage.close()
-    with opened(folder, GROUP) as storage:
+    with loaded_storage(folder, GROUP) as storage:
         _save_log(storage, member, control_entries())
 
 
@@ -104,11 +106,11 @@
     write_control_log(folder)
     entries = control_entries()
     covered_entries = entries[:-2]
-    with opened(folder, GROUP) as storage:
+    with loaded_storage(folder, GROUP) as storage:
         storage.save_snapshot(
             covered_entries[-1].index,
             covered_entries[-1].term,
-            CONTROLS,
+            CHANGED_CONTROL_MEMBERSHIP,
             control_state(covered_entries).snapshot(),
         )
 
@@ -134,8 +136,8 @@
 def write_store_log(folder: Path) -> None:
     """Writes the folder of an initial member of a batch partition: identity, initial voters and a log."""
     member = member_name(folder, STORE_IP, tag=STORE_TAG)
-    with opened(folder, FIRST_GROUP) as storage:
-        storage.initialize(FIRST_STORES)
+    with loaded_storage(folder, FIRST_GROUP) as storage:
+        storage.initialize(INITIAL_STORE_MEMBERSHIP)
         _save_log(storage, member, batch_entries())
 
 
@@ -143,11 +145,11 @@
     """Writes the same folder with a snapshot of all entries except the last, which remains in the log."""
     write_store_log(folder)
     covered_entries = batch_entries()[:-1]
-    with opened(folder, FIRST_GROUP) as storage:
+    with loaded_storage(folder, FIRST_GROUP) as storage:
         storage.save_snapshot(
             covered_entries[-1].index,
             covered_entries[-1].term,
-            MORE_STORES,
+            CHANGED_STORE_MEMBERSHIP,
             batch_state(covered_entries).snapshot(),
         )
 
--- a/tests/golden/test_stored_data.py
+++ b/tests/golden/test_stored_data.py
@@ -36,19 +36,19 @@
 from tests.golden.rows import Row, check_complete, check_decoding, check_encoding, ids, tag_of
 from tests.golden.state_snapshots import NOW_S
 from tests.golden.stored_data import (
+    CHANGED_CONTROL_MEMBERSHIP,
+    CHANGED_STORE_MEMBERSHIP,
     CONTROL_SETTINGS,
-    CONTROLS,
     CURRENT,
-    FIRST_CONTROLS,
-    FIRST_STORES,
     FOLDERS,
-    MORE_STORES,
+    INITIAL_CONTROL_MEMBERSHIP,
+    INITIAL_STORE_MEMBERSHIP,
     STORE_IP,
     WRITERS,
     batch_entries,
     contents,
     control_entries,
-    opened,
+    loaded_storage,
 )
 from tests.golden.tagged_types import STORAGE, tagged_types
 
@@ -99,19 +99,19 @@
 
 @pytest.mark.parametrize(("name", "index"), CONTROL_FOLDERS.items())
 def test_the_log_of_control(name: str, index: int, tmp_path: Path) -> None:
-    with opened(copy_of(name, tmp_path), GROUP) as storage:
+    with loaded_storage(copy_of(name, tmp_path), GROUP) as storage:
         loaded = storage.load()
     assert loaded.state.snapshot_index == index
-    check_loaded(loaded, FIRST_CONTROLS, CONTROLS, control_entries())
+    check_loaded(loaded, INITIAL_CONTROL_MEMBERSHIP, CHANGED_CONTROL_MEMBERSHIP, control_entries())
     assert contents(tmp_path / name) == contents(FOLDERS / name)
 
 
 @pytest.mark.parametrize(("name", "index"), STORE_FOLDERS.items())
 def test_the_log_of_a_store(name: str, index: int, tmp_path: Path) -> None:
-    with opened(copy_of(name, tmp_path), FIRST_GROUP) as storage:
+    with loaded_storage(copy_of(name, tmp_path), FIRST_GROUP) as storage:
         loaded = storage.load()
     assert loaded.state.snapshot_index == index
-    check_loaded(loaded, FIRST_STORES, MORE_STORES, batch_entries())
+    check_loaded(loaded, INITIAL_STORE_MEMBERSHIP, CHANGED_STORE_MEMBERSHIP, batch_entries())
     assert contents(tmp_path / name) == contents(FOLDERS / name)
 
 
@@ -142,7 +142,7 @@
     folder = copy_of(name, tmp_path)
     assert member_name(folder, STORE_IP) == STORES[0]
     state = BatchState(lambda: NOW_S)
-    with opened(folder, FIRST_GROUP) as storage:
+    with loaded_storage(folder, FIRST_GROUP) as storage:
         apply_all(state, storage.load())
     failed_attempts = {} if name == "store-earlier" else {"b": 2}
     route = ("chat.example", "/batch/")
--- a/tests/storage/model.py
+++ b/tests/storage/model.py
@@ -21,7 +21,7 @@
     return Entry(index, term, "command", msgspec.Raw(data))
 
 
-def plain(entries: Sequence[Entry]) -> list[tuple[int, int, str, bytes]]:
+def comparable(entries: Sequence[Entry]) -> list[tuple[int, int, str, bytes]]:
     """Returns the entries as tuples that compare by content."""
     return [(found.index, found.term, found.kind, bytes(found.data)) for found in entries]
 
@@ -70,7 +70,7 @@
             and (state.snapshot_index, state.snapshot_term) == (self.snapshot_index, self.snapshot_term)
             and state.snapshot_membership == self.membership
             and loaded.snapshot == self.snapshot
-            and plain(state.entries) == plain(self.entries)
+            and comparable(state.entries) == comparable(self.entries)
         )
 
 
@@ -102,7 +102,7 @@
     return lambda target: target.save(None, None, entries)
 
 
-def after(model: Model, call: Call) -> Model:
+def apply_call(model: Model, call: Call) -> Model:
     """Returns a copy of the model with the call applied."""
     result = copy.copy(model)
     result.entries = list(model.entries)
--- a/tests/storage/stored_group.py
+++ b/tests/storage/stored_group.py
@@ -7,14 +7,14 @@
 SEGMENT_BYTES = 300  # a few entries, so that the calls of a schedule often start a new segment
 
 
-def opened(disk: Disk) -> DiskGroupStorage:
+def load_storage(disk: Disk) -> DiskGroupStorage:
     """Returns the loaded storage of the group on the disk."""
     storage = DiskGroupStorage(disk, "group", SEGMENT_BYTES)
     storage.load()
     return storage
 
 
-def loads_as(disk: Disk, model: Model) -> bool:
+def load_matches(disk: Disk, model: Model) -> bool:
     """Returns whether a load returns the state of the model."""
     storage = DiskGroupStorage(disk, "group", SEGMENT_BYTES)
     try:
--- a/tests/storage/test_group.py
+++ b/tests/storage/test_group.py
@@ -20,9 +20,9 @@
 )
 from pewterring.storage.group import DiskGroupStorage
 from pewterring.storage.log import SegmentedLog
-from tests.storage.model import MEMBERS, Call, Model, after, entry, plain, random_call
+from tests.storage.model import MEMBERS, Call, Model, apply_call, comparable, entry, random_call
 from tests.storage.simulated_disk import PowerLossError, SimulatedDisk
-from tests.storage.stored_group import SEGMENT_BYTES, loads_as, opened
+from tests.storage.stored_group import SEGMENT_BYTES, load_matches, load_storage
 
 CALLS = 12  # calls in one schedule
 
@@ -33,7 +33,7 @@
     model = Model()
     for _ in range(CALLS):
         call = random_call(model, rng)
-        changed = after(model, call)
+        changed = apply_call(model, call)
         yield model, call, changed
         model = changed
 
@@ -44,17 +44,17 @@
 
 
 def test_a_new_folder_is_empty() -> None:
-    assert loads_as(SimulatedDisk(), Model())
+    assert load_matches(SimulatedDisk(), Model())
 
 
 @pytest.mark.parametrize("seed", range(40))
 def test_each_call_of_a_schedule_on_files_is_durable(seed: int, tmp_path: Path) -> None:
-    storage = opened(FolderDisk(tmp_path))
+    storage = load_storage(FolderDisk(tmp_path))
     for _, call, changed in schedule(seed):
         call(storage)
         storage.close()
-        assert loads_as(FolderDisk(tmp_path), changed)
-        storage = opened(FolderDisk(tmp_path))
+        assert load_matches(FolderDisk(tmp_path), changed)
+        storage = load_storage(FolderDisk(tmp_path))
     storage.close()
 
 
@@ -82,7 +82,7 @@
 def _lose_power_once(seed: int, number: int, fate: int) -> bool:
     """Plays a schedule and loses power in operation `number`; returns False if it has fewer operations."""
     disk = SimulatedDisk()
-    storage = opened(disk)
+    storage = load_storage(disk)
     disk.lose_power_at(number)
     rng = random.Random(f"{seed} {number} {fate}")
     for before, call, changed in schedule(seed):
@@ -101,22 +101,22 @@
         disk.kill()
     else:
         disk.lose_power(rng)
-    found = [model for model in (before, changed) if loads_as(disk, model)]
+    found = [model for model in (before, changed) if load_matches(disk, model)]
     assert found
     model = found[0]
     _crash_while_loading(disk, rng)
-    assert loads_as(disk, model)
-    storage = opened(disk)
+    assert load_matches(disk, model)
+    storage = load_storage(disk)
     call = random_call(model, rng)
     call(storage)
     disk.lose_power(rng)
-    assert loads_as(disk, after(model, call))
+    assert load_matches(disk, apply_call(model, call))
 
 
 def _crash_while_loading(disk: SimulatedDisk, rng: random.Random) -> None:
     disk.lose_power_at(rng.randrange(1, 5))
     with contextlib.suppress(PowerLossError):
-        opened(disk)
+        load_storage(disk)
     disk.lose_power(rng)
 
 
@@ -136,7 +136,7 @@
 def test_a_full_disk_changes_nothing_and_the_call_can_be_repeated(seed: int) -> None:
     rng = random.Random(seed)
     disk = SimulatedDisk()
-    storage = opened(disk)
+    storage = load_storage(disk)
     for _, call, changed in schedule(seed):
         disk.capacity = sum(disk.size(name) for name in disk.names()) + rng.randrange(80)
         try:
@@ -147,15 +147,15 @@
         disk.capacity = None
         if rng.random() < 0.3:
             disk.lose_power(rng)
-            assert loads_as(disk, changed)
-            storage = opened(disk)
-    assert loads_as(disk, changed)
+            assert load_matches(disk, changed)
+            storage = load_storage(disk)
+    assert load_matches(disk, changed)
 
 
 def test_a_rejected_call_on_a_full_disk_leaves_no_entries_behind() -> None:
     """Tries each call with 0, 1, 2... bytes of free space; a rejected call leaves no entries on the disk."""
     disk = SimulatedDisk()
-    storage = opened(disk)
+    storage = load_storage(disk)
     rejections = 0
     for _, call, changed in schedule(3):
         content = {name: disk.read(name) for name in disk.names()}
@@ -173,8 +173,8 @@
                 assert all(b'"type":"entry"' not in data for data in remaining.values())
         disk.capacity = None
         disk.lose_power(random.Random(rejections))
-        assert loads_as(disk, changed)
-        storage = opened(disk)
+        assert load_matches(disk, changed)
+        storage = load_storage(disk)
     assert rejections > 1000
 
 
@@ -199,7 +199,7 @@
 
 def test_segments_that_a_snapshot_covers_are_removed() -> None:
     disk = SimulatedDisk()
-    storage = opened(disk)
+    storage = load_storage(disk)
     for index in range(1, 101):
         storage.save(None, None, [entry(index, 1, 100)])
     assert sum(name.endswith(".log") for name in disk.names()) > 10
@@ -224,21 +224,21 @@
 
 def test_the_vote_is_kept_when_its_segment_is_removed() -> None:
     disk = SimulatedDisk()
-    storage = opened(disk)
+    storage = load_storage(disk)
     storage.save(HardState(7, "10.0.0.1#a"), None, [entry(1, 7)])
     storage.save_snapshot(1, 7, MEMBERS, b"state")
     disk.lose_power(random.Random(1))
-    state = opened(disk).load().state
+    state = load_storage(disk).load().state
     assert (state.term, state.vote) == (7, "10.0.0.1#a")
 
 
 def test_the_first_voters_of_a_group_are_durable_and_set_once() -> None:
     disk = SimulatedDisk()
-    storage = opened(disk)
+    storage = load_storage(disk)
     storage.initialize(MEMBERS)
     storage.initialize(Membership(("10.0.0.9#z",)))
     disk.lose_power(random.Random(1))
-    storage = opened(disk)
+    storage = load_storage(disk)
     storage.initialize(Membership(("10.0.0.9#z",)))
     loaded = storage.load()
     assert (loaded.state.snapshot_index, loaded.state.snapshot_membership) == (0, MEMBERS)
@@ -247,31 +247,31 @@
 
 def test_a_snapshot_ahead_of_the_log_replaces_it_even_if_the_entries_arrive_later() -> None:
     disk = SimulatedDisk()
-    storage = opened(disk)
+    storage = load_storage(disk)
     storage.save(None, None, [entry(1, 1)])
     storage.save_snapshot(3, 1, MEMBERS, b"state")
     storage.save(None, None, [entry(index, 1) for index in range(2, 6)])
-    assert plain(opened(disk).load().state.entries) == plain([entry(4, 1), entry(5, 1)])
+    assert comparable(load_storage(disk).load().state.entries) == comparable([entry(4, 1), entry(5, 1)])
 
 
 def test_an_older_snapshot_is_ignored() -> None:
     disk = SimulatedDisk()
-    storage = opened(disk)
+    storage = load_storage(disk)
     storage.save(None, None, [entry(index, 1) for index in range(1, 6)])
     storage.save_snapshot(4, 1, MEMBERS, b"new")
     storage.save_snapshot(2, 1, MEMBERS, b"old")
-    assert opened(disk).load().snapshot == b"new"
+    assert load_storage(disk).load().snapshot == b"new"
 
 
 def test_a_gap_between_entries_is_rejected() -> None:
-    storage = opened(SimulatedDisk())
+    storage = load_storage(SimulatedDisk())
     with pytest.raises(LogGapError, match="log of group group: cannot save entry 2: the next index is 1"):
         storage.save(None, None, [entry(2, 1)])
 
 
 def test_a_damaged_snapshot_is_reported() -> None:
     disk = SimulatedDisk()
-    opened(disk).save_snapshot(3, 1, MEMBERS, b"state")
+    load_storage(disk).save_snapshot(3, 1, MEMBERS, b"state")
     name = next(name for name in disk.names() if name.endswith(".snapshot"))
     content = disk.read(name)
     for position in range(len(content)):
@@ -279,17 +279,17 @@
         damaged[position] ^= 1
         disk.damage(name, bytes(damaged))
         with pytest.raises(CorruptSnapshotError):
-            opened(disk)
+            load_storage(disk)
 
 
 def test_a_record_of_an_unknown_type_is_reported() -> None:
     disk = SimulatedDisk()
-    opened(disk)
+    load_storage(disk)
     log = SegmentedLog(disk, "group")
     list(log.open(None))
     log.append([b'{"type":"unknown"}\n'])
     with pytest.raises(CorruptLogError):
-        opened(disk)
+        load_storage(disk)
 
 
 def test_nothing_is_saved_before_loading_or_after_a_failure() -> None:
@@ -314,7 +314,7 @@
     for number, group in enumerate(("batch", "batch-1", "batch-10"), 1):
         loaded = DiskGroupStorage(disk, group).load()
         assert loaded.snapshot == group.encode()
-        assert plain(loaded.state.entries) == plain([entry(3, number)])
+        assert comparable(loaded.state.entries) == comparable([entry(3, number)])
 
 
 @pytest.mark.parametrize("group", ["", "a.b", "a/b", "a b"])
--- a/tests/storage/test_group_machine.py
+++ b/tests/storage/test_group_machine.py
@@ -7,9 +7,9 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from pewterring.storage.errors import StorageFullError
-from tests.storage.model import Model, after, random_call
+from tests.storage.model import Model, apply_call, random_call
 from tests.storage.simulated_disk import PowerLossError, SimulatedDisk
-from tests.storage.stored_group import loads_as, opened
+from tests.storage.stored_group import load_matches, load_storage
 
 
 class StorageMachine(RuleBasedStateMachine):
@@ -19,18 +19,18 @@
         super().__init__()
         self.disk = SimulatedDisk()
         self.model = Model()
-        self.storage = opened(self.disk)
+        self.storage = load_storage(self.disk)
 
     @rule(seed=st.integers(0, 10000))
     def call(self, seed: int) -> None:
         call = random_call(self.model, random.Random(seed))
         call(self.storage)
-        self.model = after(self.model, call)
+        self.model = apply_call(self.model, call)
 
     @rule(seed=st.integers(0, 10000), number=st.integers(1, 12))
     def lose_power_within_a_call(self, seed: int, number: int) -> None:
         call = random_call(self.model, random.Random(seed))
-        changed = after(self.model, call)
+        changed = apply_call(self.model, call)
         self.disk.lose_power_at(number)
         try:
             call(self.storage)
@@ -38,9 +38,9 @@
         except PowerLossError:
             pass
         self.disk.lose_power(random.Random(seed))
-        if loads_as(self.disk, changed):
+        if load_matches(self.disk, changed):
             self.model = changed
-        self.storage = opened(self.disk)
+        self.storage = load_storage(self.disk)
 
     @rule(seed=st.integers(0, 10000), free_bytes=st.integers(0, 200))
     def call_on_a_full_disk(self, seed: int, free_bytes: int) -> None:
@@ -48,7 +48,7 @@
         self.disk.capacity = sum(self.disk.size(name) for name in self.disk.names()) + free_bytes
         try:
             call(self.storage)
-            self.model = after(self.model, call)
+            self.model = apply_call(self.model, call)
         except StorageFullError:
             pass
         self.disk.capacity = None
@@ -56,18 +56,18 @@
     @rule()
     def kill(self) -> None:
         self.disk.kill()
-        self.storage = opened(self.disk)
+        self.storage = load_storage(self.disk)
 
     @rule(seed=st.integers(0, 10000))
     def lose_power(self, seed: int) -> None:
         self.disk.lose_power(random.Random(seed))
-        self.storage = opened(self.disk)
+        self.storage = load_storage(self.disk)
 
     @invariant()
     def recovery_equals_the_model(self) -> None:
         self.disk.kill()
-        assert loads_as(self.disk, self.model)
-        self.storage = opened(self.disk)
+        assert load_matches(self.disk, self.model)
+        self.storage = load_storage(self.disk)
 
 
 StorageMachine.TestCase.settings = settings(
