--- a/pewterring/gateway/program.py
+++ b/pewterring/gateway/program.py
@@ -1,8 +1,8 @@
-"""The gateway program: builds the parts of a gateway, starts and stops them, and keeps them up to date.
+"""The gateway program: builds the components of a gateway, starts and stops them, and updates their tables.
 
-Requests do not pass through here: they go from the front to the dispatcher, and from there to the handler of
-live requests or of batch requests. What goes wrong here: a port cannot be had at the start, and tables that
-are late, which the feed of tables retries and the metric of their age shows.
+Requests do not pass through this module: they go from the front to the dispatcher, and from there to the live
+handler or the batch handler. If a port is not available, `start` fails. If tables are late, the table feed
+retries, and the metric of their age shows it.
 """
 
 import asyncio
@@ -16,7 +16,7 @@
 
 from pewterring.admission.datagram import GATEWAY
 from pewterring.admission.digests import Totals
-from pewterring.admission.shares import BEAT_S
+from pewterring.admission.shares import HEARTBEAT_PERIOD_S
 from pewterring.batch.messages import BATCH_MESSAGES
 from pewterring.distribution.messages import FEED_MESSAGES, GATEWAY_PROGRAM, NodeRecord
 from pewterring.distribution.subscriber import FeedEnvironment, FeedSubscriber, NodeReport
@@ -40,13 +40,13 @@
 from pewterring.transport.http_client import WorkerPool
 from pewterring.transport.lines import LinkPool, MessageCodec
 
-MIN_DRAIN_S = 2.6  # after SIGTERM: the platform checks readiness each second and takes two misses
-QUIET_S = 0.3  # without a request in flight, then the process ends
+MIN_DRAIN_S = 2.6  # the platform probes readiness each second and needs two failures to stop routing here
+IDLE_BEFORE_EXIT_S = 0.3  # time without requests in flight after which the drain ends
 DRAIN_CHECK_INTERVAL_S = 0.05
 
 
 class GatewayProgram:
-    """One gateway. Owns its parts, and from `start` to `stop` the tasks of heartbeats and of stall checks."""
+    """One gateway. Owns its components and, from `start` to `stop`, the heartbeat and stall check tasks."""
 
     def __init__(
         self,
@@ -68,20 +68,20 @@
         self._build_request_path()
 
     def _build_links(self) -> None:
-        """Makes what connects the gateway to control and to the stores."""
+        """Creates the connections to control and to the stores."""
         settings = self.settings
         codec = MessageCodec((*FEED_MESSAGES, *BATCH_MESSAGES), settings.cluster)
         self.feed = FeedSubscriber(
             settings,
             codec,
-            NodeReport(self._record),
-            self.take_tables,
+            NodeReport(self._node_record),
+            self.apply_tables,
             FeedEnvironment(self._rng, self.clock),
         )
         self._links = LinkPool(codec, settings.internal_port, rng=self._rng, source_ip=settings.ip)
 
     def _build_routing(self) -> None:
-        """Makes what chooses workers and admits requests to them, and keeps gateways in step about both."""
+        """Creates worker selection, admission, and the exchange of both states with other gateways."""
         settings = self.settings
         self.pool = WorkerPool(now=self.clock)
         self.chooser = WorkerChooser(settings.zone, self._rng, self.pool.is_connected)
@@ -96,7 +96,7 @@
         self._stalls = StallDetector(self._prompts.announce_wait)
 
     def _build_request_path(self) -> None:
-        """Makes what requests pass through, from the last stage up to the front."""
+        """Creates the stages of request handling, from the handlers up to the front."""
         context = LiveContext(
             self.pool, self.chooser, self._stalls, self._prompts.announce_prompt, self.draining
         )
@@ -118,13 +118,13 @@
             self.configuration, freshness, self.draining, self.metrics, self.live, self.batch, self.clock
         )
         self.front = Front(self.configuration, dispatcher, self.clock)
-        self.readiness = ReadinessServer(self.is_ready, self.metrics, self._state, self.clock)
+        self.readiness = ReadinessServer(self.is_ready, self.metrics, self._collect_state, self.clock)
 
     async def start(self) -> None:
         """Opens the ports and follows the control leader.
 
         Raises:
-            OSError: A port cannot be had.
+            OSError: A port is not available.
         """
         settings = self.settings
         assert settings.front is not None
@@ -143,21 +143,21 @@
         )
 
     async def drain(self) -> None:
-        """Ends readiness, takes what can end in time; returns when nothing is in flight or time is over."""
+        """Reports not ready, and waits until the gateway is idle or the drain has ended."""
         self._is_draining = True
         self.front.begin_drain()
         began_at = self.clock()
         self.draining.begin(began_at, self.settings.bounds.grace_s)
-        quiet_since = began_at
+        idle_since = began_at
         while (now := self.clock()) < self.draining.ends_at:
             if self.front.requests_in_flight:
-                quiet_since = now
-            elif now - began_at >= MIN_DRAIN_S and now - quiet_since >= QUIET_S:
+                idle_since = now
+            elif now - began_at >= MIN_DRAIN_S and now - idle_since >= IDLE_BEFORE_EXIT_S:
                 break
             await asyncio.sleep(DRAIN_CHECK_INTERVAL_S)
 
     async def stop(self) -> None:
-        """Closes all ports and connections, and ends the tasks."""
+        """Closes all ports and connections, and cancels the tasks."""
         await self.front.stop()
         await self.readiness.stop()
         await self.feed.stop()
@@ -171,7 +171,7 @@
         self.pool.close()
 
     def reload(self, settings: NodeSettings) -> None:
-        """Takes settings that have changed: the seeds, and which requests are logged."""
+        """Applies changed settings: the seeds and the request log mode."""
         self.settings = settings
         self.live.request_log = settings.request_log
         self.feed.reload(settings)
@@ -180,29 +180,29 @@
         """Returns whether the load balancer may send requests here."""
         return self.configuration.routes is not None and not self._is_draining
 
-    def take_tables(self, old: Tables, new: Tables) -> None:
-        """Puts newer tables in force: the feed calls it with those from before and the new ones."""
-        if new.configuration is not old.configuration and new.configuration is not None:
+    def apply_tables(self, previous: Tables, new: Tables) -> None:
+        """Applies new tables; called by the feed with the previous and the new ones."""
+        if new.configuration is not previous.configuration and new.configuration is not None:
             self.configuration.apply(new.configuration)
-        if new.nodes is not old.nodes:
-            self.chooser.take_place(_position(self.settings, new))
-        if new.workers is not old.workers or new.configuration is not old.configuration:
+        if new.nodes is not previous.nodes:
+            self.chooser.set_position(_position_in_zone(self.settings, new))
+        if new.workers is not previous.workers or new.configuration is not previous.configuration:
             self.chooser.update(new.workers, new.configuration)
-            self._close_stale_connections(old, new)
+            self._close_stale_connections(previous, new)
         self._prompts.peers = tuple(node.ip for node in new.nodes if node.program == GATEWAY_PROGRAM)
         self.admissions.update(self.clock(), new, self.chooser)
 
-    def _close_stale_connections(self, old: Tables, new: Tables) -> None:
+    def _close_stale_connections(self, previous: Tables, new: Tables) -> None:
         addresses = {worker.address for worker in new.workers.values()}
-        for worker in old.workers.values():
+        for worker in previous.workers.values():
             if worker.address not in addresses:
                 self.pool.close_address(worker.address)
 
     async def send_heartbeats(self) -> None:
-        """Sends admission's heartbeats to the other gateways and stores, without end."""
+        """Sends admission heartbeats to the other gateways and the stores until cancelled."""
         while True:
-            await asyncio.sleep(BEAT_S)
-            if self.chooser.has_silent:  # those that answer no more take their slots with them
+            await asyncio.sleep(HEARTBEAT_PERIOD_S)
+            if self.chooser.has_unresponsive:  # slots of workers that no longer answer no longer count
                 self.admissions.update(self.clock(), self.feed.tables, self.chooser)
             heartbeats = self.admissions.tick(self.clock())
             self._heartbeats.send(heartbeats, self.feed.tables.nodes)
@@ -213,16 +213,16 @@
             self._stalls.check(self.clock())
 
     def _receive_heartbeat(self, kind: int, peer: int, service: int, heartbeat: bytes) -> None:
-        self.admissions.hear(self.clock(), kind, peer, service, heartbeat)
+        self.admissions.receive(self.clock(), kind, peer, service, heartbeat)
 
     def _receive_totals(self, service: int, totals: Totals) -> None:
-        self.admissions.hear_totals(self.clock(), service, totals)
+        self.admissions.receive_totals(self.clock(), service, totals)
 
-    def _record(self) -> NodeRecord:
+    def _node_record(self) -> NodeRecord:
         settings = self.settings
         return NodeRecord(settings.node_id, GATEWAY_PROGRAM, settings.ip, settings.zone, self._incarnation)
 
-    def _state(self) -> GatewayState:
+    def _collect_state(self) -> GatewayState:
         return GatewayState(
             ready=self.is_ready(),
             requests_in_flight=self.front.requests_in_flight,
@@ -234,13 +234,13 @@
         )
 
 
-def _position(settings: NodeSettings, tables: Tables) -> float:
-    """Returns the position of this gateway among those of its zone, from 0 to 1."""
-    neighbours = sorted(
+def _position_in_zone(settings: NodeSettings, tables: Tables) -> float:
+    """Returns this gateway's position among the gateways of its zone, as a fraction from 0 to 1."""
+    zone_gateways = sorted(
         node.node_id
         for node in tables.nodes
         if node.program == GATEWAY_PROGRAM and node.zone == settings.zone
     )
-    if settings.node_id not in neighbours:
+    if settings.node_id not in zone_gateways:
         return 0.0
-    return neighbours.index(settings.node_id) / len(neighbours)
+    return zone_gateways.index(settings.node_id) / len(zone_gateways)
--- a/tests/standalone/test_trace.py
+++ b/tests/standalone/test_trace.py
@@ -13,7 +13,7 @@
 import pytest
 
 from pewterring.standalone.policy import interface as i
-from pewterring.standalone.policy.decisions import Fleet, Gatekeeper
+from pewterring.standalone.policy.decisions import GatewayPolicy, ServerPool
 from tests.standalone.helpers import SERVERS, settings
 
 RECORDED = "03d1114c8e4b97ed2b8f35b6c2f3870070b6f2aa3e3b6cbcadb2760bfff31c18"
@@ -22,7 +22,7 @@
 def trace(size: int, seconds: float) -> tuple[list[str], Counter[str]]:
     """What `size` gatekeepers do in that time of drawn requests, answers, drains and lost mail."""
     rng, lines, kinds = random.Random(11), list[str](), Counter[str]()
-    gatekeepers = [Gatekeeper(settings(me=n, fleet=size), n) for n in range(size)]
+    gatekeepers = [GatewayPolicy(settings(me=n, fleet=size), n) for n in range(size)]
     due: list[tuple[float, int, int, i.Event]] = []
     serial, attempts = itertools.count(), Counter[tuple[int, int]]()
 
@@ -63,21 +63,21 @@
                     at(now + delay, n, i.TimerDue(label))
                 case i.Tell(peer, data):
                     if peer is not None and rng.random() > 0.05:
-                        at(now + rng.uniform(0.004, 0.02), peer, i.PeerMail(n, data))
+                        at(now + rng.uniform(0.004, 0.02), peer, i.PeerMessage(n, data))
                     lines.append(f"{n} tell {peer} {len(data)}")
     return lines, kinds
 
 
 def test_three_gatekeepers_decide_as_recorded(monkeypatch: pytest.MonkeyPatch) -> None:
-    begin = Fleet.__init__
+    begin = ServerPool.__init__
 
-    def as_then(self: Fleet, setup: i.Settings, rng: random.Random, sparse: bool = False) -> None:
+    def as_then(self: ServerPool, setup: i.Settings, rng: random.Random, sparse: bool = False) -> None:
         rng.getrandbits(
             32
         )  # then drawn for the chance picks of near servers; all draws after it would differ
         begin(self, setup, rng, sparse)
 
-    monkeypatch.setattr(Fleet, "__init__", as_then)
+    monkeypatch.setattr(ServerPool, "__init__", as_then)
     lines, kinds = trace(3, 30.0)
     assert kinds["Send"] > 1000
     assert kinds["Refuse"] > 100
