--- a/pewterring/storage/log.py
+++ b/pewterring/storage/log.py
@@ -90,7 +90,7 @@
         """
         self.close()
         self._sizes = {}
-        numbers = self._check_segment_numbers(first_segment)
+        numbers = self._contiguous_segments(first_segment)
         for number in numbers:
             yield from self._read_segment(number, is_last=number == numbers[-1])
         if numbers:
@@ -100,7 +100,7 @@
             self._start_segment(FIRST_SEGMENT, ())
         self._fail_stop.reset()
 
-    def _check_segment_numbers(self, first_segment: int | None) -> list[int]:
+    def _contiguous_segments(self, first_segment: int | None) -> list[int]:
         """Returns the segment numbers in order, after checking for gaps; an empty list if the log is new."""
         first = first_segment or FIRST_SEGMENT
         present = sorted(number for number in self._segment_numbers() if number >= first)
--- a/tests/storage/test_group.py
+++ b/tests/storage/test_group.py
@@ -75,16 +75,16 @@
     interrupted = True
     while interrupted:
         number += 1
-        for fate in range(3):
-            interrupted = _lose_power_once(seed, number, fate)
+        for variant in range(3):
+            interrupted = _lose_power_once(seed, number, variant)
 
 
-def _lose_power_once(seed: int, number: int, fate: int) -> bool:
+def _lose_power_once(seed: int, number: int, variant: int) -> bool:
     """Plays a schedule and loses power in operation `number`; returns False if it has fewer operations."""
     disk = SimulatedDisk()
     storage = load_storage(disk)
     disk.lose_power_at(number)
-    rng = random.Random(f"{seed} {number} {fate}")
+    rng = random.Random(f"{seed} {number} {variant}")
     for before, call, changed in schedule(seed):
         try:
             call(storage)
@@ -95,9 +95,7 @@
 
 
 def _check_after_crash(disk: SimulatedDisk, before: Model, changed: Model, rng: random.Random) -> None:
-    if (
-        rng.random() < 0.3
-    ):  # a crash of the process only; the state that is then loaded must survive a later power loss
+    if rng.random() < 0.3:  # the process is killed; what is loaded next must survive a later power loss
         disk.kill()
     else:
         disk.lose_power(rng)
