--- a/pewterring/cli/gatekeeper_settings.py
+++ b/pewterring/cli/gatekeeper_settings.py
@@ -25,7 +25,7 @@
     "listen": ("string", LISTEN, None, "HOST:PORT where clients connect"),
     "discovery": ("string", DISCOVERY, None, "HOST:PORT of the agent that has the list of workers"),
     "seed": ("string", "", 0, "hexadecimal, for random numbers"),
-    "limits.cores": ("number", "", 1.0, "processor cores given by the platform; not used"),
+    "limits.cores": ("number", "", 1.0, "share of a processor core given by the platform; not used"),
     "limits.memory_mb": (
         "integer",
         "",
