--- a/pewterring/standalone/__init__.py
+++ b/pewterring/standalone/__init__.py
@@ -1,1 +1,1 @@
-"""The gateway of older deployments, which needs no control group: `pewterring serve`."""
+"""The standalone gateway of older deployments, which runs without a control group: `pewterring serve`."""
--- a/pewterring/standalone/http/__init__.py
+++ b/pewterring/standalone/http/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 without I/O: messages, incremental parsers, writers."""
+"""HTTP/1.1 without I/O: message types, incremental parsers and serializers."""
--- a/pewterring/standalone/http/messages.py
+++ b/pewterring/standalone/http/messages.py
@@ -1,10 +1,10 @@
-"""Messages as small typed values, decoded once and encoded once."""
+"""HTTP request and response types, shared by the parsers and the serializers."""
 
 from dataclasses import dataclass, field
 
-Headers = list[tuple[bytes, bytes]]  # names in lower case, in the order they came
+Headers = list[tuple[bytes, bytes]]  # names in lower case, in order of arrival
 
-# What belongs to one connection or to the framing of one message is never passed on (RFC 9110, 7.6.1).
+# Headers that belong to one connection or frame one message are never forwarded (RFC 9110, 7.6.1).
 HOP_BY_HOP = frozenset(
     (
         b"connection",
@@ -39,21 +39,21 @@
 
 
 class Malformed(ValueError):
-    """A message that cannot be read; `status` is what a client that sent it is told."""
+    """A message that cannot be parsed. `status` is that of the response to the client that sent it."""
 
-    def __init__(self, why: str, status: int = 400) -> None:
-        super().__init__(why)
+    def __init__(self, reason: str, status: int = 400) -> None:
+        super().__init__(reason)
         self.status = status
 
 
 class Message:
-    """What requests and responses share."""
+    """Common base of requests and responses."""
 
     __slots__ = ()
     headers: Headers
 
     def get(self, name: bytes) -> bytes | None:
-        """The first value under a name given in lower case."""
+        """Returns the value of the first header called `name` (lower case), None without one."""
         return next((value for key, value in self.headers if key == name), None)
 
 
@@ -75,12 +75,15 @@
 
 
 def end_to_end(
-    headers: Headers, but: frozenset[bytes] = frozenset(), always: frozenset[bytes] = frozenset()
+    headers: Headers, excluded: frozenset[bytes] = frozenset(), exempt: frozenset[bytes] = frozenset()
 ) -> Headers:
-    """The headers that may be passed on: not those of one hop, nor those that Connection names, unless they
-    are among `always`; none of `but`."""
-    hop = HOP_BY_HOP | but
+    """Returns the headers that may be forwarded.
+
+    Hop-by-hop headers, those in `excluded` and those named by a Connection header are left out. Naming a
+    header in Connection has no effect if it is in `exempt`.
+    """
+    hop_by_hop = HOP_BY_HOP | excluded
     for name, value in headers:
         if name == b"connection":
-            hop |= {token.strip().lower() for token in value.split(b",")} - always
-    return [header for header in headers if header[0] not in hop]
+            hop_by_hop |= {token.strip().lower() for token in value.split(b",")} - exempt
+    return [header for header in headers if header[0] not in hop_by_hop]
--- a/pewterring/standalone/http/reader.py
+++ b/pewterring/standalone/http/reader.py
@@ -1,7 +1,7 @@
-"""Incremental parsers of HTTP/1.1 (RFC 9112), sans-I/O and bounded. Fed bytes as they come, split anywhere.
+"""Incremental HTTP/1.1 parsers (RFC 9112) without I/O, with bounded memory. Input may be split at any byte.
 
-They are strict: what two readers could take for different messages (bare line ends, folded headers, lengths
-that contradict each other) is malformed, so that nothing can be smuggled past one of them to the other.
+The parsers are strict against request smuggling: input that two implementations could read as different
+messages (bare line ends, folded headers, contradicting lengths) is rejected as malformed.
 """
 
 import re
@@ -10,29 +10,32 @@
 
 from pewterring.standalone.http.messages import Headers, Malformed, Request, Response
 
-MAX_HEAD = 16 * 1024
-MAX_BODY = 64 * 1024  # the protocol's bound
-MAX_ANSWER = 1024 * 1024  # of an answer's body: workers go past that bound, several times over
-MAX_CHUNK_LINE = 256
-MAX_BLANK = 16  # empty lines before a message
-MAX_INTERIM = 8  # interim answers before the one that counts
+MAX_HEAD = 16 * 1024  # bytes of a start line with its headers
+MAX_BODY = 64 * 1024  # bytes of a body, the limit of the protocol
+MAX_ANSWER = 1024 * 1024  # bytes of a worker's response body: workers exceed MAX_BODY several times over
+MAX_CHUNK_LINE = 256  # bytes of a chunk's size with its extensions
+MAX_EMPTY_LINES = 16  # before a message
+MAX_INTERIM = 8  # interim (1xx) responses before the final one
 TOKEN, TEXT = rb"[!#$%&'*+.^_`|~0-9A-Za-z-]+", rb"[\t\x20-\x7e\x80-\xff]*"
 METHOD = re.compile(TOKEN)
 TARGET = re.compile(rb"[\x21-\x7e]+")
 VERSION = re.compile(rb"HTTP/1\.[0-9]")
 STATUS = re.compile(rb"(HTTP/1\.[0-9]) ([1-5][0-9][0-9])(?: %b)?" % TEXT)
-# All headers of a head at once. A folded line begins with white space, which no name holds.
+# Matches all headers at once. Folded lines do not match: they begin with white space, which no name contains.
 HEADERS = re.compile(rb"(?:%b:%b(?:\r\n|\Z))*" % (TOKEN, TEXT))
-LOOSE = re.compile(rb"(?:%b:[^\r\n\0]*(?:\r\n|\Z))*" % TOKEN)  # with control characters in values
+# Also matches values with control characters.
+LENIENT_HEADERS = re.compile(rb"(?:%b:[^\r\n\0]*(?:\r\n|\Z))*" % TOKEN)
 CONTROL = re.compile(rb"[\0-\x08\n-\x1f\x7f]")
 FRAMING = frozenset({b"content-length", b"transfer-encoding", b"connection"})
 DIGITS = re.compile(rb"[0-9]{1,15}")
 HEX = re.compile(rb"[0-9A-Fa-f]{1,8}")
 
-M = TypeVar("M", Request, Response)
+MessageT = TypeVar("MessageT", Request, Response)
 
 
-class Part(Enum):
+class State(Enum):
+    """The section of a message that the parser reads next."""
+
     HEAD = "head"
     FIXED = "a body of known length"
     CHUNK_LINE = "a chunk's size"
@@ -42,84 +45,88 @@
     UNTIL_CLOSE = "a body that ends with the connection"
 
 
-class Reader(Generic[M]):
-    """The part that requests and responses share. `next` gives the whole messages one by one."""
+class Reader(Generic[MessageT]):
+    """Common base of the request and response parsers: `feed` adds input, `next` returns messages."""
 
-    def __init__(self, most: int = MAX_BODY) -> None:
-        self.most = most  # bytes of a body
+    def __init__(self, max_body: int = MAX_BODY) -> None:
+        self.max_body = max_body  # bytes
         self.data = bytearray()
         self.scanned = 0
-        self.part = Part.HEAD
-        self.message: M | None = None
-        self.left = 0
+        self.state = State.HEAD
+        self.message: MessageT | None = None
+        self.remaining = 0
         self.body = bytearray()
-        self.blank = 0  # empty lines before this message
-        self.lines = 0  # bytes of its chunk lines and trailers: many tiny chunks are work without a body
+        self.empty_lines = 0  # before the current message
+        # Bytes of chunk lines and trailers, bounded because max_body does not limit many tiny chunks.
+        self.overhead = 0
 
     @property
     def started(self) -> bool:
-        """Whether part of a message is there."""
+        """Whether an incomplete message or unparsed input is buffered."""
         return self.message is not None or bool(self.data)
 
     def feed(self, data: bytes | bytearray | memoryview) -> None:
         self.data += data
 
-    def next(self) -> M | None:
-        """The next whole message, None while it is not there. Raises Malformed; the reader is spent then."""
+    def next(self) -> MessageT | None:
+        """Returns the next complete message, None if more input is needed.
+
+        Raises Malformed, after which the reader cannot be used any more.
+        """
         while True:
-            match self.part:
-                case Part.HEAD:
+            match self.state:
+                case State.HEAD:
                     head = self.take_head()
                     if head is None:
                         return None
                     self.message = self.read_head(head)
-                    if self.message is None:  # an interim answer
+                    if self.message is None:  # an interim response
                         continue
-                    self.part = self.framing(self.message)
-                case Part.FIXED:
-                    if len(self.data) < self.left:
+                    self.state = self.framing(self.message)
+                case State.FIXED:
+                    if len(self.data) < self.remaining:
                         return None
-                    return self.whole(self.cut(self.left))
-                case Part.CHUNK_LINE:
+                    return self.complete(self.take(self.remaining))
+                case State.CHUNK_LINE:
                     line = self.take_line(MAX_CHUNK_LINE)
                     if line is None:
                         return None
-                    self.overhead(len(line))
+                    self.add_overhead(len(line))
                     size, _, extension = line.partition(b";")
                     size = size.rstrip(b" \t") if extension else size
                     if not HEX.fullmatch(size):
                         raise Malformed("a chunk's size is no number")
-                    self.left = int(size, 16)
-                    self.bound(len(self.body) + self.left)
-                    self.part = Part.CHUNK if self.left else Part.TRAILER
-                case Part.CHUNK:
-                    if len(self.data) < self.left:
+                    self.remaining = int(size, 16)
+                    self.check_body_size(len(self.body) + self.remaining)
+                    self.state = State.CHUNK if self.remaining else State.TRAILER
+                case State.CHUNK:
+                    if len(self.data) < self.remaining:
                         return None
-                    self.body += self.cut(self.left)
-                    self.left, self.part = 0, Part.CHUNK_END
-                case Part.CHUNK_END:
+                    self.body += self.take(self.remaining)
+                    self.remaining, self.state = 0, State.CHUNK_END
+                case State.CHUNK_END:
                     if len(self.data) < 2:
                         return None
-                    if self.cut(2) != b"\r\n":
+                    if self.take(2) != b"\r\n":
                         raise Malformed("a chunk is longer than its size")
-                    self.part = Part.CHUNK_LINE
-                case Part.TRAILER:
+                    self.state = State.CHUNK_LINE
+                case State.TRAILER:
                     line = self.take_line(MAX_HEAD)
                     if line is None:
                         return None
                     if not line:
-                        return self.whole(bytes(self.body))
-                    self.overhead(len(line))  # trailers are read and dropped
+                        return self.complete(bytes(self.body))
+                    self.add_overhead(len(line))  # trailers are checked and discarded
                     read_headers(line)
-                case Part.UNTIL_CLOSE:
-                    self.bound(len(self.data))
+                case State.UNTIL_CLOSE:
+                    self.check_body_size(len(self.data))
                     return None
 
     def take_head(self) -> bytes | None:
-        while self.data.startswith(b"\r\n"):  # empty lines before a message are skipped, but not for ever
+        while self.data.startswith(b"\r\n"):  # RFC 9112, 2.2: empty lines before a message are skipped
             del self.data[:2]
-            self.blank += 1
-            if self.blank > MAX_BLANK:
+            self.empty_lines += 1
+            if self.empty_lines > MAX_EMPTY_LINES:
                 raise Malformed("nothing but empty lines")
         end = self.data.find(b"\r\n\r\n", max(0, self.scanned - 3))
         if end < 0:
@@ -130,45 +137,45 @@
         if end > MAX_HEAD:
             raise Malformed("the head is too long", 431)
         self.scanned = 0
-        return self.cut(end + 4)[:-4]
+        return self.take(end + 4)[:-4]
 
-    def take_line(self, most: int) -> bytes | None:
+    def take_line(self, max_length: int) -> bytes | None:
         end = self.data.find(b"\r\n")
-        if end > most or (end < 0 and len(self.data) > most + 1):
+        if end > max_length or (end < 0 and len(self.data) > max_length + 1):
             raise Malformed("a line is too long")
-        return None if end < 0 else self.cut(end + 2)[:-2]
+        return None if end < 0 else self.take(end + 2)[:-2]
 
-    def overhead(self, size: int) -> None:
-        self.lines += size + 2
-        if self.lines > MAX_HEAD:
+    def add_overhead(self, size: int) -> None:
+        self.overhead += size + 2
+        if self.overhead > MAX_HEAD:
             raise Malformed("the chunks' lines or the trailers are too long", 431)
 
-    def cut(self, size: int) -> bytes:
-        piece = bytes(self.data[:size])
+    def take(self, size: int) -> bytes:
+        taken = bytes(self.data[:size])
         del self.data[:size]
-        return piece
+        return taken
 
-    def bound(self, size: int) -> None:
-        if size > self.most:
+    def check_body_size(self, size: int) -> None:
+        if size > self.max_body:
             raise Malformed("the body is too long", 413)
 
-    def whole(self, body: bytes) -> M:
+    def complete(self, body: bytes) -> MessageT:
         message = self.message
         assert message is not None
         message.body = body
-        self.message, self.part, self.left = None, Part.HEAD, 0
-        self.blank = self.lines = 0
+        self.message, self.state, self.remaining = None, State.HEAD, 0
+        self.empty_lines = self.overhead = 0
         self.body.clear()
         return message
 
-    def read_head(self, head: bytes) -> M | None:
+    def read_head(self, head: bytes) -> MessageT | None:
         raise NotImplementedError
 
-    def framing(self, message: M) -> Part:
+    def framing(self, message: MessageT) -> State:
         raise NotImplementedError
 
-    def lengths(self, message: M) -> Part | None:
-        """How the headers frame the body; None where they say nothing of it."""
+    def body_framing(self, message: MessageT) -> State | None:
+        """Returns the state in which the body is read; None if neither length nor coding is given."""
         length: int | None = None
         coded = False
         for name, value in message.headers:
@@ -185,12 +192,12 @@
         if coded and length is not None:
             raise Malformed("both a length and a transfer coding")
         if coded:
-            return Part.CHUNK_LINE
+            return State.CHUNK_LINE
         if length is None:
             return None
-        self.bound(length)
-        self.left = length
-        return Part.FIXED
+        self.check_body_size(length)
+        self.remaining = length
+        return State.FIXED
 
 
 class RequestReader(Reader[Request]):
@@ -199,42 +206,42 @@
         self.continued = False
 
     def wants_continue(self) -> bool:
-        """True once for a request whose client waits for 100 before it sends the body."""
-        waits = self.message is not None and not self.continued
-        if not waits or self.message is None or self.message.get(b"expect") is None:
+        """Whether the client waits for 100 Continue before it sends the body; True once for each request."""
+        unanswered = self.message is not None and not self.continued
+        if not unanswered or self.message is None or self.message.get(b"expect") is None:
             return False
         self.continued = True
         return not self.data and not self.body
 
     def read_head(self, head: bytes) -> Request:
         first, _, rest = head.partition(b"\r\n")
-        parts = first.split(b" ")
-        if len(parts) != 3 or not METHOD.fullmatch(parts[0]) or not TARGET.fullmatch(parts[1]):
+        words = first.split(b" ")
+        if len(words) != 3 or not METHOD.fullmatch(words[0]) or not TARGET.fullmatch(words[1]):
             raise Malformed("the request line cannot be read")
-        if not VERSION.fullmatch(parts[2]):
-            raise Malformed("not HTTP/1", 505 if parts[2].startswith(b"HTTP/") else 400)
+        if not VERSION.fullmatch(words[2]):
+            raise Malformed("not HTTP/1", 505 if words[2].startswith(b"HTTP/") else 400)
         self.continued = False
         headers = read_headers(rest)
-        return Request(parts[0], parts[1], headers, keep_alive=stays(parts[2], headers))
+        return Request(words[0], words[1], headers, keep_alive=keeps_alive(words[2], headers))
 
-    def framing(self, message: Request) -> Part:
-        return self.lengths(message) or Part.FIXED  # without either there is no body
+    def framing(self, message: Request) -> State:
+        return self.body_framing(message) or State.FIXED  # without a length or coding a request has no body
 
 
 class ResponseReader(Reader[Response]):
-    """Reads answers; `bodiless` says that the request was one whose answers have no body (HEAD)."""
+    """Parses responses. `bodiless`: the method of the request has no response bodies (HEAD)."""
 
-    def __init__(self, bodiless: bool = False, most: int = MAX_BODY) -> None:
-        super().__init__(most)
+    def __init__(self, bodiless: bool = False, max_body: int = MAX_BODY) -> None:
+        super().__init__(max_body)
         self.bodiless = bodiless
         self.interim = 0
 
     def read_head(self, head: bytes) -> Response | None:
         first, _, rest = head.partition(b"\r\n")
-        line = STATUS.fullmatch(first)
-        if line is None:
+        status_line = STATUS.fullmatch(first)
+        if status_line is None:
             raise Malformed("the status line cannot be read")
-        status, headers = int(line[2]), read_answer_headers(rest)
+        status, headers = int(status_line[2]), read_response_headers(rest)
         if status == 101:
             raise Malformed("an upgrade nobody asked for")
         if status < 200:
@@ -242,24 +249,27 @@
             if self.interim > MAX_INTERIM:
                 raise Malformed("nothing but interim answers")
             return None
-        return Response(status, headers, keep_alive=stays(line[1], headers))
+        return Response(status, headers, keep_alive=keeps_alive(status_line[1], headers))
 
-    def framing(self, message: Response) -> Part:
-        framed = self.lengths(message)
+    def framing(self, message: Response) -> State:
+        state = self.body_framing(message)
         if self.bodiless or message.status in (204, 304):
-            self.left = 0
-            return Part.FIXED
-        if framed is None:
+            self.remaining = 0
+            return State.FIXED
+        if state is None:
             message.keep_alive = False
-            return Part.UNTIL_CLOSE
-        return framed
+            return State.UNTIL_CLOSE
+        return state
 
     def close(self) -> Response | None:
-        """The connection has ended in good order: the answer that ends with it, if there is one."""
-        if self.part != Part.UNTIL_CLOSE:
+        """Returns the response whose body ends with the connection, None without one.
+
+        To be called when the peer has closed the connection in an orderly way.
+        """
+        if self.state != State.UNTIL_CLOSE:
             return None
-        self.bound(len(self.data))
-        return self.whole(self.cut(len(self.data)))
+        self.check_body_size(len(self.data))
+        return self.complete(self.take(len(self.data)))
 
 
 def read_headers(lines: bytes) -> Headers:
@@ -269,16 +279,19 @@
 
 
 def split_headers(lines: bytes) -> Headers:
-    parts = (line.partition(b":") for line in lines.split(b"\r\n") if line)
-    return [(name.lower(), value.strip(b" \t")) for name, _, value in parts]
+    fields = (line.partition(b":") for line in lines.split(b"\r\n") if line)
+    return [(name.lower(), value.strip(b" \t")) for name, _, value in fields]
+
 
+def read_response_headers(lines: bytes) -> Headers:
+    """Parses the headers of a response and drops those with control characters in their value.
 
-def read_answer_headers(lines: bytes) -> Headers:
-    """Leaves away the fields that cannot be read (a worker's broken report of its load, say): the answer that
-    they came with stands, as long as its framing can be read."""
+    A malformed load report of a worker must not invalidate the response that carries it. Raises Malformed if
+    such a header frames the message.
+    """
     if HEADERS.fullmatch(lines):
         return split_headers(lines)
-    if not LOOSE.fullmatch(lines):
+    if not LENIENT_HEADERS.fullmatch(lines):
         raise Malformed("a header cannot be read")
     headers = split_headers(lines)
     if any(name in FRAMING and CONTROL.search(value) for name, value in headers):
@@ -286,8 +299,8 @@
     return [header for header in headers if not CONTROL.search(header[1])]
 
 
-def stays(version: bytes, headers: Headers) -> bool:
-    """Whether the connection goes on after the message."""
-    said = [value.lower() for name, value in headers if name == b"connection"]
-    tokens = {token.strip() for value in said for token in value.split(b",")}
+def keeps_alive(version: bytes, headers: Headers) -> bool:
+    """Whether the connection stays open after the message."""
+    connection_values = [value.lower() for name, value in headers if name == b"connection"]
+    tokens = {token.strip() for value in connection_values for token in value.split(b",")}
     return b"close" not in tokens and (version != b"HTTP/1.0" or b"keep-alive" in tokens)
