--- a/pewterring/standalone/simulator/__init__.py
+++ b/pewterring/standalone/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter that puts gatekeepers on the simulator's wire."""
+"""Adapter that runs the gateway policy under the simulator's line protocol."""
--- a/pewterring/standalone/simulator/__main__.py
+++ b/pewterring/standalone/simulator/__main__.py
@@ -1,4 +1,7 @@
-"""python -m pewterring.standalone.simulator: one GatewayPolicy for each instance on the simulator's wire."""
+"""python -m pewterring.standalone.simulator: runs one GatewayPolicy for each gateway of the simulation.
+
+Reads batches of events from standard input and writes the resulting actions to standard output.
+"""
 
 import sys
 import traceback
@@ -9,30 +12,31 @@
 from pewterring.standalone.simulator import codec
 
 
-def answer(batch: codec.Batch, held: dict[str, GatewayPolicy]) -> Iterator[str]:
-    """The lines of the reply to one batch; `held` is the instances that run."""
-    for who, event in batch.events:
+def reply_lines(batch: codec.Batch, policies: dict[str, GatewayPolicy]) -> Iterator[str]:
+    """Yields the reply lines for one batch and updates `policies`, the running gateways by name."""
+    for gateway, event in batch.events:
         if isinstance(event, codec.Started):
-            held[who] = GatewayPolicy(event.settings, event.seed)
+            policies[gateway] = GatewayPolicy(event.settings, event.seed)
         elif isinstance(event, codec.Killed):
-            held.pop(who, None)
-        elif who not in held:
-            raise codec.WireError(f"an event for {who!r}, which does not run")
+            policies.pop(gateway, None)
+        elif gateway not in policies:
+            raise codec.WireError(f"event for gateway {gateway!r}, which is not running")
         else:
             try:
-                for action in held[who].handle(batch.now, event):
-                    yield codec.write_action(who, action)
+                for action in policies[gateway].handle(batch.now, event):
+                    yield codec.write_action(gateway, action)
             except Exception as error:
                 traceback.print_exc()
-                yield codec.write_exception(who, repr(error))
+                yield codec.write_exception(gateway, repr(error))
     yield "done"
 
 
-def serve(lines: Iterator[str], out: TextIO) -> None:
-    held: dict[str, GatewayPolicy] = {}
+def serve(lines: Iterator[str], output: TextIO) -> None:
+    """Replies to each batch in `lines` on `output`. Raises WireError for malformed input."""
+    policies: dict[str, GatewayPolicy] = {}
     for batch in codec.read_batches(lines):
-        out.write("\n".join(answer(batch, held)) + "\n")
-        out.flush()
+        output.write("\n".join(reply_lines(batch, policies)) + "\n")
+        output.flush()
 
 
 def main() -> int:
