--- a/tests/golden/http_files.py
+++ b/tests/golden/http_files.py
@@ -1,4 +1,4 @@
-"""The golden files of HTTP conversations, one each."""
+"""Maps each golden file of an HTTP conversation to the function that produces its content."""
 
 from collections.abc import Callable, Mapping
 from functools import partial
--- a/tests/golden/simulator_wire_cases.py
+++ b/tests/golden/simulator_wire_cases.py
@@ -1,9 +1,9 @@
-"""The simulator's wire: lines that are read to events, and actions that are written as lines.
+"""Events and actions of the golden tests of the simulator's line protocol.
 
-This is the one place where events and actions are built.
+Only this module of the golden tests builds events and actions.
 """
 
-from pewterring.standalone.policy import interface as i
+from pewterring.standalone.policy import interface
 from pewterring.standalone.simulator import codec
 from tests.golden.golden_files import DIRECTORY
 from tests.golden.settings_cases import STANDALONE
@@ -11,36 +11,41 @@
 GOLDEN_FILE = "simulator-actions.txt"
 BATCHES_FILE = DIRECTORY / "inputs" / "simulator-batches.txt"
 FAILURES = (
-    i.Code.INTERNAL,
-    i.Code.RESOURCE_EXHAUSTED,
-    i.Code.DEADLINE_EXCEEDED,
-    i.Code.UNAVAILABLE,
-    i.Code.ABORTED,
-    i.Code.CANCELLED,
-    i.Code.TOO_LATE,
+    interface.Code.INTERNAL,
+    interface.Code.RESOURCE_EXHAUSTED,
+    interface.Code.DEADLINE_EXCEEDED,
+    interface.Code.UNAVAILABLE,
+    interface.Code.ABORTED,
+    interface.Code.CANCELLED,
+    interface.Code.TOO_LATE,
+)
+FORMS = (
+    interface.ListForm.CHANGES,
+    interface.ListForm.WHOLE,
+    interface.ListForm.REMEMBERED,
+    interface.ListForm.FAILED,
 )
-FORMS = (i.ListForm.CHANGES, i.ListForm.WHOLE, i.ListForm.REMEMBERED, i.ListForm.FAILED)
 SERVERS = (
-    i.Server(5, "a", 2, i.Mode.SERVING, 1.5, 6.1),
-    i.Server(6, "", 0, i.Mode.DRAINING, 1.0, 0.0),
-    i.Server(7, "", 0, i.Mode.DELETED, 1.0, 0.0),
-    i.Server(8, "", 0, i.Mode.SERVING, 1.0, 0.0),
+    interface.Server(5, "a", 2, interface.Mode.SERVING, 1.5, 6.1),
+    interface.Server(6, "", 0, interface.Mode.DRAINING, 1.0, 0.0),
+    interface.Server(7, "", 0, interface.Mode.DELETED, 1.0, 0.0),
+    interface.Server(8, "", 0, interface.Mode.SERVING, 1.0, 0.0),
 )
-EVENTS: tuple[i.Event | codec.Killed, ...] = (
-    *(i.ServerList(form) for form in FORMS),
-    i.ServerList(i.ListForm.WHOLE, SERVERS),
+EVENTS: tuple[interface.Event | codec.Killed, ...] = (
+    *(interface.ServerList(form) for form in FORMS),
+    interface.ServerList(interface.ListForm.WHOLE, SERVERS),
     codec.Killed(),
-    i.Request(9, "read", "basic", 7, 38.5, 2.0, 3, 1, True),
-    i.Request(9, "read", "", 0, 38.5, 1.0, 1, 0, False),
-    i.StreamStarted(9, 1, 5, 0.25),
-    i.Outcome(9, 1, 5, i.Code.OK, 0.25, True, 2.5),
-    *(i.Outcome(9, 0, 5, code, 0.0, False, 0.0) for code in FAILURES),
-    i.Expired(9),
-    i.TimerDue(77),
-    i.ProbeResult(5, i.Code.OK, 0.25),
-    i.PeerMessage(1, b"hi 7"),
-    i.PeerMessage(1, b""),
-    i.Counted(3, i.Code.OK, 0.25, 38.5),
+    interface.Request(9, "read", "basic", 7, 38.5, 2.0, 3, 1, True),
+    interface.Request(9, "read", "", 0, 38.5, 1.0, 1, 0, False),
+    interface.StreamStarted(9, 1, 5, 0.25),
+    interface.Outcome(9, 1, 5, interface.Code.OK, 0.25, True, 2.5),
+    *(interface.Outcome(9, 0, 5, code, 0.0, False, 0.0) for code in FAILURES),
+    interface.Expired(9),
+    interface.TimerDue(77),
+    interface.ProbeResult(5, interface.Code.OK, 0.25),
+    interface.PeerMessage(1, b"hi 7"),
+    interface.PeerMessage(1, b""),
+    interface.Counted(3, interface.Code.OK, 0.25, 38.5),
 )
 BATCHES = [
     codec.Batch(0.0, []),
@@ -49,29 +54,29 @@
         [("gatekeeper_0", codec.Started(STANDALONE.settings, 12345)), *(("g", event) for event in EVENTS)],
     ),
 ]
-ACTIONS: tuple[i.Action, ...] = (
-    i.Send(9, 5, 0.75),
-    i.Send(9, 5),
-    i.Cancel(9, 1),
-    i.Refuse(9, 0.5, "quota"),
-    i.Refuse(9),
-    i.Fail(9),
-    i.SetTimer(0.5, 77),
-    i.Probe(5),
-    i.Tell(None, b"hi 7"),
-    i.Tell(2, b""),
-    i.Subscribe(True),
-    i.Subscribe(False),
-    i.Log("two\tservers\nknown"),
+ACTIONS: tuple[interface.Action, ...] = (
+    interface.Send(9, 5, 0.75),
+    interface.Send(9, 5),
+    interface.Cancel(9, 1),
+    interface.Refuse(9, 0.5, "quota"),
+    interface.Refuse(9),
+    interface.Fail(9),
+    interface.SetTimer(0.5, 77),
+    interface.Probe(5),
+    interface.Tell(None, b"hi 7"),
+    interface.Tell(2, b""),
+    interface.Subscribe(True),
+    interface.Subscribe(False),
+    interface.Log("two\tservers\nknown"),
 )
 
 
 def written() -> str:
-    """The lines of all actions, and that of a fault of the decision module."""
+    """Returns the lines of all actions and the line for an exception in the policy."""
     lines = [codec.write_action("g", action) for action in ACTIONS]
     return "".join(f"{line}\n" for line in [*lines, codec.write_exception("g", "two\nlines")])
 
 
 def read() -> list[codec.Batch]:
-    """The batches of the golden input."""
+    """Returns the batches parsed from the golden input."""
     return list(codec.read_batches(iter(BATCHES_FILE.read_text(encoding="utf-8").splitlines(keepends=True))))
--- a/tests/golden/standalone_http_cases.py
+++ b/tests/golden/standalone_http_cases.py
@@ -1,6 +1,6 @@
 """HTTP conversations at the standalone gateway of older deployments, and its calls to discovery.
 
-This is the one place where it is built, around a decision module that does what a case says.
+Only this module of the golden tests builds that gateway, with a policy scripted by each case.
 """
 
 import asyncio
@@ -8,7 +8,7 @@
 
 from pewterring.standalone.network.connection import Address
 from pewterring.standalone.network.discovery import Discovery, Entry, Listing
-from pewterring.standalone.policy import interface as i
+from pewterring.standalone.policy import interface
 from tests.golden.http_transcripts import IP, RecordingWorker, Transcript, ask
 from tests.standalone.stand_ins import PATIENCE, Rig, Script, send_to
 
@@ -24,7 +24,7 @@
 ).replace(b"X-Class: pure", b"X-Class: token-all")
 SERVED = b"HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nX-Own: kept\r\nContent-Length: 6\r\n\r\nserved"
 BUSY = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
-WHOLE_LIST = (
+COMPLETE_LIST = (
     b'{"seq":3,"whole":true,"hosts":[{"host":"w0","dial":"127.0.0.1:9100","site":"a","class":"std","block":2,'
     b'"health":"up","share":1.5,"born_ms":250}]}'
 )
@@ -33,26 +33,28 @@
     Listing(3, True, (Entry("w0", Address(IP, 9100), "a", 2, "up", 1.5, 250.0),)),
     Listing(4, False, (Entry("w0", Address(IP, 9100), "", 0, "removed", 1.0, 0.0),)),
 ]
-Step = Callable[[i.Event], list[i.Action]]
+Step = Callable[[interface.Event], list[interface.Action]]
 
 
 def _refuse(retry_after: float) -> Step:
-    return lambda event: [i.Refuse(event.id, retry_after)] if isinstance(event, i.Request) else []
+    return lambda event: (
+        [interface.Refuse(event.id, retry_after)] if isinstance(event, interface.Request) else []
+    )
 
 
-def _fail(event: i.Event) -> list[i.Action]:
-    return [i.Fail(event.id)] if isinstance(event, i.Request) else []
+def _fail(event: interface.Event) -> list[interface.Action]:
+    return [interface.Fail(event.id)] if isinstance(event, interface.Request) else []
 
 
-def _end(event: i.Event) -> list[i.Action]:
-    return [i.Fail(event.id)] if isinstance(event, i.Outcome) and not event.no_more else []
+def _fail_without_retry(event: interface.Event) -> list[interface.Action]:
+    return [interface.Fail(event.id)] if isinstance(event, interface.Outcome) and not event.no_more else []
 
 
-# Each conversation by name: what the module does, the requests, and the workers' answers in their order.
+# Each conversation by name: the steps of the policy, the requests, and the workers' responses in order.
 CASES: dict[str, tuple[tuple[Step, ...], tuple[bytes, ...], tuple[bytes, ...]]] = {
     "answer": ((send_to(1),), (GET,), (SERVED,)),
     "answer-to-a-request-with-a-key": ((send_to(1),), (TOKEN,), (SERVED,)),
-    "worker-declines": ((send_to(1), _end), (GET,), (BUSY,)),
+    "worker-declines": ((send_to(1), _fail_without_retry), (GET,), (BUSY,)),
     "refused": ((_refuse(0.0),), (GET,), ()),
     "refused-with-advice": ((_refuse(1.25),), (GET,), ()),
     "failed": ((_fail,), (GET,), ()),
@@ -84,7 +86,7 @@
 
 
 def transcript(name: str) -> str:
-    """One conversation."""
+    """Returns the transcript of one conversation."""
     return asyncio.run(_play(*CASES[name]))
 
 
@@ -95,18 +97,18 @@
 
 async def _follow_discovery() -> tuple[str, list[Listing]]:
     transcript = Transcript()
-    told: asyncio.Queue[Listing] = asyncio.Queue()
-    answers = [_json_answer(WHOLE_LIST), _json_answer(CHANGE)]
+    received: asyncio.Queue[Listing] = asyncio.Queue()
+    answers = [_json_answer(COMPLETE_LIST), _json_answer(CHANGE)]
     async with asyncio.timeout(PATIENCE), RecordingWorker(transcript, answers) as agent:
         address = Address(IP, await agent.listen())
-        discovery = Discovery(asyncio.get_running_loop(), address, told.put_nowait, lambda _: None)
+        discovery = Discovery(asyncio.get_running_loop(), address, received.put_nowait, lambda _: None)
         discovery.start(None)
-        listings = [await told.get() for _ in answers]
-        said = transcript.text()
+        listings = [await received.get() for _ in answers]
+        calls = transcript.text()
         discovery.close()
-    return said, listings
+    return calls, listings
 
 
 def discovery_calls() -> tuple[str, list[Listing]]:
-    """The calls for the whole list and for what follows it, and the listings that were read."""
+    """Returns the transcript of the calls for the complete list and a change, and the parsed listings."""
     return asyncio.run(_follow_discovery())
