--- a/tests/standalone/test_wire.py
+++ b/tests/standalone/test_wire.py
@@ -1,4 +1,4 @@
-"""The codec and the adapter, on batches written by hand."""
+"""Codec and main loop of the simulator adapter, with hand-written batches, and tests/limits.py."""
 
 import base64
 import io
@@ -9,7 +9,7 @@
 
 import pytest
 
-from pewterring.standalone.policy import interface as i
+from pewterring.standalone.policy import interface
 from pewterring.standalone.simulator import codec
 from pewterring.standalone.simulator.__main__ import serve
 from tests import limits
@@ -36,7 +36,7 @@
     "inbound\twho=gatekeeper_{n}\trequest_id={id}\tprofile=tour-lookup\tpackage=basic\taccount=7"
     "\tnot_after=38652250000\tquota_units=2\tset_size=2\tset_from=1\tnovel=3\n"
 )
-MAIL = base64.b64encode(b"nonsense").decode()
+PEER_MESSAGE = base64.b64encode(b"nonsense").decode()
 
 
 def batch(now: int, *lines: str) -> str:
@@ -47,43 +47,43 @@
 
 
 def run(text: str) -> list[list[str]]:
-    out = io.StringIO()
-    serve(iter(text.splitlines(keepends=True)), out)
-    return [reply.splitlines() for reply in out.getvalue().split("done\n")[:-1]]
+    output = io.StringIO()
+    serve(iter(text.splitlines(keepends=True)), output)
+    return [reply.splitlines() for reply in output.getvalue().split("done\n")[:-1]]
 
 
-def test_a_reply_to_each_batch_and_an_empty_one_to_the_empty() -> None:
+def test_each_batch_gets_a_reply_and_an_empty_batch_an_empty_one() -> None:
     replies = run(START)
     assert len(replies) == 2
     assert replies[0] == []
     assert all(line.startswith("timer\twho=gatekeeper_") for line in replies[1])
 
 
-def test_request_outcome_and_answer() -> None:
+def test_a_request_is_forwarded_and_its_failed_attempt_is_handled() -> None:
     text = START + batch(33_100_000_000, REQUEST.format(n=0, id=2902179685503428))
     (line,) = run(text)[2]
-    tag, *parts = line.split("\t")
-    fields = dict(p.split("=") for p in parts)
+    tag, *pairs = line.split("\t")
+    fields = dict(pair.split("=") for pair in pairs)
     assert tag == "forward"
     assert fields["request_id"] == "2902179685503428"
-    done = (
+    failed_attempt = (
         f"closed_attempt\twho=gatekeeper_0\trequest_id=2902179685503428\tno_more=0"
         f"\ttime_taken=18500000\tworker={fields['worker']}\tstate_code=INTERNAL\ttrial=0\n"
     )
-    again = run(text + batch(33_120_000_000, done))[3]
-    assert again[0].startswith(("forward", "end_failed"))
+    actions = run(text + batch(33_120_000_000, failed_attempt))[3]
+    assert actions[0].startswith(("forward", "end_failed"))
 
 
-def test_killed_is_forgotten_and_may_start_again() -> None:
-    stop = "killed\twho=gatekeeper_0\n"
-    text = START + batch(34_000_000_000, REQUEST.format(n=0, id=5), stop, INIT.format(n=0))
+def test_a_killed_gateway_loses_its_state_and_can_restart() -> None:
+    killed = "killed\twho=gatekeeper_0\n"
+    text = START + batch(34_000_000_000, REQUEST.format(n=0, id=5), killed, INIT.format(n=0))
     text += batch(34_100_000_000, "expired\twho=gatekeeper_0\trequest_id=5\n")
     assert run(text)[3] == []
 
 
-def test_every_other_event_is_read() -> None:
+def test_every_other_event_is_parsed() -> None:
     lines = [
-        f"mail\twho=gatekeeper_0\tneighbour=1\tmsg={MAIL}\n",
+        f"mail\twho=gatekeeper_0\tneighbour=1\tmsg={PEER_MESSAGE}\n",
         "mail\twho=gatekeeper_0\tneighbour=1\tmsg=-\n",
         "echo\twho=gatekeeper_0\tworker=51530247\tstate_code=OK\ttime_taken=1000000\tmetrics=a:1,b:2\n",
         "added\twho=gatekeeper_0\ttime_taken=2150000\tstate_code=OK\tslot_name=9041552\tlevel=38\n",
@@ -93,8 +93,8 @@
         "view\twho=gatekeeper_0\tform=incr\tseq_no=42\tnodes_list=1\n"
         "m\tworker=51530247\thall=floor-2\tkind=std\tbay=0\tmode=DELETED\n",
     ]
-    told = run(START + batch(34_000_000_000, *lines))[2]
-    assert [line.split("\t")[0] for line in told] == ["signal", "timer"]
+    actions = run(START + batch(34_000_000_000, *lines))[2]
+    assert [line.split("\t")[0] for line in actions] == ["signal", "timer"]
 
 
 @pytest.mark.parametrize(
@@ -116,7 +116,7 @@
         START.replace("me=0\t", ""),
     ],
 )
-def test_malformed_input_is_an_error_never_a_guess(text: str) -> None:
+def test_malformed_input_raises_wire_error(text: str) -> None:
     with pytest.raises(codec.WireError):
         run(text)
 
@@ -129,64 +129,66 @@
     )
 
 
-def test_the_program_ends_with_its_input_and_says_what_was_wrong() -> None:
-    good = run_adapter(START)
-    assert good.returncode == 0
-    assert good.stderr == ""
-    assert good.stdout.count("done\n") == 2
-    bad = run_adapter(START + "hello\n")
-    assert bad.returncode != 0
-    assert "hello" in bad.stderr
-    assert "Traceback" not in bad.stderr
+def test_the_program_exits_at_end_of_input_and_reports_malformed_lines() -> None:
+    valid = run_adapter(START)
+    assert valid.returncode == 0
+    assert valid.stderr == ""
+    assert valid.stdout.count("done\n") == 2
+    malformed = run_adapter(START + "hello\n")
+    assert malformed.returncode != 0
+    assert "hello" in malformed.stderr
+    assert "Traceback" not in malformed.stderr
 
 
-def test_actions_do_not_depend_on_the_hash_seed_nor_on_the_neighbours() -> None:
+def test_actions_of_a_gateway_depend_neither_on_the_hash_seed_nor_on_other_gateways() -> None:
     body = "".join(
         batch(33_100_000_000 + n * 20_000_000, REQUEST.format(n=0, id=n + 1), REQUEST.format(n=1, id=n + 900))
         for n in range(40)
     )
     text = START + body
     assert run_adapter(text, "1").stdout == run_adapter(text, "2").stdout
-    alone = "\n".join(x for x in text.splitlines() if "who=gatekeeper_1" not in x) + "\n"
-    # the entries of the other's list go with it
+    alone = "\n".join(line for line in text.splitlines() if "who=gatekeeper_1" not in line) + "\n"
+    # the entries of the removed gateway's server list are removed too
     alone = alone.replace("rating=1.5\tcame_up=6100000000\nm\t", "rating=1.5\tcame_up=6100000000\nX\t")
-    lines, keep = [], True
-    for x in alone.splitlines():
-        keep = not x.startswith("X\t") and (keep or not x.startswith("m\t"))
-        lines += [x] if keep else []
-    mine = [x for x in run_adapter(text).stdout.splitlines() if "who=gatekeeper_0" in x]
-    assert [x for x in run_adapter("\n".join(lines) + "\n").stdout.splitlines() if "who=" in x] == mine
-
-
-def test_a_fault_of_the_module_is_declared(monkeypatch: pytest.MonkeyPatch) -> None:
-    def broken(self: object, now: float, event: i.Event) -> list[i.Action]:
+    lines, is_kept = [], True
+    for line in alone.splitlines():
+        is_kept = not line.startswith("X\t") and (is_kept or not line.startswith("m\t"))
+        lines += [line] if is_kept else []
+    expected = [line for line in run_adapter(text).stdout.splitlines() if "who=gatekeeper_0" in line]
+    assert [
+        line for line in run_adapter("\n".join(lines) + "\n").stdout.splitlines() if "who=" in line
+    ] == expected
+
+
+def test_an_error_in_the_policy_is_written_as_an_exception(monkeypatch: pytest.MonkeyPatch) -> None:
+    def failing_handle(self: object, now: float, event: interface.Event) -> list[interface.Action]:
         raise RuntimeError("two\nlines")
 
-    monkeypatch.setattr("pewterring.standalone.policy.decisions.GatewayPolicy.handle", broken)
+    monkeypatch.setattr("pewterring.standalone.policy.decisions.GatewayPolicy.handle", failing_handle)
     assert run(START)[1][0] == "exception\twho=gatekeeper_0\ttext=RuntimeError('two\\nlines')"
 
 
 @pytest.mark.parametrize(
     ("action", "line"),
     [
-        (i.Send(5, 6, 0.08), "forward\twho=g\trequest_id=5\tworker=6\tmax_wait=80000000"),
-        (i.Cancel(5, 1), "undo_send\twho=g\trequest_id=5\ttrial=1"),
-        (i.Refuse(5), "turn_away\twho=g\trequest_id=5"),
-        (i.Refuse(5, 0.5), "turn_away\twho=g\trequest_id=5\tretry_in=500000000"),
-        (i.Fail(5), "end_failed\twho=g\trequest_id=5"),
-        (i.SetTimer(0.5, 77), "timer\twho=g\tdelay=500000000\tlabel=77"),
-        (i.Probe(6), "test\twho=g\tworker=6"),
-        (i.Tell(None, b"hi 7"), "signal\twho=g\tdst=all\tmsg=aGkgNw=="),
-        (i.Tell(2, b""), "signal\twho=g\tdst=2\tmsg=-"),
-        (i.Subscribe(), "watch\twho=g\tenable=1"),
-        (i.Log("two\tservers\nknown"), "log\twho=g\ttext=two servers known"),
+        (interface.Send(5, 6, 0.08), "forward\twho=g\trequest_id=5\tworker=6\tmax_wait=80000000"),
+        (interface.Cancel(5, 1), "undo_send\twho=g\trequest_id=5\ttrial=1"),
+        (interface.Refuse(5), "turn_away\twho=g\trequest_id=5"),
+        (interface.Refuse(5, 0.5), "turn_away\twho=g\trequest_id=5\tretry_in=500000000"),
+        (interface.Fail(5), "end_failed\twho=g\trequest_id=5"),
+        (interface.SetTimer(0.5, 77), "timer\twho=g\tdelay=500000000\tlabel=77"),
+        (interface.Probe(6), "test\twho=g\tworker=6"),
+        (interface.Tell(None, b"hi 7"), "signal\twho=g\tdst=all\tmsg=aGkgNw=="),
+        (interface.Tell(2, b""), "signal\twho=g\tdst=2\tmsg=-"),
+        (interface.Subscribe(), "watch\twho=g\tenable=1"),
+        (interface.Log("two\tservers\nknown"), "log\twho=g\ttext=two servers known"),
     ],
 )
-def test_actions_as_lines(action: i.Action, line: str) -> None:
+def test_actions_are_formatted_as_lines(action: interface.Action, line: str) -> None:
     assert codec.write_action("g", action) == line
 
 
-def test_limits_of_the_module_can_fail() -> None:
+def test_files_beyond_the_size_limits_are_reported() -> None:
     half = "x = 1\n" * (limits.MOST_LINES // 2)
     assert limits.faults({"a.py": half, "b.py": half}) == []
     assert len(limits.faults({"a.py": half, "b.py": half + "x = 1\n"})) == 1
