--- a/pewterring/standalone/http/reader.py
+++ b/pewterring/standalone/http/reader.py
@@ -12,7 +12,7 @@
 
 MAX_HEAD = 16 * 1024  # bytes of a start line with its headers
 MAX_BODY = 64 * 1024  # bytes of a body, the limit of the protocol
-MAX_ANSWER = 1024 * 1024  # bytes of a worker's response body: workers exceed MAX_BODY several times over
+MAX_ANSWER = 1024 * 1024  # bytes of a worker's response body; workers exceed MAX_BODY several times over
 MAX_CHUNK_LINE = 256  # bytes of a chunk's size with its extensions
 MAX_EMPTY_LINES = 16  # before a message
 MAX_INTERIM = 8  # interim (1xx) responses before the final one
@@ -50,12 +50,12 @@
 
     def __init__(self, max_body: int = MAX_BODY) -> None:
         self.max_body = max_body  # bytes
-        self.data = bytearray()
-        self.scanned = 0
+        self.data = bytearray()  # input that is not parsed yet
+        self.scanned = 0  # bytes of data already searched for the end of the head
         self.state = State.HEAD
         self.message: MessageT | None = None
-        self.remaining = 0
-        self.body = bytearray()
+        self.remaining = 0  # bytes of the body or chunk that are read next
+        self.body = bytearray()  # chunks joined so far
         self.empty_lines = 0  # before the current message
         # Bytes of chunk lines and trailers, bounded because max_body does not limit many tiny chunks.
         self.overhead = 0
@@ -123,7 +123,7 @@
                     return None
 
     def take_head(self) -> bytes | None:
-        while self.data.startswith(b"\r\n"):  # RFC 9112, 2.2: empty lines before a message are skipped
+        while self.data.startswith(b"\r\n"):  # RFC 9112, 2.2; the limit ends endless empty lines
             del self.data[:2]
             self.empty_lines += 1
             if self.empty_lines > MAX_EMPTY_LINES:
@@ -201,6 +201,8 @@
 
 
 class RequestReader(Reader[Request]):
+    """Parses requests."""
+
     def __init__(self) -> None:
         super().__init__()
         self.continued = False
@@ -215,14 +217,20 @@
 
     def read_head(self, head: bytes) -> Request:
         first, _, rest = head.partition(b"\r\n")
-        words = first.split(b" ")
-        if len(words) != 3 or not METHOD.fullmatch(words[0]) or not TARGET.fullmatch(words[1]):
+        request_line = first.split(b" ")
+        if (
+            len(request_line) != 3
+            or not METHOD.fullmatch(request_line[0])
+            or not TARGET.fullmatch(request_line[1])
+        ):
             raise Malformed("the request line cannot be read")
-        if not VERSION.fullmatch(words[2]):
-            raise Malformed("not HTTP/1", 505 if words[2].startswith(b"HTTP/") else 400)
+        if not VERSION.fullmatch(request_line[2]):
+            raise Malformed("not HTTP/1", 505 if request_line[2].startswith(b"HTTP/") else 400)
         self.continued = False
         headers = read_headers(rest)
-        return Request(words[0], words[1], headers, keep_alive=keeps_alive(words[2], headers))
+        return Request(
+            request_line[0], request_line[1], headers, keep_alive=keeps_alive(request_line[2], headers)
+        )
 
     def framing(self, message: Request) -> State:
         return self.body_framing(message) or State.FIXED  # without a length or coding a request has no body
@@ -273,6 +281,7 @@
 
 
 def read_headers(lines: bytes) -> Headers:
+    """Parses header lines strictly. Raises Malformed."""
     if not HEADERS.fullmatch(lines):
         raise Malformed("a header cannot be read")
     return split_headers(lines)
