--- a/pewterring/standalone/http/reader.py
+++ b/pewterring/standalone/http/reader.py
@@ -123,7 +123,7 @@
                     return None
 
     def take_head(self) -> bytes | None:
-        while self.data.startswith(b"\r\n"):  # RFC 9112, 2.2; the limit ends endless empty lines
+        while self.data.startswith(b"\r\n"):  # RFC 9112, 2.2: skipped up to a limit
             del self.data[:2]
             self.empty_lines += 1
             if self.empty_lines > MAX_EMPTY_LINES:
