--- a/tests/golden/test_stored_data.py
+++ b/tests/golden/test_stored_data.py
@@ -1,4 +1,4 @@
-"""Data folders that were written once are read as ever, and are written with the same bytes."""
+"""Golden data folders: earlier ones are still readable, and current ones are written byte for byte."""
 
 import shutil
 from collections.abc import Sequence
@@ -36,36 +36,36 @@
 from tests.golden.rows import Row, check_complete, check_decoding, check_encoding, ids, tag_of
 from tests.golden.state_snapshots import NOW_S
 from tests.golden.stored_data import (
+    CHANGED_CONTROL_MEMBERSHIP,
+    CHANGED_STORE_MEMBERSHIP,
     CONTROL_SETTINGS,
-    CONTROLS,
     CURRENT,
-    FIRST_CONTROLS,
-    FIRST_STORES,
     FOLDERS,
-    MORE_STORES,
+    INITIAL_CONTROL_MEMBERSHIP,
+    INITIAL_STORE_MEMBERSHIP,
     STORE_IP,
     WRITERS,
     batch_entries,
     contents,
     control_entries,
-    opened,
+    loaded_storage,
 )
 from tests.golden.tagged_types import STORAGE, tagged_types
 
-# The folders, and the index of the snapshot in each.
+# The index of the snapshot in each folder, 0 if there is none.
 CONTROL_FOLDERS = {"control-log": 0, "control-snapshot": 15, "control-earlier": 15}
 STORE_FOLDERS = {"store-log": 0, "store-snapshot": 8, "store-earlier": 8}
 
 
 def copy_of(name: str, tmp_path: Path) -> Path:
-    """The golden folder of that name, to be opened by the program."""
+    """Returns a copy of a golden folder that the test may change."""
     return Path(shutil.copytree(FOLDERS / name, tmp_path / name))
 
 
 def check_loaded(
     loaded: LoadedGroup, first: Membership, changed: Membership, entries: Sequence[Entry]
 ) -> None:
-    """The group has its term, vote, members and all entries behind its snapshot."""
+    """Checks that the group has its term, vote and members, and all entries after its snapshot."""
     index = loaded.state.snapshot_index
     assert (loaded.snapshot is None) == (index == 0)
     assert loaded.state == PersistentState(
@@ -79,7 +79,7 @@
 
 
 def apply_all(state: ControlState | BatchState, loaded: LoadedGroup) -> None:
-    """Recovers the state as a member does: the snapshot, then the commands behind it."""
+    """Recovers the state as a member does: restores the snapshot, then applies the commands after it."""
     if loaded.snapshot is not None:
         state.restore(loaded.snapshot)
     for entry in loaded.state.entries:
@@ -99,19 +99,19 @@
 
 @pytest.mark.parametrize(("name", "index"), CONTROL_FOLDERS.items())
 def test_the_log_of_control(name: str, index: int, tmp_path: Path) -> None:
-    with opened(copy_of(name, tmp_path), GROUP) as storage:
+    with loaded_storage(copy_of(name, tmp_path), GROUP) as storage:
         loaded = storage.load()
     assert loaded.state.snapshot_index == index
-    check_loaded(loaded, FIRST_CONTROLS, CONTROLS, control_entries())
+    check_loaded(loaded, INITIAL_CONTROL_MEMBERSHIP, CHANGED_CONTROL_MEMBERSHIP, control_entries())
     assert contents(tmp_path / name) == contents(FOLDERS / name)
 
 
 @pytest.mark.parametrize(("name", "index"), STORE_FOLDERS.items())
 def test_the_log_of_a_store(name: str, index: int, tmp_path: Path) -> None:
-    with opened(copy_of(name, tmp_path), FIRST_GROUP) as storage:
+    with loaded_storage(copy_of(name, tmp_path), FIRST_GROUP) as storage:
         loaded = storage.load()
     assert loaded.state.snapshot_index == index
-    check_loaded(loaded, FIRST_STORES, MORE_STORES, batch_entries())
+    check_loaded(loaded, INITIAL_STORE_MEMBERSHIP, CHANGED_STORE_MEMBERSHIP, batch_entries())
     assert contents(tmp_path / name) == contents(FOLDERS / name)
 
 
@@ -142,7 +142,7 @@
     folder = copy_of(name, tmp_path)
     assert member_name(folder, STORE_IP) == STORES[0]
     state = BatchState(lambda: NOW_S)
-    with opened(folder, FIRST_GROUP) as storage:
+    with loaded_storage(folder, FIRST_GROUP) as storage:
         apply_all(state, storage.load())
     failed_attempts = {} if name == "store-earlier" else {"b": 2}
     route = ("chat.example", "/batch/")
@@ -165,7 +165,7 @@
 
 
 def _record_tags(path: Path) -> list[str]:
-    """The types of the records of a segment, as the file has them."""
+    """Returns the type tags of the records of a segment in file order."""
     data, offset, tags = path.read_bytes(), 0, []
     while (record := read_record(data, offset)) is not None:
         tags.append(msgspec.json.decode(record.payload)["type"])
