--- a/tests/standalone/test_answers.py
+++ b/tests/standalone/test_answers.py
@@ -105,7 +105,7 @@
     assert [s.server for s in sends(third)] in ([], [again.server])
 
 
-def test_a_side_effect_request_stays_failed_though_a_later_attempt_never_ran() -> None:
+def test_a_side_effect_request_fails_once_a_retry_may_have_run() -> None:
     driver = PolicyDriver()
     first = driver.sent("once")
     (again,) = driver.end(first, interface.Code.UNAVAILABLE)
