--- a/pewterring/standalone/network/__init__.py
+++ b/pewterring/standalone/network/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets: clients, workers, discovery and peers, each in a module of its own. Nothing decides here."""
+"""Socket handling for clients, workers, discovery and peers. Policy decisions are made elsewhere."""
--- a/pewterring/standalone/network/connection.py
+++ b/pewterring/standalone/network/connection.py
@@ -1,10 +1,10 @@
-"""What every TCP connection here is: a BufferedProtocol that receives into one buffer shared by all."""
+"""Base class of all TCP connections: a BufferedProtocol whose instances share one receive buffer."""
 
 import asyncio
 import select
 from typing import NamedTuple, cast
 
-RECEIVED = bytearray(64 * 1024)  # one event loop: each read is taken out before the next one comes
+RECEIVED = bytearray(64 * 1024)  # safe to share: one event loop, and each read is consumed before the next
 VIEW = memoryview(RECEIVED)
 
 
@@ -17,7 +17,7 @@
 
 
 def read_address(text: str) -> Address:
-    """HOST:PORT; raises ValueError."""
+    """Parses HOST:PORT. Raises ValueError for any other form."""
     host, colon, port = text.rpartition(":")
     host = host.removeprefix("[").removesuffix("]")
     if not colon or not host or not port.isascii() or not port.isdigit() or int(port) > 65535:
@@ -26,26 +26,28 @@
 
 
 class Connection(asyncio.BufferedProtocol):
+    """A TCP connection. Subclasses implement `received`, which must not keep a reference to its data."""
+
     transport: asyncio.Transport
 
     def __init__(self) -> None:
-        self.unsent = False  # whether bytes of ours wait for the socket to take them
+        self.unsent = False  # whether written bytes are still buffered in the transport
         self.made = self.up = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport, self.up = cast(asyncio.Transport, transport), True
         self.made = True
-        self.transport.set_write_buffer_limits(high=0)  # so that pause_writing tells of any byte left over
+        self.transport.set_write_buffer_limits(high=0)  # so that pause_writing is called for any unsent byte
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.up = False
 
     def unread(self) -> bool:
-        """Whether something has come, an end among it, that the loop has not read yet."""
+        """Whether the socket has data or an end of stream that the event loop has not read yet."""
         return self.polled(select.POLLIN)
 
     def hung_up(self) -> bool:
-        """Whether the other side has sent its end, or is gone, read or not."""
+        """Whether the other side has closed or reset the connection, even if that is not read yet."""
         return self.polled(select.POLLRDHUP)
 
     def polled(self, events: int) -> bool:
