--- a/pewterring/standalone/network/ending.py
+++ b/pewterring/standalone/network/ending.py
@@ -1,4 +1,4 @@
-"""Every way in which a connection, or an exchange on it, can end, and what the module is told of it."""
+"""How connections and exchanges can end, and the code that each ending reports to the policy."""
 
 from enum import Enum
 
@@ -7,38 +7,40 @@
 
 
 class Ending(Enum):
+    """The member names are keys of the status report; the values are texts for logs."""
+
     # An exchange with a worker
-    SERVED = "a whole 200"
-    TURNED_AWAY = "a 503 or 504 that says it has not run"
-    ERROR = "any other whole answer"
-    REFUSED = "the connection was refused"
-    NEVER_UP = "the connection did not come up in time, or its worker was to get nothing new by then"
-    NO_DESCRIPTOR = "no descriptor was left for a connection"
-    BROKEN_EARLY = "it broke before the last byte of the request was written"
-    RESET = "it broke before an answer began"
-    CUT = "it broke within an answer"
-    MALFORMED = "the answer could not be read"
-    STALLED = "the answer began and its rest did not come"
-    NO_ROOM = "no memory was left for the rest of the answer, or of a client's request"
-    TIMED_OUT = "nothing came in time"
-    CANCELLED = "given up, as the answer is no longer wanted"
-    TOO_LATE = "never begun, or not whole: its request was over, had all its attempts or cannot be sent"
-    UNKNOWN = "never begun: no such worker"
+    SERVED = "complete response with status 200"
+    TURNED_AWAY = "response 503 or 504 that says the request has not run"
+    ERROR = "complete response with another status"
+    REFUSED = "connection refused"
+    NEVER_UP = "connection not established in time, or the worker no longer accepts new requests"
+    NO_DESCRIPTOR = "no file descriptor left for a connection"
+    BROKEN_EARLY = "connection lost before the request was completely written"
+    RESET = "connection lost before the response began"
+    CUT = "connection lost within the response"
+    MALFORMED = "malformed response"
+    STALLED = "response stalled before it was complete"
+    NO_ROOM = "buffer limit for incomplete responses or client requests exceeded"
+    TIMED_OUT = "timed out without a response"
+    CANCELLED = "cancelled: the response is no longer needed"
+    TOO_LATE = "not sent completely: the request had ended, used all its attempts or cannot be sent"
+    UNKNOWN = "not sent: no such worker"
     # A connection between exchanges
-    CLOSED = "the other side closed it in good order"
-    SPOKE = "the other side spoke out of turn"
-    STALE = "it stood idle for too long"
-    SHED = "its descriptor was needed"
-    LEFT = "the other side is no longer wanted"
+    CLOSED = "closed by the other side without an error"
+    SPOKE = "unexpected data from the other side"
+    STALE = "idle for too long"
+    SHED = "closed to free its file descriptor"
+    LEFT = "closed: the other side is no longer in use"
     # A client's connection
-    CLIENT_GONE = "the client went away before its answer"
-    UNREADABLE = "the client's request could not be read"
-    UNFINISHED = "the client's request did not come whole in time"
-    DONE = "the last answer on it was given"
+    CLIENT_GONE = "client disconnected before its response"
+    UNREADABLE = "malformed request from the client"
+    UNFINISHED = "client request not complete in time"
+    DONE = "closed after the last response"
 
 
-# None: no attempt ends by it. Whatever may have reached a worker whole may have run: only endings before that
-# are mapped to codes that prove the contrary.
+# The code reported for an attempt; None where no attempt can end so. A request that may have reached a worker
+# completely may have run: only endings before that point map to codes that rule this out.
 CODES: dict[Ending, Code | None] = {
     Ending.SERVED: Code.OK,
     Ending.TURNED_AWAY: Code.RESOURCE_EXHAUSTED,
@@ -66,12 +68,12 @@
     Ending.UNFINISHED: None,
     Ending.DONE: None,
 }
-# Endings of which the other connections to the same worker may have had their share, unseen as yet.
+# After these endings other connections to the same worker may be dead too, although that has not shown yet.
 SUSPECT = frozenset({Ending.REFUSED, Ending.NEVER_UP, Ending.RESET})
 
 
 def of_answer(response: Response) -> Ending:
-    """The ending that a worker's whole answer is."""
+    """Classifies a complete response of a worker."""
     if response.status == 200:
         return Ending.SERVED
     if response.status in (503, 504) and response.get(b"x-not-run") == b"1":
