--- a/pewterring/standalone/network/peers.py
+++ b/pewterring/standalone/network/peers.py
@@ -1,4 +1,4 @@
-"""Datagrams between gatekeepers. The sender's address tells who speaks; strangers are dropped."""
+"""Datagrams between gateways. A peer is identified by its address; datagrams of other senders are dropped."""
 
 import asyncio
 from collections.abc import Callable, Sequence
@@ -6,11 +6,11 @@
 
 from pewterring.standalone.network.connection import Address
 
-MAX_DATAGRAM = 256  # the protocol's bound
+MAX_DATAGRAM = 256  # bytes, the limit of the peer protocol
 
 
 class Peers(asyncio.DatagramProtocol):
-    """`heard` gets the number of the sender and its bytes."""
+    """Calls `heard` with the number of the sending peer and the bytes of each datagram."""
 
     transport: asyncio.DatagramTransport | None = None
 
@@ -21,7 +21,7 @@
         self.renew(peers, everyone)
 
     def renew(self, peers: Sequence[Address], everyone: Address | None) -> None:
-        """Who the peers are from now on, by number."""
+        """Replaces the peer addresses, indexed by peer number, and the address that reaches all peers."""
         self.peers, self.everyone = peers, everyone
         self.numbers = {address: n for n, address in enumerate(peers) if n != self.me}
 
@@ -40,10 +40,10 @@
             self.heard(number, data)
 
     def error_received(self, exc: Exception) -> None:
-        """A peer that is down refuses datagrams; they may get lost in any case."""
+        """Ignores errors: a peer that is down refuses datagrams, and any datagram may be lost."""
 
     def tell(self, peer: int | None, data: bytes) -> None:
-        """To one peer, or to every one with None. What is too long, or for nobody, is not sent."""
+        """Sends to one peer, or with None to all. Drops data that is too long or for an unknown peer."""
         if self.transport is None or len(data) > MAX_DATAGRAM:
             return
         if peer is not None:
