--- a/pewterring/standalone/network/discovery.py
+++ b/pewterring/standalone/network/discovery.py
@@ -1,4 +1,4 @@
-"""Follows the list of workers: one watch after the other, the whole list where an answer does not follow."""
+"""Follows the list of workers by consecutive long polls, and fetches the complete list after a gap."""
 
 import asyncio
 import random
@@ -16,20 +16,21 @@
 
 PATH = b"/v1/servers"
 MAX_LIST = 8 * 1024 * 1024
-WAIT_MS = 2000  # of one watch. What discovery has to tell counts as told 2 s after a wait, so waits are short
-MARGIN_S = 1.0  # how long after its wait an answer may still come
-# The first pause after a failure, and the longest. Who knows a list can wait, and has to where all ask one
-# service: forty that asked an overbooked one again within two seconds kept it so, and no call went through.
-# But what a broken watch misses counts as told 6 s after it fell silent, and what an outage kept back 6 s
-# after its end. So a watch that nothing answered is opened anew at once, for once, calls after that wait for
-# nothing, and pauses stay short enough for the next one to come in time.
-BACKOFF_S, BACKOFF_NEW_S, BROKE_S = (2.0, 8.0), (0.05, 2.0), (0.2, 5.0)
-# Where lists are pushed the address is an agent's on this machine: it answers at once, at no cost, and what
-# it has counts as told whether or not a watch is open, from the first moment after an outage too. So a watch
-# that an outage has broken must be found broken, and the agent asked anew, well within the time in which
-# sending to a worker has to stop: a watch waits for so small a part of that, and as long for its answer. No
-# less than these where that time is very short. After a failure the agent is asked without a wait.
-AGENT_PART, AGENT_WAIT_S, AGENT_MARGIN_S = 4, 0.1, 0.2
+WAIT_MS = 2000  # of one long poll; short, as an update counts as delivered 2 s after the end of a poll
+MARGIN_S = 1.0  # for the response, after the end of the wait
+# Each pair is the first and the longest backoff after a failure. A gateway that has a list can wait, and must
+# where all gateways call one service: 40 gateways that retried within 2 s kept an overloaded service
+# overloaded, and no call succeeded. But an update counts as delivered 6 s after the poll that missed it
+# became unresponsive, and 6 s after the end of an outage that delayed it. So the first poll without a
+# response is retried almost at once, later calls ask for an immediate response, and backoffs are short enough
+# for the next call to be in time.
+BACKOFF_S, BACKOFF_NO_LIST_S, BACKOFF_NO_RESPONSE_S = (2.0, 8.0), (0.05, 2.0), (0.2, 5.0)
+# Where lists are pushed, the address is that of an agent on this machine. It responds at once at no cost, and
+# an update counts as delivered as soon as the agent has it, even with no poll open and right after an outage.
+# So a poll that an outage broke must be detected, and the agent called again, well within the time in which
+# sending to a worker has to stop. The wait, and the margin for its response, are each that time divided by
+# AGENT_FRACTION, but at least the minimums here. After a failure the agent is called without a wait.
+AGENT_FRACTION, AGENT_WAIT_S, AGENT_MARGIN_S = 4, 0.1, 0.2
 BACKOFF_AGENT_S = (0.1, 0.2)
 
 
@@ -52,19 +53,19 @@
 
 
 def read_listing(tree: object) -> Listing:
-    """Raises ValueError for what is not discovery's form."""
+    """Converts a decoded response. Raises ValueError if it does not have discovery's format."""
     try:
         if not isinstance(tree, dict) or not isinstance(tree["whole"], bool):
-            raise ValueError("the list is not an object of its form")
+            raise ValueError("the list is not an object with the required fields")
         return Listing(int(tree["seq"]), tree["whole"], tuple(read_entry(e) for e in tree["hosts"]))
     except (KeyError, TypeError, AttributeError, OverflowError) as error:
-        raise ValueError(f"the list cannot be read: {error!r}") from error
+        raise ValueError(f"malformed list: {error!r}") from error
 
 
 def read_entry(tree: dict[str, object]) -> Entry:
     host, health = tree["host"], tree["health"]
     if not isinstance(host, str) or health not in ("up", "draining", "removed"):
-        raise ValueError(f"an entry cannot be read: {tree!r}")
+        raise ValueError(f"malformed list entry: {tree!r}")
     return Entry(
         host=host,
         address=read_address(str(tree["dial"])),
@@ -77,41 +78,43 @@
 
 
 class Discovery:
-    """`told` gets each listing in order, `failed` a word for each failure."""
+    """Passes each listing in order to `on_listing` and a description of each failure to `on_failure`."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         address: Address,
-        told: Callable[[Listing], None],
-        failed: Callable[[str], None],
+        on_listing: Callable[[Listing], None],
+        on_failure: Callable[[str], None],
         within: float | None = None,
     ) -> None:
-        """`within`: where lists are pushed, how soon what the agent has must be acted on."""
-        self.loop, self.address, self.told, self.failed = loop, address, told, failed
+        """`within`: where lists are pushed, seconds in which an update that the agent has must be applied;
+        None where they are polled from the shared service.
+        """
+        self.loop, self.address, self.on_listing, self.on_failure = loop, address, on_listing, on_failure
         self.renew(within)
-        # Its few descriptors are its own: without the list of workers nothing can be decided for long.
-        # One call follows the other at once on one connection, as the protocol wants it.
-        own = Descriptors(0, taken=0)
-        self.pool = Pool(loop, own, MARGIN_S, 2 * WAIT_MS / 1000, MAX_LIST, rests=False)
-        self.version: int | None = None  # None: the whole list is due
-        self.failures, self.known = 0, False  # known: some list was had, or given at the start
-        self.broken = False  # nothing answered the last watch, nor a call since then
+        # Discovery has a descriptor budget of its own: without the list of workers the gateway soon cannot
+        # decide anything. Calls follow each other at once on one connection, as the protocol requires.
+        descriptors = Descriptors(0, taken=0)
+        self.pool = Pool(loop, descriptors, MARGIN_S, 2 * WAIT_MS / 1000, MAX_LIST, rests=False)
+        self.version: int | None = None  # None: the complete list has to be fetched
+        self.failures, self.known = 0, False  # known: a list was received, or given at the start
+        self.broken = False  # the last poll got no response, nor did any call since then
         self.exchange: Exchange | None = None
         self.timer: asyncio.TimerHandle | None = None
         self.closed = False
 
     def renew(self, within: float | None) -> None:
-        """From the next call on."""
+        """Changes `within`, from the next call on."""
         self.pushed = within is not None
         self.wait_ms, self.margin_s = WAIT_MS, MARGIN_S
         if within is not None:
-            part = within / AGENT_PART
-            self.wait_ms = min(WAIT_MS, round(1000 * max(AGENT_WAIT_S, part)))
-            self.margin_s = min(MARGIN_S, max(AGENT_MARGIN_S, part))
+            fraction = within / AGENT_FRACTION
+            self.wait_ms = min(WAIT_MS, round(1000 * max(AGENT_WAIT_S, fraction)))
+            self.margin_s = min(MARGIN_S, max(AGENT_MARGIN_S, fraction))
 
     def start(self, version: int | None) -> None:
-        """Follows from that version on."""
+        """Starts to follow the list from this version; None fetches the complete list first."""
         self.version, self.known = version, version is not None
         self.call()
 
@@ -135,45 +138,46 @@
         if self.closed:
             return
         if ending is not Ending.SERVED or response is None:
-            # Turned away or silent: what is known still is, and the watch goes on from there. A call for the
-            # whole list costs discovery more, and all gatekeepers would ask an overbooked one for it at once.
+            # Rejected or without a response: polling continues from the known version. The complete list
+            # costs discovery more, and all gateways would request it from an overloaded service at the same
+            # time.
             if response is None:
-                return self.broke(ending.value)
+                return self.no_response(ending.value)
             return self.retry(f"{ending.value}, status {response.status}")
         try:
             listing = read_listing(orjson.loads(response.body))
-        except ValueError as error:  # orjson's errors are such too
+        except ValueError as error:  # orjson.JSONDecodeError is a ValueError
             return self.start_over(str(error))
-        # A watch is answered with what is newer. An older whole list would bring back workers that have left.
+        # A poll returns newer versions only. An older complete list would bring back workers that have left.
         if listing.version < self.version if self.version is not None else not listing.whole:
-            return self.start_over("a list that does not follow what is known")
+            return self.start_over("a list that does not follow the known version")
         self.version, self.failures, self.known, self.broken = listing.version, 0, True, False
-        self.told(listing)
-        # The next call comes at once, but not on the stack of this one.
+        self.on_listing(listing)
+        # The next call starts at once, but not from within this callback.
         self.loop.call_soon(self.call)
 
-    def start_over(self, why: str) -> None:
-        """A gap, or an answer that cannot be read: what was missed is unknown, so the whole list is due."""
+    def start_over(self, reason: str) -> None:
+        """After a gap or a malformed response, which may have hidden changes: fetches the complete list."""
         self.version = None
-        self.retry(why)
+        self.retry(reason)
 
-    def broke(self, why: str) -> None:
-        """Nothing came: of a watch, the first time, that is no sign of an overbooked discovery."""
+    def no_response(self, reason: str) -> None:
+        """Handles a call without a response. The first such poll is no sign that discovery is overloaded."""
         first, self.broken = not self.broken and self.version is not None, True
         if self.pushed or not first:
-            return self.retry(why)
-        self.call_again(BROKE_S[0], why)
+            return self.retry(reason)
+        self.call_again(BACKOFF_NO_RESPONSE_S[0], reason)
 
-    def retry(self, why: str) -> None:
-        first, longest = BACKOFF_AGENT_S if self.pushed else BACKOFF_S if self.known else BACKOFF_NEW_S
-        longest = min(longest, BROKE_S[1]) if self.broken else longest
-        pause = min(longest, first * 2.0**self.failures)
+    def retry(self, reason: str) -> None:
+        first, longest = BACKOFF_AGENT_S if self.pushed else BACKOFF_S if self.known else BACKOFF_NO_LIST_S
+        longest = min(longest, BACKOFF_NO_RESPONSE_S[1]) if self.broken else longest
+        backoff = min(longest, first * 2.0**self.failures)
         self.failures = min(self.failures + 1, 16)
-        self.call_again(pause, why)
+        self.call_again(backoff, reason)
 
-    def call_again(self, pause: float, why: str) -> None:
-        self.loop.call_later(pause * random.uniform(0.5, 1.0), self.call)
-        self.failed(why)
+    def call_again(self, backoff: float, reason: str) -> None:
+        self.loop.call_later(backoff * random.uniform(0.5, 1.0), self.call)
+        self.on_failure(reason)
 
     def close(self) -> None:
         self.closed = True
--- a/tests/standalone/test_discovery.py
+++ b/tests/standalone/test_discovery.py
@@ -224,7 +224,7 @@
         loop = asyncio.get_running_loop()
         watch = Discovery(loop, A, lambda x: None, lambda why: None)
         watch.loop = type("Loop", (), {"call_later": lambda self, s, f: pauses.append(s)})()
-        for known, (first, most) in ((False, discovery.BACKOFF_NEW_S), (True, discovery.BACKOFF_S)):
+        for known, (first, most) in ((False, discovery.BACKOFF_NO_LIST_S), (True, discovery.BACKOFF_S)):
             watch.known, watch.failures = known, 0
             pauses.clear()
             for _ in range(40):
