--- a/pewterring/standalone/network/discovery.py
+++ b/pewterring/standalone/network/discovery.py
@@ -29,8 +29,8 @@
 # an update counts as delivered as soon as the agent has it, even with no poll open and right after an outage.
 # So a poll that an outage broke must be detected, and the agent called again, well within the time in which
 # sending to a worker has to stop. The wait, and the margin for its response, are each that time divided by
-# AGENT_FRACTION, but at least the minimums here. After a failure the agent is called without a wait.
-AGENT_FRACTION, AGENT_WAIT_S, AGENT_MARGIN_S = 4, 0.1, 0.2
+# AGENT_DIVISOR, but at least the minimums here. After a failure the agent is called without a wait.
+AGENT_DIVISOR, AGENT_WAIT_S, AGENT_MARGIN_S = 4, 0.1, 0.2
 BACKOFF_AGENT_S = (0.1, 0.2)
 
 
@@ -96,7 +96,7 @@
         # Discovery has a descriptor budget of its own: without the list of workers the gateway soon cannot
         # decide anything. Calls follow each other at once on one connection, as the protocol requires.
         descriptors = Descriptors(0, taken=0)
-        self.pool = Pool(loop, descriptors, MARGIN_S, 2 * WAIT_MS / 1000, MAX_LIST, rests=False)
+        self.pool = Pool(loop, descriptors, MARGIN_S, 2 * WAIT_MS / 1000, MAX_LIST, delay_reuse=False)
         self.version: int | None = None  # None: the complete list has to be fetched
         self.failures, self.known = 0, False  # known: a list was received, or given at the start
         self.broken = False  # the last poll got no response, nor did any call since then
@@ -109,7 +109,7 @@
         self.pushed = within is not None
         self.wait_ms, self.margin_s = WAIT_MS, MARGIN_S
         if within is not None:
-            fraction = within / AGENT_FRACTION
+            fraction = within / AGENT_DIVISOR
             self.wait_ms = min(WAIT_MS, round(1000 * max(AGENT_WAIT_S, fraction)))
             self.margin_s = min(MARGIN_S, max(AGENT_MARGIN_S, fraction))
 
--- a/pewterring/standalone/network/workers.py
+++ b/pewterring/standalone/network/workers.py
@@ -1,4 +1,4 @@
-"""Connections to workers: one request at a time on each, idle ones kept and used again, newest first."""
+"""Connection pool for workers: one request at a time per connection; idle ones are reused, newest first."""
 
 import asyncio
 import math
@@ -13,14 +13,14 @@
 from pewterring.standalone.network.descriptors import Descriptors
 from pewterring.standalone.network.ending import SUSPECT, Ending, of_answer
 
-# What giving an exchange up is, where part of its request is not written, and where none is.
+# Endings of abandoned exchanges: with a partly unwritten request, and without a connection yet.
 UNSENT = {Ending.TIMED_OUT: Ending.BROKEN_EARLY, Ending.CANCELLED: Ending.TOO_LATE}
 UNOPENED = {Ending.TIMED_OUT: Ending.NEVER_UP, Ending.CANCELLED: Ending.TOO_LATE}
-REST_PART = 5  # of the time that a connection may take to come up, a connection rests between two requests
+REUSE_DELAY_DIVISOR = 5  # the delay between two requests on a connection is connect_timeout divided by this
 
 
 class Target(NamedTuple):
-    """One worker at one address. A new one at an old address is another: it inherits no connection."""
+    """One worker at one address. A new worker at the same address is another target."""
 
     worker: int
     address: Address
@@ -30,7 +30,7 @@
 
 
 class Exchange:
-    """One request to a worker. `done` is called once, with how it ended; the answer where there is one."""
+    """One request to a worker. `done` is called once, with the ending and the response (or None)."""
 
     __slots__ = ("bodiless", "connection", "data", "done", "ending", "pool", "target", "task")
 
@@ -50,12 +50,12 @@
         self.done(ending, response)
 
     def give_up(self, ending: Ending) -> None:
-        """Closes its connection, so that what still comes goes nowhere."""
+        """Ends the exchange and closes its connection, so that a late response is ignored."""
         if self.ending is not None:
             return
         connection, self.connection = self.connection, None
         if connection:
-            if connection.unsent:  # the worker can't get the rest any more
+            if connection.unsent:  # the worker never gets the rest of the request
                 ending = UNSENT.get(ending, ending)
             connection.exchange = None
             connection.drop(ending)
@@ -65,8 +65,8 @@
         self.end(ending)
 
     def withdraw(self) -> None:
-        """Nobody waits for its answer any more. Where the worker cannot have the request whole yet it never
-        gets it, which needs nobody's leave; else it goes on as it is."""
+        """Stops an exchange whose response is no longer needed if the worker cannot have the complete request
+        yet; otherwise lets it run. Unlike a cancellation this is always permitted."""
         if self.connection is None or self.connection.unsent:
             self.give_up(Ending.TOO_LATE)
 
@@ -79,28 +79,28 @@
         self.reader = ResponseReader()
         self.idle_since = self.made_at = 0.0
         self.ending: Ending | None = None
-        self.rest: asyncio.TimerHandle | None = None  # until when more of an answer must have come
-        self.came_at, self.holding = 0.0, 0  # when the last part of an answer came; bytes of it so far
+        self.stall_timer: asyncio.TimerHandle | None = None  # runs `stalled` for an incomplete response
+        self.last_data_at, self.holding = 0.0, 0  # time of the last data of a response; bytes of it so far
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
         self.made_at = self.pool.loop.time()
 
     def send(self, exchange: Exchange) -> bool:
-        """Writes the request in one piece. False where no byte could be written: the connection was dead."""
+        """Writes the request in one call. Returns False if the connection was dead: no byte was written."""
         if not self.up or self.transport.is_closing():
             return False
         self.reader = ResponseReader(exchange.bodiless, self.pool.most)
         self.exchange, exchange.connection = exchange, self
         self.transport.write(exchange.data)
-        if self.transport.is_closing():  # the first write failed: the worker never saw any of it
+        if self.transport.is_closing():  # the first write failed: the worker got no byte of the request
             self.exchange = exchange.connection = None
             return False
         return True
 
     def received(self, data: memoryview) -> None:
         exchange = self.exchange
-        if exchange is None:  # nobody asked: what it means by this would be taken for the next answer
+        if exchange is None:  # unsolicited data would be taken for the next response
             self.pool.forget(self)
             return self.drop(Ending.SPOKE)
         self.reader.feed(data)
@@ -111,37 +111,37 @@
         if response is not None:
             self.finish(exchange, of_answer(response), response)
             return
-        self.came_at = self.pool.loop.time()
+        self.last_data_at = self.pool.loop.time()
         self.holding += len(data)
         self.pool.held += len(data)
         if self.pool.held > self.pool.room:
             return self.finish(exchange, Ending.NO_ROOM)
-        if self.rest is None:
-            self.rest = self.pool.loop.call_later(self.pool.connect_timeout, self.stalled, exchange)
+        if self.stall_timer is None:
+            self.stall_timer = self.pool.loop.call_later(self.pool.connect_timeout, self.stalled, exchange)
 
     def stalled(self, exchange: Exchange) -> None:
-        """Part of an answer has come and nothing more follows: its length is wrong. The parts come one behind
-        the other, so each is given as long as a connection may take to come up."""
-        self.rest = None
-        wait = self.came_at + self.pool.connect_timeout - self.pool.loop.time()
-        if self.unread():  # what is only unread yet is not missing
+        """Ends an exchange whose incomplete response gets no more data: its length is wrong. The segments
+        of a response follow each other directly, so each may take as long as a new connection."""
+        self.stall_timer = None
+        wait = self.last_data_at + self.pool.connect_timeout - self.pool.loop.time()
+        if self.unread():  # the data has arrived but is not read yet
             wait = self.pool.connect_timeout
         if wait > 0:
-            self.rest = self.pool.loop.call_later(wait, self.stalled, exchange)
+            self.stall_timer = self.pool.loop.call_later(wait, self.stalled, exchange)
         else:
             self.finish(exchange, Ending.STALLED)
 
-    def let_go(self) -> None:
-        """Nothing more of an answer is waited for."""
-        if self.rest:
-            self.rest.cancel()
-            self.rest = None
+    def release_buffer(self) -> None:
+        """Cancels the stall timer and frees the buffered bytes in the accounting of the pool."""
+        if self.stall_timer:
+            self.stall_timer.cancel()
+            self.stall_timer = None
         self.pool.held -= self.holding
         self.holding = 0
 
     def finish(self, exchange: Exchange, ending: Ending, response: Response | None = None) -> None:
         self.exchange = exchange.connection = None
-        self.let_go()
+        self.release_buffer()
         reusable = (
             response is not None and response.keep_alive and not self.unsent and not self.reader.started
         )
@@ -177,7 +177,7 @@
         return Ending.CUT if self.reader.started else Ending.RESET
 
     def drop(self, ending: Ending) -> None:
-        self.let_go()
+        self.release_buffer()
         self.note(ending)
         if self.up:
             self.transport.abort()
@@ -189,6 +189,8 @@
 
 
 class Pool:
+    """Connections to workers, open and idle. Times are in seconds, `most` and `room` in bytes."""
+
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
@@ -197,14 +199,14 @@
         conn_idle: float,
         most: int = MAX_ANSWER,
         room: int = 64 * MAX_ANSWER,
-        rests: bool = True,
+        delay_reuse: bool = True,
     ) -> None:
         self.loop, self.descriptors = loop, descriptors
-        self.most, self.rests = most, rests
-        self.held, self.room = 0, room  # bytes of answers that have not come whole, and how many may be held
+        self.most, self.delay_reuse = most, delay_reuse
+        self.held, self.room = 0, room  # bytes of incomplete responses, and their limit
         self.renew(connect_timeout, conn_idle)
         self.idle: dict[Target, list[WorkerConnection]] = {}
-        self.wanted: set[Target] | None = None  # None: all are
+        self.wanted: set[Target] | None = None  # targets in use; None: all
         self.opening: dict[asyncio.Task[None], Exchange] = {}
         self.opened = self.reused = 0
         self.endings: Counter[Ending] = Counter()  # of connections
@@ -212,12 +214,14 @@
 
     def renew(self, connect_timeout: float, conn_idle: float) -> None:
         self.connect_timeout = connect_timeout
-        # The other side may close at any moment near the end of the idle life, and a request that crosses the
-        # close may have run: half of that life leaves room for lateness on both sides.
-        self.keep_s = conn_idle / 2
-        # A second answer may follow some milliseconds behind the one that counts, and would be the next
-        # request's. So a connection rests before it is used again, for a part of what the network may take.
-        self.rest_s = min(connect_timeout / REST_PART, self.keep_s / 2) if self.rests else 0.0
+        # The worker may close a connection at any moment near the end of its idle timeout, and a request that
+        # crosses the close may have run: half of that timeout allows for delays on both sides.
+        self.max_idle_s = conn_idle / 2
+        # A surplus response may follow some milliseconds after the first and would be taken for that of the
+        # next request. So a connection is reused only after a delay, a fraction of the connect timeout.
+        self.rest_s = (
+            min(connect_timeout / REUSE_DELAY_DIVISOR, self.max_idle_s / 2) if self.delay_reuse else 0.0
+        )
 
     def start(
         self,
@@ -228,19 +232,19 @@
         fresh: bool = False,
         within: float = math.inf,
     ) -> Exchange:
-        """Sends a request on an idle connection or, with `fresh` or where there is none, on a new one. It has
-        to begin `within` that time."""
+        """Sends a request on an idle connection or, with `fresh` or where there is none, on a new one, to
+        be established `within` that many seconds."""
         exchange = Exchange(self, target, data, bodiless, done)
-        if not self.wants(target):  # decided beside the list that says so, or by an older one
+        if not self.wants(target):  # chosen during a change of the list, or by an older list
             exchange.end(Ending.NEVER_UP)
             return exchange
         now = self.loop.time()
         idle = self.idle.get(target, []) if not fresh else []
-        rested = bisect_right(idle, now - self.rest_s, key=lambda connection: connection.idle_since)
-        for connection in reversed(idle[:rested]):
+        reusable_count = bisect_right(idle, now - self.rest_s, key=lambda connection: connection.idle_since)
+        for connection in reversed(idle[:reusable_count]):
             idle.remove(connection)
-            # A close that the loop has not seen yet would make a reset of this request: it may have run.
-            kept = connection.idle_since >= now - self.keep_s
+            # An unread close would end this request as a reset, after which it may have run.
+            kept = connection.idle_since >= now - self.max_idle_s
             if kept and not connection.unread() and connection.send(exchange):
                 self.reused += 1
                 return exchange
@@ -268,15 +272,15 @@
             ending = Ending.BROKEN_EARLY
         except ConnectionRefusedError:
             ending = Ending.REFUSED
-        except OSError:  # a time-out is one
+        except OSError:  # includes TimeoutError
             ending = Ending.NEVER_UP
         connection.drop(ending)
         exchange.end(ending)
 
     def opened_or_not(self, task: asyncio.Task[None], connection: WorkerConnection) -> None:
-        # Not within the task: one that is cancelled before its first step runs none of its code.
+        # A callback, as a task that is cancelled before its first step runs none of its code.
         del self.opening[task]
-        if not connection.made:  # else it gives its descriptor back when it is lost
+        if not connection.made:  # otherwise connection_lost gives the descriptor back
             self.descriptors.give_back()
 
     def wants(self, target: Target) -> bool:
@@ -284,7 +288,7 @@
 
     def keep(self, connection: WorkerConnection) -> None:
         if not self.wants(connection.target):
-            return connection.drop(Ending.LEFT)  # its worker went while it was in use
+            return connection.drop(Ending.LEFT)  # its worker was removed while it was in use
         connection.idle_since = self.loop.time()
         self.idle.setdefault(connection.target, []).append(connection)
 
@@ -296,36 +300,36 @@
                 del self.idle[connection.target]
 
     def drop_idle(self, target: Target, made_before: float = math.inf) -> None:
-        """Lets go of idle connections that are no longer wanted, or that may be dead without a word."""
+        """Drops idle connections to a target that are no longer needed, or may be dead without a close."""
         for connection in [c for c in self.idle.get(target, ()) if c.made_at < made_before]:
             self.forget(connection)
             connection.drop(Ending.LEFT)
 
     def retain(self, targets: set[Target]) -> None:
-        """Keeps idle connections to these only, and goes on connecting to these only: a connection that came
-        up late would bring its request to a worker that was to get nothing new."""
+        """Drops idle connections to other targets and stops connecting to them: a connection established late
+        would send its request to a worker that must not get new ones."""
         self.wanted = targets
         for target in [t for t in self.idle if t not in targets]:
             self.drop_idle(target)
         for exchange in list(self.opening.values()):
-            # One that has a connection is sent already, though its task may not have ended yet.
+            # An exchange with a connection is already sent, although its task may not have ended yet.
             if exchange.connection is None and exchange.target not in targets:
                 exchange.give_up(Ending.NEVER_UP)
 
     def sweep(self) -> None:
-        """Drops what has stood idle for too long."""
-        since = self.loop.time() - self.keep_s
+        """Drops connections that have been idle for too long."""
+        since = self.loop.time() - self.max_idle_s
         for target, idle in list(self.idle.items()):
             fresh = [c for c in idle if c.idle_since >= since]
-            for connection in idle[: len(idle) - len(fresh)]:  # they lie in the order in which they were kept
+            for connection in idle[: len(idle) - len(fresh)]:  # ordered by idle_since
                 connection.drop(Ending.STALE)
             self.idle[target] = fresh
             if not fresh:
                 del self.idle[target]
 
     def shed(self) -> bool:
-        """Closes the connection that has idled longest, if any does."""
-        firsts = (idle[0] for idle in self.idle.values() if idle)  # they lie in the order in which they came
+        """Closes the connection that has been idle longest. Returns False if there is none."""
+        firsts = (idle[0] for idle in self.idle.values() if idle)  # each list is ordered by idle_since
         connection = min(firsts, key=lambda connection: connection.idle_since, default=None)
         if connection is None:
             return False
--- a/tests/standalone/test_schedules.py
+++ b/tests/standalone/test_schedules.py
@@ -21,7 +21,7 @@
 
 
 def reuse_connections_at_once(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr("pewterring.standalone.network.workers.REST_PART", float("inf"))
+    patch.setattr("pewterring.standalone.network.workers.REUSE_DELAY_DIVISOR", float("inf"))
 
 
 def ignore_draining(patch: pytest.MonkeyPatch) -> None:
