--- a/pewterring/standalone/network/clients.py
+++ b/pewterring/standalone/network/clients.py
@@ -1,4 +1,4 @@
-"""Clients' connections: requests come in one at a time on each, and each gets one answer."""
+"""Client connections: each handles one request at a time, and each request gets one response."""
 
 import asyncio
 import socket
@@ -13,48 +13,50 @@
 from pewterring.standalone.network.ending import Ending
 
 BACKLOG = 512
-ACCEPT_RETRY_S = 0.05  # after the system refused a descriptor; accepting also goes on when one comes free
-LINGER_S = 1.0  # how long a client that sent something unreadable may take to read what it is told
-DISCARD = 1024 * 1024  # bytes of it that are read and dropped meanwhile; the rest waits in the socket
-WHOLE_S = 2.0  # for a request to come whole: from its first byte, the first on a connection from connecting
-IDLE_S = 2.0  # a connection without a request is closed after this, the least that the protocol allows
-RESTED_S = 0.5  # and after this where descriptors get fewer; who asks again or at all mostly does so sooner
-LEFT_S = 0.1  # who left is looked for so often where nothing is read: nothing is begun for it 0.3 s later
-ERROR_PAUSE_S = 0.1  # after an error a connection's next request is read this much later: sent again and
-# again at full speed, what cannot be used would take the loop's time from all others
+ACCEPT_RETRY_S = 0.05  # after accept() failed; accepting also continues when a descriptor is freed
+LINGER_S = 1.0  # for a client that sent a malformed request to read its error response
+DISCARD = 1024 * 1024  # bytes discarded from such a client meanwhile; more stays in the socket
+WHOLE_S = 2.0  # for a request to be complete, from its first byte; for the first request from connecting
+IDLE_S = 2.0  # a connection without a request is closed after this, the minimum that the protocol allows
+RESTED_S = 0.5  # the same while descriptors run out; most clients send their first or next request sooner
+DISCONNECT_CHECK_S = 0.1  # while reading is paused; no attempt may start 0.3 s after a client disconnected
+ERROR_PAUSE_S = 0.1  # delay before the next request is read after an error: invalid requests
+# repeated at full speed would take the event loop's time from all other clients
 
 
 class Sink(Protocol):
-    """Who takes the requests."""
+    """Receives the requests."""
 
     def requested(self, client: "Client", request: Request) -> None: ...
 
     def gone(self, client: "Client") -> None:
-        """The client went away; its request, if it has one, needs no answer."""
+        """The client disconnected; its request needs no response."""
 
 
 class Client(Connection):
+    """One connection of a client."""
+
     def __init__(self, listener: "Listener") -> None:
         super().__init__()
         self.listener = listener
         self.reader = RequestReader()
-        self.busy = False  # a request was handed over and is not answered
+        self.busy = False  # a request was passed to the sink and has no response yet
         self.keep_alive = True
-        self.since = 0.0  # when it began to wait for (the rest of) a request, or for its answer to be taken
-        self.asked = False  # whether a whole request ever came
+        self.since = 0.0  # start of the wait for a request, or for the client to read
+        self.had_request = False  # whether a complete request was ever received
         self.lingering = False
-        self.discarded = self.holding = 0  # bytes dropped; bytes of requests that have not come whole
-        self.resting: asyncio.TimerHandle | None = None  # the pause after an error
-        self.watching: asyncio.TimerHandle | None = None  # for its end, while nothing is read
+        self.discarded = self.holding = 0  # bytes dropped; bytes of incomplete requests
+        self.resting: asyncio.TimerHandle | None = None  # runs during the delay after an error
+        self.disconnect_check: asyncio.TimerHandle | None = None  # while reading is paused
         self.ending: Ending | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
         self.since = self.listener.loop.time()
         self.listener.clients.add(self)
-        self.rest()
+        self.mark_idle()
 
-    def rest(self) -> None:
+    def mark_idle(self) -> None:
         if not self.reader.started:
             self.listener.idle[self] = None
 
@@ -62,82 +64,83 @@
         if self.ending is not None:
             return self.discard(len(data))
         self.listener.idle.pop(self, None)
-        # Once a message, and not for the first: bytes that trickle in, or come late, win no further time.
-        if not self.reader.started and self.asked:
+        # Once per message and not for the first: bytes that arrive slowly or late do not extend the time
+        # limit.
+        if not self.reader.started and self.had_request:
             self.since = self.listener.loop.time()
         self.reader.feed(data)
         self.advance()
-        if self.resting or self.ahead:  # what follows waits in the socket
+        if self.resting or self.read_ahead_full:  # further data stays in the socket
             self.pause()
-        self.hold()
+        self.update_buffered()
 
     @property
-    def ahead(self) -> bool:
-        """Whether so much was sent ahead that what follows has to wait in the socket."""
+    def read_ahead_full(self) -> bool:
+        """Whether so much pipelined data is buffered that the rest has to stay in the socket."""
         return len(self.reader.data) > MAX_HEAD + MAX_BODY
 
     def pause(self) -> None:
         self.transport.pause_reading()
-        if not self.watching:
-            self.watching = self.listener.loop.call_later(LEFT_S, self.watch)
+        if not self.disconnect_check:
+            self.disconnect_check = self.listener.loop.call_later(DISCONNECT_CHECK_S, self.check_disconnect)
 
-    def watch(self) -> None:
-        """A client that leaves while nothing is read of it is not told of by its bytes' end."""
-        self.watching = None
+    def check_disconnect(self) -> None:
+        """Detects a disconnect while reading is paused, as the transport does not report it then."""
+        self.disconnect_check = None
         if self.up and self.ending is None and not self.transport.is_reading():
             if self.hung_up():
                 return self.drop()
-            self.watching = self.listener.loop.call_later(LEFT_S, self.watch)
+            self.disconnect_check = self.listener.loop.call_later(DISCONNECT_CHECK_S, self.check_disconnect)
 
     def advance(self) -> None:
         if self.busy or self.resting or self.ending is not None:
             return
         try:
             request = self.reader.next()
-        except Malformed as fault:
-            return self.reject(fault.status, Ending.UNREADABLE)
+        except Malformed as error:
+            return self.reject(error.status, Ending.UNREADABLE)
         if request is None:
             if self.reader.wants_continue():
                 self.transport.write(CONTINUE)
             self.transport.resume_reading()
-            return self.rest()
-        if self.hung_up():  # it waited in the socket for longer than its client did: nothing begins for it
+            return self.mark_idle()
+        if self.hung_up():  # the client left while its request was in the socket: do not start it
             return self.drop()
-        self.busy = self.asked = True
+        self.busy = self.had_request = True
         self.keep_alive = request.keep_alive
         self.listener.sink.requested(self, request)
 
     def answer(
         self, status: int, headers: list[tuple[bytes, bytes]], body: bytes, head_only: bool = False
     ) -> None:
-        """The one answer to the request handed over."""
+        """Writes the response to the request that was passed to the sink."""
         if not self.busy or not self.up or self.ending is not None:
             return
-        # Where descriptors are few, a connection that ends with its answer crosses no further request.
+        # Where few descriptors are left, closing right after the response does not cross another request.
         stays = self.keep_alive and not self.listener.closing and not self.listener.descriptors.crowded
         self.busy, self.since = False, self.listener.loop.time()
         self.transport.write(write_response(status, headers, body, stays, head_only))
         if not stays:
             return self.end(Ending.DONE)
-        if not self.ahead:
+        if not self.read_ahead_full:
             self.transport.resume_reading()
-        self.rest()
-        self.hold()
-        if self.reader.started:  # not at once: a chain of requests sent ahead would run down the stack
+        self.mark_idle()
+        self.update_buffered()
+        if self.reader.started:  # not directly: many pipelined requests would overflow the stack
             self.listener.loop.call_soon(self.advance)
 
-    def hold(self) -> None:
-        """Books what is buffered. Where all clients' unfinished requests fill their part of the memory, who
-        adds to it is sent away."""
+    def update_buffered(self) -> None:
+        """Updates the count of buffered bytes. Where the incomplete requests of all clients exceed the limit,
+        the client that adds to them is rejected."""
         size = 0 if self.ending else len(self.reader.data) + len(self.reader.body)
         self.listener.held += size - self.holding
         self.holding = size
         if self.listener.held > self.listener.room and self.ending is None and not self.busy:
             self.reject(503, Ending.NO_ROOM)
-            self.hold()
+            self.update_buffered()
 
     def turn_away(self, status: int, why: str) -> None:
-        """An error for a request that could be read and can't be used, and a pause before the next."""
+        """Sends an error for a well-formed but unusable request, and delays the next request."""
         self.answer(status, [], why.encode())
         if self.up and self.ending is None and not self.resting:
             self.resting = self.listener.loop.call_later(ERROR_PAUSE_S, self.resume)
@@ -147,7 +150,7 @@
         if not self.up or self.ending is not None:
             return
         self.advance()
-        if not self.ahead:
+        if not self.read_ahead_full:
             self.transport.resume_reading()
 
     def discard(self, size: int) -> None:
@@ -156,27 +159,27 @@
             self.transport.pause_reading()
 
     def reject(self, status: int, ending: Ending) -> None:
-        """Says what was wrong and closes. What the client still sends is read and dropped for a while:
-        closing on unread bytes would reset the connection and take the answer with it."""
+        """Sends an error and closes. Further data is read and dropped for a while: closing with unread data
+        would reset the connection, and the client might lose the response."""
         self.ending, self.lingering = ending, True
         self.listener.rejected[str(status)] += 1
-        self.reader = RequestReader()  # what it holds is nobody's any more
+        self.reader = RequestReader()  # discards the buffered data
         self.since = self.listener.loop.time()
         self.transport.write(write_response(status, [], keep_alive=False))
         if not self.transport.is_closing():
             self.transport.write_eof()
 
     def evict(self) -> None:
-        """Its descriptor is needed. The last byte of its request may be on its way: it is told that trying
-        again is harmless, and finds no close without a word."""
-        if self.ending is not None:  # it was told something else before
+        """Closes the connection to free its descriptor. The end of its request may be in transit, so the
+        client gets a 503, which says that a retry is safe, and not just a close."""
+        if self.ending is not None:  # another response was already sent
             return self.drop()
         self.listener.rejected["503"] += 1
         self.transport.write(write_response(503, [], keep_alive=False))
         self.end(Ending.SHED)
 
     def end(self, ending: Ending) -> None:
-        """Closes when what was written has gone out."""
+        """Closes after the buffered data is sent."""
         if self.ending is None:
             self.ending = ending
             self.listener.idle.pop(self, None)
@@ -187,30 +190,30 @@
             self.transport.abort()
 
     def eof_received(self) -> bool:
-        self.leave()
+        self.disconnected()
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
         super().connection_lost(exc)
-        self.leave()
+        self.disconnected()
         self.listener.lost(self)
 
-    def leave(self) -> None:
-        """The client has gone: said once, and only where an answer is still due."""
-        for timer in (self.resting, self.watching):
+    def disconnected(self) -> None:
+        """Handles a disconnect. Notifies the sink at most once, and only if a response is still due."""
+        for timer in (self.resting, self.disconnect_check):
             if timer:
                 timer.cancel()
         self.listener.held -= self.holding
         self.holding = 0
         self.listener.idle.pop(self, None)
-        if self.ending is None:  # what it sent ahead is nobody's any more
+        if self.ending is None:  # pipelined requests are dropped
             self.ending = Ending.CLIENT_GONE if self.busy else Ending.CLOSED
         if self.busy:
             self.busy = False
             self.listener.sink.gone(self)
 
     def overdue(self, now: float, patience: float) -> bool:
-        """Whether the rest of a request, the taking of an answer or the close is waited for too long."""
+        """Whether the rest of a request, the reading of a response or the close takes too long (seconds)."""
         past = now - self.since
         if self.ending is not None:
             return past > LINGER_S if self.lingering else past > patience
@@ -220,7 +223,7 @@
 
 
 class Listener:
-    """Accepts connections while there are descriptors for them."""
+    """Accepts client connections while descriptors are available."""
 
     def __init__(
         self,
@@ -230,13 +233,13 @@
         sink: Sink,
         room: int = 64 * MAX_BODY,
     ) -> None:
-        self.held, self.room = 0, room  # bytes of requests that have not come whole, and how many may be held
+        self.held, self.room = 0, room  # bytes of incomplete requests, and their limit
         self.loop, self.descriptors, self.sink = loop, descriptors, sink
         self.clients: set[Client] = set()
-        self.idle: dict[Client, None] = {}  # in the order in which they came to rest
+        self.idle: dict[Client, None] = {}  # in the order in which they became idle
         self.opening: set[asyncio.Task[None]] = set()
-        self.closing = False  # every answer from now on closes its connection
-        self.rejected: Counter[str] = Counter()  # what could not be read, by status
+        self.closing = False  # every further response closes its connection
+        self.rejected: Counter[str] = Counter()  # rejected requests and connections by status
         self.accepting = False
         self.accepted_at = loop.time()
         self.socket: socket.socket | None = listen(address)
@@ -257,7 +260,7 @@
             self.loop.remove_reader(self.socket.fileno())
 
     def accept(self) -> bool:
-        """Takes one that waits. Where descriptors run out it pauses: the system's queue holds the rest."""
+        """Accepts one connection. Without a free descriptor it pauses; others stay in the kernel's queue."""
         if self.socket is None:
             return False
         if not self.descriptors.take(accepting=True):
@@ -268,7 +271,7 @@
         except (BlockingIOError, InterruptedError, ConnectionAbortedError):
             self.descriptors.used -= 1
             return False
-        except OSError:  # no descriptor after all, or no memory
+        except OSError:  # no descriptor in spite of the budget, or no memory
             self.descriptors.used -= 1
             self.pause()
             self.descriptors.shed()
@@ -296,18 +299,18 @@
         self.descriptors.give_back()
 
     def shed_rested(self) -> bool:
-        """Closes the connection that has been without a request for longest, if that is long."""
+        """Closes the connection that has been idle longest, if it has been idle for RESTED_S."""
         until = self.loop.time() - RESTED_S
-        client = next(iter(self.idle), None)  # they lie in the order in which they came to rest
+        client = next(iter(self.idle), None)  # ordered by the time they became idle
         if client is None or client.since > until or client.unread():
             return False
         client.end(Ending.SHED)
         return True
 
     def shed(self) -> bool:
-        """Closes one connection on which no request is held: the one that has idled longest, or else the one
-        whose request has been coming in for longest, so that clients that never finish shut nobody out."""
-        # Not one with a request unread: closed on it, the client would send it again, but only once.
+        """Closes one connection without a complete request: the one idle longest, or else the one that
+        has an incomplete request for longest, so that clients that never finish do not block others."""
+        # Not one with an unread request: its client would retry after the close, but only once.
         client = next((client for client in self.idle if not client.unread()), None)
         if client:
             client.end(Ending.SHED)
@@ -325,16 +328,16 @@
                 client.drop()
             elif client.reader.started:
                 client.reject(408, Ending.UNFINISHED)
-            elif not client.unread():  # its next request may just have come
+            elif not client.unread():  # its next request may have just arrived
                 client.end(Ending.STALE)
 
     @property
     def stays(self) -> bool:
-        """Whether some connection has not come to its end."""
+        """Whether any connection has not ended yet."""
         return any(c.ending is None for c in self.clients)
 
     def close_idle(self, idle_s: float) -> bool:
-        """Closes what has idled for so long; whether there was any."""
+        """Closes connections idle for at least `idle_s`. Returns whether there were any."""
         until = self.loop.time() - idle_s
         ended = [c for c in self.idle if c.since <= until and not c.unread()]
         for client in ended:
@@ -342,7 +345,7 @@
         return bool(ended)
 
     def close(self) -> None:
-        """No more connections. What waits to be accepted is accepted first."""
+        """Stops listening, after accepting the connections in the kernel's queue."""
         if self.socket:
             while self.accept():
                 pass
--- a/tests/standalone/test_races.py
+++ b/tests/standalone/test_races.py
@@ -292,10 +292,10 @@
     most = 0
 
     class Measured(Client):
-        def hold(self) -> None:
+        def update_buffered(self) -> None:
             nonlocal most
             most = max(most, len(self.reader.data))
-            super().hold()
+            super().update_buffered()
 
     monkeypatch.setattr(clients_module, "Client", Measured)
 
