--- a/tests/standalone/test_discovery.py
+++ b/tests/standalone/test_discovery.py
@@ -1,4 +1,4 @@
-"""Following the list of workers: the calls that are made, and what the module is told."""
+"""Following the list of workers: the calls to discovery, and the lists passed to the policy."""
 
 import asyncio
 import itertools
@@ -14,28 +14,28 @@
 from pewterring.standalone.network.discovery import Discovery, Listing, read_listing
 from pewterring.standalone.network.ending import Ending
 from pewterring.standalone.network.workers import Target
-from pewterring.standalone.policy import interface as i
+from pewterring.standalone.policy import interface
 from pewterring.standalone.proxy.directory import Directory
 from tests.standalone.stand_ins import Rig, Script, StandIn, Talk, as_json, entry, listing, run, until
 
 A, B, C = (Address("127.0.0.1", n) for n in (9001, 9002, 9003))
-WATCH, AT_ONCE = b"/v1/servers?index=%d&wait=2000", b"/v1/servers?index=%d&wait=0"
+POLL, IMMEDIATE_POLL = b"/v1/servers?index=%d&wait=2000", b"/v1/servers?index=%d&wait=0"
 BACKOFF_S = discovery.BACKOFF_S
 
 
 @pytest.fixture(autouse=True)
-def without_long_pauses(monkeypatch: pytest.MonkeyPatch) -> None:
+def short_backoffs(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(discovery, "BACKOFF_S", (0.05, 2.0))
 
 
 class Agent:
-    """Gives these answers one after the other, then says nothing more."""
+    """Sends these responses one after the other, and none to further requests."""
 
     def __init__(self, *answers: bytes | None) -> None:
-        self.answers, self.asked = list(answers), list[bytes]()
+        self.answers, self.targets = list(answers), list[bytes]()
 
     def __call__(self, talk: Talk, request: Request) -> bytes | None:
-        self.asked.append(request.target)
+        self.targets.append(request.target)
         if not self.answers:
             return None
         answer = self.answers.pop(0)
@@ -48,41 +48,41 @@
     return write_response(200, [], body)
 
 
-def followed(
+def follow(
     agent: Agent, version: int | None, calls: int, within: float | None = None
 ) -> tuple[list[Listing], list[str]]:
-    told: list[Listing] = []
-    failed: list[str] = []
+    listings: list[Listing] = []
+    failures_seen: list[str] = []
 
     async def test() -> None:
         async with StandIn(agent) as stand_in:
             loop = asyncio.get_running_loop()
-            watch = Discovery(loop, stand_in.address, told.append, failed.append, within)
-            watch.start(version)
-            await until(lambda: len(agent.asked) >= calls)
-            watch.close()
+            poller = Discovery(loop, stand_in.address, listings.append, failures_seen.append, within)
+            poller.start(version)
+            await until(lambda: len(agent.targets) >= calls)
+            poller.close()
 
     run(test)
-    return told, failed
+    return listings, failures_seen
 
 
-def test_one_watch_follows_the_other_on_one_connection() -> None:
+def test_consecutive_polls_use_one_connection() -> None:
     agent = Agent(ok(as_json(42, False, entry("a", A))), ok(as_json(42, False)), ok(as_json(50, True)))
-    told, failed = followed(agent, 41, 4)
-    assert agent.asked == [WATCH % 41, WATCH % 42, WATCH % 42, WATCH % 50]
-    assert [(x.version, x.whole, len(x.entries)) for x in told] == [
+    listings, failures_seen = follow(agent, 41, 4)
+    assert agent.targets == [POLL % 41, POLL % 42, POLL % 42, POLL % 50]
+    assert [(x.version, x.whole, len(x.entries)) for x in listings] == [
         (42, False, 1),
         (42, False, 0),
         (50, True, 0),
     ]
-    assert not failed
+    assert not failures_seen
 
 
-def test_without_a_version_the_whole_list_comes_first() -> None:
+def test_without_a_version_the_complete_list_is_fetched_first() -> None:
     agent = Agent(ok(as_json(7, True, entry("a", A))))
-    told, _ = followed(agent, None, 2)
-    assert agent.asked == [b"/v1/servers", WATCH % 7]
-    assert told[0].whole
+    listings, _ = follow(agent, None, 2)
+    assert agent.targets == [b"/v1/servers", POLL % 7]
+    assert listings[0].whole
 
 
 @pytest.mark.parametrize(
@@ -94,76 +94,83 @@
         ok(b'{"seq":43,"whole":false,"hosts":[{"host":"a"}]}'),
         ok(as_json(43, False, entry("a", A)).replace(b'"up"', b'"odd"')),
         ok(as_json(43, False, entry("a", A)).replace(b"127.0.0.1:9001", b"nowhere")),
-        ok(as_json(40, False)),  # older than what is known: not its continuation
+        ok(as_json(40, False)),  # older than the known version
     ],
 )
-def test_after_an_answer_that_does_not_follow_the_whole_list(bad: bytes | None) -> None:
+def test_after_an_invalid_response_the_complete_list_is_fetched(bad: bytes | None) -> None:
     agent = Agent(bad, bad, ok(as_json(60, True, entry("a", A))))
-    told, failed = followed(agent, 41, 4)
-    assert agent.asked == [WATCH % 41, b"/v1/servers", b"/v1/servers", WATCH % 60]
-    assert [x.version for x in told] == [60]
-    assert len(failed) == 2
+    listings, failures_seen = follow(agent, 41, 4)
+    assert agent.targets == [POLL % 41, b"/v1/servers", b"/v1/servers", POLL % 60]
+    assert [x.version for x in listings] == [60]
+    assert len(failures_seen) == 2
 
 
-def test_an_older_whole_list_is_no_answer_to_a_watch() -> None:
-    """A watch is answered with what is newer; in an old list who drains since would be up again."""
+def test_an_older_complete_list_is_not_accepted_from_a_poll() -> None:
+    """A poll returns newer versions only; an old list would set draining workers to serving again."""
     old = ok(as_json(40, True, entry("a", A)))
     agent = Agent(old, ok(as_json(60, True, entry("a", A, "draining"))))
-    told, failed = followed(agent, 41, 3)
-    assert agent.asked == [WATCH % 41, b"/v1/servers", WATCH % 60]
-    assert [x.version for x in told] == [60]
-    assert len(failed) == 1
+    listings, failures_seen = follow(agent, 41, 3)
+    assert agent.targets == [POLL % 41, b"/v1/servers", POLL % 60]
+    assert [x.version for x in listings] == [60]
+    assert len(failures_seen) == 1
 
 
 @pytest.mark.parametrize("bad", [write_response(500, []), write_response(503, [])])
-def test_after_a_refusal_the_watch_goes_on(bad: bytes) -> None:
-    """The whole list costs discovery more; all that it turned away asked for it at once, and again."""
+def test_after_a_rejection_polling_continues_from_the_known_version(bad: bytes) -> None:
+    """The complete list costs discovery more; all rejected gateways requested it at once, repeatedly."""
     agent = Agent(bad, bad, ok(as_json(60, True, entry("a", A))))
-    told, failed = followed(agent, 41, 4)
-    assert agent.asked == [WATCH % 41, WATCH % 41, WATCH % 41, WATCH % 60]
-    assert [x.version for x in told] == [60]
-    assert len(failed) == 2
+    listings, failures_seen = follow(agent, 41, 4)
+    assert agent.targets == [POLL % 41, POLL % 41, POLL % 41, POLL % 60]
+    assert [x.version for x in listings] == [60]
+    assert len(failures_seen) == 2
 
 
 @pytest.mark.parametrize("bad", [None, b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\nContent-Length: 8\r\n\r\n"])
-def test_a_watch_that_broke_goes_on_with_calls_that_wait_for_nothing(bad: bytes | None) -> None:
-    """From the version known, all the same: the whole list costs discovery more."""
+def test_after_a_broken_poll_calls_ask_for_an_immediate_response(bad: bytes | None) -> None:
+    """The calls still ask for changes since the known version, as the complete list costs discovery more."""
     agent = Agent(bad, bad, ok(as_json(60, True, entry("a", A))), bad, ok(as_json(61, False)))
-    told, failed = followed(agent, 41, 6)
-    assert agent.asked == [WATCH % 41, AT_ONCE % 41, AT_ONCE % 41, WATCH % 60, AT_ONCE % 60, WATCH % 61]
-    assert [x.version for x in told] == [60, 61]
-    assert len(failed) == 3
+    listings, failures_seen = follow(agent, 41, 6)
+    assert agent.targets == [
+        POLL % 41,
+        IMMEDIATE_POLL % 41,
+        IMMEDIATE_POLL % 41,
+        POLL % 60,
+        IMMEDIATE_POLL % 60,
+        POLL % 61,
+    ]
+    assert [x.version for x in listings] == [60, 61]
+    assert len(failures_seen) == 3
 
 
-def test_what_a_broken_watch_missed_is_asked_for_before_it_counts_as_told(
+def test_updates_missed_by_a_broken_poll_are_fetched_before_they_count_as_delivered(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """It does 6 s after the silence, or after the end of an outage, where lists are asked for; sending may go
-    on for half a second at the least. The third call of a watch that fell silent came 12 s after that, the
-    first one after an outage up to 11 s behind its end.
+    """Where lists are polled, an update counts as delivered 6 s after discovery became unresponsive, or after
+    the end of an outage; sending may continue for at least 0.5 s more. The third call of an unresponsive poll
+    came 12 s after that, and the first call after an outage up to 11 s after its end.
     """
     monkeypatch.setattr(discovery, "BACKOFF_S", BACKOFF_S)
-    monkeypatch.setattr("random.uniform", lambda low, high: high)  # each pause as long as it may be
-    calls, clock, watches = list[float](), 0.0, list[Discovery]()
+    monkeypatch.setattr("random.uniform", lambda low, high: high)  # the longest backoff each time
+    calls, clock, pollers = list[float](), 0.0, list[Discovery]()
 
     class Loop:
-        """A clock of the test's own, on which each call stays without an answer."""
+        """A simulated clock; no call gets a response."""
 
-        def call_later(self, past: float, do: Callable[[], None]) -> None:
+        def call_later(self, delay: float, callback: Callable[[], None]) -> None:
             nonlocal clock
-            clock += past
-            if do != watches[0].overdue:  # the next call
+            clock += delay
+            if callback != pollers[0].overdue:  # the timer of the next call
                 calls.append(clock)
 
     async def test() -> None:
-        watch = Discovery(asyncio.get_running_loop(), A, lambda x: None, lambda why: None)
-        watches.append(watch)
-        watch.loop = Loop()  # type: ignore[assignment]
-        monkeypatch.setattr(watch.pool, "start", lambda *asked: None)
-        watch.version, watch.known = 41, True
+        poller = Discovery(asyncio.get_running_loop(), A, lambda x: None, lambda reason: None)
+        pollers.append(poller)
+        poller.loop = Loop()  # type: ignore[assignment]
+        monkeypatch.setattr(poller.pool, "start", lambda *args: None)
+        poller.version, poller.known = 41, True
         for _ in range(12):
-            watch.call()
-            watch.ended(Ending.TIMED_OUT, None)
+            poller.call()
+            poller.ended(Ending.TIMED_OUT, None)
 
     run(test)
     assert calls[0] <= 3.5
@@ -172,84 +179,92 @@
     assert all(later - sooner <= 6.5 for sooner, later in itertools.pairwise(calls))
 
 
-def test_an_agent_is_asked_again_at_once_and_without_a_wait() -> None:
-    """What it has counts as told from the first moment after an outage: pauses of 2 to 8 s and calls that may
-    wait came too late for a drain.
+def test_an_agent_is_called_again_at_once_and_without_a_wait() -> None:
+    """An update that the agent has counts as delivered as soon as an outage ends: with backoffs of 2 to 8 s
+    and calls that wait, a drain was applied too late.
     """
     agent = Agent(None, write_response(503, []), None, ok(as_json(60, False)))
-    told, failed = followed(agent, 41, 5, within=8.0)
-    assert agent.asked == [WATCH % 41, AT_ONCE % 41, AT_ONCE % 41, AT_ONCE % 41, WATCH % 60]
-    assert [x.version for x in told] == [60]
-    assert len(failed) == 3
+    listings, failures_seen = follow(agent, 41, 5, within=8.0)
+    assert agent.targets == [
+        POLL % 41,
+        IMMEDIATE_POLL % 41,
+        IMMEDIATE_POLL % 41,
+        IMMEDIATE_POLL % 41,
+        POLL % 60,
+    ]
+    assert [x.version for x in listings] == [60]
+    assert len(failures_seen) == 3
 
 
 @pytest.mark.parametrize("within", [0.5, 1.0, 2.0])
-def test_an_agent_s_news_come_in_time_even_if_an_outage_broke_the_watch_just_opened(within: float) -> None:
-    """What it got meanwhile counts as told at its return: a watch of 2 s and a second more came too late.
-    Reckoned with every failure at its longest, the last of them just before the return.
+def test_updates_of_an_agent_arrive_in_time_even_if_an_outage_broke_a_new_poll(within: float) -> None:
+    """Updates that the agent got during an outage count as delivered at its end: a poll of 2 s and a margin
+    of 1 s were too long. The worst case has the longest failures, the last one just before the end.
     """
     loop = type("Loop", (), {})()
-    watch = Discovery(loop, A, lambda x: None, lambda why: None, within)
-    longest = watch.wait_ms / 1000 + watch.margin_s + discovery.BACKOFF_AGENT_S[0]
-    again = watch.margin_s + discovery.BACKOFF_AGENT_S[1]
-    assert max(longest, again) <= 0.9 * within
+    poller = Discovery(loop, A, lambda x: None, lambda reason: None, within)
+    longest = poller.wait_ms / 1000 + poller.margin_s + discovery.BACKOFF_AGENT_S[0]
+    retry = poller.margin_s + discovery.BACKOFF_AGENT_S[1]
+    assert max(longest, retry) <= 0.9 * within
 
 
-def test_a_watch_that_falls_silent_is_opened_anew_within_its_part_of_the_time() -> None:
-    agent = Agent()  # says nothing, as after an outage that was shorter than the watch
-    _, failed = followed(agent, 41, 3, within=1.0)
-    assert agent.asked[:2] == [b"/v1/servers?index=41&wait=250", b"/v1/servers?index=41&wait=0"]
-    assert failed
+def test_an_unresponsive_poll_is_reopened_within_its_fraction_of_the_time() -> None:
+    agent = Agent()  # does not respond, as after an outage shorter than the poll
+    _, failures_seen = follow(agent, 41, 3, within=1.0)
+    assert agent.targets[:2] == [b"/v1/servers?index=41&wait=250", b"/v1/servers?index=41&wait=0"]
+    assert failures_seen
 
 
-def test_changes_in_answer_to_the_whole_list_are_a_gap() -> None:
+def test_changes_in_response_to_a_request_for_the_complete_list_are_a_gap() -> None:
     agent = Agent(ok(as_json(60, False)), ok(as_json(60, True)))
-    told, failed = followed(agent, None, 3)
-    assert len(failed) == 1
-    assert [x.whole for x in told] == [True]
+    listings, failures_seen = follow(agent, None, 3)
+    assert len(failures_seen) == 1
+    assert [x.whole for x in listings] == [True]
 
 
-def test_silence_is_a_failure(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_missing_response_is_a_failure(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(discovery, "WAIT_MS", 20)
     monkeypatch.setattr(discovery, "MARGIN_S", 0.02)
     agent = Agent()
-    _, failed = followed(agent, 41, 3)
-    assert agent.asked == [b"/v1/servers?index=41&wait=20", AT_ONCE % 41, AT_ONCE % 41]
-    assert len(failed) == 2
+    _, failures_seen = follow(agent, 41, 3)
+    assert agent.targets == [b"/v1/servers?index=41&wait=20", IMMEDIATE_POLL % 41, IMMEDIATE_POLL % 41]
+    assert len(failures_seen) == 2
 
 
-def test_pauses_after_failures_grow_and_are_bounded() -> None:
+def test_backoffs_after_failures_grow_and_are_bounded() -> None:
     async def test() -> None:
-        pauses: list[float] = []
+        backoffs: list[float] = []
         loop = asyncio.get_running_loop()
-        watch = Discovery(loop, A, lambda x: None, lambda why: None)
-        watch.loop = type("Loop", (), {"call_later": lambda self, s, f: pauses.append(s)})()
-        for known, (first, most) in ((False, discovery.BACKOFF_NO_LIST_S), (True, discovery.BACKOFF_S)):
-            watch.known, watch.failures = known, 0
-            pauses.clear()
+        poller = Discovery(loop, A, lambda x: None, lambda reason: None)
+        poller.loop = type("Loop", (), {"call_later": lambda self, s, f: backoffs.append(s)})()
+        for known, (first, longest) in ((False, discovery.BACKOFF_NO_LIST_S), (True, discovery.BACKOFF_S)):
+            poller.known, poller.failures = known, 0
+            backoffs.clear()
             for _ in range(40):
-                watch.retry("a test")
-            assert first / 2 <= pauses[0] <= first
-            assert max(pauses) <= most
-            assert min(pauses[10:]) >= most / 2
+                poller.retry("a test")
+            assert first / 2 <= backoffs[0] <= first
+            assert max(backoffs) <= longest
+            assert min(backoffs[10:]) >= longest / 2
 
 
-def test_who_knows_a_list_leaves_an_overbooked_discovery_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Twenty-eight of forty gatekeepers restart at once, know an old list and are turned away: in no five
-    seconds after the first do they call more than 56 times.
+def test_gateways_with_a_list_do_not_overload_discovery(monkeypatch: pytest.MonkeyPatch) -> None:
+    """28 of 40 gateways restart at once with an old list and are rejected: they make at most 56 calls in
+    any 5 s after the first call.
     """
     monkeypatch.setattr(discovery, "BACKOFF_S", BACKOFF_S)
 
     async def test() -> None:
         calls: list[float] = []
         for _ in range(28):
-            pauses: list[float] = []
-            loop = type("Loop", (), {"call_later": lambda self, s, f, pauses=pauses: pauses.append(s)})()
-            watch = Discovery(asyncio.get_running_loop(), A, lambda x: None, lambda why: None)
-            watch.loop, watch.known = loop, True
-            while sum(pauses) < 20.0:
-                watch.retry("a test")
-            calls += itertools.accumulate(pauses)
+            backoffs: list[float] = []
+            loop = type(
+                "Loop", (), {"call_later": lambda self, s, f, backoffs=backoffs: backoffs.append(s)}
+            )()
+            poller = Discovery(asyncio.get_running_loop(), A, lambda x: None, lambda reason: None)
+            poller.loop, poller.known = loop, True
+            while sum(backoffs) < 20.0:
+                poller.retry("a test")
+            calls += itertools.accumulate(backoffs)
         assert all(sum(a <= at < a + 5.0 for at in calls) <= 56 for a in range(15))
 
     run(test)
@@ -264,37 +279,43 @@
         '{"seq":1,"whole":true,"hosts":5}',
     ],
 )
-def test_what_is_no_list(text: str) -> None:
+def test_malformed_lists_are_rejected(text: str) -> None:
     with pytest.raises(ValueError):
         read_listing(orjson.loads(text))
 
 
-def test_numbers_are_our_own_and_last_while_a_worker_is_listed() -> None:
+def test_worker_ids_are_local_and_valid_while_a_worker_is_listed() -> None:
     directory = Directory(lambda: 1000.0, lambda: 5000.0)
-    first = directory.take(listing(entry("a", A), entry("b", B, "draining", cell=3)), i.ListForm.REMEMBERED)
+    first = directory.take(
+        listing(entry("a", A), entry("b", B, "draining", cell=3)), interface.ListForm.REMEMBERED
+    )
     assert [(s.id, s.mode, s.cell) for s in first.servers] == [
-        (1, i.Mode.SERVING, 0),
-        (2, i.Mode.DRAINING, 3),
+        (1, interface.Mode.SERVING, 0),
+        (2, interface.Mode.DRAINING, 3),
     ]
     assert directory.wanted() == {Target(1, A)}
-    changed = directory.take(listing(entry("b", C), whole=False), i.ListForm.CHANGES)
+    changed = directory.take(listing(entry("b", C), whole=False), interface.ListForm.CHANGES)
     assert [s.id for s in changed.servers] == [2]
     assert directory.targets == {1: Target(1, A), 2: Target(2, C)}
-    gone = directory.take(listing(entry("a", A, "removed"), whole=False), i.ListForm.CHANGES)
-    assert [(s.id, s.mode) for s in gone.servers] == [(1, i.Mode.DELETED)]
+    gone = directory.take(listing(entry("a", A, "removed"), whole=False), interface.ListForm.CHANGES)
+    assert [(s.id, s.mode) for s in gone.servers] == [(1, interface.Mode.DELETED)]
     assert directory.targets == {2: Target(2, C)}
-    whole = directory.take(listing(entry("a", A)), i.ListForm.WHOLE)
+    whole = directory.take(listing(entry("a", A)), interface.ListForm.WHOLE)
     assert [s.id for s in whole.servers] == [3]
     assert directory.targets == {3: Target(3, A)}
     assert len(directory.ids) == 1
 
 
-def test_a_start_is_reckoned_once_however_the_clocks_drift() -> None:
+def test_a_start_time_is_computed_once_however_the_clocks_drift() -> None:
     clock, unix = [1000.0], [5000.0]
     directory = Directory(lambda: clock[0], lambda: unix[0])
 
     def seen(born_ms: float) -> float:
-        return directory.take(listing(entry("a", A, born_ms=born_ms)), i.ListForm.WHOLE).servers[0].came_up
+        return (
+            directory.take(listing(entry("a", A, born_ms=born_ms)), interface.ListForm.WHOLE)
+            .servers[0]
+            .came_up
+        )
 
     assert seen(0) == 0.0
     assert not directory.restarted
@@ -305,27 +326,30 @@
     assert seen(5_090_700) == pytest.approx(1090.0)
 
 
-def test_the_module_hears_what_was_known_first_and_then_the_changes() -> None:
+def test_the_policy_gets_the_remembered_list_first_and_then_the_changes() -> None:
     async def test() -> None:
         agent = Agent(ok(as_json(2, False, entry("s-1", A, "draining"))))
         module = Script()
         async with StandIn(agent) as stand_in, Rig(module, A, B, discovery=stand_in.address) as rig:
-            await until(lambda: len(module.of(i.ServerList)) == 2)
-            first, second = module.of(i.ServerList)
-            assert (first.form, [s.id for s in first.servers]) == (i.ListForm.REMEMBERED, [1, 2])
-            assert (second.form, [s.mode for s in second.servers]) == (i.ListForm.CHANGES, [i.Mode.DRAINING])
-            assert agent.asked[0] == b"/v1/servers?index=1&wait=250"
+            await until(lambda: len(module.of(interface.ServerList)) == 2)
+            first, second = module.of(interface.ServerList)
+            assert (first.form, [s.id for s in first.servers]) == (interface.ListForm.REMEMBERED, [1, 2])
+            assert (second.form, [s.mode for s in second.servers]) == (
+                interface.ListForm.CHANGES,
+                [interface.Mode.DRAINING],
+            )
+            assert agent.targets[0] == b"/v1/servers?index=1&wait=250"
             assert rig.gateway.ready
 
     run(test)
 
 
-def test_a_gatekeeper_that_knows_nobody_is_ready_with_the_first_list() -> None:
+def test_a_gateway_without_a_list_is_ready_after_the_first_list() -> None:
     async def test() -> None:
         agent = Agent(None, ok(as_json(2, True, entry("s-1", A))))
         async with StandIn(agent) as stand_in, Rig(Script(), discovery=stand_in.address) as rig:
             assert not rig.gateway.ready
             await until(lambda: rig.gateway.ready)
-            assert agent.asked[0] == b"/v1/servers"
+            assert agent.targets[0] == b"/v1/servers"
 
     run(test)
