--- a/pewterring/standalone/network/descriptors.py
+++ b/pewterring/standalone/network/descriptors.py
@@ -13,6 +13,8 @@
 
 
 class Descriptors:
+    """Counts the file descriptors of connections and decides when idle connections are closed."""
+
     def __init__(self, limit: int, taken: int | None = None) -> None:
         """`taken`: descriptors already open. With None they are counted and SPARE more are reserved."""
         if taken is None:
--- a/pewterring/standalone/network/workers.py
+++ b/pewterring/standalone/network/workers.py
@@ -72,6 +72,8 @@
 
 
 class WorkerConnection(Connection):
+    """One connection to a worker, with at most one exchange at a time."""
+
     def __init__(self, pool: "Pool", target: Target) -> None:
         super().__init__()
         self.pool, self.target = pool, target
@@ -90,7 +92,7 @@
         """Writes the request in one call. Returns False if the connection was dead: no byte was written."""
         if not self.up or self.transport.is_closing():
             return False
-        self.reader = ResponseReader(exchange.bodiless, self.pool.most)
+        self.reader = ResponseReader(exchange.bodiless, self.pool.max_response)
         self.exchange, exchange.connection = exchange, self
         self.transport.write(exchange.data)
         if self.transport.is_closing():  # the first write failed: the worker got no byte of the request
@@ -168,7 +170,7 @@
         self.pool.forget(self)
         if exchange := self.exchange:
             self.finish(exchange, self.broken())
-        self.note(Ending.RESET if exc else Ending.CLOSED)
+        self.record_ending(Ending.RESET if exc else Ending.CLOSED)
         self.pool.descriptors.give_back()
 
     def broken(self) -> Ending:
@@ -178,18 +180,18 @@
 
     def drop(self, ending: Ending) -> None:
         self.release_buffer()
-        self.note(ending)
+        self.record_ending(ending)
         if self.up:
             self.transport.abort()
 
-    def note(self, ending: Ending) -> None:
+    def record_ending(self, ending: Ending) -> None:
         if self.ending is None:
             self.ending = ending
             self.pool.endings[ending] += 1
 
 
 class Pool:
-    """Connections to workers, open and idle. Times are in seconds, `most` and `room` in bytes."""
+    """Connections to workers, open and idle. Times are in seconds, `max_response` and `room` in bytes."""
 
     def __init__(
         self,
@@ -197,12 +199,12 @@
         descriptors: Descriptors,
         connect_timeout: float,
         conn_idle: float,
-        most: int = MAX_ANSWER,
+        max_response: int = MAX_ANSWER,
         room: int = 64 * MAX_ANSWER,
         delay_reuse: bool = True,
     ) -> None:
         self.loop, self.descriptors = loop, descriptors
-        self.most, self.delay_reuse = most, delay_reuse
+        self.max_response, self.delay_reuse = max_response, delay_reuse
         self.held, self.room = 0, room  # bytes of incomplete responses, and their limit
         self.renew(connect_timeout, conn_idle)
         self.idle: dict[Target, list[WorkerConnection]] = {}
@@ -244,8 +246,8 @@
         for connection in reversed(idle[:reusable_count]):
             idle.remove(connection)
             # An unread close would end this request as a reset, after which it may have run.
-            kept = connection.idle_since >= now - self.max_idle_s
-            if kept and not connection.unread() and connection.send(exchange):
+            usable = connection.idle_since >= now - self.max_idle_s
+            if usable and not connection.unread() and connection.send(exchange):
                 self.reused += 1
                 return exchange
             connection.drop(Ending.STALE)
@@ -257,7 +259,7 @@
                 self.descriptors.give_back()
                 raise
             self.opening[exchange.task] = exchange
-            exchange.task.add_done_callback(lambda task: self.opened_or_not(task, connection))
+            exchange.task.add_done_callback(lambda task: self.open_finished(task, connection))
         else:
             exchange.end(Ending.NO_DESCRIPTOR)
         return exchange
@@ -277,7 +279,7 @@
         connection.drop(ending)
         exchange.end(ending)
 
-    def opened_or_not(self, task: asyncio.Task[None], connection: WorkerConnection) -> None:
+    def open_finished(self, task: asyncio.Task[None], connection: WorkerConnection) -> None:
         # A callback, as a task that is cancelled before its first step runs none of its code.
         del self.opening[task]
         if not connection.made:  # otherwise connection_lost gives the descriptor back
