--- a/pewterring/standalone/network/discovery.py
+++ b/pewterring/standalone/network/discovery.py
@@ -56,16 +56,16 @@
     """Converts a decoded response. Raises ValueError if it does not have discovery's format."""
     try:
         if not isinstance(tree, dict) or not isinstance(tree["whole"], bool):
-            raise ValueError("the list is not an object with the required fields")
+            raise ValueError("the list is not an object of its form")
         return Listing(int(tree["seq"]), tree["whole"], tuple(read_entry(e) for e in tree["hosts"]))
     except (KeyError, TypeError, AttributeError, OverflowError) as error:
-        raise ValueError(f"malformed list: {error!r}") from error
+        raise ValueError(f"the list cannot be read: {error!r}") from error
 
 
 def read_entry(tree: dict[str, object]) -> Entry:
     host, health = tree["host"], tree["health"]
     if not isinstance(host, str) or health not in ("up", "draining", "removed"):
-        raise ValueError(f"malformed list entry: {tree!r}")
+        raise ValueError(f"an entry cannot be read: {tree!r}")
     return Entry(
         host=host,
         address=read_address(str(tree["dial"])),
@@ -150,7 +150,7 @@
             return self.start_over(str(error))
         # A poll returns newer versions only. An older complete list would bring back workers that have left.
         if listing.version < self.version if self.version is not None else not listing.whole:
-            return self.start_over("a list that does not follow the known version")
+            return self.start_over("a list that does not follow what is known")
         self.version, self.failures, self.known, self.broken = listing.version, 0, True, False
         self.on_listing(listing)
         # The next call starts at once, but not from within this callback.
--- a/pewterring/standalone/proxy/gateway.py
+++ b/pewterring/standalone/proxy/gateway.py
@@ -210,7 +210,7 @@
             case DeadlineUnanswered(call):
                 if call.finished:
                     return None
-                self.fault("the policy did not answer a request by its deadline")
+                self.fault("a request without an answer at its deadline")
                 self.fail(call, now)
                 return interface.Expired(call.request.id)
         return item
@@ -288,7 +288,7 @@
     def send(self, now: float, id: int, server: int, timeout: float) -> None:
         call = self.calls.get(id)
         if call is None:
-            return self.fault("the policy sent an attempt for a request that has ended")
+            return self.fault("an attempt for a request that is over")
         attempt = Attempt(call, len(call.attempts), server, now)
         call.attempts.append(attempt)
         call.in_flight += 1
