--- a/pewterring/standalone/http/reader.py
+++ b/pewterring/standalone/http/reader.py
@@ -251,11 +251,11 @@
             raise Malformed("the status line cannot be read")
         status, headers = int(status_line[2]), read_response_headers(rest)
         if status == 101:
-            raise Malformed("an upgrade nobody asked for")
+            raise Malformed("101 Switching Protocols without an upgrade request")
         if status < 200:
             self.interim += 1
             if self.interim > MAX_INTERIM:
-                raise Malformed("nothing but interim answers")
+                raise Malformed("too many interim responses")
             return None
         return Response(status, headers, keep_alive=keeps_alive(status_line[1], headers))
 
