--- a/benchmarks/mixed_builds.py
+++ b/benchmarks/mixed_builds.py
@@ -317,10 +317,8 @@
         if listed != dict.fromkeys(texts, 1):
             self._fault(name, f"results {dict(listed)}")
         for result in results:
-            expected = "".join(echoed_words(texts[result["id"]].encode()))
-            complete = result["state"] == "succeeded" and "".join(result["text"].split()) == "".join(
-                expected.split()
-            )
+            words = echoed_words(texts[result["id"]].encode())
+            complete = result["state"] == "succeeded" and result["text"].split() == words
             self.report.job_items["succeeded" if complete else result["state"]] += 1
             if not complete:
                 self._fault(name, str(result))
